--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -6,7 +6,7 @@
 import graderelay.net.HttpClient;
 import graderelay.net.HttpServer;
 import graderelay.net.NettyLoop;
-import graderelay.service.Node;
+import graderelay.service.ControllerNode;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.security.SecureRandom;
 import java.util.SplittableRandom;
@@ -69,7 +69,7 @@
     byte[] seed = new SecureRandom().generateSeed(8);
     var random = new SplittableRandom(java.nio.ByteBuffer.wrap(seed).getLong());
     var client = new HttpClient(loop, (int) (s.maxConnections() * Constants.IDLE_LINES_SHARE));
-    Node node = new Node(clock, client, s, options, random);
+    ControllerNode node = new ControllerNode(clock, client, s, options, random);
     node.onLeave(Serve::leave);
     int most = (int) (s.maxConnections() * Constants.ACCEPT_SHARE);
     HttpServer api = new HttpServer(loop, clock, most, node::handle);
--- a/src/main/java/graderelay/cli/Warmup.java
+++ b/src/main/java/graderelay/cli/Warmup.java
@@ -5,7 +5,7 @@
 import graderelay.net.HttpServer;
 import graderelay.net.NettyLoop;
 import graderelay.net.Reply;
-import graderelay.service.Node;
+import graderelay.service.ControllerNode;
 import graderelay.wire.Json;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.nio.charset.StandardCharsets;
@@ -69,8 +69,8 @@
     HttpServer outside = new HttpServer(loop, clock, 100, standIn);
     var bound = outside.listen("127.0.0.1:0").sync().channel();
     String at = "127.0.0.1:" + ((java.net.InetSocketAddress) bound.localAddress()).getPort();
-    Node node =
-        new Node(
+    ControllerNode node =
+        new ControllerNode(
             clock,
             (address, method, path, body, timeout, done) ->
                 client.call(at, method, path, body, timeout, done),
@@ -98,7 +98,7 @@
     return 0;
   }
 
-  private static boolean owns(NettyLoop clock, Node node) throws InterruptedException {
+  private static boolean owns(NettyLoop clock, ControllerNode node) throws InterruptedException {
     boolean[] owns = {false};
     CountDownLatch latch = new CountDownLatch(1);
     clock.execute(
--- a/src/main/java/graderelay/service/Node.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -7,16 +7,13 @@
 import graderelay.api.QuotaApi;
 import graderelay.api.UserApi;
 import graderelay.cloud.CloudClient;
-import graderelay.config.Logs;
 import graderelay.config.OperatorSettings;
 import graderelay.config.Options;
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
 import graderelay.core.MachineType;
-import graderelay.core.Policy;
-import graderelay.core.Report;
+import graderelay.core.Scheduler;
 import graderelay.core.SliceKey;
-import graderelay.core.WorkerCommand;
 import graderelay.features.FeatureGate;
 import graderelay.mesh.MeshClient;
 import graderelay.mesh.RequestHedger;
@@ -28,8 +25,6 @@
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
-import graderelay.wire.PeerAnswer;
-import graderelay.wire.PeerRequest;
 import graderelay.worker.LeaseDelegate;
 import graderelay.worker.WorkerApi;
 import graderelay.worker.WorkerClient;
@@ -42,8 +37,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: its parts and their life. It knows no sockets, so tests run several at once. */
-public final class Node {
+/**
+ * One controller process: wires its parts, starts and ends them, and routes the requests of users,
+ * workers, operators and peers to them. It knows no sockets, so tests run several at once.
+ */
+public final class ControllerNode {
   private static final Logger LOG = LoggerFactory.getLogger("node");
 
   private final Loop loop;
@@ -59,32 +57,34 @@
   private final MeshClient mesh;
   private final MeshApi meshApi;
   private final RequestHedger requestHedger;
-  private final OperatorSettings defaults;
-  private OperatorSettings operators;
+  private final StoredOperatorSettings operators;
   private final Metrics metrics;
   private final FeatureGate gate;
   private final FeatureDuty features;
   private final QuotaMonitor quotaMonitor;
   private final RequestRouter router;
-  private List<MachineType> types;
-  private FleetController fleetController;
-  private Loop.Timer typesTimer;
+  private final MachineTypePoller machineTypes;
+  private final LeaderOffice office;
   private Loop.Timer tickTimer;
   private boolean closed;
 
   /** A controller for which everything that options switch on is off. */
-  public Node(Loop loop, Transport transport, Settings s, RandomGenerator random) {
+  public ControllerNode(Loop loop, Transport transport, Settings s, RandomGenerator random) {
     this(loop, transport, s, Options.none(), random);
   }
 
-  public Node(Loop loop, Transport transport, Settings s, Options options, RandomGenerator random) {
+  /**
+   * A controller of the given settings; nothing starts before {@link #start}.
+   *
+   * @param options switches features on that this process supports
+   */
+  public ControllerNode(
+      Loop loop, Transport transport, Settings s, Options options, RandomGenerator random) {
     this.loop = loop;
     this.gate = new FeatureGate(options.supported());
     this.settings = s;
     this.random = random;
-    String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(mostSlice(s), Logs.known(level) ? level : "info");
-    this.operators = defaults;
+    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostSliceTasks(s));
     this.metrics = new Metrics(loop);
     this.state =
         new StateClient(
@@ -95,10 +95,22 @@
             s.stateChangesPerS(),
             s.least().changesPerS(),
             s.peers().size());
-    this.cache = new Cache(loop, state, gate, new Changes());
+    this.cache = new Cache(loop, state, gate, new RecordChanges());
     this.mesh = new MeshClient(transport, s.peers(), gate);
     this.cancellations = new Cancellations(loop, cache, s);
-    cancellations.listen(this::onCancelled);
+    this.office =
+        new LeaderOffice(
+            loop,
+            cache,
+            this::owner,
+            this::term,
+            this::speaks,
+            cancellations,
+            metrics,
+            s.member(),
+            this::machineTypes,
+            this::newTerm);
+    cancellations.listen(office::onCancelled);
     this.leadership =
         new Leadership(
             loop,
@@ -110,14 +122,22 @@
             mesh,
             cancellations,
             random::nextDouble,
-            new LeadershipListener());
+            office);
     this.cloud = new CloudClient(loop, transport, s.cloudAddress(), s.cloudRps());
+    this.machineTypes = new MachineTypePoller(loop, cloud, this::owner, this::onTypes);
     this.workers = new WorkerClient(transport);
     TeamLimits limits = new TeamLimits(cache.quota(), s.teams());
     this.quotaMonitor = new QuotaMonitor(limits, this::core);
     UserApi users =
         new UserApi(
-            loop, state, cache, cancellations, s, limits, () -> types, () -> operators.sliceCap());
+            loop,
+            state,
+            cache,
+            cancellations,
+            s,
+            limits,
+            this::machineTypes,
+            () -> operators.current().sliceCap());
     this.leaseDelegate =
         new LeaseDelegate(
             loop, mesh, leadership, cache, state, cancellations, s, random.nextLong());
@@ -130,7 +150,7 @@
             leaseDelegate,
             cancellations,
             s.member(),
-            this::onReport);
+            office::onReport);
     AdminApi admin =
         new AdminApi(
             loop,
@@ -140,8 +160,8 @@
             cache,
             leadership,
             mesh,
-            defaults,
-            mostSlice(s),
+            operators.defaults(),
+            SchedulerPolicy.mostSliceTasks(s),
             this::core,
             this::ready);
     this.requestHedger =
@@ -159,7 +179,7 @@
             limits,
             this::core,
             admin::atLeader,
-            this::replaceAccount,
+            office::replaceAccount,
             s.member());
     this.router =
         new RequestRouter(
@@ -178,7 +198,7 @@
             state,
             cancellations,
             reports::relayed,
-            this::onDeputy,
+            office::onDeputy,
             router::handleRelayed);
   }
 
@@ -187,27 +207,21 @@
     return !leadership.owner() || leadership.hears(peer);
   }
 
-  private static int mostSlice(Settings s) {
-    // New records fit what the state service will allow as well.
-    return Math.max(1, (int) (s.least().valueKb() * 1024 / Constants.SLICE_BYTES_PER_TASK));
-  }
-
-  private Policy policy() {
-    return new Policy(
-        settings.teams(),
-        settings.deputies(),
-        settings.grantS(),
-        settings.reportS(),
-        settings.leaseS(),
-        settings.listLagS(),
-        settings.least().txnOps(),
-        (int) ((state.smaller() ? settings.least() : settings.now()).valueKb() * 1024),
-        state.ownersChanges(),
-        settings.cpuShare() * Constants.DIRECT_PER_CORE_S,
-        settings.waits(),
-        settings.waitSteps(),
-        settings.finishes(),
-        operators.tuning());
+  /** The duty of a term that starts now, with the records and settings as they are now. */
+  private LeaderTerm newTerm() {
+    return new LeaderTerm(
+        loop,
+        state,
+        cache,
+        leadership,
+        cloud,
+        workers,
+        SchedulerPolicy.of(settings, state, operators.current()),
+        settings,
+        operators.current(),
+        metrics,
+        random,
+        machineTypes());
   }
 
   /** Tells where the numbers of open connections come from, to show them to operators. */
@@ -234,7 +248,7 @@
         "graderelay.feature.level", Tags.of("what", "supported"), m -> gate.supported().max());
     cache.start();
     features.start();
-    readTypes();
+    machineTypes.start();
     leaseDelegate.start();
     tick();
   }
@@ -242,17 +256,13 @@
   /** Ends the duties in the opposite order of their start. */
   public void close() {
     closed = true;
-    if (fleetController != null) {
-      fleetController.close();
-    }
+    office.close();
     leaseDelegate.close();
     features.close();
     leadership.close();
     metrics.close();
     cache.close();
-    if (typesTimer != null) {
-      typesTimer.cancel();
-    }
+    machineTypes.close();
     if (tickTimer != null) {
       tickTimer.cancel();
     }
@@ -266,24 +276,12 @@
     tickTimer = loop.after(Constants.TICK_S, this::tick);
   }
 
-  private void readTypes() {
-    if (closed) {
-      return;
-    }
-    cloud.types(
-        list -> {
-          if (list != null && !list.isEmpty()) {
-            types = list;
-            if (fleetController != null) {
-              fleetController.onTypes(list);
-            }
-          }
-          double wait =
-              types == null
-                  ? Constants.TYPES_RETRY_S
-                  : Constants.TYPES_EVERY_S * (leadership.owner() ? 1 : 5);
-          typesTimer = loop.after(wait, this::readTypes);
-        });
+  private List<MachineType> machineTypes() {
+    return machineTypes.current();
+  }
+
+  private void onTypes(List<MachineType> list) {
+    office.ifLeading(t -> t.onTypes(list));
   }
 
   /** True if this node can take requests. */
@@ -292,55 +290,31 @@
       return false;
     }
     boolean here =
-        cache.loaded() && types != null && loop.now() - state.lastOk() < Constants.READY_S;
+        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < Constants.READY_S;
     // While the state service refuses us alone, a peer decides what we are asked; while it is away
     // for all, what can be answered is, and the rest is told at once when to come back.
     return here
         || loop.now() - requestHedger.lastHelp() < Constants.READY_S
-        || (cache.loaded() && types != null && leadership.awayForAll());
+        || (cache.loaded() && machineTypes() != null && leadership.awayForAll());
   }
 
+  /** True while this node is the leader. */
   public boolean owner() {
     return leadership.owner();
   }
 
+  private long term() {
+    return leadership.term();
+  }
+
   /** True while this node may answer workers for all controllers. */
   public boolean speaks() {
     return leadership.entitled();
   }
 
   /** For tests and questions: the core while this node owns the fleet, else null. */
-  public graderelay.core.Scheduler core() {
-    return fleetController == null ? null : fleetController.core();
-  }
-
-  private List<WorkerCommand> onReport(Report r, String via) {
-    // An owner that is still reading the records keeps leases alive, and orders nothing: it counts
-    // them from when its duty begins, which is later.
-    return fleetController == null ? List.of() : fleetController.onReport(r, via);
-  }
-
-  /** A peer asks to be our deputy in its zone: only while we speak for the controllers. */
-  private PeerAnswer.Delegated onDeputy(PeerRequest.Delegation d) {
-    return fleetController != null && leadership.entitled()
-        ? new PeerAnswer.Delegated(fleetController.onDeputy(d), cancellations.word())
-        : new PeerAnswer.Delegated(null, null);
-  }
-
-  /** Operators want a team's account written anew; false if this node does not lead any more. */
-  private boolean replaceAccount(String team) {
-    if (fleetController == null) {
-      return false;
-    }
-    fleetController.replaceAccount(team);
-    return true;
-  }
-
-  /** A peer says that a job was cancelled: carried out at once, written up from its record. */
-  private void onCancelled(String job) {
-    if (fleetController != null) {
-      fleetController.onCancelled(job);
-    }
+  public Scheduler core() {
+    return office.core();
   }
 
   // ---------------------------------------------------------------- requests
@@ -370,101 +344,32 @@
     meshApi.handle(e);
   }
 
-  // ---------------------------------------------------------------- office and records
-
-  private final class LeadershipListener implements Leadership.Listener {
-    @Override
-    public void onWon(long term) {
-      metrics.count("graderelay.takeovers", "member", settings.member());
-      takeUp(term, loop.now());
-    }
-
-    /** Starts the duty as soon as the records are known as they stood when the term was won. */
-    private void takeUp(long term, double since) {
-      if (!cache.loaded()) {
-        if (!closed && leadership.owner() && leadership.term() == term) {
-          loop.after(Constants.TAKE_UP_RETRY_S, () -> takeUp(term, since));
-        }
-        return;
-      }
-      cache.catchUp(
-          ok -> {
-            if (closed || !leadership.owner() || leadership.term() != term) {
-              return;
-            }
-            if (!ok || types == null) {
-              loop.after(Constants.STATE_RETRY_S, () -> takeUp(term, since));
-              return;
-            }
-            fleetController =
-                new FleetController(
-                    loop,
-                    state,
-                    cache,
-                    leadership,
-                    cloud,
-                    workers,
-                    policy(),
-                    settings,
-                    operators,
-                    metrics,
-                    random,
-                    types);
-            fleetController.start();
-            metrics.span("graderelay.takeover", loop.now() - since);
-          });
-    }
-
-    @Override
-    public void onTermRaised(long term) {
-      if (fleetController != null) {
-        fleetController.onTermRaised(term);
-      }
-    }
-
-    @Override
-    public void onLost(String why) {
-      if (fleetController != null) {
-        fleetController.close();
-        fleetController = null;
-      }
-    }
-  }
+  // ---------------------------------------------------------------- records
 
-  private final class Changes implements Cache.Listener {
+  private final class RecordChanges implements Cache.Listener {
     @Override
     public void onJob(Cache.Entry e) {
-      if (fleetController != null) {
-        fleetController.onJob(e);
-      }
+      office.ifLeading(t -> t.onJob(e));
     }
 
     @Override
     public void onJobGone(String id) {
-      if (fleetController != null) {
-        fleetController.onJobGone(id);
-      }
+      office.ifLeading(t -> t.onJobGone(id));
     }
 
     @Override
     public void onSlice(SliceKey key, Cache.SliceEntry s) {
-      if (fleetController != null) {
-        fleetController.onSlice(key, s);
-      }
+      office.ifLeading(t -> t.onSlice(key, s));
     }
 
     @Override
     public void onSliceGone(SliceKey key) {
-      if (fleetController != null) {
-        fleetController.onSliceGone(key);
-      }
+      office.ifLeading(t -> t.onSliceGone(key));
     }
 
     @Override
     public void onEnd(String id, Cache.End e) {
-      if (fleetController != null) {
-        fleetController.onEnd(id, e);
-      }
+      office.ifLeading(t -> t.onEnd(id, e));
     }
 
     @Override
@@ -476,28 +381,18 @@
     @Override
     public void onQuota() {
       quotaMonitor.onQuota();
-      if (fleetController != null) {
-        fleetController.onQuota();
-      }
+      office.ifLeading(LeaderTerm::onQuota);
     }
 
     @Override
     public void onDeputyFree(String member, JsonNode record) {
-      if (fleetController != null) {
-        fleetController.onDeputyFree(member, record);
-      }
+      office.ifLeading(t -> t.onDeputyFree(member, record));
     }
 
     @Override
     public void onSettings() {
-      String before = operators.logLevel();
-      operators = OperatorSettings.stored(cache.settings(), defaults, mostSlice(settings));
-      if (!operators.logLevel().equals(before)) {
-        Logs.level(operators.logLevel());
-      }
-      if (fleetController != null) {
-        fleetController.onSettings(operators);
-      }
+      OperatorSettings now = operators.reload(cache.settings());
+      office.ifLeading(t -> t.onSettings(now));
     }
   }
 }
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -9,7 +9,7 @@
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
-import graderelay.service.Node;
+import graderelay.service.ControllerNode;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -68,7 +68,7 @@
   public final Rules rules;
   public final Map<String, SimWorker> workers = new LinkedHashMap<>();
   public final int size;
-  public final Node[] nodes;
+  public final ControllerNode[] nodes;
   public final boolean[][] refused;
 
   /** Which controllers start as the version in production, and not as the present one. */
@@ -110,7 +110,7 @@
     this.next = next;
     this.shape = shape;
     this.size = shape.size();
-    nodes = new Node[size];
+    nodes = new ControllerNode[size];
     production = new boolean[size];
     Arrays.fill(production, inProduction);
     options = new Options[size];
@@ -221,7 +221,7 @@
   /** Suspended processes in whose place others were started, by controller. */
   private final Map<Integer, Lost> lost = new LinkedHashMap<>();
 
-  private record Lost(Node node, Suspension suspension) {}
+  private record Lost(ControllerNode node, Suspension suspension) {}
 
   /** A suspended controller is taken for ended: another process may be started in its place. */
   public void loseTrackOf(int i) {
@@ -234,7 +234,7 @@
     lost.get(i).suspension().resume(loop);
   }
 
-  public Node lostNode(int i) {
+  public ControllerNode lostNode(int i) {
     return lost.get(i).node();
   }
 
@@ -293,8 +293,8 @@
         levelRules == null
             ? outside
             : levelRules.watched(i, old == null ? options[i].supported() : null, outside);
-    Node n =
-        new Node(
+    ControllerNode n =
+        new ControllerNode(
             suspendable(loop.process(drift, over), still),
             old == null ? judged : old.transport(judged, "state" + i + ":1"),
             settings(i),
