--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -9,12 +9,12 @@
 import graderelay.core.Scheduler;
 import graderelay.core.SliceRecord;
 import graderelay.core.Team;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
 import graderelay.net.Query;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.Leadership;
@@ -48,7 +48,7 @@
   private final StateClient state;
   private final Cache cache;
   private final Leadership leadership;
-  private final MeshClient mesh;
+  private final PeerClient mesh;
   private final OperatorSettings defaults;
   private final int mostSlice;
   private final Supplier<Scheduler> core;
@@ -61,7 +61,7 @@
       StateClient state,
       Cache cache,
       Leadership leadership,
-      MeshClient mesh,
+      PeerClient mesh,
       OperatorSettings defaults,
       int mostSlice,
       Supplier<Scheduler> core,
--- a/src/main/java/graderelay/api/MeshApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -1,9 +1,9 @@
 package graderelay.api;
 
 import graderelay.features.Feature;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cancellations;
 import graderelay.state.FeatureRecords;
 import graderelay.state.Leadership;
@@ -16,7 +16,7 @@
 import java.util.function.Function;
 
 /** Answers the other controllers. */
-public final class MeshApi {
+public final class PeerApi {
   private static final int NO_SUCH_MESSAGE = 404;
 
   /** Takes a worker's report that came to another controller. */
@@ -41,7 +41,7 @@
    * @param incarnation tells this process from others of the same member
    * @param requests takes users' and operators' requests that another controller passes on
    */
-  public MeshApi(
+  public PeerApi(
       Leadership leadership,
       FeatureRecords features,
       Runnable catchUp,
@@ -64,7 +64,7 @@
 
   /** Answers one request; one of a kind that this version does not know is refused. */
   public void handle(Exchange e) {
-    boolean message = e.method().equals("POST") && e.path().equals(MeshClient.PATH);
+    boolean message = e.method().equals("POST") && e.path().equals(PeerClient.PATH);
     PeerCodec.Envelope envelope =
         message ? PeerCodec.envelope(e.body()) : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
     PeerRequest request = envelope.request();
--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -73,7 +73,7 @@
     node.onLeave(Serve::leave);
     int most = (int) (s.maxConnections() * Constants.ACCEPT_SHARE);
     HttpServer api = new HttpServer(loop, clock, most, node::handle);
-    HttpServer mesh = new HttpServer(loop, clock, s.maxConnections(), node::handleMesh);
+    HttpServer mesh = new HttpServer(loop, clock, s.maxConnections(), node::handlePeer);
     try {
       api.listen(s.apiAddress()).sync();
       mesh.listen(s.meshAddress()).sync();
--- a/src/main/java/graderelay/mesh/MeshClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -1,4 +1,4 @@
-package graderelay.mesh;
+package graderelay.peer;
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Speaks to the other controllers, in CBOR. */
-public final class MeshClient {
-  /** The one path that messages between controllers go to. */
+/** The client of the other controllers (the peers): one POST of CBOR to {@link #PATH} each. */
+public final class PeerClient {
+  /** The one path that messages between controllers go to; a wire name, so it stays. */
   public static final String PATH = "/mesh";
 
   private final Transport transport;
@@ -24,12 +24,13 @@
    *
    * @param gate knows the feature level that goes with each request
    */
-  public MeshClient(Transport transport, List<Settings.Peer> peers, FeatureGate gate) {
+  public PeerClient(Transport transport, List<Settings.Peer> peers, FeatureGate gate) {
     this.transport = transport;
     this.peers = peers;
     this.gate = gate;
   }
 
+  /** The other controllers, in the order of the settings. */
   public List<Settings.Peer> peers() {
     return peers;
   }
@@ -63,6 +64,7 @@
     return null;
   }
 
+  /** How long to wait for a peer's answer, in seconds. */
   public double timeoutS() {
     return Constants.MESH_TIMEOUT_S;
   }
--- a/src/main/java/graderelay/mesh/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -1,4 +1,4 @@
-package graderelay.mesh;
+package graderelay.peer;
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
@@ -23,7 +23,7 @@
   private static final int TOO_MANY = 429;
 
   private final Loop loop;
-  private final MeshClient mesh;
+  private final PeerClient peerClient;
   private final BooleanSupplier stuck;
   private final BooleanSupplier awayForAll;
   private final Predicate<String> hears;
@@ -42,12 +42,12 @@
    */
   public RequestHedger(
       Loop loop,
-      MeshClient mesh,
+      PeerClient peerClient,
       BooleanSupplier stuck,
       BooleanSupplier awayForAll,
       Predicate<String> hears) {
     this.loop = loop;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.stuck = stuck;
     this.awayForAll = awayForAll;
     this.hears = hears;
@@ -58,8 +58,12 @@
     return lastHelp;
   }
 
+  /**
+   * Handles a request here, and puts it to a peer as well if it is slow or refused here; the first
+   * answer that is not a refusal goes to the asker.
+   */
   public void handle(Exchange e, Exchange.Handler here) {
-    new Race(e).run(here);
+    new HedgedRequest(e).run(here);
   }
 
   /**
@@ -67,10 +71,10 @@
    * do: a peer that doesn't answer at once or can't take it either leaves it to us.
    */
   public void handleElsewhere(Exchange e, Exchange.Handler here) {
-    if (mesh.peers().isEmpty()) {
+    if (peerClient.peers().isEmpty()) {
       handle(e, here);
     } else {
-      new Race(e).runElsewhere(here);
+      new HedgedRequest(e).runElsewhere(here);
     }
   }
 
@@ -79,8 +83,8 @@
    * is handed to one that is down comes back too late.
    */
   private Settings.Peer nextPeer() {
-    for (int i = 0; i < mesh.peers().size(); i++) {
-      Settings.Peer p = mesh.peers().get(nextPeer++ % mesh.peers().size());
+    for (int i = 0; i < peerClient.peers().size(); i++) {
+      Settings.Peer p = peerClient.peers().get(nextPeer++ % peerClient.peers().size());
       if (passedOver.getOrDefault(p.address(), 0.0) <= loop.now() && hears.test(p.member())) {
         return p;
       }
@@ -88,7 +92,10 @@
     return null;
   }
 
-  private final class Race {
+  /**
+   * One request put here and, as a hedged request, to up to {@link Constants#MOST_HEDGES} peers.
+   */
+  private final class HedgedRequest {
     private final Exchange e;
     private Answer refusal;
     private boolean over;
@@ -97,7 +104,7 @@
     private Loop.Timer timer;
     private Loop.Timer end;
 
-    Race(Exchange e) {
+    HedgedRequest(Exchange e) {
       this.e = e;
     }
 
@@ -123,7 +130,7 @@
             }
           };
       Loop.Timer slow = loop.after(Constants.HANDED_ON_S, ours);
-      mesh.send(
+      peerClient.send(
           p.address(),
           new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
           PeerCodec::relayed,
@@ -163,7 +170,7 @@
 
     /** Not everybody: in an outage each question would become one for every controller. */
     private int most() {
-      return Math.min(mesh.peers().size(), Constants.MOST_HEDGES);
+      return Math.min(peerClient.peers().size(), Constants.MOST_HEDGES);
     }
 
     /**
@@ -183,8 +190,8 @@
       if (over || asked >= most()) {
         return;
       }
-      int index = (lastGood + asked++) % mesh.peers().size();
-      Settings.Peer p = mesh.peers().get(index);
+      int index = (lastGood + asked++) % peerClient.peers().size();
+      Settings.Peer p = peerClient.peers().get(index);
       if (passedOver.getOrDefault(p.address(), 0.0) > loop.now()) {
         askNext();
         return;
@@ -192,7 +199,7 @@
       open++;
       out++;
       timer = loop.after(delay(), this::late);
-      mesh.send(
+      peerClient.send(
           p.address(),
           new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
           PeerCodec::relayed,
@@ -207,7 +214,7 @@
               lastGood = index;
               lastHelp = loop.now();
             } else if (lastGood == index) {
-              lastGood = (index + 1) % mesh.peers().size();
+              lastGood = (index + 1) % peerClient.peers().size();
             }
             answered(a, false);
           });
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.api.AdminApi;
 import graderelay.api.FeaturesApi;
-import graderelay.api.MeshApi;
+import graderelay.api.PeerApi;
 import graderelay.api.QuotaApi;
 import graderelay.api.UserApi;
 import graderelay.cloud.CloudClient;
@@ -15,11 +15,11 @@
 import graderelay.core.Scheduler;
 import graderelay.core.SliceKey;
 import graderelay.features.FeatureGate;
-import graderelay.mesh.MeshClient;
-import graderelay.mesh.RequestHedger;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
 import graderelay.net.Transport;
+import graderelay.peer.PeerClient;
+import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
@@ -54,8 +54,8 @@
   private final CloudClient cloud;
   private final WorkerClient workers;
   private final LeaseDelegate leaseDelegate;
-  private final MeshClient mesh;
-  private final MeshApi meshApi;
+  private final PeerClient peerClient;
+  private final PeerApi peerApi;
   private final RequestHedger requestHedger;
   private final StoredOperatorSettings operators;
   private final Metrics metrics;
@@ -96,7 +96,7 @@
             s.least().changesPerS(),
             s.peers().size());
     this.cache = new Cache(loop, state, gate, new RecordChanges());
-    this.mesh = new MeshClient(transport, s.peers(), gate);
+    this.peerClient = new PeerClient(transport, s.peers(), gate);
     this.cancellations = new Cancellations(loop, cache, s);
     this.office =
         new LeaderOffice(
@@ -119,7 +119,7 @@
             s.member(),
             s.meshAddress(),
             s.holdS(),
-            mesh,
+            peerClient,
             cancellations,
             random::nextDouble,
             office);
@@ -140,13 +140,13 @@
             () -> operators.current().sliceCap());
     this.leaseDelegate =
         new LeaseDelegate(
-            loop, mesh, leadership, cache, state, cancellations, s, random.nextLong());
+            loop, peerClient, leadership, cache, state, cancellations, s, random.nextLong());
     WorkerApi reports =
         new WorkerApi(
             loop,
             leadership,
             cache,
-            mesh,
+            peerClient,
             leaseDelegate,
             cancellations,
             s.member(),
@@ -159,15 +159,16 @@
             state,
             cache,
             leadership,
-            mesh,
+            peerClient,
             operators.defaults(),
             SchedulerPolicy.mostSliceTasks(s),
             this::core,
             this::ready);
     this.requestHedger =
-        new RequestHedger(loop, mesh, state::stuck, leadership::awayForAll, this::mayAnswer);
+        new RequestHedger(loop, peerClient, state::stuck, leadership::awayForAll, this::mayAnswer);
     String incarnation = leadership.process();
-    this.features = new FeatureDuty(loop, state, cache, leadership, mesh, s, options, incarnation);
+    this.features =
+        new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
     FeaturesApi featuresApi =
         new FeaturesApi(
             s.member(), cache, features.coordinator(), leadership::owner, admin::atLeader);
@@ -189,8 +190,8 @@
             this::ready,
             this::submissionsWaitHere,
             this::metricsText);
-    this.meshApi =
-        new MeshApi(
+    this.peerApi =
+        new PeerApi(
             leadership,
             cache.features(),
             () -> cache.catchUp(ok -> {}),
@@ -340,8 +341,8 @@
   }
 
   /** Requests of the other controllers. */
-  public void handleMesh(Exchange e) {
-    meshApi.handle(e);
+  public void handlePeer(Exchange e) {
+    peerApi.handle(e);
   }
 
   // ---------------------------------------------------------------- records
--- a/src/main/java/graderelay/service/FeatureDuty.java
+++ b/src/main/java/graderelay/service/FeatureDuty.java
@@ -8,8 +8,8 @@
 import graderelay.features.Member;
 import graderelay.features.MemberProbe;
 import graderelay.features.UpgradeCoordinator;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Loop;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
@@ -44,7 +44,7 @@
       StateClient state,
       Cache cache,
       Leadership leadership,
-      MeshClient mesh,
+      PeerClient peerClient,
       Settings settings,
       Options options,
       String incarnation) {
@@ -69,7 +69,7 @@
             ? new UpgradeCoordinator(
                 gate,
                 store,
-                probe(mesh, settings.member()),
+                probe(peerClient, settings.member()),
                 options.features(),
                 settings.member(),
                 incarnation,
@@ -83,13 +83,13 @@
     return version == null ? "unknown" : version;
   }
 
-  private static MemberProbe probe(MeshClient mesh, String self) {
+  private static MemberProbe probe(PeerClient peerClient, String self) {
     return (member, done) ->
-        mesh.send(
-            mesh.addressOf(member),
+        peerClient.send(
+            peerClient.addressOf(member),
             new PeerRequest.Identify(self),
             PeerCodec::identified,
-            mesh.timeoutS(),
+            peerClient.timeoutS(),
             answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
 
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -2,9 +2,9 @@
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.PeerClient;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -78,7 +78,7 @@
 
   private double lastAway = Double.NEGATIVE_INFINITY;
 
-  private final MeshClient mesh;
+  private final PeerClient mesh;
   private final Cancellations cancellations;
 
   /** Tells this process from earlier ones of the same member. */
@@ -96,7 +96,7 @@
       String member,
       String address,
       double holdS,
-      MeshClient mesh,
+      PeerClient mesh,
       Cancellations cancellations,
       DoubleSupplier random,
       Listener listener) {
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -2,9 +2,9 @@
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.PeerClient;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
 import graderelay.wire.StateCodec;
@@ -44,7 +44,7 @@
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final MeshClient mesh;
+  private final PeerClient mesh;
   private final String member;
   private final Leader leader;
   private final WriteCapacityLending lending;
@@ -58,7 +58,7 @@
   private boolean changing;
 
   PeerSupervisor(
-      Loop loop, StateClient state, Cache cache, MeshClient mesh, String member, Leader leader) {
+      Loop loop, StateClient state, Cache cache, PeerClient mesh, String member, Leader leader) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -3,9 +3,9 @@
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
 import graderelay.core.Report;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
@@ -23,7 +23,7 @@
  */
 public final class LeaseDelegate {
   private final Loop loop;
-  private final MeshClient mesh;
+  private final PeerClient mesh;
   private final Leadership leadership;
   private final Cache cache;
   private final StateClient state;
@@ -52,7 +52,7 @@
 
   public LeaseDelegate(
       Loop loop,
-      MeshClient mesh,
+      PeerClient mesh,
       Leadership leadership,
       Cache cache,
       StateClient state,
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -3,10 +3,10 @@
 import graderelay.constants.Constants;
 import graderelay.core.Report;
 import graderelay.core.WorkerCommand;
-import graderelay.mesh.MeshClient;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
@@ -32,7 +32,7 @@
   private final Loop loop;
   private final Leadership leadership;
   private final Cache cache;
-  private final MeshClient mesh;
+  private final PeerClient mesh;
   private final LeaseDelegate leaseDelegate;
   private final Cancellations cancellations;
   private final String member;
@@ -43,7 +43,7 @@
       Loop loop,
       Leadership leadership,
       Cache cache,
-      MeshClient mesh,
+      PeerClient mesh,
       LeaseDelegate leaseDelegate,
       Cancellations cancellations,
       String member,
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -48,7 +48,7 @@
     int leader = w.owner();
     for (int i = 0; i < w.size; i++) {
       if (i != leader) {
-        Exchange.Handler usual = w.nodes[i]::handleMesh;
+        Exchange.Handler usual = w.nodes[i]::handlePeer;
         w.net.listen("c" + i + ":81", "c" + i, e -> answer(how, usual, e));
       }
     }
@@ -99,7 +99,7 @@
     byte[] pledge = PeerCodec.encode(new PeerRequest.Pledge("m-1", 99, 60));
     ObjectNode later = ((ObjectNode) Json.readCbor(pledge)).put("kind", "pledge");
     for (int i = 0; i < w.size; i++) {
-      w.nodes[i].handleMesh(
+      w.nodes[i].handlePeer(
           new Exchange("POST", "/mesh", "", Json.writeCbor(later), a -> status[0] = a.status()));
       assertThat(status[0]).isEqualTo(404);
     }
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -309,7 +309,7 @@
     net.stands("c" + i, zoneOf(i));
     Exchange.Handler users = old == null ? n::handle : e -> n.handle(ProductionVersion.request(e));
     Exchange.Handler peers =
-        old == null ? n::handleMesh : e -> ProductionVersion.peer(e, n::handleMesh);
+        old == null ? n::handlePeer : e -> ProductionVersion.peer(e, n::handlePeer);
     net.listen(apis[i], "c" + i, e -> still.run(() -> deliver(over, e, users)));
     net.listen("c" + i + ":81", "c" + i, e -> still.run(() -> deliver(over, e, peers)));
     n.start();
