--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -199,7 +199,7 @@
             state,
             cancellations,
             reports::relayed,
-            office::onDeputy,
+            office::onDelegationRequest,
             router::handleRelayed);
   }
 
@@ -236,6 +236,7 @@
     features.onLeave(listener);
   }
 
+  /** Starts the duties: metrics, the records' watch, features, machine types, leases, ticks. */
   public void start() {
     LOG.info("{} starts in zone {}", settings.member(), settings.zone());
     metrics.bucket("state requests", state.requestTokens());
@@ -387,7 +388,7 @@
 
     @Override
     public void onDeputyFree(String member, JsonNode record) {
-      office.ifLeading(t -> t.onDeputyFree(member, record));
+      office.ifLeading(t -> t.onLeaseDelegateFreed(member, record));
     }
 
     @Override
--- a/src/main/java/graderelay/service/LeaderOffice.java
+++ b/src/main/java/graderelay/service/LeaderOffice.java
@@ -85,29 +85,31 @@
     }
   }
 
-  /** Takes a heartbeat; while no term runs, it keeps the lease alive and orders nothing. */
+  /**
+   * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
+   */
   List<WorkerCommand> onReport(Report r, String via) {
-    // An owner that is still reading the records keeps leases alive, and orders nothing: it counts
-    // them from when its duty begins, which is later.
-    LeaderTerm term = current;
-    return term == null ? List.of() : term.onReport(r, via);
+    // A leader that is still reading the records keeps leases alive, and orders nothing: it counts
+    // them from when its term begins, which is later.
+    return current == null ? List.of() : current.onReport(r, via);
   }
 
-  /** A peer asks to be our deputy in its zone: only while we speak for the controllers. */
-  PeerAnswer.Delegated onDeputy(PeerRequest.Delegation d) {
-    LeaderTerm term = current;
-    return term != null && entitled.getAsBoolean()
-        ? new PeerAnswer.Delegated(term.onDeputy(d), cancellations.word())
+  /**
+   * A peer asks to be our lease delegate in its zone: granted only while we speak for the
+   * controllers, and the core knows the peer; the answer carries what we know of cancellations.
+   */
+  PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation d) {
+    return current != null && entitled.getAsBoolean()
+        ? new PeerAnswer.Delegated(current.grantLeaseDelegation(d), cancellations.word())
         : new PeerAnswer.Delegated(null, null);
   }
 
   /** Operators want a team's account written anew; false if this node does not lead any more. */
   boolean replaceAccount(String team) {
-    LeaderTerm term = current;
-    if (term == null) {
+    if (current == null) {
       return false;
     }
-    term.replaceAccount(team);
+    current.replaceAccount(team);
     return true;
   }
 
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -228,7 +228,7 @@
    * A peer asks to be our lease delegate; the caller has checked that we may speak. Null if the
    * core does not know the peer's incarnation.
    */
-  PeerAnswer.Grant onDeputy(PeerRequest.Delegation d) {
+  PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation d) {
     double now = loop.now();
     boolean known =
         core.onDeputy(
@@ -237,7 +237,7 @@
   }
 
   /** A lease delegate's record was released. */
-  void onDeputyFree(String member, JsonNode n) {
+  void onLeaseDelegateFreed(String member, JsonNode n) {
     core.onDeputyFree(
         member,
         n.path("self").asText(),
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -38,6 +38,7 @@
   private PrometheusMeterRegistry registry;
   private boolean closed;
 
+  /** Makes the counters; nothing is measured before {@link #start}. */
   public Metrics(Loop loop) {
     this.loop = loop;
   }
@@ -55,15 +56,17 @@
         });
   }
 
+  /** Stops the measurement of the loop's delay. */
   public void close() {
     closed = true;
   }
 
+  /** Counts one event of a metric, with one tag and its value. */
   public void count(String name, String tag, String value) {
     counts.merge(name + "|" + tag + "|" + value, 1L, Long::sum);
   }
 
-  /** How long something took; shown as a distribution. */
+  /** How long something took, in seconds; shown as a distribution. */
   public void span(String name, double seconds) {
     if (registry != null) {
       timer(name).record((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
@@ -92,7 +95,12 @@
     gauge("graderelay.tokens.waited.seconds", t, m -> b.waitedSeconds());
   }
 
-  /** The text that a Prometheus server reads. */
+  /**
+   * The text that a Prometheus server reads.
+   *
+   * @param calls outcomes of calls to each service, counted by outcome
+   * @param core the leader's core, or null on a follower
+   */
   public String scrape(Map<String, Map<String, Long>> calls, Scheduler core) {
     if (registry == null) {
       registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -60,8 +60,8 @@
       case "/checkin" -> only("POST", e, () -> targets.workers().checkin(e));
       case "/metrics" -> only("GET", e, () -> showMetrics(e));
       default -> {
-        if (!operators(e)) {
-          users(e);
+        if (!routedToOperatorApis(e)) {
+          routeUserRequest(e);
         }
       }
     }
@@ -69,7 +69,7 @@
 
   /** What another controller passes on. */
   void handleRelayed(Exchange e) {
-    if (operators(e)) {
+    if (routedToOperatorApis(e)) {
       return;
     }
     if (gate.isShut()) {
@@ -79,8 +79,8 @@
     }
   }
 
-  /** True if the request was one of operators. */
-  private boolean operators(Exchange e) {
+  /** Hands an operators' request to its interface; false if the request is none. */
+  private boolean routedToOperatorApis(Exchange e) {
     String path = e.path();
     if (FeaturesApi.owns(path)) {
       targets.features().handle(e);
@@ -94,7 +94,10 @@
     return true;
   }
 
-  private void users(Exchange e) {
+  /**
+   * A user's request, hedged with a peer; a submission goes to a peer first if it would wait here.
+   */
+  private void routeUserRequest(Exchange e) {
     boolean submission = e.method().equals("POST") && e.path().equals(JOBS);
     if (gate.isShut()) {
       UserApi.unavailable(e, gate.closedBecause());
@@ -124,13 +127,14 @@
     if (path.equals(JOBS)) {
       only("POST", e, () -> targets.users().submit(e));
     } else if (path.startsWith(JOBS + "/")) {
-      job(e, path.substring(JOBS.length() + 1));
+      routeJobRequest(e, path.substring(JOBS.length() + 1));
     } else {
       UserApi.refuse(e, 404, "no such path");
     }
   }
 
-  private void job(Exchange e, String rest) {
+  /** A request about one job: {@code rest} is the path after {@code /v1/jobs/}. */
+  private void routeJobRequest(Exchange e, String rest) {
     if (rest.endsWith(WITHDRAW) && rest.indexOf('/') == rest.length() - WITHDRAW.length()) {
       String id = rest.substring(0, rest.length() - WITHDRAW.length());
       only("POST", e, () -> targets.users().cancel(e, id));
