--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -11,6 +11,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import java.util.function.Predicate;
 
 /**
@@ -130,17 +131,11 @@
             }
           };
       Loop.Timer slow = loop.after(Constants.HANDED_ON_S, ours);
-      peerClient.send(
-          p.address(),
-          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
-          PeerCodec::relayed,
+      askPeer(
+          p,
           Constants.HANDED_ON_S,
-          relayed -> {
-            Answer a = relayed == null ? null : relayed.answer();
+          a -> {
             boolean taken = a != null && a.status() != REFUSED && a.status() != TOO_MANY;
-            if (a == null) {
-              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
-            }
             if (taken && !left[0]) {
               left[0] = true;
               slow.cancel();
@@ -152,6 +147,25 @@
           });
     }
 
+    /**
+     * Puts the user's request to a peer; calls back with the peer's answer, or with null if none
+     * came, and then the peer is passed over for {@link Constants#PASS_OVER_S}.
+     */
+    private void askPeer(Settings.Peer p, double timeoutS, Consumer<Answer> done) {
+      peerClient.send(
+          p.address(),
+          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
+          PeerCodec::relayed,
+          timeoutS,
+          relayed -> {
+            Answer a = relayed == null ? null : relayed.answer();
+            if (a == null) {
+              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
+            }
+            done.accept(a);
+          });
+    }
+
     private double longest() {
       boolean poll = e.method().equals("GET");
       return Constants.HEDGED_S + (poll ? Constants.POLL_DEADLINE_S : Constants.USER_DEADLINE_S);
@@ -199,17 +213,11 @@
       open++;
       out++;
       timer = loop.after(delay(), this::late);
-      peerClient.send(
-          p.address(),
-          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
-          PeerCodec::relayed,
+      askPeer(
+          p,
           Constants.POLL_DEADLINE_S,
-          relayed -> {
+          a -> {
             out--;
-            Answer a = relayed == null ? null : relayed.answer();
-            if (a == null) {
-              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
-            }
             if (a != null && a.status() != REFUSED) {
               lastGood = index;
               lastHelp = loop.now();
