--- a/src/main/java/graderelay/mesh/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -1,4 +1,4 @@
-package graderelay.mesh;
+package graderelay.peer;
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
@@ -11,6 +11,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import java.util.function.Predicate;
 
 /**
@@ -23,7 +24,7 @@
   private static final int TOO_MANY = 429;
 
   private final Loop loop;
-  private final MeshClient mesh;
+  private final PeerClient peerClient;
   private final BooleanSupplier stuck;
   private final BooleanSupplier awayForAll;
   private final Predicate<String> hears;
@@ -42,12 +43,12 @@
    */
   public RequestHedger(
       Loop loop,
-      MeshClient mesh,
+      PeerClient peerClient,
       BooleanSupplier stuck,
       BooleanSupplier awayForAll,
       Predicate<String> hears) {
     this.loop = loop;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.stuck = stuck;
     this.awayForAll = awayForAll;
     this.hears = hears;
@@ -58,8 +59,12 @@
     return lastHelp;
   }
 
+  /**
+   * Handles a request here, and puts it to a peer as well if it is slow or refused here; the first
+   * answer that is not a refusal goes to the asker.
+   */
   public void handle(Exchange e, Exchange.Handler here) {
-    new Race(e).run(here);
+    new HedgedRequest(e).run(here);
   }
 
   /**
@@ -67,10 +72,10 @@
    * do: a peer that doesn't answer at once or can't take it either leaves it to us.
    */
   public void handleElsewhere(Exchange e, Exchange.Handler here) {
-    if (mesh.peers().isEmpty()) {
+    if (peerClient.peers().isEmpty()) {
       handle(e, here);
     } else {
-      new Race(e).runElsewhere(here);
+      new HedgedRequest(e).runElsewhere(here);
     }
   }
 
@@ -79,8 +84,8 @@
    * is handed to one that is down comes back too late.
    */
   private Settings.Peer nextPeer() {
-    for (int i = 0; i < mesh.peers().size(); i++) {
-      Settings.Peer p = mesh.peers().get(nextPeer++ % mesh.peers().size());
+    for (int i = 0; i < peerClient.peers().size(); i++) {
+      Settings.Peer p = peerClient.peers().get(nextPeer++ % peerClient.peers().size());
       if (passedOver.getOrDefault(p.address(), 0.0) <= loop.now() && hears.test(p.member())) {
         return p;
       }
@@ -88,7 +93,10 @@
     return null;
   }
 
-  private final class Race {
+  /**
+   * One request put here and, as a hedged request, to up to {@link Constants#MOST_HEDGES} peers.
+   */
+  private final class HedgedRequest {
     private final Exchange e;
     private Answer refusal;
     private boolean over;
@@ -97,7 +105,7 @@
     private Loop.Timer timer;
     private Loop.Timer end;
 
-    Race(Exchange e) {
+    HedgedRequest(Exchange e) {
       this.e = e;
     }
 
@@ -123,17 +131,11 @@
             }
           };
       Loop.Timer slow = loop.after(Constants.HANDED_ON_S, ours);
-      mesh.send(
-          p.address(),
-          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
-          PeerCodec::relayed,
+      askPeer(
+          p,
           Constants.HANDED_ON_S,
-          relayed -> {
-            Answer a = relayed == null ? null : relayed.answer();
+          a -> {
             boolean taken = a != null && a.status() != REFUSED && a.status() != TOO_MANY;
-            if (a == null) {
-              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
-            }
             if (taken && !left[0]) {
               left[0] = true;
               slow.cancel();
@@ -145,6 +147,25 @@
           });
     }
 
+    /**
+     * Puts the user's request to a peer; calls back with the peer's answer, or with null if none
+     * came, and then the peer is passed over for {@link Constants#PASS_OVER_S}.
+     */
+    private void askPeer(Settings.Peer p, double timeoutS, Consumer<Answer> done) {
+      peerClient.send(
+          p.address(),
+          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
+          PeerCodec::relayed,
+          timeoutS,
+          relayed -> {
+            Answer a = relayed == null ? null : relayed.answer();
+            if (a == null) {
+              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
+            }
+            done.accept(a);
+          });
+    }
+
     private double longest() {
       boolean poll = e.method().equals("GET");
       return Constants.HEDGED_S + (poll ? Constants.POLL_DEADLINE_S : Constants.USER_DEADLINE_S);
@@ -163,7 +184,7 @@
 
     /** Not everybody: in an outage each question would become one for every controller. */
     private int most() {
-      return Math.min(mesh.peers().size(), Constants.MOST_HEDGES);
+      return Math.min(peerClient.peers().size(), Constants.MOST_HEDGES);
     }
 
     /**
@@ -183,8 +204,8 @@
       if (over || asked >= most()) {
         return;
       }
-      int index = (lastGood + asked++) % mesh.peers().size();
-      Settings.Peer p = mesh.peers().get(index);
+      int index = (lastGood + asked++) % peerClient.peers().size();
+      Settings.Peer p = peerClient.peers().get(index);
       if (passedOver.getOrDefault(p.address(), 0.0) > loop.now()) {
         askNext();
         return;
@@ -192,22 +213,16 @@
       open++;
       out++;
       timer = loop.after(delay(), this::late);
-      mesh.send(
-          p.address(),
-          new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
-          PeerCodec::relayed,
+      askPeer(
+          p,
           Constants.POLL_DEADLINE_S,
-          relayed -> {
+          a -> {
             out--;
-            Answer a = relayed == null ? null : relayed.answer();
-            if (a == null) {
-              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
-            }
             if (a != null && a.status() != REFUSED) {
               lastGood = index;
               lastHelp = loop.now();
             } else if (lastGood == index) {
-              lastGood = (index + 1) % mesh.peers().size();
+              lastGood = (index + 1) % peerClient.peers().size();
             }
             answered(a, false);
           });
