--- /dev/null
+++ b/src/main/java/graderelay/api/JobState.java
@@ -0,0 +1,38 @@
+package graderelay.api;
+
+import graderelay.core.SliceRecord;
+import graderelay.state.Cache;
+
+/**
+ * What is true of a job now, as users are told it.
+ *
+ * @param stage pending, running, done or cancelled
+ * @param done tasks that are done
+ * @param running tasks that are claimed on a machine
+ * @param live the job's live record, or null if it has ended
+ */
+record JobState(String stage, int done, int running, Cache.Entry live) {
+  static final String CANCELLED = "cancelled";
+
+  /** The state of a job that has a final state. */
+  static JobState ended(Cache.End e) {
+    return new JobState(stageOf(e), e.cancelled() ? 0 : e.tasks(), 0, null);
+  }
+
+  /** The state of a live job, summed over its slices. */
+  static JobState live(Cache.Entry e) {
+    int done = 0;
+    int claimed = 0;
+    for (Cache.SliceEntry s : e.slices.values()) {
+      SliceRecord r = s.record();
+      done += r.doneCount();
+      claimed += r.claimedCount();
+    }
+    String stage = e.stop ? CANCELLED : claimed > 0 ? "running" : "pending";
+    return new JobState(stage, done, e.stop ? 0 : claimed, e);
+  }
+
+  static String stageOf(Cache.End end) {
+    return end.cancelled() ? CANCELLED : "done";
+  }
+}
