--- /dev/null
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -0,0 +1,119 @@
+package graderelay.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.JobSpec;
+import graderelay.core.Kind;
+import graderelay.core.Priority;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The stored record of a job ({@code g/job/ID}): its terms as the user gave them, and whether its
+ * user asked to stop it. Optional fields are left out when absent, so that older versions read the
+ * records of jobs that don't use them.
+ */
+final class JobRecordCodec {
+  static final String CLASS = "class";
+  static final String TEAM = "team";
+  static final String KIND = "kind";
+  static final String PRIORITY = "priority";
+  static final String TASKS = "tasks";
+  static final String CPUS = "cpus";
+  static final String GPUS = "gpus";
+  static final String MEMORY_GB = "mem";
+  static final String IMAGE = "image";
+  static final String IMAGE_GB = "imageGb";
+  static final String MACHINE_TYPES = "types";
+  static final String ZONE = "zone";
+  static final String ONE_ZONE = "oneZone";
+  static final String SPREAD = "spread";
+  static final String SPOT = "spot";
+  static final String ESTIMATE_S = "estimate";
+  static final String CHECKPOINT_S = "checkpoint";
+  static final String CHECKPOINT_SAVE_S = "save";
+  static final String DEADLINE_S = "deadline";
+  static final String SUBMITTED_MS = "at";
+  static final String SLICE_CAP = "cap";
+  static final String DEPENDENCIES = "needs";
+  static final String STOP_REQUESTED = "stop";
+
+  private JobRecordCodec() {}
+
+  static ObjectNode write(JobSpec s, boolean stopRequested) {
+    ObjectNode n = Json.object();
+    n.put(CLASS, s.jobClass()).put(TEAM, s.team()).put(KIND, s.kind().name());
+    n.put(PRIORITY, s.priority().name()).put(TASKS, s.tasks());
+    n.put(CPUS, s.cpus()).put(GPUS, s.gpus()).put(MEMORY_GB, s.memGb());
+    n.put(IMAGE, s.image()).put(IMAGE_GB, s.imageGb());
+    if (s.types() != null) {
+      ArrayNode types = n.putArray(MACHINE_TYPES);
+      s.types().forEach(types::add);
+    }
+    if (s.zone() != null) {
+      n.put(ZONE, s.zone());
+    }
+    n.put(ONE_ZONE, s.oneZone()).put(SPREAD, s.spread()).put(SPOT, s.spot());
+    n.put(ESTIMATE_S, s.estimateS());
+    n.put(CHECKPOINT_S, s.checkpointS()).put(CHECKPOINT_SAVE_S, s.saveS());
+    if (s.deadlineS() != null) {
+      n.put(DEADLINE_S, s.deadlineS());
+    }
+    n.put(SUBMITTED_MS, s.submittedMs()).put(SLICE_CAP, s.sliceCap());
+    if (!s.needs().isEmpty()) {
+      s.needs().forEach(n.putArray(DEPENDENCIES)::add);
+    }
+    if (stopRequested) {
+      n.put(STOP_REQUESTED, true);
+    }
+    return n;
+  }
+
+  static boolean stopRequested(JsonNode n) {
+    return n.path(STOP_REQUESTED).asBoolean(false);
+  }
+
+  static JobSpec read(String id, JsonNode n) {
+    List<String> types = null;
+    if (n.has(MACHINE_TYPES)) {
+      types = new ArrayList<>();
+      for (JsonNode t : n.get(MACHINE_TYPES)) {
+        types.add(t.asText());
+      }
+    }
+    return new JobSpec(
+        id,
+        n.path(CLASS).asText().intern(),
+        n.path(TEAM).asText().intern(),
+        Kind.valueOf(n.path(KIND).asText()),
+        Priority.valueOf(n.path(PRIORITY).asText()),
+        n.path(TASKS).asInt(),
+        n.path(CPUS).asDouble(),
+        n.path(GPUS).asDouble(),
+        n.path(MEMORY_GB).asDouble(),
+        n.path(IMAGE).asText().intern(),
+        n.path(IMAGE_GB).asDouble(),
+        types,
+        n.has(ZONE) ? n.get(ZONE).asText() : null,
+        n.path(ONE_ZONE).asBoolean(),
+        n.path(SPREAD).asBoolean(),
+        n.path(SPOT).asBoolean(),
+        n.path(ESTIMATE_S).asDouble(),
+        n.path(CHECKPOINT_S).asDouble(),
+        n.path(CHECKPOINT_SAVE_S).asDouble(),
+        n.has(DEADLINE_S) ? n.get(DEADLINE_S).asDouble() : null,
+        n.path(SUBMITTED_MS).asLong(),
+        Math.max(1, n.path(SLICE_CAP).asInt(1)),
+        dependencies(n.path(DEPENDENCIES)));
+  }
+
+  private static List<String> dependencies(JsonNode n) {
+    if (n.isEmpty()) {
+      return List.of();
+    }
+    List<String> ids = new ArrayList<>();
+    n.forEach(id -> ids.add(id.asText()));
+    return List.copyOf(ids);
+  }
+}
--- /dev/null
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -0,0 +1,130 @@
+package graderelay.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.Action;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Hints that a leader leaves for the next one after failover, in their plain form: the recent
+ * demand by job class ({@code g/demand}) and which images machines hold ({@code g/images/PART}).
+ * They are hints, so a record that would be too large leaves some of its content out.
+ */
+final class LeaderHintCodec {
+  static final String CLASSES = "classes";
+  static final String LATEST_JOB = "latest";
+  static final String ARRIVALS = "arrivals";
+  static final String IMAGE_NAMES = "images";
+  static final String IMAGES_BY_MACHINE = "machines";
+
+  /** The id under which the latest job of a class is read; it is never a job's own. */
+  private static final String NO_JOB = "j-0";
+
+  private LeaderHintCodec() {}
+
+  /** Each arrival as [time of day in ms, jobs], from its age in seconds now. */
+  static ObjectNode demand(List<Action.Demand> classes, long nowMs) {
+    ObjectNode n = Json.object();
+    ArrayNode list = n.putArray(CLASSES);
+    for (Action.Demand d : classes) {
+      ObjectNode c = list.addObject();
+      c.set(LATEST_JOB, JobRecordCodec.write(d.latest().needing(List.of()), false));
+      ArrayNode a = c.putArray(ARRIVALS);
+      for (double[] x : d.arrivals()) {
+        a.addArray().add(nowMs - (long) (x[0] * 1000)).add((int) x[1]);
+      }
+    }
+    return n;
+  }
+
+  /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
+  static ObjectNode demand(List<Action.Demand> classes, long nowMs, int mostBytes) {
+    int most = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
+    ObjectNode n = demand(classes, nowMs);
+    while (Json.write(n).length > mostBytes) {
+      ArrayNode list = (ArrayNode) n.get(CLASSES);
+      most /= 2;
+      if (most == 0 && list.size() > 0) {
+        list.remove(list.size() - 1);
+      }
+      for (JsonNode c : list) {
+        ArrayNode arrivals = (ArrayNode) c.get(ARRIVALS);
+        while (arrivals.size() > Math.max(1, most)) {
+          arrivals.remove(arrivals.size() - 1);
+        }
+      }
+    }
+    return n;
+  }
+
+  /** Each arrival as [age in seconds now, at least 0; jobs]. */
+  static List<Action.Demand> demand(JsonNode n, long nowMs) {
+    List<Action.Demand> classes = new ArrayList<>();
+    for (JsonNode c : n.path(CLASSES)) {
+      List<double[]> arrivals = new ArrayList<>();
+      for (JsonNode a : c.path(ARRIVALS)) {
+        double age = (nowMs - a.path(0).asLong()) / 1000.0;
+        arrivals.add(new double[] {Math.max(0, age), a.path(1).asInt()});
+      }
+      classes.add(new Action.Demand(JobRecordCodec.read(NO_JOB, c.path(LATEST_JOB)), arrivals));
+    }
+    return classes;
+  }
+
+  /** Each image's name once, at most {@code most} of them, and for each machine a bit mask. */
+  static ObjectNode images(Map<String, List<String>> machines, int most) {
+    ObjectNode n = Json.object();
+    ArrayNode names = n.putArray(IMAGE_NAMES);
+    ObjectNode bits = n.putObject(IMAGES_BY_MACHINE);
+    Map<String, Integer> index = new HashMap<>();
+    machines.forEach(
+        (machine, images) -> {
+          long mask = 0;
+          for (String image : images) {
+            Integer i = index.get(image);
+            if (i == null && index.size() < most) {
+              i = index.size();
+              index.put(image, i);
+              names.add(image);
+            }
+            mask |= i == null ? 0 : 1L << i;
+          }
+          bits.put(machine, mask);
+        });
+    return n;
+  }
+
+  /** The same within so many bytes; it is a hint, so some machines may be left out. */
+  static ObjectNode images(Map<String, List<String>> machines, int most, int mostBytes) {
+    Map<String, List<String>> some = new LinkedHashMap<>(machines);
+    ObjectNode n = images(some, most);
+    while (Json.write(n).length > mostBytes && !some.isEmpty()) {
+      some.keySet().removeAll(some.keySet().stream().limit(1 + some.size() / 8).toList());
+      n = images(some, most);
+    }
+    return n;
+  }
+
+  static Map<String, List<String>> images(JsonNode n) {
+    Map<String, List<String>> machines = new HashMap<>();
+    JsonNode names = n.path(IMAGE_NAMES);
+    n.path(IMAGES_BY_MACHINE)
+        .fields()
+        .forEachRemaining(
+            e -> {
+              List<String> images = new ArrayList<>();
+              for (int i = 0; i < names.size(); i++) {
+                if ((e.getValue().asLong() >> i & 1) != 0) {
+                  images.add(names.get(i).asText().intern());
+                }
+              }
+              machines.put(e.getKey(), images);
+            });
+    return machines;
+  }
+}
--- /dev/null
+++ b/src/main/java/graderelay/wire/SliceRecordCodec.java
@@ -0,0 +1,136 @@
+package graderelay.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.SliceRecord;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.IntUnaryOperator;
+
+/**
+ * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
+ * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
+ * holds for every task its attempt and its place: queued, done, or an index into the list of
+ * (machine, agent incarnation) pairs that hold claims.
+ */
+final class SliceRecordCodec {
+  static final String ALL_DONE = "done";
+  static final String ATTEMPTS = "a";
+  static final String CLAIM_HOLDERS = "m";
+  static final String PLACES = "p";
+  static final String PACKED_ATTEMPTS = "as";
+  static final String PACKED_PLACES = "ps";
+
+  private static final int QUEUED = -1;
+  private static final int DONE = -2;
+
+  /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
+  private static final char FIRST_CHAR = '#';
+
+  private SliceRecordCodec() {}
+
+  static ObjectNode write(SliceRecord r) {
+    if (r.doneCount() == r.size()) {
+      return Json.object().put(ALL_DONE, r.size());
+    }
+    return r.packed() ? packed(r) : plain(r);
+  }
+
+  /** The (machine, incarnation) pairs of a slice, each once, in the order of their first claim. */
+  private static final class ClaimHolders {
+    final ArrayNode list = Json.array();
+    private final Map<String, Integer> index = new HashMap<>();
+
+    int placeOf(String machine, long incarnation) {
+      return index.computeIfAbsent(
+          machine + "#" + incarnation,
+          k -> {
+            list.addArray().add(machine).add(incarnation);
+            return list.size() - 1;
+          });
+    }
+  }
+
+  private static int placeOf(SliceRecord r, int i, ClaimHolders holders) {
+    if (r.done(i)) {
+      return DONE;
+    }
+    String machine = r.machine(i);
+    return machine == null ? QUEUED : holders.placeOf(machine, r.session(i));
+  }
+
+  private static ObjectNode plain(SliceRecord r) {
+    ObjectNode n = Json.object();
+    ClaimHolders holders = new ClaimHolders();
+    ArrayNode attempts = n.putArray(ATTEMPTS);
+    n.set(CLAIM_HOLDERS, holders.list);
+    ArrayNode places = n.putArray(PLACES);
+    for (int i = 0; i < r.size(); i++) {
+      attempts.add(r.attempt(i));
+      places.add(placeOf(r, i, holders));
+    }
+    return n;
+  }
+
+  /**
+   * The same in fewer bytes, a character for each task instead of numbers. Only for slices that an
+   * earlier version made too large for the state service's present limits; that version can't read
+   * it.
+   */
+  private static ObjectNode packed(SliceRecord r) {
+    ClaimHolders holders = new ClaimHolders();
+    StringBuilder attempts = new StringBuilder();
+    StringBuilder places = new StringBuilder();
+    for (int i = 0; i < r.size(); i++) {
+      attempts.append((char) (FIRST_CHAR + r.attempt(i)));
+      places.append((char) (FIRST_CHAR - DONE + placeOf(r, i, holders)));
+    }
+    ObjectNode n = Json.object();
+    n.put(PACKED_ATTEMPTS, attempts.toString()).put(PACKED_PLACES, places.toString());
+    n.set(CLAIM_HOLDERS, holders.list);
+    return n;
+  }
+
+  static SliceRecord read(JsonNode n) {
+    if (n.has(ALL_DONE)) {
+      int size = n.get(ALL_DONE).asInt();
+      boolean[] done = new boolean[size];
+      Arrays.fill(done, true);
+      return new SliceRecord(new int[size], new String[size], new long[size], done);
+    }
+    JsonNode holders = n.path(CLAIM_HOLDERS);
+    if (n.has(PACKED_ATTEMPTS)) {
+      String attempts = n.path(PACKED_ATTEMPTS).asText();
+      String places = n.path(PACKED_PLACES).asText();
+      return read(
+          attempts.length(),
+          i -> attempts.charAt(i) - FIRST_CHAR,
+          i -> places.charAt(i) - FIRST_CHAR + DONE,
+          holders);
+    }
+    JsonNode attempts = n.path(ATTEMPTS);
+    JsonNode places = n.path(PLACES);
+    return read(
+        attempts.size(), i -> attempts.get(i).asInt(), i -> places.path(i).asInt(QUEUED), holders);
+  }
+
+  private static SliceRecord read(
+      int size, IntUnaryOperator attemptOf, IntUnaryOperator placeOf, JsonNode holders) {
+    int[] attempts = new int[size];
+    String[] machines = new String[size];
+    long[] incarnations = new long[size];
+    boolean[] done = new boolean[size];
+    for (int i = 0; i < size; i++) {
+      attempts[i] = attemptOf.applyAsInt(i);
+      int place = placeOf.applyAsInt(i);
+      done[i] = place == DONE;
+      if (place >= 0) {
+        machines[i] = holders.path(place).path(0).asText().intern();
+        incarnations[i] = holders.path(place).path(1).asLong();
+      }
+    }
+    return new SliceRecord(attempts, machines, incarnations, done);
+  }
+}
