--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -63,14 +63,17 @@
 
   private StateCodec() {}
 
+  /** The key of job {@code id}'s record. */
   public static String jobKey(String id) {
     return JOBS + id;
   }
 
+  /** The key of job {@code id}'s final state. */
   public static String endKey(String id) {
     return ENDS + id;
   }
 
+  /** The key of a slice's record. */
   public static String sliceKey(SliceKey k) {
     return SLICES + k.job() + "/" + k.index();
   }
@@ -84,9 +87,10 @@
 
   // ---------------------------------------------------------------- election records
 
-  /** Who leads the fleet: the leader's name, its term and its mesh address. */
+  /** Who leads the fleet: the leader's name, its term (the fencing token) and mesh address. */
   public record Owner(String member, long term, String address) {}
 
+  /** The leader's record. */
   public static ObjectNode owner(Owner o) {
     return Json.object()
         .put(MEMBER, o.member())
@@ -94,6 +98,7 @@
         .put(MESH_ADDRESS, o.address());
   }
 
+  /** The leader from its record. */
   public static Owner owner(JsonNode n) {
     return new Owner(
         n.path(MEMBER).asText(), n.path(TERM_NUMBER).asLong(), n.path(MESH_ADDRESS).asText());
@@ -108,6 +113,7 @@
    */
   public record Bar(String leaving, long mark) {}
 
+  /** The key of the suspension of controller {@code member}. */
   public static String barKey(String member) {
     return BARS + member;
   }
