--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -8,7 +8,6 @@
 import graderelay.core.Team;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
-import graderelay.net.Query;
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
@@ -18,6 +17,7 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -81,12 +81,12 @@
    * line that an answer may have. Needs the leader's scheduler.
    */
   void machines(Exchange e) {
-    Map<String, String> query = Query.parse(e.query());
-    int most = Replies.most(query);
-    if (most < 0) {
-      UserApi.refuse(e, 400, "most must be a number of at least 1");
+    Optional<ListQuery> asked = ListQuery.parse(e.query());
+    if (asked.isEmpty()) {
+      Replies.badListQuery(e);
       return;
     }
+    ListQuery query = asked.get();
     List<Scheduler.MachineView> all = new ArrayList<>(scheduler.get().machines(loop.now()));
     all.sort(Comparator.comparing(Scheduler.MachineView::name));
     Map<String, Integer> states = new TreeMap<>();
@@ -94,13 +94,13 @@
     boolean truncated = false;
     for (Scheduler.MachineView m : all) {
       states.merge(m.state(), 1, Integer::sum);
-      if (m.name().compareTo(query.getOrDefault("after", "")) <= 0
-          || !Replies.asked(query, "state", m.state())
-          || !Replies.asked(query, "type", m.type())
-          || !Replies.asked(query, "zone", m.zone())) {
+      if (m.name().compareTo(query.after()) <= 0
+          || !query.asks("state", m.state())
+          || !query.asks("type", m.type())
+          || !query.asks("zone", m.zone())) {
         continue;
       }
-      if (page.size() >= most) {
+      if (page.size() >= query.most()) {
         truncated = true;
         continue;
       }
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -6,12 +6,11 @@
 import graderelay.core.Scheduler;
 import graderelay.core.SliceRecord;
 import graderelay.net.Exchange;
-import graderelay.net.Query;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.wire.Json;
 import java.util.HashSet;
-import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
@@ -50,21 +49,19 @@
 
   /** A page of live jobs after the query's {@code after}, filtered by team and class. */
   void jobs(Exchange e) {
-    Map<String, String> query = Query.parse(e.query());
-    int most = Replies.most(query);
-    if (most < 0) {
-      UserApi.refuse(e, 400, "most must be a number of at least 1");
+    Optional<ListQuery> asked = ListQuery.parse(e.query());
+    if (asked.isEmpty()) {
+      Replies.badListQuery(e);
       return;
     }
+    ListQuery query = asked.get();
     ArrayNode page = Json.array();
     boolean truncated = false;
-    String after = query.getOrDefault("after", "");
-    for (Cache.Entry j : new TreeMap<>(cache.jobs()).tailMap(after, false).values()) {
-      if (!Replies.asked(query, "team", j.spec.team())
-          || !Replies.asked(query, "class", j.spec.jobClass())) {
+    for (Cache.Entry j : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
+      if (!query.asks("team", j.spec.team()) || !query.asks("class", j.spec.jobClass())) {
         continue;
       }
-      if (page.size() >= most) {
+      if (page.size() >= query.most()) {
         truncated = true;
         break;
       }
--- /dev/null
+++ b/src/main/java/graderelay/api/ListQuery.java
@@ -0,0 +1,37 @@
+package graderelay.api;
+
+import graderelay.constants.Constants;
+import graderelay.net.Query;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * The query of an operators' listing: at most {@code most} entries whose names come after {@code
+ * after}, filtered by the other parameters of the query.
+ *
+ * @param most at least 1 and at most {@link Constants#MOST_LISTED}
+ * @param after the name after which the page begins; empty for the first page
+ * @param parameters all parameters of the query, by name
+ */
+record ListQuery(int most, String after, Map<String, String> parameters) {
+  /** The query, or empty if {@code most} is given and is no number of at least 1. */
+  static Optional<ListQuery> parse(String rawQuery) {
+    Map<String, String> parameters = Query.parse(rawQuery);
+    int most;
+    try {
+      most = Integer.parseInt(parameters.getOrDefault("most", "" + Constants.MOST_LISTED));
+    } catch (NumberFormatException e) {
+      return Optional.empty();
+    }
+    if (most < 1) {
+      return Optional.empty();
+    }
+    String after = parameters.getOrDefault("after", "");
+    return Optional.of(new ListQuery(Math.min(most, Constants.MOST_LISTED), after, parameters));
+  }
+
+  /** True if the query does not filter by {@code name}, or asks for {@code value}. */
+  boolean asks(String name, String value) {
+    return !parameters.containsKey(name) || parameters.get(name).equals(value);
+  }
+}
--- a/src/main/java/graderelay/api/Replies.java
+++ b/src/main/java/graderelay/api/Replies.java
@@ -1,13 +1,11 @@
 package graderelay.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.constants.Constants;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.wire.Json;
-import java.util.Map;
 
-/** Answers and list queries that the operators' handlers share. */
+/** Answers that the operators' handlers share. */
 final class Replies {
   private Replies() {}
 
@@ -16,21 +14,8 @@
     e.to().accept(Answer.json(status, Json.write(n)));
   }
 
-  /**
-   * How many entries of a list are asked for by the query's {@code most}, at most {@link
-   * Constants#MOST_LISTED}; -1 if that is no number of at least 1.
-   */
-  static int most(Map<String, String> query) {
-    try {
-      int n = Integer.parseInt(query.getOrDefault("most", "" + Constants.MOST_LISTED));
-      return n < 1 ? -1 : Math.min(n, Constants.MOST_LISTED);
-    } catch (NumberFormatException e) {
-      return -1;
-    }
-  }
-
-  /** True if the query does not filter by {@code name}, or asks for {@code value}. */
-  static boolean asked(Map<String, String> query, String name, String value) {
-    return !query.containsKey(name) || query.get(name).equals(value);
+  /** Refuses a listing whose {@code most} is no number of at least 1. */
+  static void badListQuery(Exchange e) {
+    UserApi.refuse(e, 400, "most must be a number of at least 1");
   }
 }
