--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -3,11 +3,10 @@
 import graderelay.config.OperatorSettings;
 import graderelay.config.Settings;
 import graderelay.core.Scheduler;
-import graderelay.peer.PeerClient;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
+import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
-import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
 import graderelay.wire.PeerCodec;
@@ -33,8 +32,9 @@
   private final SettingsWrites settings;
 
   /**
+   * Makes the handler of the operators' requests under {@code /admin}.
+   *
    * @param platform this controller's settings of the deploy file
-   * @param leadership unused; kept for the callers
    * @param mostSlice the most tasks that a slice may hold
    * @param scheduler the scheduler while this controller leads, else null
    * @param ready true once this controller may answer
@@ -45,7 +45,6 @@
       TeamLimits limits,
       StateClient state,
       Cache cache,
-      Leadership leadership,
       PeerClient mesh,
       OperatorSettings defaults,
       int mostSlice,
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -32,6 +32,8 @@
   private final JobCancellations cancellations;
 
   /**
+   * Makes the handler of the users' requests: submissions, polls and cancellations.
+   *
    * @param types the machine types that may be rented, or null while they are not known yet
    * @param sliceCap tasks in one slice of a job submitted now
    */
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -158,7 +158,6 @@
             limits,
             state,
             cache,
-            leadership,
             peerClient,
             operators.defaults(),
             SchedulerPolicy.mostSliceTasks(s),
