--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -56,7 +56,7 @@
   /** Taken over from an earlier owner, who may have launched it. */
   boolean fromPast;
 
-  Report.Stage stage;
+  Heartbeat.Stage stage;
   double stageSince;
 
   /** When a report first showed it running, 0 before that. */
--- a/src/main/java/graderelay/core/Report.java
+++ b/src/main/java/graderelay/core/Heartbeat.java
@@ -3,12 +3,15 @@
 import java.util.List;
 
 /**
- * What a worker says of itself.
+ * A worker's heartbeat with status: what it says of itself and of the task attempts it holds. The
+ * wire calls it a report ({@code graderelay.wire.WorkerCodec} maps it once).
  *
+ * @param session the worker's incarnation (agent epoch); a restarted worker has a larger one
+ * @param seq the heartbeat's sequence number within its incarnation
  * @param term the highest term the worker has seen
  * @param noticeS seconds until the cloud takes the machine, or null
  */
-public record Report(
+public record Heartbeat(
     String machine,
     String address,
     String type,
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -91,7 +91,7 @@
   Resources used = Resources.NONE;
 
   final Map<String, Claim> claims = new HashMap<>();
-  Report last;
+  Heartbeat last;
 
   /** Attempts that a late launch could start again if the worker forgot them. */
   final Set<String> neverReap = new HashSet<>();
--- a/src/main/java/graderelay/core/Placer.java
+++ b/src/main/java/graderelay/core/Placer.java
@@ -823,7 +823,7 @@
 
   /** Run time that is lost when a claim is stopped. */
   private static double lost(Claim c, double now) {
-    if (c.stage != Report.Stage.RUNNING) {
+    if (c.stage != Heartbeat.Stage.RUNNING) {
       return 0.5;
     }
     double ran = now - c.stageSince;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -255,13 +255,13 @@
    *
    * @return false if it is a copy of the past, which proves nothing and renews nothing
    */
-  public boolean onReport(Report r, double now) {
+  public boolean onReport(Heartbeat r, double now) {
     return onReport(r, "", now);
   }
 
   /** The same for a report that came to another controller, or to this one if {@code via} is "". */
-  public boolean onReport(Report r, String via, double now) {
-    return proof.takeReport(r, via, now);
+  public boolean onReport(Heartbeat r, String via, double now) {
+    return proof.takeHeartbeat(r, via, now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
@@ -270,11 +270,11 @@
   }
 
   /** Orders for the response to the report that was just taken. */
-  public List<WorkerCommand> ordersFor(Report r, double now) {
+  public List<WorkerCommand> ordersFor(Heartbeat r, double now) {
     return orders.ordersFor(r, now);
   }
 
-  public void onSent(Action.Command cmd, Sent how, Report report, double now) {
+  public void onSent(Action.Command cmd, Sent how, Heartbeat report, double now) {
     proof.onSent(cmd, how, report, now);
   }
 
--- a/src/main/java/graderelay/core/TerminationProof.java
+++ b/src/main/java/graderelay/core/TerminationProof.java
@@ -36,7 +36,7 @@
    *
    * @param via the controller that its report came to, or null for an answer to a direct order
    */
-  boolean takeReport(Report r, String via, double now) {
+  boolean takeHeartbeat(Heartbeat r, String via, double now) {
     boolean checkin = via != null;
     if (dropped.contains(r.machine())) {
       return false; // Held back on the way: the cloud has said that the machine is gone.
@@ -87,16 +87,16 @@
       world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
       orders.drainClaims(m, now);
     }
-    for (Report.Entry e : r.tasks()) {
+    for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
-      if (c != null && e.stage() == Report.Stage.FETCHING) {
+      if (c != null && e.stage() == Heartbeat.Stage.FETCHING) {
         m.fetching.add(c.job.spec.image());
       } else if (c != null && (e.why().isEmpty() || e.why().equals("done"))) {
         m.learnImage(c.job.spec.image(), now);
       }
     }
     if (!m.claims.isEmpty()) {
-      Map<String, Report.Entry> shown = shown(r);
+      Map<String, Heartbeat.Entry> shown = shown(r);
       for (Claim c : new ArrayList<>(m.claims.values())) {
         judge(m, c, r, shown.get(reapKey(c.taskId(), c.attempt)), checkin, now);
       }
@@ -114,7 +114,7 @@
    * which may be as long as a worker's wait for an answer. What its worker does shows it: one that
    * took an answer stays with that controller, and one that got none goes to the next.
    */
-  private void hears(Machine m, Report r, String via, boolean first, double now) {
+  private void hears(Machine m, Heartbeat r, String via, boolean first, double now) {
     if (first) {
       return;
     }
@@ -150,8 +150,8 @@
   }
 
   /** True if a start that went with the answer to an earlier report is not in this one. */
-  private boolean ignoresLaunch(Machine m, Report r) {
-    Map<String, Report.Entry> shown = null;
+  private boolean ignoresLaunch(Machine m, Heartbeat r) {
+    Map<String, Heartbeat.Entry> shown = null;
     for (Claim c : m.claims.values()) {
       if (c.launch == Claim.Launch.IN_RESPONSE
           && c.phase == Claim.Phase.HELD
@@ -166,16 +166,17 @@
     return false;
   }
 
-  private static Map<String, Report.Entry> shown(Report r) {
-    Map<String, Report.Entry> shown = new HashMap<>();
-    for (Report.Entry e : r.tasks()) {
+  private static Map<String, Heartbeat.Entry> shown(Heartbeat r) {
+    Map<String, Heartbeat.Entry> shown = new HashMap<>();
+    for (Heartbeat.Entry e : r.tasks()) {
       shown.put(reapKey(e.task(), e.attempt()), e);
     }
     return shown;
   }
 
   /** What a report proves about one claim on its machine. */
-  private void judge(Machine m, Claim c, Report r, Report.Entry e, boolean checkin, double now) {
+  private void judge(
+      Machine m, Claim c, Heartbeat r, Heartbeat.Entry e, boolean checkin, double now) {
     if (c.phase != Claim.Phase.HELD || c.session > r.session()) {
       return;
     }
@@ -196,11 +197,11 @@
       if (c.stage != e.stage()) {
         c.stage = e.stage();
         c.stageSince = now;
-        if (e.stage() == Report.Stage.RUNNING && c.runningSince == 0) {
+        if (e.stage() == Heartbeat.Stage.RUNNING && c.runningSince == 0) {
           c.runningSince = now;
         }
       }
-      if (e.stage() == Report.Stage.EXITED) {
+      if (e.stage() == Heartbeat.Stage.EXITED) {
         exited(m, c, e, now);
       } else if (c.runningSince > 0 && !c.wellSaid && now - c.runningSince > Constants.GOOD_RUN_S) {
         c.wellSaid = true;
@@ -242,7 +243,7 @@
     return task + "#" + attempt;
   }
 
-  private void exited(Machine m, Claim c, Report.Entry e, double now) {
+  private void exited(Machine m, Claim c, Heartbeat.Entry e, double now) {
     Job j = c.job;
     world.note(
         c.taskId()
@@ -323,7 +324,7 @@
     }
   }
 
-  void onSent(Action.Command cmd, Scheduler.Sent how, Report report, double now) {
+  void onSent(Action.Command cmd, Scheduler.Sent how, Heartbeat report, double now) {
     Machine m = world.machines.get(cmd.machine());
     if (m == null) {
       return;
@@ -360,7 +361,7 @@
       }
     }
     if (report != null && report.machine().equals(cmd.machine())) {
-      takeReport(report, null, now);
+      takeHeartbeat(report, null, now);
     }
   }
 }
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -37,22 +37,22 @@
   private boolean raising;
 
   /** Orders for the response to the report that was just taken. */
-  List<WorkerCommand> ordersFor(Report r, double now) {
+  List<WorkerCommand> ordersFor(Heartbeat r, double now) {
     Machine m = world.machines.get(r.machine());
     List<WorkerCommand> orders = new ArrayList<>();
     if (m == null || m.session != r.session() || m.seq != r.seq()) {
       return orders;
     }
-    for (Report.Entry e : r.tasks()) {
+    for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
       boolean ours = c != null && c.attempt == e.attempt() && c.session == m.session;
       if (!ours) {
-        if (e.stage() != Report.Stage.EXITED) {
+        if (e.stage() != Heartbeat.Stage.EXITED) {
           orders.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
         } else if (!m.neverReap.contains(TerminationProof.reapKey(e.task(), e.attempt()))) {
           orders.add(new WorkerCommand.Reap(e.task(), e.attempt()));
         }
-      } else if (e.stage() != Report.Stage.EXITED) {
+      } else if (e.stage() != Heartbeat.Stage.EXITED) {
         WorkerCommand.Kill kill = killOf(c, now);
         if (kill != null) {
           orders.add(kill);
@@ -96,7 +96,7 @@
       return new WorkerCommand.Kill(c.taskId(), c.attempt, 0);
     }
     double grace = s.saveS() + Constants.SAVE_SLACK_S;
-    if (c.stage == Report.Stage.SAVING) {
+    if (c.stage == Heartbeat.Stage.SAVING) {
       return now - c.stageSince > 2 * grace
           ? new WorkerCommand.Kill(c.taskId(), c.attempt, 0)
           : null;
@@ -134,7 +134,7 @@
           || m == null
           || m.address == null
           || c.session != m.session
-          || c.stage == Report.Stage.EXITED
+          || c.stage == Heartbeat.Stage.EXITED
           || now - m.lastReport > world.policy.reportS() * Constants.SILENT_REPORTS) {
         continue;
       }
--- a/src/main/java/graderelay/service/FleetController.java
+++ b/src/main/java/graderelay/service/FleetController.java
@@ -6,9 +6,9 @@
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
 import graderelay.core.Action;
+import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
-import graderelay.core.Report;
 import graderelay.core.Scheduler;
 import graderelay.core.Scheduler.Outcome;
 import graderelay.core.Scheduler.Sent;
@@ -208,7 +208,7 @@
   }
 
   /** Takes a report and returns the orders for its response; the caller has checked our hold. */
-  List<WorkerCommand> onReport(Report r, String via) {
+  List<WorkerCommand> onReport(Heartbeat r, String via) {
     double now = loop.now();
     boolean fresh = core.onReport(r, via, now);
     if (core.staleReports() > stale) {
--- a/src/main/java/graderelay/service/Node.java
+++ b/src/main/java/graderelay/service/Node.java
@@ -12,9 +12,9 @@
 import graderelay.config.Options;
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
+import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
-import graderelay.core.Report;
 import graderelay.core.SliceKey;
 import graderelay.core.WorkerCommand;
 import graderelay.features.FeatureGate;
@@ -314,7 +314,7 @@
     return fleetController == null ? null : fleetController.core();
   }
 
-  private List<WorkerCommand> onReport(Report r, String via) {
+  private List<WorkerCommand> onReport(Heartbeat r, String via) {
     // An owner that is still reading the records keeps leases alive, and orders nothing: it counts
     // them from when its duty begins, which is later.
     return fleetController == null ? List.of() : fleetController.onReport(r, via);
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -3,7 +3,7 @@
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
 import graderelay.core.CancellationKnowledge;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
 import java.util.ArrayList;
@@ -110,10 +110,10 @@
   }
 
   /** The kills that go with an answer to this report; anybody may order these, at any time. */
-  public List<WorkerCommand> kills(Report r) {
+  public List<WorkerCommand> kills(Heartbeat r) {
     List<WorkerCommand> kills = new ArrayList<>();
-    for (Report.Entry e : r.tasks()) {
-      if (e.stage() != Report.Stage.EXITED
+    for (Heartbeat.Entry e : r.tasks()) {
+      if (e.stage() != Heartbeat.Stage.EXITED
           && cancelled(e.task().substring(0, Math.max(0, e.task().indexOf('/'))))) {
         kills.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
       }
@@ -122,7 +122,7 @@
   }
 
   /** The same in front of what the owner orders, of which the stopped tasks' part is left out. */
-  public List<WorkerCommand> withKills(Report r, List<WorkerCommand> orders) {
+  public List<WorkerCommand> withKills(Heartbeat r, List<WorkerCommand> orders) {
     List<WorkerCommand> all = kills(r);
     if (all.isEmpty()) {
       return orders;
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.core.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,21 +49,21 @@
   }
 
   /** Reads a report; null if it is none. */
-  public static Report report(JsonNode n) {
+  public static Heartbeat report(JsonNode n) {
     if (!wellFormed(n)) {
       return null;
     }
-    List<Report.Entry> tasks = new ArrayList<>();
+    List<Heartbeat.Entry> tasks = new ArrayList<>();
     for (JsonNode t : n.path("boards")) {
-      Report.Stage stage =
+      Heartbeat.Stage stage =
           switch (t.path("stage").asText()) {
-            case "running" -> Report.Stage.RUNNING;
-            case "saving" -> Report.Stage.SAVING;
-            case "exited" -> Report.Stage.EXITED;
-            default -> Report.Stage.FETCHING;
+            case "running" -> Heartbeat.Stage.RUNNING;
+            case "saving" -> Heartbeat.Stage.SAVING;
+            case "exited" -> Heartbeat.Stage.EXITED;
+            default -> Heartbeat.Stage.FETCHING;
           };
       tasks.add(
-          new Report.Entry(
+          new Heartbeat.Entry(
               t.path("board").asText(),
               t.path("pass").asInt(),
               stage,
@@ -71,7 +71,7 @@
               t.path("saved").asBoolean(false)));
     }
     JsonNode notice = n.path("recall_s");
-    return new Report(
+    return new Heartbeat(
         n.path("saw").asText(),
         n.path("address").asText(),
         n.path("rig").asText(),
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -2,7 +2,7 @@
 
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.mesh.MeshClient;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
@@ -92,7 +92,7 @@
    * True if this worker's report may be answered under {@link #term}, with no order but the kills
    * of cancelled tasks.
    */
-  public boolean answers(Report r) {
+  public boolean answers(Heartbeat r) {
     double now = loop.now();
     // After standing still it may have been replaced, and the cluster may have moved on meanwhile.
     boolean stoodStill = now - lastTick > Constants.SUSPENDED_S;
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -1,7 +1,7 @@
 package graderelay.worker;
 
 import graderelay.constants.Constants;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.core.WorkerCommand;
 import graderelay.mesh.MeshClient;
 import graderelay.net.Exchange;
@@ -36,7 +36,7 @@
   private final LeaseDelegate leaseDelegate;
   private final Cancellations cancellations;
   private final String member;
-  private final BiFunction<Report, String, List<WorkerCommand>> fleet;
+  private final BiFunction<Heartbeat, String, List<WorkerCommand>> fleet;
   private final Map<String, Pointed> pointed = new LinkedHashMap<>();
 
   public WorkerApi(
@@ -47,7 +47,7 @@
       LeaseDelegate leaseDelegate,
       Cancellations cancellations,
       String member,
-      BiFunction<Report, String, List<WorkerCommand>> fleet) {
+      BiFunction<Heartbeat, String, List<WorkerCommand>> fleet) {
     this.loop = loop;
     this.leadership = leadership;
     this.cache = cache;
@@ -59,7 +59,7 @@
   }
 
   public void checkin(Exchange e) {
-    Report r = WorkerCodec.report(Json.read(e.body()));
+    Heartbeat r = WorkerCodec.report(Json.read(e.body()));
     if (r == null) {
       e.to().accept(Answer.json(400, Json.error("not a report")));
       return;
@@ -122,7 +122,7 @@
         });
   }
 
-  private void remember(Report r, Pointed p) {
+  private void remember(Heartbeat r, Pointed p) {
     pointed.put(r.machine(), p);
     if (pointed.size() > Constants.MOST_POINTED) {
       pointed.remove(pointed.keySet().iterator().next());
@@ -131,7 +131,7 @@
 
   /** A report that another controller passes on. */
   public void relayed(String via, byte[] body, Consumer<Answer> to) {
-    Report r = WorkerCodec.report(Json.read(body));
+    Heartbeat r = WorkerCodec.report(Json.read(body));
     if (r == null) {
       to.accept(Answer.json(400, Json.error("not a report")));
     } else {
@@ -139,7 +139,7 @@
     }
   }
 
-  private void answer(Report r, String via, Consumer<Answer> to) {
+  private void answer(Heartbeat r, String via, Consumer<Answer> to) {
     boolean may = leadership.entitled() && cancellations.mayRenew();
     List<WorkerCommand> orders = may ? fleet.apply(r, via) : null;
     if (orders == null) {
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -2,7 +2,7 @@
 
 import graderelay.constants.Constants;
 import graderelay.core.Action;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.core.Scheduler.Sent;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
@@ -13,7 +13,7 @@
 public final class WorkerClient {
   /** Hears how orders ended. */
   public interface Done {
-    void done(Sent how, Report report);
+    void done(Sent how, Heartbeat report);
   }
 
   private final Transport transport;
@@ -42,7 +42,7 @@
     };
   }
 
-  private static Report report(Reply r) {
+  private static Heartbeat report(Reply r) {
     boolean has = r.status() == 200 || r.status() == 409;
     return has ? WorkerCodec.report(Json.read(r.body())) : null;
   }
--- a/src/test/java/graderelay/FailingJobsTest.java
+++ b/src/test/java/graderelay/FailingJobsTest.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
-import graderelay.core.Report;
+import graderelay.core.Heartbeat;
 import graderelay.core.Scheduler;
 import graderelay.core.WorkerCommand;
 import graderelay.sim.Rules;
@@ -45,13 +45,14 @@
     int n = 0;
     for (var e : launched(s).entrySet()) {
       String why = whyOn.apply(e.getKey());
-      List<Report.Entry> shown = new ArrayList<>();
+      List<Heartbeat.Entry> shown = new ArrayList<>();
       for (WorkerCommand.Launch l : e.getValue()) {
-        shown.add(new Report.Entry(l.task(), l.attempt(), Report.Stage.EXITED, why, false));
+        shown.add(new Heartbeat.Entry(l.task(), l.attempt(), Heartbeat.Stage.EXITED, why, false));
         n++;
       }
-      Report r =
-          SchedulerFixture.report(e.getKey(), 1, seq, s.term(), shown.toArray(new Report.Entry[0]));
+      Heartbeat r =
+          SchedulerFixture.report(
+              e.getKey(), 1, seq, s.term(), shown.toArray(new Heartbeat.Entry[0]));
       s.onReport(r, now);
       s.answered(e.getKey(), now);
     }
--- a/src/test/java/graderelay/SchedulerFixture.java
+++ b/src/test/java/graderelay/SchedulerFixture.java
@@ -1,12 +1,12 @@
 package graderelay;
 
 import graderelay.core.Action;
+import graderelay.core.Heartbeat;
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
 import graderelay.core.Priority;
-import graderelay.core.Report;
 import graderelay.core.Scheduler;
 import graderelay.core.SliceRecord;
 import graderelay.core.Team;
@@ -184,8 +184,9 @@
         List.of());
   }
 
-  static Report report(String machine, long session, long seq, long term, Report.Entry... tasks) {
-    return new Report(
+  static Heartbeat report(
+      String machine, long session, long seq, long term, Heartbeat.Entry... tasks) {
+    return new Heartbeat(
         machine, machine + ":9000", "small", "a", false, session, seq, term, null, List.of(tasks));
   }
 
@@ -253,7 +254,7 @@
   }
 
   /** Answers the latest direct orders with a report that refuses them. */
-  static void answerDirect(Scheduler s, Report r, double now) {
+  static void answerDirect(Scheduler s, Heartbeat r, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Command c) {
         TAKEN.get(s).remove(a);
@@ -280,11 +281,11 @@
         start(c.orders(), running);
       }
     }
-    Report first = report(machine, 1, seq, s.term(), shown(running, 0));
+    Heartbeat first = report(machine, 1, seq, s.term(), shown(running, 0));
     s.onReport(first, now);
     s.answered(machine, now);
     start(s.ordersFor(first, now), running);
-    Report second = report(machine, 1, seq + 1, s.term(), shown(running, done));
+    Heartbeat second = report(machine, 1, seq + 1, s.term(), shown(running, done));
     s.onReport(second, now + 0.5);
     s.answered(machine, now + 0.5);
     var it = running.keySet().iterator();
@@ -302,20 +303,20 @@
     }
   }
 
-  private static Report.Entry[] shown(Map<String, Integer> running, int done) {
-    List<Report.Entry> tasks = new ArrayList<>();
+  private static Heartbeat.Entry[] shown(Map<String, Integer> running, int done) {
+    List<Heartbeat.Entry> tasks = new ArrayList<>();
     running.forEach(
         (t, attempt) -> {
           boolean over = tasks.size() < done;
           tasks.add(
-              new Report.Entry(
+              new Heartbeat.Entry(
                   t,
                   attempt,
-                  over ? Report.Stage.EXITED : Report.Stage.RUNNING,
+                  over ? Heartbeat.Stage.EXITED : Heartbeat.Stage.RUNNING,
                   over ? "done" : "",
                   false));
         });
-    return tasks.toArray(new Report.Entry[0]);
+    return tasks.toArray(new Heartbeat.Entry[0]);
   }
 
   /** Changes of slices in transactions that nobody has answered. */
