--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -7,7 +7,7 @@
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.core.Team;
 import graderelay.mesh.MeshClient;
 import graderelay.net.Exchange;
@@ -319,7 +319,7 @@
     }
     ArrayNode a = n.putArray("claims");
     for (var s : j.slices.entrySet()) {
-      SliceRecord r = s.getValue().record();
+      TaskBatchRecord r = s.getValue().record();
       for (int i = 0; i < r.size() && a.size() < Constants.MOST_LISTED; i++) {
         if (r.machine(i) != null) {
           a.addObject()
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -5,7 +5,7 @@
 import graderelay.constants.Constants;
 import graderelay.core.JobSpec;
 import graderelay.core.MachineType;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
@@ -464,7 +464,7 @@
     int done = 0;
     int claimed = 0;
     for (Cache.SliceEntry s : e.slices.values()) {
-      SliceRecord r = s.record();
+      TaskBatchRecord r = s.record();
       done += r.doneCount();
       claimed += r.claimedCount();
     }
--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -14,20 +14,24 @@
    */
   record Write(
       long id,
-      List<SlicePut> slices,
+      List<TaskBatchPut> slices,
       List<JobEnd> ends,
-      List<SliceDrop> drops,
+      List<TaskBatchDrop> drops,
       List<AccountChange> accounts)
       implements Action {}
 
-  /** Replaces a slice's record. {@code jobMark} is the job's version that was checked. */
-  record SlicePut(SliceKey key, long mark, SliceRecord record, long jobMark) {}
+  /**
+   * Replaces a task batch's record if it is still at revision {@code mark}. {@code jobMark} is the
+   * job's revision that was checked.
+   */
+  record TaskBatchPut(TaskBatchKey key, long mark, TaskBatchRecord record, long jobMark) {}
 
   /** Replaces a job by its final record and drops the slices named. */
-  record JobEnd(String job, long jobMark, boolean cancelled, int tasks, List<SliceDrop> slices) {}
+  record JobEnd(
+      String job, long jobMark, boolean cancelled, int tasks, List<TaskBatchDrop> slices) {}
 
-  /** Removes a slice that no longer has a job. */
-  record SliceDrop(SliceKey key, long mark) {}
+  /** Removes a task batch's record that no longer has a job. */
+  record TaskBatchDrop(TaskBatchKey key, long mark) {}
 
   /** Sends orders straight to a worker. */
   record Command(
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -13,23 +13,23 @@
 final class Job {
   /** One stored slice, with what is under way for it. */
   static final class Slice {
-    final SliceKey key;
+    final TaskBatchKey key;
     final int base;
-    SliceRecord record;
+    TaskBatchRecord record;
     long mark;
 
     /** A transaction on it has not been answered yet, so its mark is about to change. */
     boolean inFlight;
 
     /** What the watch said while the transaction was unanswered, or null. */
-    SliceRecord stash;
+    TaskBatchRecord stash;
 
     long stashMark;
 
     /** No more of its tasks are claimed before this time, since its record would be too large. */
     double fullUntil = Double.NEGATIVE_INFINITY;
 
-    Slice(SliceKey key, int base, SliceRecord record, long mark) {
+    Slice(TaskBatchKey key, int base, TaskBatchRecord record, long mark) {
       this.key = key;
       this.base = base;
       this.record = record;
@@ -108,9 +108,9 @@
         index,
         i ->
             new Slice(
-                new SliceKey(spec.id(), i),
+                new TaskBatchKey(spec.id(), i),
                 i * spec.sliceCap(),
-                SliceRecord.fresh(spec.sliceSize(i)),
+                TaskBatchRecord.fresh(spec.sliceSize(i)),
                 0));
   }
 
--- a/src/main/java/graderelay/core/Ledger.java
+++ b/src/main/java/graderelay/core/Ledger.java
@@ -30,9 +30,11 @@
 
   /** What a transaction under way contains. */
   private record Sending(
-      Action.Write write, Map<SliceKey, List<Claim>> claimed, Map<SliceKey, List<Claim>> settled) {}
+      Action.Write write,
+      Map<TaskBatchKey, List<Claim>> claimed,
+      Map<TaskBatchKey, List<Claim>> settled) {}
 
-  private final Map<SliceKey, Long> orphans = new LinkedHashMap<>();
+  private final Map<TaskBatchKey, Long> orphans = new LinkedHashMap<>();
 
   private final Map<Long, Sending> sending = new HashMap<>();
 
@@ -46,7 +48,7 @@
   /** Claims that committed since the last launch pass. */
   final List<Claim> committed = new ArrayList<>();
 
-  void onSlice(SliceKey key, SliceRecord record, long mark, double now) {
+  void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
     Job j = world.jobs.get(key.job());
     if (j == null) {
       orphans.put(key, mark);
@@ -68,12 +70,12 @@
     adopt(j, s, record, mark, now);
   }
 
-  void onSliceGone(SliceKey key) {
+  void onSliceGone(TaskBatchKey key) {
     orphans.remove(key);
   }
 
   /** Takes a record that somebody else wrote, or that a write of ours with no answer made. */
-  private void adopt(Job j, Job.Slice s, SliceRecord r, long mark, double now) {
+  private void adopt(Job j, Job.Slice s, TaskBatchRecord r, long mark, double now) {
     s.record = r;
     s.mark = mark;
     for (int i = 0; i < r.size(); i++) {
@@ -163,7 +165,7 @@
       return;
     }
     changesOut -= changes(s.write());
-    for (Action.SlicePut p : s.write().slices()) {
+    for (Action.TaskBatchPut p : s.write().slices()) {
       Job j = world.jobs.get(p.key().job());
       if (j != null) {
         sliceAnswered(j, p, s, outcome, mark, now);
@@ -176,7 +178,7 @@
       }
       if (outcome == Scheduler.Outcome.COMMITTED) {
         world.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
-        Set<SliceKey> droppedSlices = new HashSet<>();
+        Set<TaskBatchKey> droppedSlices = new HashSet<>();
         e.slices().forEach(d -> droppedSlices.add(d.key()));
         for (Job.Slice left : j.slices.values()) {
           if (!droppedSlices.contains(left.key) && left.mark > 0) {
@@ -190,7 +192,7 @@
         world.maybeOver.add(j);
       }
     }
-    for (Action.SliceDrop d : s.write().drops()) {
+    for (Action.TaskBatchDrop d : s.write().drops()) {
       if (outcome != Scheduler.Outcome.COMMITTED) {
         orphans.putIfAbsent(d.key(), d.mark());
       }
@@ -210,7 +212,7 @@
   }
 
   /** Counts what a slice's committed claims take, where stored limits are switched on. */
-  private void track(Job j, SliceKey key, SliceRecord r, long mark) {
+  private void track(Job j, TaskBatchKey key, TaskBatchRecord r, long mark) {
     if (world.admission.enabled()) {
       Amount use = j.amount.times(r.claimedCount());
       world.admission.committed().put(j.spec.id(), key.index(), j.spec.team(), mark, use);
@@ -235,10 +237,15 @@
   }
 
   private void sliceAnswered(
-      Job j, Action.SlicePut p, Sending sent, Scheduler.Outcome outcome, long mark, double now) {
+      Job j,
+      Action.TaskBatchPut p,
+      Sending sent,
+      Scheduler.Outcome outcome,
+      long mark,
+      double now) {
     Job.Slice s = j.slices.get(p.key().index());
     s.inFlight = false;
-    SliceRecord stash = s.stash;
+    TaskBatchRecord stash = s.stash;
     long stashMark = s.stashMark;
     s.stash = null;
     boolean landed = outcome == Scheduler.Outcome.COMMITTED;
@@ -297,7 +304,7 @@
     for (Job.Slice s : all) {
       List<Claim> fresh = claimed.getOrDefault(s, List.of());
       List<Claim> done = settled.getOrDefault(s, List.of());
-      SliceChange change = change(s, fresh, done, now);
+      TaskBatchChange change = change(s, fresh, done, now);
       if (change != null && !packer.add(change)) {
         // Placed again once the team's account has been raised.
         giveUp(fresh, now);
@@ -347,20 +354,20 @@
   }
 
   /** The slice with these claims and without those, or null if nothing can be stored of it. */
-  private SliceChange change(Job.Slice s, List<Claim> fresh, List<Claim> done, double now) {
+  private TaskBatchChange change(Job.Slice s, List<Claim> fresh, List<Claim> done, double now) {
     if (fresh.isEmpty() && done.isEmpty()) {
       return null;
     }
-    SliceRecord r = s.record.copy();
+    TaskBatchRecord r = s.record.copy();
     for (Claim c : done) {
       r.release(c.task - s.base, c.done);
     }
     for (Claim c : fresh) {
       r.claim(c.task - s.base, c.attempt, c.machine, c.session);
     }
-    SliceRecord fitting = fitting(r, world.policy.valueBytes());
+    TaskBatchRecord fitting = fitting(r, world.policy.valueBytes());
     if (fitting != null) {
-      return new SliceChange(world.jobs.get(s.key.job()), s, fitting, fresh, done);
+      return new TaskBatchChange(world.jobs.get(s.key.job()), s, fitting, fresh, done);
     }
     // Made by an earlier version for larger values. What is claimed of it ends sooner or later,
     // and then there is room in it again. What is settled stays so, and is written with what ends
@@ -398,18 +405,18 @@
   }
 
   /** The record in a form that fits a value, or null if there is none. */
-  private static SliceRecord fitting(SliceRecord r, int valueBytes) {
+  private static TaskBatchRecord fitting(TaskBatchRecord r, int valueBytes) {
     if (r.size() * Constants.SLICE_BYTES_PER_TASK <= valueBytes || r.bytes(false) <= valueBytes) {
       return r;
     }
     return r.bytes(true) <= valueBytes ? r.packedCopy() : null;
   }
 
-  private void send(List<SliceChange> changes, Set<String> teams) {
-    Map<SliceKey, List<Claim>> claimed = new HashMap<>();
-    Map<SliceKey, List<Claim>> settled = new HashMap<>();
-    List<Action.SlicePut> puts = new ArrayList<>();
-    for (SliceChange c : changes) {
+  private void send(List<TaskBatchChange> changes, Set<String> teams) {
+    Map<TaskBatchKey, List<Claim>> claimed = new HashMap<>();
+    Map<TaskBatchKey, List<Claim>> settled = new HashMap<>();
+    List<Action.TaskBatchPut> puts = new ArrayList<>();
+    for (TaskBatchChange c : changes) {
       claimed.put(c.slice().key, c.claimed());
       settled.put(c.slice().key, c.settled());
       puts.add(c.put());
@@ -423,7 +430,8 @@
         settled);
   }
 
-  private void emit(Action.Write w, Map<SliceKey, List<Claim>> c, Map<SliceKey, List<Claim>> s) {
+  private void emit(
+      Action.Write w, Map<TaskBatchKey, List<Claim>> c, Map<TaskBatchKey, List<Claim>> s) {
     sending.put(w.id(), new Sending(w, c, s));
     changesOut += changes(w);
     world.out.add(w);
@@ -490,10 +498,10 @@
     // Users wait for the end, nobody for the slices to go: in a swarm of single tasks they would
     // take as many changes again. What is left goes as soon as there is time.
     int most = Math.min(world.policy.txnOps() - 2, changesLeft() - 2);
-    List<Action.SliceDrop> drops = new ArrayList<>();
+    List<Action.TaskBatchDrop> drops = new ArrayList<>();
     for (Job.Slice s : j.slices.values()) {
       if (s.mark > 0 && drops.size() < most) {
-        drops.add(new Action.SliceDrop(s.key, s.mark));
+        drops.add(new Action.TaskBatchDrop(s.key, s.mark));
       }
     }
     j.ending = true;
@@ -517,10 +525,10 @@
     if (orphans.isEmpty() || most <= 0 || orphanWriteOpen()) {
       return;
     }
-    List<Action.SliceDrop> drops = new ArrayList<>();
+    List<Action.TaskBatchDrop> drops = new ArrayList<>();
     for (var it = orphans.entrySet().iterator(); it.hasNext() && drops.size() < most; ) {
       var e = it.next();
-      drops.add(new Action.SliceDrop(e.getKey(), e.getValue()));
+      drops.add(new Action.TaskBatchDrop(e.getKey(), e.getValue()));
       it.remove();
     }
     emit(new Action.Write(nextWrite++, List.of(), List.of(), drops, List.of()), Map.of(), Map.of());
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -367,11 +367,11 @@
 
   // ---------------------------------------------------------------- transactions
 
-  public void onSlice(SliceKey key, SliceRecord record, long mark, double now) {
+  public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
     ledger.onSlice(key, record, mark, now);
   }
 
-  public void onSliceGone(SliceKey key) {
+  public void onSliceGone(TaskBatchKey key) {
     ledger.onSliceGone(key);
   }
 
--- a/src/main/java/graderelay/core/SliceChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * A slice that is about to be stored.
+ * A task batch's record that is about to be written by a compare-and-swap.
  *
  * @param record what it will say
  * @param claimed the claims that it adds
  * @param settled the claims that it ends
  */
-record SliceChange(
-    Job job, Job.Slice slice, SliceRecord record, List<Claim> claimed, List<Claim> settled) {
+record TaskBatchChange(
+    Job job, Job.Slice slice, TaskBatchRecord record, List<Claim> claimed, List<Claim> settled) {
   /** Bytes of the stored form at most. */
   int bytes() {
     return record.size() * graderelay.constants.Constants.SLICE_BYTES_PER_TASK;
   }
 
-  Action.SlicePut put() {
-    return new Action.SlicePut(slice.key, slice.mark, record, job.mark);
+  Action.TaskBatchPut put() {
+    return new Action.TaskBatchPut(slice.key, slice.mark, record, job.mark);
   }
 }
--- a/src/main/java/graderelay/core/SliceRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * The stored state of up to a slice cap of tasks of one job. It is the truth about which attempt of
- * which task is claimed on which machine and session. Immutable: a change makes a copy.
+ * The stored record of one task batch: up to a batch cap (the settings' slice cap) of tasks of one
+ * job array. It is the truth about which attempt of which task is claimed on which machine and
+ * incarnation (session). Immutable: a change makes a copy.
  */
-public final class SliceRecord {
+public final class TaskBatchRecord {
   private final int[] attempts;
   private final String[] machines;
   private final long[] sessions;
@@ -17,7 +18,7 @@
   /** Stored in fewer bytes, which earlier versions can't read. */
   private boolean packed;
 
-  public SliceRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
+  public TaskBatchRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
     this.attempts = attempts;
     this.machines = machines;
     this.sessions = sessions;
@@ -25,8 +26,9 @@
   }
 
   /** A slice none of whose tasks was ever claimed. */
-  public static SliceRecord fresh(int tasks) {
-    return new SliceRecord(new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
+  public static TaskBatchRecord fresh(int tasks) {
+    return new TaskBatchRecord(
+        new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
   }
 
   public int size() {
@@ -73,8 +75,8 @@
   }
 
   /** The same, to be stored in that form. */
-  public SliceRecord packedCopy() {
-    SliceRecord r = copy();
+  public TaskBatchRecord packedCopy() {
+    TaskBatchRecord r = copy();
     r.packed = true;
     return r;
   }
@@ -107,8 +109,8 @@
     return Long.toString(n).length();
   }
 
-  SliceRecord copy() {
-    return new SliceRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
+  TaskBatchRecord copy() {
+    return new TaskBatchRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
   }
 
   /** Only on a fresh copy: claims task i for a new attempt. */
@@ -127,7 +129,7 @@
 
   @Override
   public boolean equals(Object o) {
-    return o instanceof SliceRecord s
+    return o instanceof TaskBatchRecord s
         && Arrays.equals(attempts, s.attempts)
         && Arrays.equals(machines, s.machines)
         && Arrays.equals(sessions, s.sessions)
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -23,12 +23,12 @@
 
   private final int mostChanges;
   private final AdmissionControl admission;
-  private final BiConsumer<List<SliceChange>, Set<String>> send;
+  private final BiConsumer<List<TaskBatchChange>, Set<String>> send;
 
   /** Teams whose account is raised by an earlier transaction. */
   private final Set<String> raised = new HashSet<>();
 
-  private List<SliceChange> changes = new ArrayList<>();
+  private List<TaskBatchChange> changes = new ArrayList<>();
 
   /** Teams with claims in the transaction at hand, and those of them whose account it raises. */
   private Set<String> teams = new TreeSet<>();
@@ -45,14 +45,14 @@
   TransactionPacker(
       int mostChanges,
       AdmissionControl admission,
-      BiConsumer<List<SliceChange>, Set<String>> send) {
+      BiConsumer<List<TaskBatchChange>, Set<String>> send) {
     this.mostChanges = mostChanges;
     this.admission = admission;
     this.send = send;
   }
 
   /** Takes a slice in, unless it holds claims of a team whose account is just being raised. */
-  boolean add(SliceChange change) {
+  boolean add(TaskBatchChange change) {
     String team = change.job().spec.team();
     boolean claims = admission.enabled() && !change.claimed().isEmpty();
     boolean newTeam = claims && !teams.contains(team);
@@ -75,7 +75,7 @@
     return true;
   }
 
-  private boolean fits(SliceChange change, boolean newTeam, boolean raise) {
+  private boolean fits(TaskBatchChange change, boolean newTeam, boolean raise) {
     int slicesThen = changes.size() + 1;
     int teamsThen = teams.size() + (newTeam ? 1 : 0);
     int raisesThen = raises.size() + (raise ? 1 : 0);
--- a/src/main/java/graderelay/service/FleetController.java
+++ b/src/main/java/graderelay/service/FleetController.java
@@ -12,7 +12,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.Scheduler.Outcome;
 import graderelay.core.Scheduler.Sent;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.core.WorkerCommand;
 import graderelay.features.Feature;
 import graderelay.net.Loop;
@@ -107,7 +107,7 @@
     }
     for (Cache.Entry e : cache.jobs().values()) {
       e.slices.forEach(
-          (i, s) -> core.onSlice(new SliceKey(e.spec.id(), i), s.record(), s.mark(), now));
+          (i, s) -> core.onSlice(new TaskBatchKey(e.spec.id(), i), s.record(), s.mark(), now));
     }
     cache.looseSlices().forEach((k, s) -> core.onSlice(k, s.record(), s.mark(), now));
     JsonNode demand = hints.demand();
@@ -166,12 +166,12 @@
     stepSoon();
   }
 
-  void onSlice(SliceKey key, Cache.SliceEntry s) {
+  void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
     core.onSlice(key, s.record(), s.mark(), loop.now());
     stepSoon();
   }
 
-  void onSliceGone(SliceKey key) {
+  void onSliceGone(TaskBatchKey key) {
     core.onSliceGone(key);
   }
 
@@ -338,7 +338,7 @@
     StateClient.Txn txn =
         new StateClient.Txn().when(cache.election().leaderKey(), leadership.ownerMark());
     java.util.Set<String> jobs = new java.util.HashSet<>();
-    for (Action.SlicePut p : w.slices()) {
+    for (Action.TaskBatchPut p : w.slices()) {
       String key = StateCodec.sliceKey(p.key());
       txn.when(key, p.mark()).put(key, StateCodec.slice(p.record()));
       String job = StateCodec.jobKey(p.key().job());
@@ -350,12 +350,12 @@
       String key = StateCodec.jobKey(e.job());
       txn.when(key, e.jobMark()).drop(key);
       txn.put(StateCodec.endKey(e.job()), StateCodec.end(e.cancelled(), e.tasks(), loop.wallMs()));
-      for (Action.SliceDrop d : e.slices()) {
+      for (Action.TaskBatchDrop d : e.slices()) {
         String s = StateCodec.sliceKey(d.key());
         txn.when(s, d.mark()).drop(s);
       }
     }
-    for (Action.SliceDrop d : w.drops()) {
+    for (Action.TaskBatchDrop d : w.drops()) {
       String s = StateCodec.sliceKey(d.key());
       txn.when(s, d.mark()).drop(s);
     }
--- a/src/main/java/graderelay/service/Node.java
+++ b/src/main/java/graderelay/service/Node.java
@@ -15,7 +15,7 @@
 import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.core.WorkerCommand;
 import graderelay.features.FeatureGate;
 import graderelay.mesh.MeshClient;
@@ -447,14 +447,14 @@
     }
 
     @Override
-    public void onSlice(SliceKey key, Cache.SliceEntry s) {
+    public void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
       if (fleetController != null) {
         fleetController.onSlice(key, s);
       }
     }
 
     @Override
-    public void onSliceGone(SliceKey key) {
+    public void onSliceGone(TaskBatchKey key) {
       if (fleetController != null) {
         fleetController.onSliceGone(key);
       }
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.constants.Constants;
 import graderelay.core.JobSpec;
-import graderelay.core.SliceKey;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchKey;
+import graderelay.core.TaskBatchRecord;
 import graderelay.features.Feature;
 import graderelay.features.FeatureGate;
 import graderelay.net.Loop;
@@ -43,7 +43,7 @@
   }
 
   /** A stored slice. */
-  public record SliceEntry(SliceRecord record, long mark) {}
+  public record SliceEntry(TaskBatchRecord record, long mark) {}
 
   /** A final state. */
   public record End(boolean cancelled, int tasks, long atMs) {}
@@ -54,9 +54,9 @@
 
     void onJobGone(String id);
 
-    void onSlice(SliceKey key, SliceEntry e);
+    void onSlice(TaskBatchKey key, SliceEntry e);
 
-    void onSliceGone(SliceKey key);
+    void onSliceGone(TaskBatchKey key);
 
     void onEnd(String id, End e);
 
@@ -74,7 +74,7 @@
   private final StateClient state;
   private final Listener listener;
   private final Map<String, Entry> jobs = new HashMap<>();
-  private final Map<SliceKey, SliceEntry> loose = new HashMap<>();
+  private final Map<TaskBatchKey, SliceEntry> loose = new HashMap<>();
 
   /** Live jobs whose cancellation is recorded. */
   private final Set<String> stopped = new HashSet<>();
@@ -175,7 +175,7 @@
   }
 
   /** Slices whose job's record is gone. */
-  public Map<SliceKey, SliceEntry> looseSlices() {
+  public Map<TaskBatchKey, SliceEntry> looseSlices() {
     return loose;
   }
 
@@ -533,7 +533,7 @@
     if (e == null) {
       e = new Entry(StateCodec.job(id, value));
       jobs.put(id, e);
-      for (SliceKey k : new ArrayList<>(loose.keySet())) {
+      for (TaskBatchKey k : new ArrayList<>(loose.keySet())) {
         if (k.job().equals(id)) {
           e.slices.put(k.index(), loose.remove(k));
         }
@@ -547,7 +547,7 @@
     listener.onJob(e);
   }
 
-  private void putSlice(SliceKey key, SliceEntry s) {
+  private void putSlice(TaskBatchKey key, SliceEntry s) {
     Entry e = jobs.get(key.job());
     SliceEntry old = e == null ? loose.get(key) : e.slices.get(key.index());
     if (old != null && s.mark() <= old.mark()) {
@@ -565,7 +565,7 @@
     if (key.startsWith(StateCodec.JOBS)) {
       removeJob(key.substring(StateCodec.JOBS.length()), mark);
     } else if (key.startsWith(StateCodec.SLICES)) {
-      SliceKey k = StateCodec.sliceOf(key);
+      TaskBatchKey k = StateCodec.sliceOf(key);
       Entry e = jobs.get(k.job());
       SliceEntry s = e == null ? loose.get(k) : e.slices.get(k.index());
       if (s != null && s.mark() < mark) {
@@ -596,7 +596,7 @@
     }
     jobs.remove(id);
     stopped.remove(id);
-    e.slices.forEach((i, s) -> loose.put(new SliceKey(id, i), s));
+    e.slices.forEach((i, s) -> loose.put(new TaskBatchKey(id, i), s));
     listener.onJobGone(id);
   }
 }
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -7,8 +7,8 @@
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
 import graderelay.core.Priority;
-import graderelay.core.SliceKey;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchKey;
+import graderelay.core.TaskBatchRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -48,13 +48,13 @@
     return ENDS + id;
   }
 
-  public static String sliceKey(SliceKey k) {
+  public static String sliceKey(TaskBatchKey k) {
     return SLICES + k.job() + "/" + k.index();
   }
 
-  public static SliceKey sliceOf(String key) {
+  public static TaskBatchKey sliceOf(String key) {
     int slash = key.lastIndexOf('/');
-    return new SliceKey(
+    return new TaskBatchKey(
         key.substring(SLICES.length(), slash), Integer.parseInt(key.substring(slash + 1)));
   }
 
@@ -285,7 +285,7 @@
    * A slice: attempts, the machines with their sessions, and for each task the place in that list.
    * A slice that is all done shrinks to its size.
    */
-  public static ObjectNode slice(SliceRecord r) {
+  public static ObjectNode slice(TaskBatchRecord r) {
     ObjectNode n = Json.object();
     if (r.doneCount() == r.size()) {
       return n.put("done", r.size());
@@ -298,7 +298,7 @@
    * earlier version made too large for the state service's present limits; that version can't read
    * it.
    */
-  private static ObjectNode packed(SliceRecord r) {
+  private static ObjectNode packed(TaskBatchRecord r) {
     ObjectNode n = Json.object();
     StringBuilder attempts = new StringBuilder();
     StringBuilder places = new StringBuilder();
@@ -327,7 +327,7 @@
     return n;
   }
 
-  private static SliceRecord unpacked(JsonNode n) {
+  private static TaskBatchRecord unpacked(JsonNode n) {
     String attempts = n.path("as").asText();
     String places = n.path("ps").asText();
     JsonNode machines = n.path("m");
@@ -345,13 +345,13 @@
         s[i] = machines.path(p).path(1).asLong();
       }
     }
-    return new SliceRecord(a, m, s, d);
+    return new TaskBatchRecord(a, m, s, d);
   }
 
   /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
   private static final char FIRST_CHAR = '#';
 
-  private static ObjectNode plain(SliceRecord r) {
+  private static ObjectNode plain(TaskBatchRecord r) {
     ObjectNode n = Json.object();
     ArrayNode attempts = n.putArray("a");
     ArrayNode machines = n.putArray("m");
@@ -378,12 +378,12 @@
     return n;
   }
 
-  public static SliceRecord slice(JsonNode n) {
+  public static TaskBatchRecord slice(JsonNode n) {
     if (n.has("done")) {
       int size = n.get("done").asInt();
       boolean[] done = new boolean[size];
       java.util.Arrays.fill(done, true);
-      return new SliceRecord(new int[size], new String[size], new long[size], done);
+      return new TaskBatchRecord(new int[size], new String[size], new long[size], done);
     }
     if (n.has("as")) {
       return unpacked(n);
@@ -405,6 +405,6 @@
         s[i] = machines.path(p).path(1).asLong();
       }
     }
-    return new SliceRecord(a, m, s, d);
+    return new TaskBatchRecord(a, m, s, d);
   }
 }
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.wire.Json;
@@ -165,7 +165,7 @@
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     s.step(0.1);
     SchedulerFixture.answerWrites(s, Scheduler.Outcome.UNKNOWN, 0.2);
-    s.onSlice(new SliceKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
+    s.onSlice(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
     s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), 0.25);
     assertThat(s.ordersFor(SchedulerFixture.report("n-1", 1, 2, 1), 0.25)).isEmpty();
     assertThat(SchedulerFixture.launches(s)).isZero();
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.config.Settings;
 import graderelay.core.JobSpec;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
@@ -115,7 +115,7 @@
       machines[i] = i % 3 == 1 ? "n-" + (100 + i % 20) : null;
       sessions[i] = i % 3 == 1 ? 2 : 0;
     }
-    SliceRecord r = new SliceRecord(attempts, machines, sessions, done);
+    TaskBatchRecord r = new TaskBatchRecord(attempts, machines, sessions, done);
     byte[] plain = Json.write(StateCodec.slice(r));
     byte[] packed = Json.write(StateCodec.slice(r.packedCopy()));
     assertThat(packed.length).isLessThan(2048).isLessThan(plain.length / 2);
@@ -140,7 +140,7 @@
         Json.read(
             "{\"a\":[1,2,1],\"m\":[[\"n-000001\",3]],\"p\":[0,-1,-2]}"
                 .getBytes(StandardCharsets.UTF_8));
-    SliceRecord r = StateCodec.slice(slice);
+    TaskBatchRecord r = StateCodec.slice(slice);
     assertThat(r.machine(0)).isEqualTo("n-000001");
     assertThat(r.done(2)).isTrue();
     assertThat(Json.write(StateCodec.slice(r))).isEqualTo(Json.write(slice));
--- a/src/test/java/graderelay/SchedulerFixture.java
+++ b/src/test/java/graderelay/SchedulerFixture.java
@@ -8,7 +8,7 @@
 import graderelay.core.Policy;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.core.Team;
 import graderelay.core.WorkerCommand;
 import graderelay.sim.SimWorld;
@@ -69,8 +69,8 @@
   }
 
   /** The record of a job's only task, claimed as its first attempt. */
-  static SliceRecord claimed(String machine, long session) {
-    return new SliceRecord(
+  static TaskBatchRecord claimed(String machine, long session) {
+    return new TaskBatchRecord(
         new int[] {1}, new String[] {machine}, new long[] {session}, new boolean[1]);
   }
 
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/StoredLimitsInCoreTest.java
@@ -9,7 +9,7 @@
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.quota.Account;
 import graderelay.quota.AccountChange;
 import graderelay.quota.Amount;
@@ -78,7 +78,7 @@
     Scheduler s = fenced(1);
     s.step(2);
     assertThat(writes(s).get(0).slices()).hasSize(1);
-    s.onSlice(new SliceKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
+    s.onSlice(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
   }
 
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/TakeoverTest.java
@@ -6,7 +6,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Scheduler;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import org.junit.jupiter.api.Test;
@@ -103,7 +103,7 @@
   void aReportUnderAnOlderTermProvesNothingAboutAnEarlierOwnersClaim() {
     Scheduler s = SchedulerFixture.takingOver(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
-    s.onSlice(new SliceKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
+    s.onSlice(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
     s.loaded(0);
     s.onReport(
         SchedulerFixture.report("n-1", 1, 5, 1), 1); // The earlier owner's launch may be under way.
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.core.JobSpec;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.core.Team;
 import graderelay.features.Feature;
 import graderelay.quota.Amount;
@@ -103,7 +103,7 @@
   /** Takes a slice's new record and returns its team, or null. */
   private String slice(String key, JsonNode value) {
     forget(key);
-    SliceKey slice = StateCodec.sliceOf(key);
+    TaskBatchKey slice = StateCodec.sliceOf(key);
     JobSpec job = jobs.get(slice.job());
     if (value == null || job == null) {
       return null;
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -9,8 +9,8 @@
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
 import graderelay.core.Priority;
-import graderelay.core.SliceKey;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchKey;
+import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange.Answer;
 import graderelay.state.Cache;
 import java.nio.charset.StandardCharsets;
@@ -80,9 +80,9 @@
     return StateCodec.job(id, ProductionFormats.record(StateCodec.jobKey(id)));
   }
 
-  private static SliceRecord storedSlice(String job, int index) {
+  private static TaskBatchRecord storedSlice(String job, int index) {
     return StateCodec.slice(
-        ProductionFormats.record(StateCodec.sliceKey(new SliceKey(job, index))));
+        ProductionFormats.record(StateCodec.sliceKey(new TaskBatchKey(job, index))));
   }
 
   private static Set<String> fields(JsonNode n) {
@@ -136,7 +136,7 @@
 
   @Test
   void storedSlicesAreReadTaskByTask() {
-    SliceRecord largest = storedSlice("j-000001", 0);
+    TaskBatchRecord largest = storedSlice("j-000001", 0);
     assertThat(largest.size()).isEqualTo(500);
     for (int i = 0; i < 500; i++) {
       boolean claimed = i % 5 < 3 && i % 13 > 0;
