--- a/src/main/java/graderelay/core/TerminationProof.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -8,17 +8,18 @@
 import java.util.Set;
 
 /**
- * What reports, answers and the passing of time prove about machines and about the claims on them.
- * Running until proven gone: a claim ends here or not at all.
+ * Judges heartbeats, answers to worker commands and lease expiry: what they prove about machines
+ * and about the claims on them (the termination proof of an attempt). A claim counts as running
+ * until proven gone: it ends here or not at all.
  */
-final class TerminationProof {
+final class HeartbeatMonitor {
   private final ClusterState world;
   private final Ledger ledger;
   private final WorkerCommands orders;
   private final FleetPlanner planner;
   private final FailureAttribution blame;
 
-  TerminationProof(ClusterState world, Ledger ledger, WorkerCommands orders, FleetPlanner planner) {
+  HeartbeatMonitor(ClusterState world, Ledger ledger, WorkerCommands orders, FleetPlanner planner) {
     this.world = world;
     this.ledger = ledger;
     this.orders = orders;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -17,7 +17,7 @@
 /**
  * What the owner of the fleet decides. Events come in with the time, actions go out; nothing here
  * waits, reads a clock or touches a socket. The parts share one {@link ClusterState}: {@link
- * Ledger} has the records, {@link TerminationProof} what is proven gone, {@link WorkerCommands}
+ * Ledger} has the records, {@link HeartbeatMonitor} what is proven gone, {@link WorkerCommands}
  * what workers are told.
  */
 public final class Scheduler {
@@ -46,7 +46,7 @@
   private final FleetPlanner planner;
   private final Ledger ledger;
   private final WorkerCommands orders;
-  private final TerminationProof proof;
+  private final HeartbeatMonitor proof;
 
   /** Guarantees and limits of the settings, which count while none are stored. */
   private final List<Team> settingsTeams;
@@ -73,7 +73,7 @@
     world.dependencies = new Dependencies(world, planner::estimate);
     this.ledger = new Ledger(world);
     this.orders = new WorkerCommands(world, ledger);
-    this.proof = new TerminationProof(world, ledger, orders, planner);
+    this.proof = new HeartbeatMonitor(world, ledger, orders, planner);
     ledger.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -49,7 +49,7 @@
       if (!ours) {
         if (e.stage() != Heartbeat.Stage.EXITED) {
           orders.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
-        } else if (!m.neverReap.contains(TerminationProof.reapKey(e.task(), e.attempt()))) {
+        } else if (!m.neverReap.contains(HeartbeatMonitor.reapKey(e.task(), e.attempt()))) {
           orders.add(new WorkerCommand.Reap(e.task(), e.attempt()));
         }
       } else if (e.stage() != Heartbeat.Stage.EXITED) {
