--- /dev/null
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -0,0 +1,133 @@
+package graderelay.core;
+
+import graderelay.quota.AccountChange;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.ObjDoubleConsumer;
+
+/**
+ * Takes in the answers to compare-and-swap transactions. What committed is the stored record now;
+ * the new claims of a refused one wait again and its ended claims are written again; one with no
+ * answer counts as committed only if the record seen meanwhile is the one it wrote.
+ */
+final class CompareAndSwapAnswers {
+  private final ClusterState world;
+  private final StoredRecords records;
+  private final TransactionsInFlight inFlight;
+
+  /** Hears of each job's end that has committed. */
+  ObjDoubleConsumer<Action.JobEnd> ended = (e, now) -> {};
+
+  CompareAndSwapAnswers(ClusterState world, StoredRecords records, TransactionsInFlight inFlight) {
+    this.world = world;
+    this.records = records;
+    this.inFlight = inFlight;
+  }
+
+  /** The answer to transaction {@code id}; {@code mark} is the store's revision after it. */
+  void onWrite(long id, Scheduler.Outcome outcome, long mark, double now) {
+    TransactionsInFlight.Sending s = inFlight.answered(id);
+    if (s == null) {
+      return;
+    }
+    for (Action.TaskBatchPut p : s.write().slices()) {
+      Job j = world.jobs.get(p.key().job());
+      if (j != null) {
+        batchAnswered(j, p, s, outcome, mark, now);
+      }
+    }
+    for (Action.JobEnd e : s.write().ends()) {
+      Job j = world.jobs.get(e.job());
+      if (j == null) {
+        continue;
+      }
+      if (outcome == Scheduler.Outcome.COMMITTED) {
+        world.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
+        Set<TaskBatchKey> droppedSlices = new HashSet<>();
+        e.slices().forEach(d -> droppedSlices.add(d.key()));
+        for (Job.Slice left : j.slices.values()) {
+          if (!droppedSlices.contains(left.key) && left.mark > 0) {
+            records.orphans.put(left.key, left.mark);
+          }
+        }
+        records.forget(j, now);
+        ended.accept(e, now);
+      } else {
+        j.ending = false;
+        world.maybeOver.add(j);
+      }
+    }
+    for (Action.TaskBatchDrop d : s.write().drops()) {
+      if (outcome != Scheduler.Outcome.COMMITTED) {
+        records.orphans.putIfAbsent(d.key(), d.mark());
+      }
+    }
+    accountsAnswered(s.write().accounts(), outcome, mark);
+    world.dirty = true;
+  }
+
+  /** What the transaction's slices say has been taken before. */
+  private void accountsAnswered(
+      List<AccountChange> accounts, Scheduler.Outcome outcome, long revision) {
+    switch (outcome) {
+      case COMMITTED -> world.admission.committed(accounts, revision);
+      case REFUSED -> world.admission.refused(accounts);
+      case UNKNOWN -> world.admission.unanswered(accounts);
+    }
+  }
+
+  private void batchAnswered(
+      Job j,
+      Action.TaskBatchPut p,
+      TransactionsInFlight.Sending sent,
+      Scheduler.Outcome outcome,
+      long mark,
+      double now) {
+    Job.Slice s = j.slices.get(p.key().index());
+    s.inFlight = false;
+    TaskBatchRecord stash = s.stash;
+    long stashMark = s.stashMark;
+    s.stash = null;
+    boolean landed = outcome == Scheduler.Outcome.COMMITTED;
+    if (!landed
+        && outcome == Scheduler.Outcome.UNKNOWN
+        && stash != null
+        && stash.equals(p.record())) {
+      landed = true;
+      mark = stashMark;
+    }
+    List<Claim> claimed = sent.claimed().getOrDefault(p.key(), List.of());
+    List<Claim> settled = sent.settled().getOrDefault(p.key(), List.of());
+    if (landed) {
+      s.record = p.record();
+      s.mark = mark;
+      records.track(j, s.key, s.record, mark);
+      for (Claim c : settled) {
+        records.settle.remove(c);
+        world.remove(c, now);
+        if (c.done) {
+          j.doneCount++;
+        } else {
+          j.open.set(c.task);
+          j.waitingSince = now;
+        }
+      }
+      for (Claim c : claimed) {
+        if (c.phase == Claim.Phase.CLAIMING) {
+          world.held(c);
+          records.committed.add(c);
+        }
+      }
+    } else {
+      for (Claim c : claimed) {
+        world.remove(c, now);
+        j.open.set(c.task);
+      }
+      // Settled ones stay in the settle set and are written again.
+    }
+    if (stash != null && stashMark > s.mark) {
+      records.adopt(j, s, stash, stashMark, now);
+    }
+  }
+}
--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -14,14 +14,15 @@
  */
 final class HeartbeatMonitor {
   private final ClusterState world;
-  private final Ledger ledger;
+  private final StoredRecords records;
   private final WorkerCommands orders;
   private final FleetPlanner planner;
   private final FailureAttribution blame;
 
-  HeartbeatMonitor(ClusterState world, Ledger ledger, WorkerCommands orders, FleetPlanner planner) {
+  HeartbeatMonitor(
+      ClusterState world, StoredRecords records, WorkerCommands orders, FleetPlanner planner) {
     this.world = world;
-    this.ledger = ledger;
+    this.records = records;
     this.orders = orders;
     this.planner = planner;
     this.blame = new FailureAttribution(world, planner);
@@ -183,7 +184,7 @@
     }
     if (c.session < r.session()) {
       world.note(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
-      ledger.end(c, false, now);
+      records.end(c, false, now);
       return;
     }
     if (e != null) {
@@ -214,7 +215,7 @@
       case NONE -> {
         // An earlier owner may have launched it, but its orders are refused now.
         if (c.fromPast && r.term() >= world.term) {
-          ledger.end(c, false, now);
+          records.end(c, false, now);
         }
       }
       case IN_RESPONSE -> {
@@ -231,12 +232,12 @@
       }
       case SEEN -> {
         world.note(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
       case DIRECT -> {}
     }
     if (c.launch == Claim.Launch.NONE && !c.fromPast && (c.job.stop || c.stopAsked)) {
-      ledger.end(c, false, now);
+      records.end(c, false, now);
     }
   }
 
@@ -262,22 +263,22 @@
         if (c.runningSince > 0) {
           planner.onRan(j.spec, now - c.runningSince);
         }
-        ledger.end(c, true, now);
+        records.end(c, true, now);
       }
       case "error" -> {
         blame.failed(m, c, now);
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
       case "no_room" -> {
         // Something runs there that we don't know of yet; the next reports will show it.
         m.quarantineUntil = Math.max(m.quarantineUntil, now + world.policy.reportS());
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
       case "unknown" -> {
         j.notBefore = now + Constants.JOB_BACKOFF_S;
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
-      default -> ledger.end(c, false, now);
+      default -> records.end(c, false, now);
     }
   }
 
@@ -310,7 +311,7 @@
       // Also those that committed since: nothing is launched on a machine whose lease is over.
       for (Claim c : new ArrayList<>(m.claims.values())) {
         if (c.phase == Claim.Phase.HELD) {
-          ledger.end(c, false, now);
+          records.end(c, false, now);
         }
       }
     }
@@ -320,7 +321,7 @@
     for (Claim c : new ArrayList<>(m.claims.values())) {
       if (c.phase == Claim.Phase.HELD) {
         world.note(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
   }
@@ -350,7 +351,7 @@
           if (same && c.launch == Claim.Launch.DIRECT) {
             c.launch = Claim.Launch.NONE;
             if (c.job.stop || c.stopAsked) {
-              ledger.end(c, false, now);
+              records.end(c, false, now);
             }
           }
         }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -17,8 +17,9 @@
 /**
  * What the owner of the fleet decides. Events come in with the time, actions go out; nothing here
  * waits, reads a clock or touches a socket. The parts share one {@link ClusterState}: {@link
- * Ledger} has the records, {@link HeartbeatMonitor} what is proven gone, {@link WorkerCommands}
- * what workers are told.
+ * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
+ * the transactions that change them, {@link HeartbeatMonitor} what is proven gone, {@link
+ * WorkerCommands} what workers are told.
  */
 public final class Scheduler {
   /** How a transaction ended. */
@@ -44,7 +45,9 @@
   private final ClusterState world;
   private final Placer placer;
   private final FleetPlanner planner;
-  private final Ledger ledger;
+  private final StoredRecords records;
+  private final CompareAndSwapWriter writer;
+  private final CompareAndSwapAnswers answers;
   private final WorkerCommands orders;
   private final HeartbeatMonitor proof;
 
@@ -71,10 +74,13 @@
     world.deputies =
         new LeaseDelegates(policy.deputies(), term, policy.grantS(), policy.leaseS(), now);
     world.dependencies = new Dependencies(world, planner::estimate);
-    this.ledger = new Ledger(world);
-    this.orders = new WorkerCommands(world, ledger);
-    this.proof = new HeartbeatMonitor(world, ledger, orders, planner);
-    ledger.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
+    this.records = new StoredRecords(world);
+    TransactionsInFlight inFlight = new TransactionsInFlight(world);
+    this.writer = new CompareAndSwapWriter(world, records, inFlight);
+    this.answers = new CompareAndSwapAnswers(world, records, inFlight);
+    this.orders = new WorkerCommands(world, records);
+    this.proof = new HeartbeatMonitor(world, records, orders, planner);
+    answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
   // ---------------------------------------------------------------- records
@@ -107,7 +113,7 @@
       world.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
       world.dependencies.look(j, now);
       // Slices that came first, while the job's own record had not been seen yet.
-      ledger.jobCame(spec.id());
+      records.jobCame(spec.id());
     } else if (mark > j.mark) {
       j.mark = mark;
       if (stop && !j.stop) {
@@ -190,7 +196,7 @@
     }
     if (!world.admission.enabled()) {
       world.admission.enable();
-      ledger.trackAll();
+      records.trackAll();
     }
     world.admission.update(stored);
     world.policy = world.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
@@ -243,7 +249,7 @@
   public void onJobGone(String id, double now) {
     Job j = world.jobs.get(id);
     if (j != null && !j.ending) {
-      ledger.forget(j, now);
+      records.forget(j, now);
     }
   }
 
@@ -368,15 +374,15 @@
   // ---------------------------------------------------------------- transactions
 
   public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
-    ledger.onSlice(key, record, mark, now);
+    records.onTaskBatch(key, record, mark, now);
   }
 
   public void onSliceGone(TaskBatchKey key) {
-    ledger.onSliceGone(key);
+    records.onTaskBatchGone(key);
   }
 
   public void onWrite(long id, Outcome outcome, long mark, double now) {
-    ledger.onWrite(id, outcome, mark, now);
+    answers.onWrite(id, outcome, mark, now);
   }
 
   // ---------------------------------------------------------------- time
@@ -438,10 +444,10 @@
     lastRound = now;
     forgetMachines(now);
     boolean pause = world.policy.tuning().claimsPaused() || orders.raising();
-    List<Claim> claims = pause ? List.of() : placer.round(ledger.changesLeft(), now);
+    List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
     orders.killPreempted(now);
-    ledger.write(claims, now);
-    ledger.endJobs(now);
+    writer.write(claims, now);
+    writer.endJobs(now);
     orders.launchCommitted(now);
     return Constants.ROUND_AT_LEAST_EVERY_S;
   }
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -14,11 +14,11 @@
  */
 final class WorkerCommands {
   private final ClusterState world;
-  private final Ledger ledger;
+  private final StoredRecords records;
 
-  WorkerCommands(ClusterState world, Ledger ledger) {
+  WorkerCommands(ClusterState world, StoredRecords records) {
     this.world = world;
-    this.ledger = ledger;
+    this.records = records;
     this.directFilled = world.tookOver;
     this.directTokens = world.policy.directPerS();
   }
@@ -107,7 +107,7 @@
   void stopClaims(Job j, double now) {
     for (Claim c : new ArrayList<>(j.claims.values())) {
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(j.claims.values(), now);
@@ -119,7 +119,7 @@
         world.askStop(c, now);
       }
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(m.claims.values(), now);
@@ -168,7 +168,7 @@
     }
     for (Claim c : asked) {
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(asked, now);
@@ -177,14 +177,14 @@
   void launchCommitted(double now) {
     Map<Machine, List<WorkerCommand>> byMachine = new LinkedHashMap<>();
     // Services first, should there be too many for now: users wait for them most.
-    ledger.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
-    for (Claim c : ledger.committed) {
+    records.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
+    for (Claim c : records.committed) {
       Machine m = world.machines.get(c.machine);
       if (c.phase != Claim.Phase.HELD || m == null || m.claims.get(c.taskId()) != c) {
         continue;
       }
       if (c.session < m.session || c.job.stop || c.stopAsked || m.returning || m.failed) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
         continue;
       }
       boolean near =
@@ -213,7 +213,7 @@
             .add(new WorkerCommand.Launch(c.taskId(), c.attempt));
       }
     }
-    ledger.committed.clear();
+    records.committed.clear();
     send(byMachine);
   }
 
