--- /dev/null
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -0,0 +1,117 @@
+package graderelay.core;
+
+import graderelay.constants.Constants;
+import java.util.Collection;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * Takes in what the cloud and the operators say of machines for {@link Scheduler}: machine types,
+ * the cloud's list, rentals (scale out), give-backs (scale in), cordons and graceful evictions.
+ */
+final class MachineEvents {
+  private final ClusterState world;
+  private final FleetPlanner planner;
+  private final HeartbeatMonitor proof;
+  private final WorkerCommands orders;
+
+  MachineEvents(
+      ClusterState world, FleetPlanner planner, HeartbeatMonitor proof, WorkerCommands orders) {
+    this.world = world;
+    this.planner = planner;
+    this.proof = proof;
+    this.orders = orders;
+  }
+
+  void onTypes(Collection<MachineType> types) {
+    Map<String, MachineType> byName = new TreeMap<>();
+    for (MachineType t : types) {
+      byName.put(t.name(), t);
+    }
+    world.types = byName;
+    for (Machine m : world.machines.values()) {
+      if (m.type != null) {
+        world.locate(m, m.type, m.zone, m.spot);
+      }
+    }
+    world.dirty = true;
+  }
+
+  void onList(List<Scheduler.Listed> list, double now) {
+    for (Scheduler.Listed l : list) {
+      Machine m = world.machines.get(l.name());
+      if (m == null) {
+        if (proof.dropped.contains(l.name())) {
+          continue; // The list lags: it was deleted a moment ago.
+        }
+        m = world.machine(l.name(), now);
+        m.rentedAt = now - l.ageS();
+      }
+      if (!m.reported) {
+        m.booting |= l.stage().equals("booting");
+        world.locate(m, l.type(), l.zone(), l.spot());
+        m.address = l.address();
+      }
+      if (l.stage().equals("failed") && !m.failed) {
+        m.failed = true;
+        proof.machineGone(m, "the cloud lists it as failed", now);
+      }
+    }
+    world.dirty = true;
+  }
+
+  void onHired(long id, List<String> names, boolean noCapacity, double now) {
+    planner.onHired(id, names, noCapacity, now);
+    world.dirty = true;
+  }
+
+  /** The cloud answered a deletion: the machines and everything on them are gone. */
+  void onGivenBack(List<String> names, double now) {
+    for (String n : names) {
+      Machine m = world.machines.get(n);
+      if (m == null || !m.returning) {
+        continue;
+      }
+      proof.machineGone(m, "it was given back", now);
+      proof.dropped.add(n);
+      if (proof.dropped.size() > Constants.MOST_DROPPED) {
+        proof.dropped.remove(proof.dropped.iterator().next());
+      }
+      gone.add(n);
+    }
+    world.dirty = true;
+  }
+
+  /** Deleted machines that still carry claims whose end has to commit. */
+  private final Set<String> gone = new LinkedHashSet<>();
+
+  /** Forgets given-back machines once no claim on them is left. */
+  void forgetMachines(double now) {
+    gone.removeIf(
+        n -> {
+          Machine m = world.machines.get(n);
+          if (m != null && m.claims.isEmpty()) {
+            world.machines.remove(n);
+          }
+          return m == null || m.claims.isEmpty();
+        });
+  }
+
+  /** What operators keep off machines, as the settings have it now. */
+  void onCordons(Set<String> cordoned, Set<String> drained, double now) {
+    for (Machine m : world.machines.values()) {
+      boolean drain = drained.contains(m.name);
+      boolean starts = drain && !m.operatorDrain;
+      m.operatorDrain = drain;
+      m.cordoned = drain || cordoned.contains(m.name);
+      if (starts) {
+        world.note("machine " + m.name + " is drained by its operators");
+        orders.drainClaims(m, now);
+      }
+    }
+    world.dirty = true;
+  }
+}
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -2,16 +2,13 @@
 
 import graderelay.constants.Constants;
 import graderelay.quota.Amount;
-import graderelay.quota.Difference;
 import graderelay.quota.StoredQuota;
 import graderelay.quota.TeamStanding;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
 /**
@@ -50,9 +47,10 @@
   private final CompareAndSwapAnswers answers;
   private final WorkerCommands orders;
   private final HeartbeatMonitor proof;
-
-  /** Guarantees and limits of the settings, which count while none are stored. */
-  private final List<Team> settingsTeams;
+  private final JobRecordEvents jobEvents;
+  private final QuotaUpdates quota;
+  private final MachineEvents machineEvents;
+  private final AdminViews views;
 
   private double lastAccountCheck = Double.NEGATIVE_INFINITY;
   private double lastRound = Double.NEGATIVE_INFINITY;
@@ -65,7 +63,6 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.world = new ClusterState(policy, process + "-" + term);
-    this.settingsTeams = policy.teams();
     this.placer = new Placer(world, random);
     this.planner = new FleetPlanner(world, now);
     world.term = term;
@@ -80,6 +77,10 @@
     this.answers = new CompareAndSwapAnswers(world, records, inFlight);
     this.orders = new WorkerCommands(world, records);
     this.proof = new HeartbeatMonitor(world, records, orders, planner);
+    this.jobEvents = new JobRecordEvents(world, planner, records, orders);
+    this.quota = new QuotaUpdates(world, records, policy.teams());
+    this.machineEvents = new MachineEvents(world, planner, proof, orders);
+    this.views = new AdminViews(world);
     answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
@@ -101,30 +102,7 @@
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
   public void onJob(JobSpec spec, boolean stop, long mark, double submittedAt, double now) {
-    Job j = world.jobs.get(spec.id());
-    if (j == null) {
-      j = new Job(spec, mark, stop, now);
-      j.acceptedAt = submittedAt;
-      j.submittedAt = submittedAt;
-      world.jobs.put(spec.id(), j);
-      if (!j.blocked()) {
-        planner.onArrival(spec, submittedAt);
-      }
-      world.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
-      world.dependencies.look(j, now);
-      // Slices that came first, while the job's own record had not been seen yet.
-      records.jobCame(spec.id());
-    } else if (mark > j.mark) {
-      j.mark = mark;
-      if (stop && !j.stop) {
-        world.note("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
-      }
-      j.stop |= stop;
-    }
-    if (j.stop) {
-      stopped(j, now);
-    }
-    world.dirty = true;
+    jobEvents.onJob(spec, stop, mark, submittedAt, now);
   }
 
   /**
@@ -132,48 +110,12 @@
    * end of it can commit against the record as we know it, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
-    Job j = world.jobs.get(job);
-    if (j != null && !j.stop) {
-      world.note(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
-      j.stop = true;
-      stopped(j, now);
-      world.dirty = true;
-    }
-  }
-
-  private void stopped(Job j, double now) {
-    world.stopped.add(j);
-    world.maybeOver.add(j);
-    orders.stopClaims(j, now);
-    world.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
-  }
-
-  /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
-  private void cancelWithNeeded(Job d, double now) {
-    world.note(d.spec.id() + " is cancelled with a job that it needs");
-    d.stop = true;
-    world.stopped.add(d);
-    world.maybeOver.add(d);
-    world.dirty = true;
+    jobEvents.onCancelled(job, now);
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   public void onEnd(String job, boolean cancelled, double at, double now) {
-    if (!world.dependencies.needed(job)) {
-      return;
-    }
-    if (cancelled) {
-      world.dependencies.cancelled(job).forEach(d -> cancelWithNeeded(d, now));
-      return;
-    }
-    for (Job d : world.dependencies.done(job, Math.min(at, now))) {
-      d.submittedAt = Math.max(d.acceptedAt, d.neededUntil);
-      d.waitingSince = now;
-      d.waitReason = "new";
-      planner.onArrival(d.spec, d.submittedAt);
-      world.note(d.spec.id() + " may begin: all that it needs is done");
-    }
-    world.dirty = true;
+    jobEvents.onEnd(job, cancelled, at, now);
   }
 
   /** The state service allows less than at our start. */
@@ -182,50 +124,16 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the
-   * slices of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be told after the task
+   * batches of the same moment.
    */
   public void onQuota(StoredQuota stored) {
-    world.dirty = true;
-    if (stored == null) {
-      if (world.admission.enabled()) {
-        world.admission.disable();
-        world.policy = world.policy.with(settingsTeams);
-      }
-      return;
-    }
-    if (!world.admission.enabled()) {
-      world.admission.enable();
-      records.trackAll();
-    }
-    world.admission.update(stored);
-    world.policy = world.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
-    tellDifferences();
-  }
-
-  private static List<Team> teams(StoredQuota stored) {
-    List<Team> teams = new ArrayList<>();
-    stored
-        .limits()
-        .forEach(
-            (name, record) -> {
-              if (record.isReadable()) {
-                teams.add(Team.of(name, record.quota()));
-              }
-            });
-    return teams;
-  }
-
-  private void tellDifferences() {
-    for (Difference d : world.admission.takeDifferences()) {
-      world.out.add(new Action.DifferenceFound(d));
-    }
+    quota.onQuota(stored);
   }
 
   /** An operator wants a team's account written anew from its committed claims. */
   public void replaceAccount(String team) {
-    world.admission.replaceAccount(team);
-    world.dirty = true;
+    quota.replaceAccount(team);
   }
 
   /** What an earlier owner kept of the demand. */
@@ -246,11 +154,9 @@
     }
   }
 
+  /** The job's record is gone from the store. */
   public void onJobGone(String id, double now) {
-    Job j = world.jobs.get(id);
-    if (j != null && !j.ending) {
-      records.forget(j, now);
-    }
+    jobEvents.onJobGone(id, now);
   }
 
   // ---------------------------------------------------------------- workers
@@ -299,18 +205,9 @@
 
   // ---------------------------------------------------------------- the cloud
 
+  /** The machine types that the cloud offers. */
   public void onTypes(Collection<MachineType> types) {
-    Map<String, MachineType> byName = new TreeMap<>();
-    for (MachineType t : types) {
-      byName.put(t.name(), t);
-    }
-    world.types = byName;
-    for (Machine m : world.machines.values()) {
-      if (m.type != null) {
-        world.locate(m, m.type, m.zone, m.spot);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onTypes(types);
   }
 
   /** One machine of the cloud's list. */
@@ -323,54 +220,21 @@
       String stage,
       double ageS) {}
 
+  /** The cloud's list of machines. */
   public void onList(List<Listed> list, double now) {
-    for (Listed l : list) {
-      Machine m = world.machines.get(l.name());
-      if (m == null) {
-        if (proof.dropped.contains(l.name())) {
-          continue; // The list lags: it was deleted a moment ago.
-        }
-        m = world.machine(l.name(), now);
-        m.rentedAt = now - l.ageS();
-      }
-      if (!m.reported) {
-        m.booting |= l.stage().equals("booting");
-        world.locate(m, l.type(), l.zone(), l.spot());
-        m.address = l.address();
-      }
-      if (l.stage().equals("failed") && !m.failed) {
-        m.failed = true;
-        proof.machineGone(m, "the cloud lists it as failed", now);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onList(list, now);
   }
 
+  /** The cloud answered rental request {@code id} (scale out). */
   public void onHired(long id, List<String> names, boolean noCapacity, double now) {
-    planner.onHired(id, names, noCapacity, now);
-    world.dirty = true;
+    machineEvents.onHired(id, names, noCapacity, now);
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
   public void onGivenBack(List<String> names, double now) {
-    for (String n : names) {
-      Machine m = world.machines.get(n);
-      if (m == null || !m.returning) {
-        continue;
-      }
-      proof.machineGone(m, "it was given back", now);
-      proof.dropped.add(n);
-      if (proof.dropped.size() > Constants.MOST_DROPPED) {
-        proof.dropped.remove(proof.dropped.iterator().next());
-      }
-      gone.add(n);
-    }
-    world.dirty = true;
+    machineEvents.onGivenBack(names, now);
   }
 
-  /** Deleted machines that still carry claims whose end has to commit. */
-  private final Set<String> gone = new LinkedHashSet<>();
-
   // ---------------------------------------------------------------- transactions
 
   public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
@@ -418,7 +282,7 @@
       world.dirty = true;
     }
     step(now);
-    tellDifferences();
+    quota.tellDifferences();
   }
 
   public long term() {
@@ -442,7 +306,7 @@
     }
     world.dirty = false;
     lastRound = now;
-    forgetMachines(now);
+    machineEvents.forgetMachines(now);
     boolean pause = world.policy.tuning().claimsPaused() || orders.raising();
     List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
     orders.killPreempted(now);
@@ -452,17 +316,6 @@
     return Constants.ROUND_AT_LEAST_EVERY_S;
   }
 
-  private void forgetMachines(double now) {
-    gone.removeIf(
-        n -> {
-          Machine m = world.machines.get(n);
-          if (m != null && m.claims.isEmpty()) {
-            world.machines.remove(n);
-          }
-          return m == null || m.claims.isEmpty();
-        });
-  }
-
   /** Takes the actions decided since the last call. */
   public List<Action> take() {
     List<Action> actions = new ArrayList<>(world.out);
@@ -484,37 +337,9 @@
       double cpus,
       double silentS) {}
 
+  /** One line on each machine, for the administration API. */
   public List<MachineView> machines(double now) {
-    List<MachineView> views = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
-      String state =
-          m.returning
-              ? "returning"
-              : !m.reported
-                  ? "booting"
-                  : m.leaseOver
-                      ? "silent"
-                      : m.noticeAt != null
-                          ? "noticed"
-                          : m.drain || m.operatorDrain
-                              ? "draining"
-                              : m.cordoned ? "cordoned" : "up";
-      if (state.equals("up") && now < m.quarantineUntil) {
-        state = "quarantined";
-      }
-      views.add(
-          new MachineView(
-              m.name,
-              m.type,
-              m.zone,
-              m.spot,
-              state,
-              m.claims.size(),
-              m.used.cpus(),
-              m.room.cpus(),
-              now - m.lastReport));
-    }
-    return views;
+    return views.machines(now);
   }
 
   /** What each team uses, judged on claims. */
@@ -537,39 +362,17 @@
 
   /** How a team stands; for the administration API. */
   public TeamUsage teamUsage(String team) {
-    long tasks = 0;
-    Amount waiting = Amount.NONE;
-    for (Job j : world.jobs.values()) {
-      if (j.waiting() && j.spec.team().equals(team)) {
-        tasks += j.open.cardinality();
-        waiting = waiting.plus(j.amount.times(j.open.cardinality()));
-      }
-    }
-    return new TeamUsage(world.admission.standing(team), tasks, waiting);
+    return views.teamUsage(team);
   }
 
   /** Why a job has tasks that wait, or null if it is not known or has none. */
   public String whyWaiting(String job) {
-    Job j = world.jobs.get(job);
-    if (j != null && j.blocked() && !j.stop) {
-      return "it needs " + String.join(", ", new java.util.TreeSet<>(j.needed));
-    }
-    return j == null || !j.waiting() ? null : j.waitReason;
+    return views.whyWaiting(job);
   }
 
   /** What operators keep off machines, as the settings have it now. */
   public void onCordons(Set<String> cordoned, Set<String> drained, double now) {
-    for (Machine m : world.machines.values()) {
-      boolean drain = drained.contains(m.name);
-      boolean starts = drain && !m.operatorDrain;
-      m.operatorDrain = drain;
-      m.cordoned = drain || cordoned.contains(m.name);
-      if (starts) {
-        world.note("machine " + m.name + " is drained by its operators");
-        orders.drainClaims(m, now);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onCordons(cordoned, drained, now);
   }
 
   /** Machines and claims that rounds have looked at so far. */
