--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -13,24 +13,11 @@
     this.world = world;
   }
 
+  /** One line on each machine, {@code now} in seconds on this leader's clock. */
   List<Scheduler.MachineView> machines(double now) {
     List<Scheduler.MachineView> views = new ArrayList<>();
     for (Machine m : world.machines.values()) {
-      String state =
-          m.returning
-              ? "returning"
-              : !m.reported
-                  ? "booting"
-                  : m.leaseOver
-                      ? "silent"
-                      : m.noticeAt != null
-                          ? "noticed"
-                          : m.drain || m.operatorDrain
-                              ? "draining"
-                              : m.cordoned ? "cordoned" : "up";
-      if (state.equals("up") && now < m.quarantineUntil) {
-        state = "quarantined";
-      }
+      String state = stateOf(m, now);
       views.add(
           new Scheduler.MachineView(
               m.name,
@@ -46,6 +33,29 @@
     return views;
   }
 
+  /** The machine's state as the administration API shows it; the first that holds counts. */
+  private static String stateOf(Machine m, double now) {
+    if (m.returning) {
+      return "returning";
+    }
+    if (!m.reported) {
+      return "booting";
+    }
+    if (m.leaseOver) {
+      return "silent";
+    }
+    if (m.noticeAt != null) {
+      return "noticed";
+    }
+    if (m.drain || m.operatorDrain) {
+      return "draining";
+    }
+    if (m.cordoned) {
+      return "cordoned";
+    }
+    return now < m.quarantineUntil ? "quarantined" : "up";
+  }
+
   /** How a team stands; for the administration API. */
   Scheduler.TeamUsage teamUsage(String team) {
     long tasks = 0;
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -8,14 +8,14 @@
   private final ClusterState world;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final WorkerCommands orders;
+  private final WorkerCommands commands;
 
   JobRecordEvents(
-      ClusterState world, FleetPlanner planner, StoredRecords records, WorkerCommands orders) {
+      ClusterState world, FleetPlanner planner, StoredRecords records, WorkerCommands commands) {
     this.world = world;
     this.planner = planner;
     this.records = records;
-    this.orders = orders;
+    this.commands = commands;
   }
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
@@ -63,7 +63,7 @@
   private void stopped(Job j, double now) {
     world.stopped.add(j);
     world.maybeOver.add(j);
-    orders.stopClaims(j, now);
+    commands.stopClaims(j, now);
     world.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
   }
 
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -15,15 +15,18 @@
 final class MachineEvents {
   private final ClusterState world;
   private final FleetPlanner planner;
-  private final HeartbeatMonitor proof;
-  private final WorkerCommands orders;
+  private final HeartbeatMonitor heartbeats;
+  private final WorkerCommands commands;
 
   MachineEvents(
-      ClusterState world, FleetPlanner planner, HeartbeatMonitor proof, WorkerCommands orders) {
+      ClusterState world,
+      FleetPlanner planner,
+      HeartbeatMonitor heartbeats,
+      WorkerCommands commands) {
     this.world = world;
     this.planner = planner;
-    this.proof = proof;
-    this.orders = orders;
+    this.heartbeats = heartbeats;
+    this.commands = commands;
   }
 
   void onTypes(Collection<MachineType> types) {
@@ -44,7 +47,7 @@
     for (Scheduler.Listed l : list) {
       Machine m = world.machines.get(l.name());
       if (m == null) {
-        if (proof.dropped.contains(l.name())) {
+        if (heartbeats.dropped.contains(l.name())) {
           continue; // The list lags: it was deleted a moment ago.
         }
         m = world.machine(l.name(), now);
@@ -57,7 +60,7 @@
       }
       if (l.stage().equals("failed") && !m.failed) {
         m.failed = true;
-        proof.machineGone(m, "the cloud lists it as failed", now);
+        heartbeats.machineGone(m, "the cloud lists it as failed", now);
       }
     }
     world.dirty = true;
@@ -75,10 +78,10 @@
       if (m == null || !m.returning) {
         continue;
       }
-      proof.machineGone(m, "it was given back", now);
-      proof.dropped.add(n);
-      if (proof.dropped.size() > Constants.MOST_DROPPED) {
-        proof.dropped.remove(proof.dropped.iterator().next());
+      heartbeats.machineGone(m, "it was given back", now);
+      heartbeats.dropped.add(n);
+      if (heartbeats.dropped.size() > Constants.MOST_DROPPED) {
+        heartbeats.dropped.remove(heartbeats.dropped.iterator().next());
       }
       gone.add(n);
     }
@@ -109,7 +112,7 @@
       m.cordoned = drain || cordoned.contains(m.name);
       if (starts) {
         world.note("machine " + m.name + " is drained by its operators");
-        orders.drainClaims(m, now);
+        commands.drainClaims(m, now);
       }
     }
     world.dirty = true;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -28,7 +28,7 @@
     UNKNOWN
   }
 
-  /** How orders sent straight to a worker ended. */
+  /** How commands sent straight to a worker ended. */
   public enum Sent {
     EXECUTED,
     /** Refused by the worker; nothing was executed. */
@@ -45,8 +45,8 @@
   private final StoredRecords records;
   private final CompareAndSwapWriter writer;
   private final CompareAndSwapAnswers answers;
-  private final WorkerCommands orders;
-  private final HeartbeatMonitor proof;
+  private final WorkerCommands commands;
+  private final HeartbeatMonitor heartbeats;
   private final JobRecordEvents jobEvents;
   private final QuotaUpdates quota;
   private final MachineEvents machineEvents;
@@ -75,11 +75,11 @@
     TransactionsInFlight inFlight = new TransactionsInFlight(world);
     this.writer = new CompareAndSwapWriter(world, records, inFlight);
     this.answers = new CompareAndSwapAnswers(world, records, inFlight);
-    this.orders = new WorkerCommands(world, records);
-    this.proof = new HeartbeatMonitor(world, records, orders, planner);
-    this.jobEvents = new JobRecordEvents(world, planner, records, orders);
+    this.commands = new WorkerCommands(world, records);
+    this.heartbeats = new HeartbeatMonitor(world, records, commands, planner);
+    this.jobEvents = new JobRecordEvents(world, planner, records, commands);
     this.quota = new QuotaUpdates(world, records, policy.teams());
-    this.machineEvents = new MachineEvents(world, planner, proof, orders);
+    this.machineEvents = new MachineEvents(world, planner, heartbeats, commands);
     this.views = new AdminViews(world);
     answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
@@ -162,8 +162,9 @@
   // ---------------------------------------------------------------- workers
 
   /**
-   * A worker's own report; the orders for the response come from {@link #ordersFor}. A report that
-   * says nothing new sets nothing in motion: hundreds come every second.
+   * A worker's heartbeat with status; the worker commands for the response come from {@link
+   * #ordersFor}. A heartbeat that says nothing new sets nothing in motion: hundreds come every
+   * second.
    *
    * @return false if it is a copy of the past, which proves nothing and renews nothing
    */
@@ -171,23 +172,29 @@
     return onReport(r, "", now);
   }
 
-  /** The same for a report that came to another controller, or to this one if {@code via} is "". */
+  /**
+   * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
+   */
   public boolean onReport(Heartbeat r, String via, double now) {
-    return proof.takeHeartbeat(r, via, now);
+    return heartbeats.takeHeartbeat(r, via, now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
   public void answered(String machine, double now) {
-    proof.answered(machine, now);
+    heartbeats.answered(machine, now);
   }
 
-  /** Orders for the response to the report that was just taken. */
+  /** Worker commands for the response to the heartbeat that was just taken. */
   public List<WorkerCommand> ordersFor(Heartbeat r, double now) {
-    return orders.ordersFor(r, now);
+    return commands.ordersFor(r, now);
   }
 
+  /**
+   * How a worker command sent straight to a worker ended; {@code report} is the worker's answer, or
+   * null if there is none.
+   */
   public void onSent(Action.Command cmd, Sent how, Heartbeat report, double now) {
-    proof.onSent(cmd, how, report, now);
+    heartbeats.onSent(cmd, how, report, now);
   }
 
   // ---------------------------------------------------------------- deputies
@@ -237,14 +244,17 @@
 
   // ---------------------------------------------------------------- transactions
 
+  /** A task batch record came from the store at revision {@code mark}. */
   public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
     records.onTaskBatch(key, record, mark, now);
   }
 
+  /** A task batch record was removed from the store. */
   public void onSliceGone(TaskBatchKey key) {
     records.onTaskBatchGone(key);
   }
 
+  /** The answer to compare-and-swap transaction {@code id}; {@code mark} is its revision. */
   public void onWrite(long id, Outcome outcome, long mark, double now) {
     answers.onWrite(id, outcome, mark, now);
   }
@@ -253,16 +263,16 @@
 
   /** The term was raised, or could not be. */
   public void onTerm(long newTerm, double now) {
-    orders.onTerm(newTerm, now);
+    commands.onTerm(newTerm, now);
   }
 
   /** Looks at everything that only the passing of time changes. */
   public void tick(double now) {
-    proof.leases(now);
-    orders.pokes(now);
-    orders.doubts(now);
+    heartbeats.leases(now);
+    commands.pokes(now);
+    commands.doubts(now);
     for (Job j : world.stopped) {
-      orders.kill(j.claims.values(), now);
+      commands.kill(j.claims.values(), now);
     }
     List<String> find = world.dependencies.toFind(now);
     if (!find.isEmpty()) {
@@ -285,10 +295,12 @@
     quota.tellDifferences();
   }
 
+  /** This leader's term: its fencing token. */
   public long term() {
     return world.term;
   }
 
+  /** The operators changed the tuning of the settings. */
   public void onTuning(Policy.Tuning tuning) {
     world.policy = world.policy.with(tuning);
     world.dirty = true;
@@ -296,7 +308,7 @@
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   public double step(double now) {
-    orders.launchCommitted(now);
+    commands.launchCommitted(now);
     if (!world.dirty || world.loading) {
       return Constants.ROUND_AT_LEAST_EVERY_S;
     }
@@ -307,12 +319,12 @@
     world.dirty = false;
     lastRound = now;
     machineEvents.forgetMachines(now);
-    boolean pause = world.policy.tuning().claimsPaused() || orders.raising();
+    boolean pause = world.policy.tuning().claimsPaused() || commands.raising();
     List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
-    orders.killPreempted(now);
+    commands.killPreempted(now);
     writer.write(claims, now);
     writer.endJobs(now);
-    orders.launchCommitted(now);
+    commands.launchCommitted(now);
     return Constants.ROUND_AT_LEAST_EVERY_S;
   }
 
@@ -380,8 +392,8 @@
     return world.looked;
   }
 
-  /** Reports dropped because newer ones had come before. */
+  /** Heartbeats dropped because newer ones had come before. */
   public long staleReports() {
-    return proof.stale;
+    return heartbeats.stale;
   }
 }
