--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.Amount;
 import graderelay.quota.StoredQuota;
 import graderelay.quota.TeamStanding;
@@ -40,7 +39,6 @@
   }
 
   private final ClusterState world;
-  private final Placer placer;
   private final FleetPlanner planner;
   private final StoredRecords records;
   private final CompareAndSwapWriter writer;
@@ -51,10 +49,7 @@
   private final QuotaUpdates quota;
   private final MachineEvents machineEvents;
   private final AdminViews views;
-
-  private double lastAccountCheck = Double.NEGATIVE_INFINITY;
-  private double lastRound = Double.NEGATIVE_INFINITY;
-  private double lastPlan = Double.NEGATIVE_INFINITY;
+  private final SchedulingRounds rounds;
 
   /**
    * Makes the core of a new leader.
@@ -63,7 +58,7 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.world = new ClusterState(policy, process + "-" + term);
-    this.placer = new Placer(world, random);
+    Placer placer = new Placer(world, random);
     this.planner = new FleetPlanner(world, now);
     world.term = term;
     world.firstTerm = term;
@@ -81,6 +76,9 @@
     this.quota = new QuotaUpdates(world, records, policy.teams());
     this.machineEvents = new MachineEvents(world, planner, heartbeats, commands);
     this.views = new AdminViews(world);
+    this.rounds =
+        new SchedulingRounds(
+            world, placer, planner, writer, commands, heartbeats, machineEvents, quota);
     answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
@@ -268,31 +266,7 @@
 
   /** Looks at everything that only the passing of time changes. */
   public void tick(double now) {
-    heartbeats.leases(now);
-    commands.pokes(now);
-    commands.doubts(now);
-    for (Job j : world.stopped) {
-      commands.kill(j.claims.values(), now);
-    }
-    List<String> find = world.dependencies.toFind(now);
-    if (!find.isEmpty()) {
-      world.out.add(new Action.FindEnds(find));
-    }
-    if (now - lastPlan >= Constants.PLAN_EVERY_S && !world.loading) {
-      lastPlan = now;
-      world.dependencies.look(now);
-      planner.plan(now);
-      placer.planned(planner.steppingBack(), planner.atLeisure());
-    }
-    if (now - lastAccountCheck >= Constants.ACCOUNT_CHECK_EVERY_S) {
-      lastAccountCheck = now;
-      world.admission.check();
-    }
-    if (now - lastRound >= Constants.ROUND_AT_LEAST_EVERY_S) {
-      world.dirty = true;
-    }
-    step(now);
-    quota.tellDifferences();
+    rounds.tick(now);
   }
 
   /** This leader's term: its fencing token. */
@@ -308,24 +282,7 @@
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   public double step(double now) {
-    commands.launchCommitted(now);
-    if (!world.dirty || world.loading) {
-      return Constants.ROUND_AT_LEAST_EVERY_S;
-    }
-    double wait = lastRound + Constants.ROUND_EVERY_S - now;
-    if (wait > 0) {
-      return wait;
-    }
-    world.dirty = false;
-    lastRound = now;
-    machineEvents.forgetMachines(now);
-    boolean pause = world.policy.tuning().claimsPaused() || commands.raising();
-    List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
-    commands.killPreempted(now);
-    writer.write(claims, now);
-    writer.endJobs(now);
-    commands.launchCommitted(now);
-    return Constants.ROUND_AT_LEAST_EVERY_S;
+    return rounds.step(now);
   }
 
   /** Takes the actions decided since the last call. */
--- /dev/null
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -0,0 +1,103 @@
+package graderelay.core;
+
+import graderelay.constants.Constants;
+import java.util.List;
+
+/**
+ * What only the passing of time sets off for {@link Scheduler} (lease expiry, pokes, plans, account
+ * checks), and the scheduling round: place claims, then write them by compare-and-swap.
+ */
+final class SchedulingRounds {
+  private final ClusterState world;
+  private final Placer placer;
+  private final FleetPlanner planner;
+  private final CompareAndSwapWriter writer;
+  private final WorkerCommands commands;
+  private final HeartbeatMonitor heartbeats;
+  private final MachineEvents machineEvents;
+  private final QuotaUpdates quota;
+
+  private double lastAccountCheck = Double.NEGATIVE_INFINITY;
+  private double lastRound = Double.NEGATIVE_INFINITY;
+  private double lastPlan = Double.NEGATIVE_INFINITY;
+
+  SchedulingRounds(
+      ClusterState world,
+      Placer placer,
+      FleetPlanner planner,
+      CompareAndSwapWriter writer,
+      WorkerCommands commands,
+      HeartbeatMonitor heartbeats,
+      MachineEvents machineEvents,
+      QuotaUpdates quota) {
+    this.world = world;
+    this.placer = placer;
+    this.planner = planner;
+    this.writer = writer;
+    this.commands = commands;
+    this.heartbeats = heartbeats;
+    this.machineEvents = machineEvents;
+    this.quota = quota;
+  }
+
+  /** Looks at everything that only the passing of time changes. */
+  void tick(double now) {
+    heartbeats.leases(now);
+    commands.pokes(now);
+    commands.doubts(now);
+    for (Job j : world.stopped) {
+      commands.kill(j.claims.values(), now);
+    }
+    askForEnds(now);
+    planIfDue(now);
+    if (now - lastAccountCheck >= Constants.ACCOUNT_CHECK_EVERY_S) {
+      lastAccountCheck = now;
+      world.admission.check();
+    }
+    if (now - lastRound >= Constants.ROUND_AT_LEAST_EVERY_S) {
+      world.dirty = true;
+    }
+    step(now);
+    quota.tellDifferences();
+  }
+
+  /** Asks the store for the final records of DAG dependencies whose end is not known yet. */
+  private void askForEnds(double now) {
+    List<String> find = world.dependencies.toFind(now);
+    if (!find.isEmpty()) {
+      world.out.add(new Action.FindEnds(find));
+    }
+  }
+
+  /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placer. */
+  private void planIfDue(double now) {
+    if (now - lastPlan >= Constants.PLAN_EVERY_S && !world.loading) {
+      lastPlan = now;
+      world.dependencies.look(now);
+      planner.plan(now);
+      placer.planned(planner.steppingBack(), planner.atLeisure());
+    }
+  }
+
+  /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
+  double step(double now) {
+    commands.launchCommitted(now);
+    if (!world.dirty || world.loading) {
+      return Constants.ROUND_AT_LEAST_EVERY_S;
+    }
+    double wait = lastRound + Constants.ROUND_EVERY_S - now;
+    if (wait > 0) {
+      return wait;
+    }
+    world.dirty = false;
+    lastRound = now;
+    machineEvents.forgetMachines(now);
+    boolean pause = world.policy.tuning().claimsPaused() || commands.raising();
+    List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
+    commands.killPreempted(now);
+    writer.write(claims, now);
+    writer.endJobs(now);
+    commands.launchCommitted(now);
+    return Constants.ROUND_AT_LEAST_EVERY_S;
+  }
+}
