--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -15,17 +15,17 @@
 final class HeartbeatMonitor {
   private final ClusterState world;
   private final StoredRecords records;
-  private final WorkerCommands orders;
+  private final WorkerCommands commands;
   private final FleetPlanner planner;
-  private final FailureAttribution blame;
+  private final FailureAttribution failureAttribution;
 
   HeartbeatMonitor(
-      ClusterState world, StoredRecords records, WorkerCommands orders, FleetPlanner planner) {
+      ClusterState world, StoredRecords records, WorkerCommands commands, FleetPlanner planner) {
     this.world = world;
     this.records = records;
-    this.orders = orders;
+    this.commands = commands;
     this.planner = planner;
-    this.blame = new FailureAttribution(world, planner);
+    this.failureAttribution = new FailureAttribution(world, planner);
   }
 
   long stale;
@@ -87,7 +87,7 @@
     if (r.noticeS() != null && m.noticeAt == null) {
       m.noticeAt = now + r.noticeS();
       world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
-      orders.drainClaims(m, now);
+      commands.drainClaims(m, now);
     }
     for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
@@ -207,7 +207,7 @@
         exited(m, c, e, now);
       } else if (c.runningSince > 0 && !c.wellSaid && now - c.runningSince > Constants.GOOD_RUN_S) {
         c.wellSaid = true;
-        blame.good(m, c, now);
+        failureAttribution.good(m, c, now);
       }
       return;
     }
@@ -259,14 +259,14 @@
     world.out.add(new Action.Seen(e.why(), -1));
     switch (e.why()) {
       case "done" -> {
-        blame.good(m, c, now);
+        failureAttribution.good(m, c, now);
         if (c.runningSince > 0) {
           planner.onRan(j.spec, now - c.runningSince);
         }
         records.end(c, true, now);
       }
       case "error" -> {
-        blame.failed(m, c, now);
+        failureAttribution.failed(m, c, now);
         records.end(c, false, now);
       }
       case "no_room" -> {
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -18,6 +18,10 @@
   /** Stored in fewer bytes, which earlier versions can't read. */
   private boolean packed;
 
+  /**
+   * A record of {@code attempts.length} tasks; the four arrays have that length and are taken, not
+   * copied. Task {@code i} is the batch's {@code i}-th task.
+   */
   public TaskBatchRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
     this.attempts = attempts;
     this.machines = machines;
@@ -25,12 +29,13 @@
     this.done = done;
   }
 
-  /** A slice none of whose tasks was ever claimed. */
+  /** A task batch none of whose tasks was ever claimed. */
   public static TaskBatchRecord fresh(int tasks) {
     return new TaskBatchRecord(
         new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
   }
 
+  /** The number of tasks in the batch. */
   public int size() {
     return attempts.length;
   }
@@ -40,19 +45,22 @@
     return attempts[i];
   }
 
-  /** The machine it is claimed on, or null. */
+  /** The machine task {@code i} is claimed on, or null. */
   public String machine(int i) {
     return machines[i];
   }
 
+  /** The incarnation (session) of the machine's worker that task {@code i} is claimed on. */
   public long session(int i) {
     return sessions[i];
   }
 
+  /** True if task {@code i} is done. */
   public boolean done(int i) {
     return done[i];
   }
 
+  /** The number of tasks that are done. */
   public int doneCount() {
     int n = 0;
     for (boolean d : done) {
@@ -61,6 +69,7 @@
     return n;
   }
 
+  /** The number of tasks that are claimed on a machine. */
   public int claimedCount() {
     int n = 0;
     for (String m : machines) {
