--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -67,7 +67,7 @@
     world.dirty = true;
   }
 
-  /** What the transaction's slices say has been taken before. */
+  /** What the transaction's task batches say has been taken before. */
   private void accountsAnswered(
       List<AccountChange> accounts, Scheduler.Outcome outcome, long revision) {
     switch (outcome) {
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -26,7 +26,7 @@
     this.inFlight = inFlight;
   }
 
-  /** Puts new claims and settled ones into transactions, one record for each slice. */
+  /** Puts new claims and settled ones into transactions, one record for each task batch. */
   void write(List<Claim> claims, double now) {
     Map<Job.Slice, List<Claim>> claimed = new LinkedHashMap<>();
     for (Claim c : claims) {
@@ -58,7 +58,7 @@
     return c.job.slice(c.job.spec.sliceOf(c.task));
   }
 
-  /** Claims that are to be ended now, with the slices that are claimed of or beside them. */
+  /** Claims that are to be ended now, with the task batches that are claimed of or beside them. */
   private Map<Job.Slice, List<Claim>> settledBeside(Set<Job.Slice> claimed, double now) {
     Map<Job.Slice, List<Claim>> settled = new LinkedHashMap<>();
     int room = inFlight.changesLeft() - claimed.size();
@@ -79,7 +79,7 @@
       if (s.inFlight || c.job.ending || whole.computeIfAbsent(c.job, this::endsWhole)) {
         continue;
       }
-      // Ends wait for the changes that are left beside the claims; meanwhile more of a slice's
+      // Ends wait for the changes that are left beside the claims; meanwhile more of a batch's
       // tasks end, and one change says it of all.
       if (!claimed.contains(s) && !settled.containsKey(s) && room-- <= 0) {
         continue;
@@ -89,7 +89,7 @@
     return settled;
   }
 
-  /** The slice with these claims and without those, or null if nothing can be stored of it. */
+  /** The task batch with these claims and without those, or null if nothing can be stored of it. */
   private TaskBatchChange change(Job.Slice s, List<Claim> fresh, List<Claim> done, double now) {
     if (fresh.isEmpty() && done.isEmpty()) {
       return null;
@@ -179,7 +179,9 @@
     return true;
   }
 
-  /** Ends jobs that are complete or stopped with nothing left, and drops slices without a job. */
+  /**
+   * Ends jobs that are complete or stopped with nothing left, and drops task batches without a job.
+   */
   void endJobs(double now) {
     List<Job> cancelled = new ArrayList<>();
     for (Job j : new ArrayList<>(world.maybeOver)) {
@@ -207,7 +209,8 @@
   }
 
   private void endJob(Job j) {
-    // Users wait for the end, nobody for the slices to go: in a swarm of single tasks they would
+    // Users wait for the end, nobody for the task batches to go: in a swarm of single tasks they
+    // would
     // take as many changes again. What is left goes as soon as there is time.
     int most = Math.min(world.policy.txnOps() - 2, inFlight.changesLeft() - 2);
     List<Action.TaskBatchDrop> drops = new ArrayList<>();
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -31,7 +31,7 @@
       }
       world.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
       world.dependencies.look(j, now);
-      // Slices that came first, while the job's own record had not been seen yet.
+      // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
     } else if (mark > j.mark) {
       j.mark = mark;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -139,7 +139,7 @@
     classes.forEach(d -> planner.onDemand(d, now));
   }
 
-  /** What an earlier owner kept of the images on machines; to be told before the slices. */
+  /** What an earlier owner kept of the images on machines; to be told before the task batches. */
   public void onImages(Map<String, List<String>> machines) {
     world.knownImages.putAll(machines);
   }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -58,7 +58,7 @@
     orphans.remove(key);
   }
 
-  /** A job's own record has come: its slices that came first are no orphans. */
+  /** A job's own record has come: its task batches that came first are no orphans. */
   void jobCame(String id) {
     orphans.keySet().removeIf(k -> k.job().equals(id));
   }
@@ -111,7 +111,10 @@
     world.dirty = true;
   }
 
-  /** Every task of the slices seen had as many attempts as a job may fail before it is suspect. */
+  /**
+   * Every task of the task batches seen had as many attempts as a job may fail before it is
+   * suspect.
+   */
   private boolean triedOften(Job j) {
     for (Job.Slice s : j.slices.values()) {
       for (int i = 0; i < s.record.size(); i++) {
@@ -149,7 +152,7 @@
     world.dirty = true;
   }
 
-  /** Counts what a slice's committed claims take, where stored limits are switched on. */
+  /** Counts what a task batch's committed claims take, where stored limits are switched on. */
   void track(Job j, TaskBatchKey key, TaskBatchRecord r, long mark) {
     if (world.admission.enabled()) {
       Amount use = j.amount.times(r.claimedCount());
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -10,15 +10,18 @@
 import java.util.function.BiConsumer;
 
 /**
- * Packs changed slices into transactions that the state service takes. Where stored limits are
- * switched on, a transaction with claims is conditioned on the accounts of their teams, and raises
- * those that do not cover the claims; nothing more of such a team can go before that has committed.
+ * Packs changed task batches into compare-and-swap transactions that the state service takes. Where
+ * stored limits are switched on, a transaction with claims is conditioned on the accounts of their
+ * teams, and raises those that do not cover the claims; nothing more of such a team can go before
+ * that has committed.
  */
 final class TransactionPacker {
-  /** Conditions beside those on slices, jobs, accounts and limits: leader and feature level. */
+  /**
+   * Conditions beside those on task batches, jobs, accounts and limits: leader and feature level.
+   */
   private static final int OTHER_CONDITIONS = 2;
 
-  /** Of a slice the slice and its job, of a team its account and its limits. */
+  /** Of a task batch the batch and its job, of a team its account and its limits. */
   private static final int CONDITIONS_EACH = 2;
 
   private final int mostChanges;
@@ -40,7 +43,7 @@
    * Makes one.
    *
    * @param mostChanges puts and deletes that a transaction may have
-   * @param send takes the slices of a transaction, and the teams whose claims it holds
+   * @param send takes the task batches of a transaction, and the teams whose claims it holds
    */
   TransactionPacker(
       int mostChanges,
@@ -51,7 +54,7 @@
     this.send = send;
   }
 
-  /** Takes a slice in, unless it holds claims of a team whose account is just being raised. */
+  /** Takes a task batch in, unless it holds claims of a team whose account is just being raised. */
   boolean add(TaskBatchChange change) {
     String team = change.job().spec.team();
     boolean claims = admission.enabled() && !change.claimed().isEmpty();
