--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -45,11 +45,7 @@
     }
     Machine m = world.machine(r.machine(), now);
     if (m.reported && !r.newerThan(m.session, m.seq)) {
-      stale++;
-      if (checkin && r.session() == m.session) {
-        // It was sent before the newer one came, so an answer to it renews no further than that.
-        m.lastAnswered = Math.max(m.lastAnswered, m.lastReport);
-      }
+      takeStale(m, r, checkin);
       return false; // Held back on the way: its list is older than what we know.
     }
     boolean first = !m.reported;
@@ -62,6 +58,37 @@
       m.neverReap.clear(); // Late orders name their session and are refused now.
     }
     hears(m, r, via, first, now);
+    renew(m, r, via, now);
+    if (first) {
+      m.idleSince = now;
+      planner.onUp(m, now);
+      world.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
+    }
+    if (r.noticeS() != null && m.noticeAt == null) {
+      m.noticeAt = now + r.noticeS();
+      world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
+      commands.drainClaims(m, now);
+    }
+    learnImages(m, r, now);
+    judgeClaims(m, r, checkin, now);
+    if (!wasUsable && world.usable(m, now)) {
+      world.roomVersion++;
+      world.dirty = true;
+    }
+    return true;
+  }
+
+  /** A heartbeat no newer than the last one taken: it proves nothing and renews nothing. */
+  private void takeStale(Machine m, Heartbeat r, boolean checkin) {
+    stale++;
+    if (checkin && r.session() == m.session) {
+      // It was sent before the newer one came, so an answer to it renews no further than that.
+      m.lastAnswered = Math.max(m.lastAnswered, m.lastReport);
+    }
+  }
+
+  /** Renews the machine's lease and keeps what the heartbeat says of its worker. */
+  private void renew(Machine m, Heartbeat r, String via, double now) {
     if (r.session() != m.session) {
       m.firstAnswered = Double.NaN;
     }
@@ -73,22 +100,16 @@
     m.seenTerm = Math.max(m.seenTerm, r.term());
     m.lastReport = now;
     m.failedPokes = 0;
-    if (checkin) {
+    if (via != null) {
       m.via = via;
       m.answeredThere = false;
     }
     m.last = r;
     m.fetching.clear();
-    if (first) {
-      m.idleSince = now;
-      planner.onUp(m, now);
-      world.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
-    }
-    if (r.noticeS() != null && m.noticeAt == null) {
-      m.noticeAt = now + r.noticeS();
-      world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
-      commands.drainClaims(m, now);
-    }
+  }
+
+  /** Which images the machine is fetching, and which it has now. */
+  private void learnImages(Machine m, Heartbeat r, double now) {
     for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
       if (c != null && e.stage() == Heartbeat.Stage.FETCHING) {
@@ -97,17 +118,16 @@
         m.learnImage(c.job.spec.image(), now);
       }
     }
+  }
+
+  /** Judges each claim on the machine by what the heartbeat shows of it, or doesn't. */
+  private void judgeClaims(Machine m, Heartbeat r, boolean checkin, double now) {
     if (!m.claims.isEmpty()) {
       Map<String, Heartbeat.Entry> shown = shown(r);
       for (Claim c : new ArrayList<>(m.claims.values())) {
         judge(m, c, r, shown.get(reapKey(c.taskId(), c.attempt)), checkin, now);
       }
     }
-    if (!wasUsable && world.usable(m, now)) {
-      world.roomVersion++;
-      world.dirty = true;
-    }
-    return true;
   }
 
   /**
