--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -18,6 +18,9 @@
   private final HeartbeatMonitor heartbeats;
   private final WorkerCommands commands;
 
+  /** Deleted machines that still carry claims whose end has to commit. */
+  private final Set<String> gone = new LinkedHashSet<>();
+
   MachineEvents(
       ClusterState world,
       FleetPlanner planner,
@@ -66,6 +69,7 @@
     world.dirty = true;
   }
 
+  /** The cloud answered rental request {@code id} (scale out). */
   void onHired(long id, List<String> names, boolean noCapacity, double now) {
     planner.onHired(id, names, noCapacity, now);
     world.dirty = true;
@@ -88,9 +92,6 @@
     world.dirty = true;
   }
 
-  /** Deleted machines that still carry claims whose end has to commit. */
-  private final Set<String> gone = new LinkedHashSet<>();
-
   /** Forgets given-back machines once no claim on them is left. */
   void forgetMachines(double now) {
     gone.removeIf(
