--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -1,6 +1,6 @@
 package graderelay.api;
 
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.state.Cache;
 
 /**
@@ -24,7 +24,7 @@
     int done = 0;
     int claimed = 0;
     for (Cache.SliceEntry s : e.slices.values()) {
-      SliceRecord r = s.record();
+      TaskBatchRecord r = s.record();
       done += r.doneCount();
       claimed += r.claimedCount();
     }
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.constants.Constants;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
@@ -91,7 +91,7 @@
     }
     ArrayNode claims = n.putArray("claims");
     for (var s : j.slices.entrySet()) {
-      SliceRecord r = s.getValue().record();
+      TaskBatchRecord r = s.getValue().record();
       for (int i = 0; i < r.size() && claims.size() < Constants.MOST_LISTED; i++) {
         if (r.machine(i) != null) {
           claims
--- a/src/main/java/graderelay/core/TerminationProof.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -8,22 +8,24 @@
 import java.util.Set;
 
 /**
- * What reports, answers and the passing of time prove about machines and about the claims on them.
- * Running until proven gone: a claim ends here or not at all.
+ * Judges heartbeats, answers to worker commands and lease expiry: what they prove about machines
+ * and about the claims on them (the termination proof of an attempt). A claim counts as running
+ * until proven gone: it ends here or not at all.
  */
-final class TerminationProof {
+final class HeartbeatMonitor {
   private final ClusterState world;
-  private final Ledger ledger;
-  private final WorkerCommands orders;
+  private final StoredRecords records;
+  private final WorkerCommands commands;
   private final FleetPlanner planner;
-  private final FailureAttribution blame;
+  private final FailureAttribution failureAttribution;
 
-  TerminationProof(ClusterState world, Ledger ledger, WorkerCommands orders, FleetPlanner planner) {
+  HeartbeatMonitor(
+      ClusterState world, StoredRecords records, WorkerCommands commands, FleetPlanner planner) {
     this.world = world;
-    this.ledger = ledger;
-    this.orders = orders;
+    this.records = records;
+    this.commands = commands;
     this.planner = planner;
-    this.blame = new FailureAttribution(world, planner);
+    this.failureAttribution = new FailureAttribution(world, planner);
   }
 
   long stale;
@@ -36,18 +38,14 @@
    *
    * @param via the controller that its report came to, or null for an answer to a direct order
    */
-  boolean takeReport(Report r, String via, double now) {
+  boolean takeHeartbeat(Heartbeat r, String via, double now) {
     boolean checkin = via != null;
     if (dropped.contains(r.machine())) {
       return false; // Held back on the way: the cloud has said that the machine is gone.
     }
     Machine m = world.machine(r.machine(), now);
     if (m.reported && !r.newerThan(m.session, m.seq)) {
-      stale++;
-      if (checkin && r.session() == m.session) {
-        // It was sent before the newer one came, so an answer to it renews no further than that.
-        m.lastAnswered = Math.max(m.lastAnswered, m.lastReport);
-      }
+      takeStale(m, r, checkin);
       return false; // Held back on the way: its list is older than what we know.
     }
     boolean first = !m.reported;
@@ -60,6 +58,37 @@
       m.neverReap.clear(); // Late orders name their session and are refused now.
     }
     hears(m, r, via, first, now);
+    renew(m, r, via, now);
+    if (first) {
+      m.idleSince = now;
+      planner.onUp(m, now);
+      world.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
+    }
+    if (r.noticeS() != null && m.noticeAt == null) {
+      m.noticeAt = now + r.noticeS();
+      world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
+      commands.drainClaims(m, now);
+    }
+    learnImages(m, r, now);
+    judgeClaims(m, r, checkin, now);
+    if (!wasUsable && world.usable(m, now)) {
+      world.roomVersion++;
+      world.dirty = true;
+    }
+    return true;
+  }
+
+  /** A heartbeat no newer than the last one taken: it proves nothing and renews nothing. */
+  private void takeStale(Machine m, Heartbeat r, boolean checkin) {
+    stale++;
+    if (checkin && r.session() == m.session) {
+      // It was sent before the newer one came, so an answer to it renews no further than that.
+      m.lastAnswered = Math.max(m.lastAnswered, m.lastReport);
+    }
+  }
+
+  /** Renews the machine's lease and keeps what the heartbeat says of its worker. */
+  private void renew(Machine m, Heartbeat r, String via, double now) {
     if (r.session() != m.session) {
       m.firstAnswered = Double.NaN;
     }
@@ -71,41 +100,34 @@
     m.seenTerm = Math.max(m.seenTerm, r.term());
     m.lastReport = now;
     m.failedPokes = 0;
-    if (checkin) {
+    if (via != null) {
       m.via = via;
       m.answeredThere = false;
     }
     m.last = r;
     m.fetching.clear();
-    if (first) {
-      m.idleSince = now;
-      planner.onUp(m, now);
-      world.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
-    }
-    if (r.noticeS() != null && m.noticeAt == null) {
-      m.noticeAt = now + r.noticeS();
-      world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
-      orders.drainClaims(m, now);
-    }
-    for (Report.Entry e : r.tasks()) {
+  }
+
+  /** Which images the machine is fetching, and which it has now. */
+  private void learnImages(Machine m, Heartbeat r, double now) {
+    for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
-      if (c != null && e.stage() == Report.Stage.FETCHING) {
+      if (c != null && e.stage() == Heartbeat.Stage.FETCHING) {
         m.fetching.add(c.job.spec.image());
       } else if (c != null && (e.why().isEmpty() || e.why().equals("done"))) {
         m.learnImage(c.job.spec.image(), now);
       }
     }
+  }
+
+  /** Judges each claim on the machine by what the heartbeat shows of it, or doesn't. */
+  private void judgeClaims(Machine m, Heartbeat r, boolean checkin, double now) {
     if (!m.claims.isEmpty()) {
-      Map<String, Report.Entry> shown = shown(r);
+      Map<String, Heartbeat.Entry> shown = shown(r);
       for (Claim c : new ArrayList<>(m.claims.values())) {
         judge(m, c, r, shown.get(reapKey(c.taskId(), c.attempt)), checkin, now);
       }
     }
-    if (!wasUsable && world.usable(m, now)) {
-      world.roomVersion++;
-      world.dirty = true;
-    }
-    return true;
   }
 
   /**
@@ -114,7 +136,7 @@
    * which may be as long as a worker's wait for an answer. What its worker does shows it: one that
    * took an answer stays with that controller, and one that got none goes to the next.
    */
-  private void hears(Machine m, Report r, String via, boolean first, double now) {
+  private void hears(Machine m, Heartbeat r, String via, boolean first, double now) {
     if (first) {
       return;
     }
@@ -150,8 +172,8 @@
   }
 
   /** True if a start that went with the answer to an earlier report is not in this one. */
-  private boolean ignoresLaunch(Machine m, Report r) {
-    Map<String, Report.Entry> shown = null;
+  private boolean ignoresLaunch(Machine m, Heartbeat r) {
+    Map<String, Heartbeat.Entry> shown = null;
     for (Claim c : m.claims.values()) {
       if (c.launch == Claim.Launch.IN_RESPONSE
           && c.phase == Claim.Phase.HELD
@@ -166,22 +188,23 @@
     return false;
   }
 
-  private static Map<String, Report.Entry> shown(Report r) {
-    Map<String, Report.Entry> shown = new HashMap<>();
-    for (Report.Entry e : r.tasks()) {
+  private static Map<String, Heartbeat.Entry> shown(Heartbeat r) {
+    Map<String, Heartbeat.Entry> shown = new HashMap<>();
+    for (Heartbeat.Entry e : r.tasks()) {
       shown.put(reapKey(e.task(), e.attempt()), e);
     }
     return shown;
   }
 
   /** What a report proves about one claim on its machine. */
-  private void judge(Machine m, Claim c, Report r, Report.Entry e, boolean checkin, double now) {
+  private void judge(
+      Machine m, Claim c, Heartbeat r, Heartbeat.Entry e, boolean checkin, double now) {
     if (c.phase != Claim.Phase.HELD || c.session > r.session()) {
       return;
     }
     if (c.session < r.session()) {
       world.note(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
-      ledger.end(c, false, now);
+      records.end(c, false, now);
       return;
     }
     if (e != null) {
@@ -196,15 +219,15 @@
       if (c.stage != e.stage()) {
         c.stage = e.stage();
         c.stageSince = now;
-        if (e.stage() == Report.Stage.RUNNING && c.runningSince == 0) {
+        if (e.stage() == Heartbeat.Stage.RUNNING && c.runningSince == 0) {
           c.runningSince = now;
         }
       }
-      if (e.stage() == Report.Stage.EXITED) {
+      if (e.stage() == Heartbeat.Stage.EXITED) {
         exited(m, c, e, now);
       } else if (c.runningSince > 0 && !c.wellSaid && now - c.runningSince > Constants.GOOD_RUN_S) {
         c.wellSaid = true;
-        blame.good(m, c, now);
+        failureAttribution.good(m, c, now);
       }
       return;
     }
@@ -212,7 +235,7 @@
       case NONE -> {
         // An earlier owner may have launched it, but its orders are refused now.
         if (c.fromPast && r.term() >= world.term) {
-          ledger.end(c, false, now);
+          records.end(c, false, now);
         }
       }
       case IN_RESPONSE -> {
@@ -229,12 +252,12 @@
       }
       case SEEN -> {
         world.note(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
       case DIRECT -> {}
     }
     if (c.launch == Claim.Launch.NONE && !c.fromPast && (c.job.stop || c.stopAsked)) {
-      ledger.end(c, false, now);
+      records.end(c, false, now);
     }
   }
 
@@ -242,7 +265,7 @@
     return task + "#" + attempt;
   }
 
-  private void exited(Machine m, Claim c, Report.Entry e, double now) {
+  private void exited(Machine m, Claim c, Heartbeat.Entry e, double now) {
     Job j = c.job;
     world.note(
         c.taskId()
@@ -256,26 +279,26 @@
     world.out.add(new Action.Seen(e.why(), -1));
     switch (e.why()) {
       case "done" -> {
-        blame.good(m, c, now);
+        failureAttribution.good(m, c, now);
         if (c.runningSince > 0) {
           planner.onRan(j.spec, now - c.runningSince);
         }
-        ledger.end(c, true, now);
+        records.end(c, true, now);
       }
       case "error" -> {
-        blame.failed(m, c, now);
-        ledger.end(c, false, now);
+        failureAttribution.failed(m, c, now);
+        records.end(c, false, now);
       }
       case "no_room" -> {
         // Something runs there that we don't know of yet; the next reports will show it.
         m.quarantineUntil = Math.max(m.quarantineUntil, now + world.policy.reportS());
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
       case "unknown" -> {
         j.notBefore = now + Constants.JOB_BACKOFF_S;
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
-      default -> ledger.end(c, false, now);
+      default -> records.end(c, false, now);
     }
   }
 
@@ -308,7 +331,7 @@
       // Also those that committed since: nothing is launched on a machine whose lease is over.
       for (Claim c : new ArrayList<>(m.claims.values())) {
         if (c.phase == Claim.Phase.HELD) {
-          ledger.end(c, false, now);
+          records.end(c, false, now);
         }
       }
     }
@@ -318,12 +341,12 @@
     for (Claim c : new ArrayList<>(m.claims.values())) {
       if (c.phase == Claim.Phase.HELD) {
         world.note(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
   }
 
-  void onSent(Action.Command cmd, Scheduler.Sent how, Report report, double now) {
+  void onSent(Action.Command cmd, Scheduler.Sent how, Heartbeat report, double now) {
     Machine m = world.machines.get(cmd.machine());
     if (m == null) {
       return;
@@ -348,7 +371,7 @@
           if (same && c.launch == Claim.Launch.DIRECT) {
             c.launch = Claim.Launch.NONE;
             if (c.job.stop || c.stopAsked) {
-              ledger.end(c, false, now);
+              records.end(c, false, now);
             }
           }
         }
@@ -360,7 +383,7 @@
       }
     }
     if (report != null && report.machine().equals(cmd.machine())) {
-      takeReport(report, null, now);
+      takeHeartbeat(report, null, now);
     }
   }
 }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -1,24 +1,21 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.Amount;
-import graderelay.quota.Difference;
 import graderelay.quota.StoredQuota;
 import graderelay.quota.TeamStanding;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
 /**
  * What the owner of the fleet decides. Events come in with the time, actions go out; nothing here
  * waits, reads a clock or touches a socket. The parts share one {@link ClusterState}: {@link
- * Ledger} has the records, {@link TerminationProof} what is proven gone, {@link WorkerCommands}
- * what workers are told.
+ * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
+ * the transactions that change them, {@link HeartbeatMonitor} what is proven gone, {@link
+ * WorkerCommands} what workers are told.
  */
 public final class Scheduler {
   /** How a transaction ended. */
@@ -30,7 +27,7 @@
     UNKNOWN
   }
 
-  /** How orders sent straight to a worker ended. */
+  /** How commands sent straight to a worker ended. */
   public enum Sent {
     EXECUTED,
     /** Refused by the worker; nothing was executed. */
@@ -42,18 +39,17 @@
   }
 
   private final ClusterState world;
-  private final Placer placer;
   private final FleetPlanner planner;
-  private final Ledger ledger;
-  private final WorkerCommands orders;
-  private final TerminationProof proof;
-
-  /** Guarantees and limits of the settings, which count while none are stored. */
-  private final List<Team> settingsTeams;
-
-  private double lastAccountCheck = Double.NEGATIVE_INFINITY;
-  private double lastRound = Double.NEGATIVE_INFINITY;
-  private double lastPlan = Double.NEGATIVE_INFINITY;
+  private final StoredRecords records;
+  private final CompareAndSwapWriter writer;
+  private final CompareAndSwapAnswers answers;
+  private final WorkerCommands commands;
+  private final HeartbeatMonitor heartbeats;
+  private final JobRecordEvents jobEvents;
+  private final QuotaUpdates quota;
+  private final MachineEvents machineEvents;
+  private final AdminViews views;
+  private final SchedulingRounds rounds;
 
   /**
    * Makes the core of a new leader.
@@ -62,8 +58,7 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.world = new ClusterState(policy, process + "-" + term);
-    this.settingsTeams = policy.teams();
-    this.placer = new Placer(world, random);
+    Placer placer = new Placer(world, random);
     this.planner = new FleetPlanner(world, now);
     world.term = term;
     world.firstTerm = term;
@@ -71,10 +66,20 @@
     world.deputies =
         new LeaseDelegates(policy.deputies(), term, policy.grantS(), policy.leaseS(), now);
     world.dependencies = new Dependencies(world, planner::estimate);
-    this.ledger = new Ledger(world);
-    this.orders = new WorkerCommands(world, ledger);
-    this.proof = new TerminationProof(world, ledger, orders, planner);
-    ledger.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
+    this.records = new StoredRecords(world);
+    TransactionsInFlight inFlight = new TransactionsInFlight(world);
+    this.writer = new CompareAndSwapWriter(world, records, inFlight);
+    this.answers = new CompareAndSwapAnswers(world, records, inFlight);
+    this.commands = new WorkerCommands(world, records);
+    this.heartbeats = new HeartbeatMonitor(world, records, commands, planner);
+    this.jobEvents = new JobRecordEvents(world, planner, records, commands);
+    this.quota = new QuotaUpdates(world, records, policy.teams());
+    this.machineEvents = new MachineEvents(world, planner, heartbeats, commands);
+    this.views = new AdminViews(world);
+    this.rounds =
+        new SchedulingRounds(
+            world, placer, planner, writer, commands, heartbeats, machineEvents, quota);
+    answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
   // ---------------------------------------------------------------- records
@@ -95,30 +100,7 @@
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
   public void onJob(JobSpec spec, boolean stop, long mark, double submittedAt, double now) {
-    Job j = world.jobs.get(spec.id());
-    if (j == null) {
-      j = new Job(spec, mark, stop, now);
-      j.acceptedAt = submittedAt;
-      j.submittedAt = submittedAt;
-      world.jobs.put(spec.id(), j);
-      if (!j.blocked()) {
-        planner.onArrival(spec, submittedAt);
-      }
-      world.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
-      world.dependencies.look(j, now);
-      // Slices that came first, while the job's own record had not been seen yet.
-      ledger.jobCame(spec.id());
-    } else if (mark > j.mark) {
-      j.mark = mark;
-      if (stop && !j.stop) {
-        world.note("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
-      }
-      j.stop |= stop;
-    }
-    if (j.stop) {
-      stopped(j, now);
-    }
-    world.dirty = true;
+    jobEvents.onJob(spec, stop, mark, submittedAt, now);
   }
 
   /**
@@ -126,48 +108,12 @@
    * end of it can commit against the record as we know it, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
-    Job j = world.jobs.get(job);
-    if (j != null && !j.stop) {
-      world.note(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
-      j.stop = true;
-      stopped(j, now);
-      world.dirty = true;
-    }
-  }
-
-  private void stopped(Job j, double now) {
-    world.stopped.add(j);
-    world.maybeOver.add(j);
-    orders.stopClaims(j, now);
-    world.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
-  }
-
-  /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
-  private void cancelWithNeeded(Job d, double now) {
-    world.note(d.spec.id() + " is cancelled with a job that it needs");
-    d.stop = true;
-    world.stopped.add(d);
-    world.maybeOver.add(d);
-    world.dirty = true;
+    jobEvents.onCancelled(job, now);
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   public void onEnd(String job, boolean cancelled, double at, double now) {
-    if (!world.dependencies.needed(job)) {
-      return;
-    }
-    if (cancelled) {
-      world.dependencies.cancelled(job).forEach(d -> cancelWithNeeded(d, now));
-      return;
-    }
-    for (Job d : world.dependencies.done(job, Math.min(at, now))) {
-      d.submittedAt = Math.max(d.acceptedAt, d.neededUntil);
-      d.waitingSince = now;
-      d.waitReason = "new";
-      planner.onArrival(d.spec, d.submittedAt);
-      world.note(d.spec.id() + " may begin: all that it needs is done");
-    }
-    world.dirty = true;
+    jobEvents.onEnd(job, cancelled, at, now);
   }
 
   /** The state service allows less than at our start. */
@@ -176,50 +122,16 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the
-   * slices of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be told after the task
+   * batches of the same moment.
    */
   public void onQuota(StoredQuota stored) {
-    world.dirty = true;
-    if (stored == null) {
-      if (world.admission.enabled()) {
-        world.admission.disable();
-        world.policy = world.policy.with(settingsTeams);
-      }
-      return;
-    }
-    if (!world.admission.enabled()) {
-      world.admission.enable();
-      ledger.trackAll();
-    }
-    world.admission.update(stored);
-    world.policy = world.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
-    tellDifferences();
-  }
-
-  private static List<Team> teams(StoredQuota stored) {
-    List<Team> teams = new ArrayList<>();
-    stored
-        .limits()
-        .forEach(
-            (name, record) -> {
-              if (record.isReadable()) {
-                teams.add(Team.of(name, record.quota()));
-              }
-            });
-    return teams;
-  }
-
-  private void tellDifferences() {
-    for (Difference d : world.admission.takeDifferences()) {
-      world.out.add(new Action.DifferenceFound(d));
-    }
+    quota.onQuota(stored);
   }
 
   /** An operator wants a team's account written anew from its committed claims. */
   public void replaceAccount(String team) {
-    world.admission.replaceAccount(team);
-    world.dirty = true;
+    quota.replaceAccount(team);
   }
 
   /** What an earlier owner kept of the demand. */
@@ -227,7 +139,7 @@
     classes.forEach(d -> planner.onDemand(d, now));
   }
 
-  /** What an earlier owner kept of the images on machines; to be told before the slices. */
+  /** What an earlier owner kept of the images on machines; to be told before the task batches. */
   public void onImages(Map<String, List<String>> machines) {
     world.knownImages.putAll(machines);
   }
@@ -240,42 +152,47 @@
     }
   }
 
+  /** The job's record is gone from the store. */
   public void onJobGone(String id, double now) {
-    Job j = world.jobs.get(id);
-    if (j != null && !j.ending) {
-      ledger.forget(j, now);
-    }
+    jobEvents.onJobGone(id, now);
   }
 
   // ---------------------------------------------------------------- workers
 
   /**
-   * A worker's own report; the orders for the response come from {@link #ordersFor}. A report that
-   * says nothing new sets nothing in motion: hundreds come every second.
+   * A worker's heartbeat with status; the worker commands for the response come from {@link
+   * #ordersFor}. A heartbeat that says nothing new sets nothing in motion: hundreds come every
+   * second.
    *
    * @return false if it is a copy of the past, which proves nothing and renews nothing
    */
-  public boolean onReport(Report r, double now) {
+  public boolean onReport(Heartbeat r, double now) {
     return onReport(r, "", now);
   }
 
-  /** The same for a report that came to another controller, or to this one if {@code via} is "". */
-  public boolean onReport(Report r, String via, double now) {
-    return proof.takeReport(r, via, now);
+  /**
+   * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
+   */
+  public boolean onReport(Heartbeat r, String via, double now) {
+    return heartbeats.takeHeartbeat(r, via, now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
   public void answered(String machine, double now) {
-    proof.answered(machine, now);
+    heartbeats.answered(machine, now);
   }
 
-  /** Orders for the response to the report that was just taken. */
-  public List<WorkerCommand> ordersFor(Report r, double now) {
-    return orders.ordersFor(r, now);
+  /** Worker commands for the response to the heartbeat that was just taken. */
+  public List<WorkerCommand> ordersFor(Heartbeat r, double now) {
+    return commands.ordersFor(r, now);
   }
 
-  public void onSent(Action.Command cmd, Sent how, Report report, double now) {
-    proof.onSent(cmd, how, report, now);
+  /**
+   * How a worker command sent straight to a worker ended; {@code report} is the worker's answer, or
+   * null if there is none.
+   */
+  public void onSent(Action.Command cmd, Sent how, Heartbeat report, double now) {
+    heartbeats.onSent(cmd, how, report, now);
   }
 
   // ---------------------------------------------------------------- deputies
@@ -293,18 +210,9 @@
 
   // ---------------------------------------------------------------- the cloud
 
+  /** The machine types that the cloud offers. */
   public void onTypes(Collection<MachineType> types) {
-    Map<String, MachineType> byName = new TreeMap<>();
-    for (MachineType t : types) {
-      byName.put(t.name(), t);
-    }
-    world.types = byName;
-    for (Machine m : world.machines.values()) {
-      if (m.type != null) {
-        world.locate(m, m.type, m.zone, m.spot);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onTypes(types);
   }
 
   /** One machine of the cloud's list. */
@@ -317,108 +225,56 @@
       String stage,
       double ageS) {}
 
+  /** The cloud's list of machines. */
   public void onList(List<Listed> list, double now) {
-    for (Listed l : list) {
-      Machine m = world.machines.get(l.name());
-      if (m == null) {
-        if (proof.dropped.contains(l.name())) {
-          continue; // The list lags: it was deleted a moment ago.
-        }
-        m = world.machine(l.name(), now);
-        m.rentedAt = now - l.ageS();
-      }
-      if (!m.reported) {
-        m.booting |= l.stage().equals("booting");
-        world.locate(m, l.type(), l.zone(), l.spot());
-        m.address = l.address();
-      }
-      if (l.stage().equals("failed") && !m.failed) {
-        m.failed = true;
-        proof.machineGone(m, "the cloud lists it as failed", now);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onList(list, now);
   }
 
+  /** The cloud answered rental request {@code id} (scale out). */
   public void onHired(long id, List<String> names, boolean noCapacity, double now) {
-    planner.onHired(id, names, noCapacity, now);
-    world.dirty = true;
+    machineEvents.onHired(id, names, noCapacity, now);
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
   public void onGivenBack(List<String> names, double now) {
-    for (String n : names) {
-      Machine m = world.machines.get(n);
-      if (m == null || !m.returning) {
-        continue;
-      }
-      proof.machineGone(m, "it was given back", now);
-      proof.dropped.add(n);
-      if (proof.dropped.size() > Constants.MOST_DROPPED) {
-        proof.dropped.remove(proof.dropped.iterator().next());
-      }
-      gone.add(n);
-    }
-    world.dirty = true;
+    machineEvents.onGivenBack(names, now);
   }
 
-  /** Deleted machines that still carry claims whose end has to commit. */
-  private final Set<String> gone = new LinkedHashSet<>();
-
   // ---------------------------------------------------------------- transactions
 
-  public void onSlice(SliceKey key, SliceRecord record, long mark, double now) {
-    ledger.onSlice(key, record, mark, now);
+  /** A task batch record came from the store at revision {@code mark}. */
+  public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
+    records.onTaskBatch(key, record, mark, now);
   }
 
-  public void onSliceGone(SliceKey key) {
-    ledger.onSliceGone(key);
+  /** A task batch record was removed from the store. */
+  public void onSliceGone(TaskBatchKey key) {
+    records.onTaskBatchGone(key);
   }
 
+  /** The answer to compare-and-swap transaction {@code id}; {@code mark} is its revision. */
   public void onWrite(long id, Outcome outcome, long mark, double now) {
-    ledger.onWrite(id, outcome, mark, now);
+    answers.onWrite(id, outcome, mark, now);
   }
 
   // ---------------------------------------------------------------- time
 
   /** The term was raised, or could not be. */
   public void onTerm(long newTerm, double now) {
-    orders.onTerm(newTerm, now);
+    commands.onTerm(newTerm, now);
   }
 
   /** Looks at everything that only the passing of time changes. */
   public void tick(double now) {
-    proof.leases(now);
-    orders.pokes(now);
-    orders.doubts(now);
-    for (Job j : world.stopped) {
-      orders.kill(j.claims.values(), now);
-    }
-    List<String> find = world.dependencies.toFind(now);
-    if (!find.isEmpty()) {
-      world.out.add(new Action.FindEnds(find));
-    }
-    if (now - lastPlan >= Constants.PLAN_EVERY_S && !world.loading) {
-      lastPlan = now;
-      world.dependencies.look(now);
-      planner.plan(now);
-      placer.planned(planner.steppingBack(), planner.atLeisure());
-    }
-    if (now - lastAccountCheck >= Constants.ACCOUNT_CHECK_EVERY_S) {
-      lastAccountCheck = now;
-      world.admission.check();
-    }
-    if (now - lastRound >= Constants.ROUND_AT_LEAST_EVERY_S) {
-      world.dirty = true;
-    }
-    step(now);
-    tellDifferences();
+    rounds.tick(now);
   }
 
+  /** This leader's term: its fencing token. */
   public long term() {
     return world.term;
   }
 
+  /** The operators changed the tuning of the settings. */
   public void onTuning(Policy.Tuning tuning) {
     world.policy = world.policy.with(tuning);
     world.dirty = true;
@@ -426,35 +282,7 @@
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   public double step(double now) {
-    orders.launchCommitted(now);
-    if (!world.dirty || world.loading) {
-      return Constants.ROUND_AT_LEAST_EVERY_S;
-    }
-    double wait = lastRound + Constants.ROUND_EVERY_S - now;
-    if (wait > 0) {
-      return wait;
-    }
-    world.dirty = false;
-    lastRound = now;
-    forgetMachines(now);
-    boolean pause = world.policy.tuning().claimsPaused() || orders.raising();
-    List<Claim> claims = pause ? List.of() : placer.round(ledger.changesLeft(), now);
-    orders.killPreempted(now);
-    ledger.write(claims, now);
-    ledger.endJobs(now);
-    orders.launchCommitted(now);
-    return Constants.ROUND_AT_LEAST_EVERY_S;
-  }
-
-  private void forgetMachines(double now) {
-    gone.removeIf(
-        n -> {
-          Machine m = world.machines.get(n);
-          if (m != null && m.claims.isEmpty()) {
-            world.machines.remove(n);
-          }
-          return m == null || m.claims.isEmpty();
-        });
+    return rounds.step(now);
   }
 
   /** Takes the actions decided since the last call. */
@@ -478,37 +306,9 @@
       double cpus,
       double silentS) {}
 
+  /** One line on each machine, for the administration API. */
   public List<MachineView> machines(double now) {
-    List<MachineView> views = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
-      String state =
-          m.returning
-              ? "returning"
-              : !m.reported
-                  ? "booting"
-                  : m.leaseOver
-                      ? "silent"
-                      : m.noticeAt != null
-                          ? "noticed"
-                          : m.drain || m.operatorDrain
-                              ? "draining"
-                              : m.cordoned ? "cordoned" : "up";
-      if (state.equals("up") && now < m.quarantineUntil) {
-        state = "quarantined";
-      }
-      views.add(
-          new MachineView(
-              m.name,
-              m.type,
-              m.zone,
-              m.spot,
-              state,
-              m.claims.size(),
-              m.used.cpus(),
-              m.room.cpus(),
-              now - m.lastReport));
-    }
-    return views;
+    return views.machines(now);
   }
 
   /** What each team uses, judged on claims. */
@@ -531,39 +331,17 @@
 
   /** How a team stands; for the administration API. */
   public TeamUsage teamUsage(String team) {
-    long tasks = 0;
-    Amount waiting = Amount.NONE;
-    for (Job j : world.jobs.values()) {
-      if (j.waiting() && j.spec.team().equals(team)) {
-        tasks += j.open.cardinality();
-        waiting = waiting.plus(j.amount.times(j.open.cardinality()));
-      }
-    }
-    return new TeamUsage(world.admission.standing(team), tasks, waiting);
+    return views.teamUsage(team);
   }
 
   /** Why a job has tasks that wait, or null if it is not known or has none. */
   public String whyWaiting(String job) {
-    Job j = world.jobs.get(job);
-    if (j != null && j.blocked() && !j.stop) {
-      return "it needs " + String.join(", ", new java.util.TreeSet<>(j.needed));
-    }
-    return j == null || !j.waiting() ? null : j.waitReason;
+    return views.whyWaiting(job);
   }
 
   /** What operators keep off machines, as the settings have it now. */
   public void onCordons(Set<String> cordoned, Set<String> drained, double now) {
-    for (Machine m : world.machines.values()) {
-      boolean drain = drained.contains(m.name);
-      boolean starts = drain && !m.operatorDrain;
-      m.operatorDrain = drain;
-      m.cordoned = drain || cordoned.contains(m.name);
-      if (starts) {
-        world.note("machine " + m.name + " is drained by its operators");
-        orders.drainClaims(m, now);
-      }
-    }
-    world.dirty = true;
+    machineEvents.onCordons(cordoned, drained, now);
   }
 
   /** Machines and claims that rounds have looked at so far. */
@@ -571,8 +349,8 @@
     return world.looked;
   }
 
-  /** Reports dropped because newer ones had come before. */
+  /** Heartbeats dropped because newer ones had come before. */
   public long staleReports() {
-    return proof.stale;
+    return heartbeats.stale;
   }
 }
--- a/src/main/java/graderelay/core/SliceRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * The stored state of up to a slice cap of tasks of one job. It is the truth about which attempt of
- * which task is claimed on which machine and session. Immutable: a change makes a copy.
+ * The stored record of one task batch: up to a batch cap (the settings' slice cap) of tasks of one
+ * job array. It is the truth about which attempt of which task is claimed on which machine and
+ * incarnation (session). Immutable: a change makes a copy.
  */
-public final class SliceRecord {
+public final class TaskBatchRecord {
   private final int[] attempts;
   private final String[] machines;
   private final long[] sessions;
@@ -17,18 +18,24 @@
   /** Stored in fewer bytes, which earlier versions can't read. */
   private boolean packed;
 
-  public SliceRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
+  /**
+   * A record of {@code attempts.length} tasks; the four arrays have that length and are taken, not
+   * copied. Task {@code i} is the batch's {@code i}-th task.
+   */
+  public TaskBatchRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
     this.attempts = attempts;
     this.machines = machines;
     this.sessions = sessions;
     this.done = done;
   }
 
-  /** A slice none of whose tasks was ever claimed. */
-  public static SliceRecord fresh(int tasks) {
-    return new SliceRecord(new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
+  /** A task batch none of whose tasks was ever claimed. */
+  public static TaskBatchRecord fresh(int tasks) {
+    return new TaskBatchRecord(
+        new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
   }
 
+  /** The number of tasks in the batch. */
   public int size() {
     return attempts.length;
   }
@@ -38,19 +45,22 @@
     return attempts[i];
   }
 
-  /** The machine it is claimed on, or null. */
+  /** The machine task {@code i} is claimed on, or null. */
   public String machine(int i) {
     return machines[i];
   }
 
+  /** The incarnation (session) of the machine's worker that task {@code i} is claimed on. */
   public long session(int i) {
     return sessions[i];
   }
 
+  /** True if task {@code i} is done. */
   public boolean done(int i) {
     return done[i];
   }
 
+  /** The number of tasks that are done. */
   public int doneCount() {
     int n = 0;
     for (boolean d : done) {
@@ -59,6 +69,7 @@
     return n;
   }
 
+  /** The number of tasks that are claimed on a machine. */
   public int claimedCount() {
     int n = 0;
     for (String m : machines) {
@@ -73,8 +84,8 @@
   }
 
   /** The same, to be stored in that form. */
-  public SliceRecord packedCopy() {
-    SliceRecord r = copy();
+  public TaskBatchRecord packedCopy() {
+    TaskBatchRecord r = copy();
     r.packed = true;
     return r;
   }
@@ -107,8 +118,8 @@
     return Long.toString(n).length();
   }
 
-  SliceRecord copy() {
-    return new SliceRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
+  TaskBatchRecord copy() {
+    return new TaskBatchRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
   }
 
   /** Only on a fresh copy: claims task i for a new attempt. */
@@ -127,7 +138,7 @@
 
   @Override
   public boolean equals(Object o) {
-    return o instanceof SliceRecord s
+    return o instanceof TaskBatchRecord s
         && Arrays.equals(attempts, s.attempts)
         && Arrays.equals(machines, s.machines)
         && Arrays.equals(sessions, s.sessions)
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -14,11 +14,11 @@
  */
 final class WorkerCommands {
   private final ClusterState world;
-  private final Ledger ledger;
+  private final StoredRecords records;
 
-  WorkerCommands(ClusterState world, Ledger ledger) {
+  WorkerCommands(ClusterState world, StoredRecords records) {
     this.world = world;
-    this.ledger = ledger;
+    this.records = records;
     this.directFilled = world.tookOver;
     this.directTokens = world.policy.directPerS();
   }
@@ -37,22 +37,22 @@
   private boolean raising;
 
   /** Orders for the response to the report that was just taken. */
-  List<WorkerCommand> ordersFor(Report r, double now) {
+  List<WorkerCommand> ordersFor(Heartbeat r, double now) {
     Machine m = world.machines.get(r.machine());
     List<WorkerCommand> orders = new ArrayList<>();
     if (m == null || m.session != r.session() || m.seq != r.seq()) {
       return orders;
     }
-    for (Report.Entry e : r.tasks()) {
+    for (Heartbeat.Entry e : r.tasks()) {
       Claim c = m.claims.get(e.task());
       boolean ours = c != null && c.attempt == e.attempt() && c.session == m.session;
       if (!ours) {
-        if (e.stage() != Report.Stage.EXITED) {
+        if (e.stage() != Heartbeat.Stage.EXITED) {
           orders.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
-        } else if (!m.neverReap.contains(TerminationProof.reapKey(e.task(), e.attempt()))) {
+        } else if (!m.neverReap.contains(HeartbeatMonitor.reapKey(e.task(), e.attempt()))) {
           orders.add(new WorkerCommand.Reap(e.task(), e.attempt()));
         }
-      } else if (e.stage() != Report.Stage.EXITED) {
+      } else if (e.stage() != Heartbeat.Stage.EXITED) {
         WorkerCommand.Kill kill = killOf(c, now);
         if (kill != null) {
           orders.add(kill);
@@ -96,7 +96,7 @@
       return new WorkerCommand.Kill(c.taskId(), c.attempt, 0);
     }
     double grace = s.saveS() + Constants.SAVE_SLACK_S;
-    if (c.stage == Report.Stage.SAVING) {
+    if (c.stage == Heartbeat.Stage.SAVING) {
       return now - c.stageSince > 2 * grace
           ? new WorkerCommand.Kill(c.taskId(), c.attempt, 0)
           : null;
@@ -107,7 +107,7 @@
   void stopClaims(Job j, double now) {
     for (Claim c : new ArrayList<>(j.claims.values())) {
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(j.claims.values(), now);
@@ -119,7 +119,7 @@
         world.askStop(c, now);
       }
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(m.claims.values(), now);
@@ -134,7 +134,7 @@
           || m == null
           || m.address == null
           || c.session != m.session
-          || c.stage == Report.Stage.EXITED
+          || c.stage == Heartbeat.Stage.EXITED
           || now - m.lastReport > world.policy.reportS() * Constants.SILENT_REPORTS) {
         continue;
       }
@@ -168,7 +168,7 @@
     }
     for (Claim c : asked) {
       if (c.neverLaunched()) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
       }
     }
     kill(asked, now);
@@ -177,14 +177,14 @@
   void launchCommitted(double now) {
     Map<Machine, List<WorkerCommand>> byMachine = new LinkedHashMap<>();
     // Services first, should there be too many for now: users wait for them most.
-    ledger.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
-    for (Claim c : ledger.committed) {
+    records.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
+    for (Claim c : records.committed) {
       Machine m = world.machines.get(c.machine);
       if (c.phase != Claim.Phase.HELD || m == null || m.claims.get(c.taskId()) != c) {
         continue;
       }
       if (c.session < m.session || c.job.stop || c.stopAsked || m.returning || m.failed) {
-        ledger.end(c, false, now);
+        records.end(c, false, now);
         continue;
       }
       boolean near =
@@ -213,7 +213,7 @@
             .add(new WorkerCommand.Launch(c.taskId(), c.attempt));
       }
     }
-    ledger.committed.clear();
+    records.committed.clear();
     send(byMachine);
   }
 
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -13,7 +13,7 @@
 import graderelay.constants.Constants;
 import graderelay.core.MachineType;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.features.FeatureGate;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
@@ -359,12 +359,12 @@
     }
 
     @Override
-    public void onSlice(SliceKey key, Cache.SliceEntry s) {
+    public void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
       office.ifLeading(t -> t.onSlice(key, s));
     }
 
     @Override
-    public void onSliceGone(SliceKey key) {
+    public void onSliceGone(TaskBatchKey key) {
       office.ifLeading(t -> t.onSliceGone(key));
     }
 
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -156,7 +156,7 @@
     StateClient.Txn txn =
         new StateClient.Txn().when(cache.election().leaderKey(), leadership.ownerMark());
     Set<String> jobs = new HashSet<>();
-    for (Action.SlicePut p : w.slices()) {
+    for (Action.TaskBatchPut p : w.slices()) {
       String key = StateCodec.sliceKey(p.key());
       txn.when(key, p.mark()).put(key, StateCodec.slice(p.record()));
       String job = StateCodec.jobKey(p.key().job());
@@ -175,7 +175,7 @@
     state.commit(txn, Use.CLAIM, r -> written(w.id(), r));
   }
 
-  private static void dropSlice(StateClient.Txn txn, Action.SliceDrop d) {
+  private static void dropSlice(StateClient.Txn txn, Action.TaskBatchDrop d) {
     String key = StateCodec.sliceKey(d.key());
     txn.when(key, d.mark()).drop(key);
   }
--- a/src/main/java/graderelay/service/LeaderOffice.java
+++ b/src/main/java/graderelay/service/LeaderOffice.java
@@ -1,8 +1,8 @@
 package graderelay.service;
 
 import graderelay.constants.Constants;
+import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
-import graderelay.core.Report;
 import graderelay.core.Scheduler;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
@@ -88,7 +88,7 @@
   /**
    * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
    */
-  List<WorkerCommand> onReport(Report r, String via) {
+  List<WorkerCommand> onReport(Heartbeat r, String via) {
     // A leader that is still reading the records keeps leases alive, and orders nothing: it counts
     // them from when its term begins, which is later.
     return current == null ? List.of() : current.onReport(r, via);
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -5,11 +5,11 @@
 import graderelay.config.OperatorSettings;
 import graderelay.config.Settings;
 import graderelay.constants.Constants;
+import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
-import graderelay.core.Report;
 import graderelay.core.Scheduler;
-import graderelay.core.SliceKey;
+import graderelay.core.TaskBatchKey;
 import graderelay.core.WorkerCommand;
 import graderelay.features.Feature;
 import graderelay.net.Loop;
@@ -112,7 +112,7 @@
     }
     for (Cache.Entry e : cache.jobs().values()) {
       e.slices.forEach(
-          (i, s) -> core.onSlice(new SliceKey(e.spec.id(), i), s.record(), s.mark(), now));
+          (i, s) -> core.onSlice(new TaskBatchKey(e.spec.id(), i), s.record(), s.mark(), now));
     }
     cache.looseSlices().forEach((k, s) -> core.onSlice(k, s.record(), s.mark(), now));
     JsonNode demand = hints.demand();
@@ -161,12 +161,12 @@
     stepSoon();
   }
 
-  void onSlice(SliceKey key, Cache.SliceEntry s) {
+  void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
     core.onSlice(key, s.record(), s.mark(), loop.now());
     stepSoon();
   }
 
-  void onSliceGone(SliceKey key) {
+  void onSliceGone(TaskBatchKey key) {
     core.onSliceGone(key);
   }
 
@@ -209,7 +209,7 @@
    * Takes a heartbeat and returns the worker commands for its response; the caller has checked our
    * session lease.
    */
-  List<WorkerCommand> onReport(Report r, String via) {
+  List<WorkerCommand> onReport(Heartbeat r, String via) {
     double now = loop.now();
     boolean fresh = core.onReport(r, via, now);
     if (core.staleReports() > staleHeartbeats) {
--- a/src/main/java/graderelay/wire/SliceRecordCodec.java
+++ b/src/main/java/graderelay/wire/SliceRecordCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchRecord;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
@@ -31,7 +31,7 @@
 
   private SliceRecordCodec() {}
 
-  static ObjectNode write(SliceRecord r) {
+  static ObjectNode write(TaskBatchRecord r) {
     if (r.doneCount() == r.size()) {
       return Json.object().put(ALL_DONE, r.size());
     }
@@ -53,7 +53,7 @@
     }
   }
 
-  private static int placeOf(SliceRecord r, int i, ClaimHolders holders) {
+  private static int placeOf(TaskBatchRecord r, int i, ClaimHolders holders) {
     if (r.done(i)) {
       return DONE;
     }
@@ -61,7 +61,7 @@
     return machine == null ? QUEUED : holders.placeOf(machine, r.session(i));
   }
 
-  private static ObjectNode plain(SliceRecord r) {
+  private static ObjectNode plain(TaskBatchRecord r) {
     ObjectNode n = Json.object();
     ClaimHolders holders = new ClaimHolders();
     ArrayNode attempts = n.putArray(ATTEMPTS);
@@ -79,7 +79,7 @@
    * earlier version made too large for the state service's present limits; that version can't read
    * it.
    */
-  private static ObjectNode packed(SliceRecord r) {
+  private static ObjectNode packed(TaskBatchRecord r) {
     ClaimHolders holders = new ClaimHolders();
     StringBuilder attempts = new StringBuilder();
     StringBuilder places = new StringBuilder();
@@ -93,12 +93,12 @@
     return n;
   }
 
-  static SliceRecord read(JsonNode n) {
+  static TaskBatchRecord read(JsonNode n) {
     if (n.has(ALL_DONE)) {
       int size = n.get(ALL_DONE).asInt();
       boolean[] done = new boolean[size];
       Arrays.fill(done, true);
-      return new SliceRecord(new int[size], new String[size], new long[size], done);
+      return new TaskBatchRecord(new int[size], new String[size], new long[size], done);
     }
     JsonNode holders = n.path(CLAIM_HOLDERS);
     if (n.has(PACKED_ATTEMPTS)) {
@@ -116,7 +116,7 @@
         attempts.size(), i -> attempts.get(i).asInt(), i -> places.path(i).asInt(QUEUED), holders);
   }
 
-  private static SliceRecord read(
+  private static TaskBatchRecord read(
       int size, IntUnaryOperator attemptOf, IntUnaryOperator placeOf, JsonNode holders) {
     int[] attempts = new int[size];
     String[] machines = new String[size];
@@ -131,6 +131,6 @@
         incarnations[i] = holders.path(place).path(1).asLong();
       }
     }
-    return new SliceRecord(attempts, machines, incarnations, done);
+    return new TaskBatchRecord(attempts, machines, incarnations, done);
   }
 }
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.Action;
 import graderelay.core.JobSpec;
-import graderelay.core.SliceKey;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchKey;
+import graderelay.core.TaskBatchRecord;
 import java.util.List;
 import java.util.Map;
 
@@ -74,14 +74,14 @@
   }
 
   /** The key of a slice's record. */
-  public static String sliceKey(SliceKey k) {
+  public static String sliceKey(TaskBatchKey k) {
     return SLICES + k.job() + "/" + k.index();
   }
 
   /** The slice that a key below {@link #SLICES} names. */
-  public static SliceKey sliceOf(String key) {
+  public static TaskBatchKey sliceOf(String key) {
     int slash = key.lastIndexOf('/');
-    return new SliceKey(
+    return new TaskBatchKey(
         key.substring(SLICES.length(), slash), Integer.parseInt(key.substring(slash + 1)));
   }
 
@@ -173,12 +173,12 @@
    * A slice: attempts, the machines with their incarnations, and for each task the place in that
    * list. A slice that is all done shrinks to its size; a packed one takes a character per task.
    */
-  public static ObjectNode slice(SliceRecord r) {
+  public static ObjectNode slice(TaskBatchRecord r) {
     return SliceRecordCodec.write(r);
   }
 
   /** A slice from its record, in any of its forms. */
-  public static SliceRecord slice(JsonNode n) {
+  public static TaskBatchRecord slice(JsonNode n) {
     return SliceRecordCodec.read(n);
   }
 
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -7,8 +7,8 @@
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
 import graderelay.core.Priority;
-import graderelay.core.SliceKey;
-import graderelay.core.SliceRecord;
+import graderelay.core.TaskBatchKey;
+import graderelay.core.TaskBatchRecord;
 import graderelay.features.ClusterLevel;
 import graderelay.features.FeatureRange;
 import graderelay.features.Member;
@@ -128,7 +128,7 @@
         List.of());
   }
 
-  private static void assertMixedSlice(SliceRecord read, String name) {
+  private static void assertMixedSlice(TaskBatchRecord read, String name) {
     assertThat(read.size()).as(name).isEqualTo(ATTEMPTS.length);
     for (int i = 0; i < ATTEMPTS.length; i++) {
       assertThat(read.attempt(i)).as(name + " attempt " + i).isEqualTo(ATTEMPTS[i]);
@@ -186,7 +186,7 @@
   void slicesAreReadTaskByTaskInEachForm() {
     assertMixedSlice(StateCodec.slice(record("slice-plain")), "plain");
     assertMixedSlice(StateCodec.slice(record("slice-packed")), "packed");
-    SliceRecord done = StateCodec.slice(record("slice-done"));
+    TaskBatchRecord done = StateCodec.slice(record("slice-done"));
     assertThat(done.size()).isEqualTo(500);
     assertThat(done.doneCount()).isEqualTo(500);
     assertThat(done.claimedCount()).isZero();
@@ -242,14 +242,14 @@
     assertThat(keys)
         .containsOnlyKeys(
             "job", "end", "slice", "suspension", "quota-limit", "quota-account", "feature-member");
-    assertThat(StateCodec.sliceOf(keys.get("slice"))).isEqualTo(new SliceKey("j-000007", 3));
+    assertThat(StateCodec.sliceOf(keys.get("slice"))).isEqualTo(new TaskBatchKey("j-000007", 3));
     assertThat(QuotaCodec.teamOf(keys.get("quota-limit"), QuotaCodec.LIMITS))
         .isEqualTo("blue team/ä");
     assertThat(QuotaCodec.teamOf(keys.get("quota-account"), QuotaCodec.ACCOUNTS))
         .isEqualTo("blue team/ä");
     assertThat(keys.get("job")).isEqualTo(StateCodec.jobKey("j-000007"));
     assertThat(keys.get("end")).isEqualTo(StateCodec.endKey("j-000007"));
-    assertThat(keys.get("slice")).isEqualTo(StateCodec.sliceKey(new SliceKey("j-000007", 3)));
+    assertThat(keys.get("slice")).isEqualTo(StateCodec.sliceKey(new TaskBatchKey("j-000007", 3)));
     assertThat(keys.get("suspension")).isEqualTo(StateCodec.barKey("m-2"));
     assertThat(keys.get("quota-limit")).isEqualTo(QuotaCodec.limitKey("blue team/ä"));
     assertThat(keys.get("quota-account")).isEqualTo(QuotaCodec.accountKey("blue team/ä"));
