--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * How long machines take to come up at present, by type. A machine that others of its type have
- * long overtaken will hardly come: work must not wait for it. When none comes, boots are slow for
- * all, and to give machines up and rent others would only begin the wait anew.
+ * How long machines take to boot at present, by type, in seconds. A machine that others of its type
+ * have long overtaken will hardly come: work must not wait for it. When none comes, boots are slow
+ * for all, and to scale in such machines and scale out others would only begin the wait anew.
  */
 final class BootTimes {
   private record Boot(String type, double at, double took) {}
@@ -27,7 +27,7 @@
     this.startedAt = now;
   }
 
-  /** The machine has reported for the first time. */
+  /** The machine has sent its first heartbeat. */
   void up(Machine m, double now) {
     recent.add(new Boot(m.type, now, now - m.rentedAt));
   }
@@ -57,6 +57,15 @@
         .anyMatch(b -> b.type().equals(type) && b.at() > now - usual(type) && b.took() > 0);
   }
 
+  /** The longest nominal boot time of the machine types, in seconds; 0 without types. */
+  static double slowestNominal(ClusterState world) {
+    double boot = 0;
+    for (MachineType t : world.types.values()) {
+      boot = Math.max(boot, t.bootS());
+    }
+    return boot;
+  }
+
   private double nominal(String type) {
     MachineType t = world.types.get(type);
     return t == null ? 0 : t.bootS();
@@ -80,7 +89,7 @@
     return stalled.contains(type);
   }
 
-  /** True if the machine, which has not reported yet, is likely to come soon. */
+  /** True if the machine, which has sent no heartbeat yet, is likely to come soon. */
   boolean likely(Machine m, double now) {
     double age = now - m.rentedAt;
     return !m.booting
@@ -88,14 +97,14 @@
         || stalled(m.type);
   }
 
-  /** Seconds after which a machine is given up. */
+  /** Seconds after which a machine that has not come up is scaled in. */
   double limit(String type) {
     double limit = nominal(type) * Constants.BOOT_FACTOR + Constants.BOOT_GRACE_S;
     limit = Math.max(limit, slowest(type) * Constants.SLOWER_BOOT);
     return stalled(type) ? limit * Constants.STALLED_TIMES : limit;
   }
 
-  /** How many of the machines wanted may be rented: of a type that stalls, one at a time. */
+  /** How many of the machines wanted may be requested: of a type that stalls, one at a time. */
   int allowed(String type, int wanted, double now) {
     if (!stalled(type)) {
       return wanted;
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -41,7 +41,7 @@
     r.count = r.count * Constants.RATIO_MEMORY + 1;
   }
 
-  /** Expected run time of a task. */
+  /** Expected run time of a task, in seconds: the owner's estimate, corrected by the class. */
   double estimate(JobSpec s) {
     Ratio r = ratios.get(s.jobClass());
     double e = s.estimateS() > 0 ? s.estimateS() : Constants.UNKNOWN_RUN_S;
@@ -49,13 +49,14 @@
   }
 
   /**
-   * True if the job may wait for cheap machines as long as its deadline is kept. A wanted time to
-   * its first start is no reason against it if machines can be rented and up well within that.
+   * True if the job may wait for spot machines as long as its deadline is kept. A wanted time to
+   * its first start is no reason against it if a scale out can bring machines up well within that.
    */
   boolean patient(Job j) {
     return patient(j.spec, j.hasDue());
   }
 
+  /** As {@link #patient(Job)}, for a job of this spec that has a due time if it has a deadline. */
   boolean patient(JobSpec s) {
     return patient(s, s.deadlineS() != null);
   }
@@ -65,15 +66,7 @@
       return false;
     }
     Double wait = world.policy.waits().get(s.jobClass());
-    return wait == null || wait > Constants.PATIENT_BOOTS * slowestBoot();
-  }
-
-  private double slowestBoot() {
-    double boot = 0;
-    for (MachineType t : world.types.values()) {
-      boot = Math.max(boot, t.bootS());
-    }
-    return boot;
+    return wait == null || wait > Constants.PATIENT_BOOTS * BootTimes.slowestNominal(world);
   }
 
   /** True if more than its deadline is wanted of the class: a first start, or an end, by a time. */
@@ -147,7 +140,8 @@
         continue;
       }
       double due = j.dueAt() - Constants.DEADLINE_MARGIN_S;
-      if (now + estimate(j.spec) * Constants.LEISURE_RUNS < due && !Placer.waitingWins(j, now)) {
+      if (now + estimate(j.spec) * Constants.LEISURE_RUNS < due
+          && !QueueOrder.waitingWins(j, now)) {
         jobs.add(j);
       }
     }
--- /dev/null
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -0,0 +1,69 @@
+package graderelay.core;
+
+import graderelay.constants.Constants;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Stores which images each machine has, in records of a part of the fleet each, so that the next
+ * leader after a failover knows where work starts warm.
+ */
+final class ImageRecords {
+  private final ClusterState world;
+  private final double startedAt;
+  private double lastKept;
+  private int nextPart;
+
+  ImageRecords(ClusterState world, double startedAt) {
+    this.world = world;
+    this.startedAt = startedAt;
+  }
+
+  /**
+   * Writes only the records of which a machine has got an image that they don't name, and at most
+   * so many at a time, in turn.
+   */
+  void keepImages(double now) {
+    if (now - Math.max(startedAt, lastKept) < Constants.KEEP_IMAGES_EVERY_S) {
+      return;
+    }
+    lastKept = now;
+    int wanted = world.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(world);
+    if (wanted > world.imageParts) {
+      world.imageParts(wanted); // It does not shrink with the fleet, or it would go to and fro.
+    }
+    Map<Integer, Map<String, List<String>>> parts = changedParts();
+    if (parts.isEmpty()) {
+      return;
+    }
+    for (Machine m : world.machines.values()) {
+      Map<String, List<String>> part = parts.get(m.imagePart(world.imageParts));
+      if (part == null) {
+        continue;
+      }
+      m.imagesChanged = false;
+      if (!m.images.isEmpty() && !m.returning) {
+        part.put(m.name, List.copyOf(m.images.keySet()));
+      }
+    }
+    parts.forEach((i, machines) -> world.out.add(new Action.KeepImages(i, machines)));
+  }
+
+  /** The records to write now, empty as yet: the next in turn of those that are out of date. */
+  private Map<Integer, Map<String, List<String>>> changedParts() {
+    boolean[] changed = new boolean[world.imageParts];
+    for (Machine m : world.machines.values()) {
+      changed[m.imagePart(world.imageParts)] |= m.imagesChanged;
+    }
+    Map<Integer, Map<String, List<String>>> parts = new HashMap<>();
+    for (int i = 0; i < changed.length && parts.size() < Constants.IMAGE_PARTS_AT_ONCE; i++) {
+      int part = nextPart % changed.length;
+      nextPart = part + 1;
+      if (changed[part]) {
+        parts.put(part, new HashMap<>());
+      }
+    }
+    return parts;
+  }
+}
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -69,9 +69,9 @@
     world.dirty = true;
   }
 
-  /** The cloud answered rental request {@code id} (scale out). */
-  void onHired(long id, List<String> names, boolean noCapacity, double now) {
-    planner.onHired(id, names, noCapacity, now);
+  /** The cloud answered scale-out request {@code id}. */
+  void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
+    planner.onScaleOutAnswered(id, names, noCapacity, now);
     world.dirty = true;
   }
 
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -58,7 +58,7 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.world = new ClusterState(policy, process + "-" + term);
-    Placer placer = new Placer(world, random);
+    PlacementRound placement = new PlacementRound(world, random);
     this.planner = new FleetPlanner(world, now);
     world.term = term;
     world.firstTerm = term;
@@ -78,7 +78,7 @@
     this.views = new AdminViews(world);
     this.rounds =
         new SchedulingRounds(
-            world, placer, planner, writer, commands, heartbeats, machineEvents, quota);
+            world, placement, planner, writer, commands, heartbeats, machineEvents, quota);
     answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
@@ -230,9 +230,9 @@
     machineEvents.onList(list, now);
   }
 
-  /** The cloud answered rental request {@code id} (scale out). */
-  public void onHired(long id, List<String> names, boolean noCapacity, double now) {
-    machineEvents.onHired(id, names, noCapacity, now);
+  /** The cloud answered scale-out request {@code id}: the machines created, or null without any. */
+  public void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
+    machineEvents.onScaleOutAnswered(id, names, noCapacity, now);
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -9,7 +9,7 @@
  */
 final class SchedulingRounds {
   private final ClusterState world;
-  private final Placer placer;
+  private final PlacementRound placement;
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
   private final WorkerCommands commands;
@@ -23,7 +23,7 @@
 
   SchedulingRounds(
       ClusterState world,
-      Placer placer,
+      PlacementRound placement,
       FleetPlanner planner,
       CompareAndSwapWriter writer,
       WorkerCommands commands,
@@ -31,7 +31,7 @@
       MachineEvents machineEvents,
       QuotaUpdates quota) {
     this.world = world;
-    this.placer = placer;
+    this.placement = placement;
     this.planner = planner;
     this.writer = writer;
     this.commands = commands;
@@ -69,13 +69,13 @@
     }
   }
 
-  /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placer. */
+  /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placement. */
   private void planIfDue(double now) {
     if (now - lastPlan >= Constants.PLAN_EVERY_S && !world.loading) {
       lastPlan = now;
       world.dependencies.look(now);
       planner.plan(now);
-      placer.planned(planner.steppingBack(), planner.atLeisure());
+      placement.planned(planner.steppingBack(), planner.atLeisure());
     }
   }
 
@@ -93,7 +93,7 @@
     lastRound = now;
     machineEvents.forgetMachines(now);
     boolean pause = world.policy.tuning().claimsPaused() || commands.raising();
-    List<Claim> claims = pause ? List.of() : placer.round(writer.changesLeft(), now);
+    List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
     commands.killPreempted(now);
     writer.write(claims, now);
     writer.endJobs(now);
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -261,7 +261,7 @@
     boolean first = firstTerm == 1;
     // An earlier leader may have rented what we would rent now; the list shows it only later.
     if (!first && (!listed || loop.now() < startedAt + listLagS)) {
-      core.onHired(h.id(), null, false, loop.now());
+      core.onScaleOutAnswered(h.id(), null, false, loop.now());
       return;
     }
     String name = "hire-" + firstTerm + "-" + h.id();
@@ -278,7 +278,7 @@
             return;
           }
           LOG.info("{}: {}", name, r.noCapacity() ? "no capacity" : r.names());
-          core.onHired(h.id(), r.names(), r.noCapacity(), loop.now());
+          core.onScaleOutAnswered(h.id(), r.names(), r.noCapacity(), loop.now());
           term.stepSoon();
         });
   }
--- a/src/test/java/graderelay/LateMachinesTest.java
+++ b/src/test/java/graderelay/LateMachinesTest.java
@@ -20,7 +20,7 @@
         for (int i = 0; i < h.count(); i++) {
           some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
         }
-        s.onHired(h.id(), some, false, now);
+        s.onScaleOutAnswered(h.id(), some, false, now);
         names.addAll(some);
       }
     }
--- a/src/test/java/graderelay/RentalForDeadlinesTest.java
+++ b/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are rented for work that may wait. */
-class RentalForDeadlinesTest {
+/** Which machines a scale out requests for work that may wait for its deadline. */
+class ScaleOutForDeadlinesTest {
   @Test
   void aWantedStartWithinMinutesLeavesWorkWithADeadlinePatient() {
     // It need not start before a machine boots, so ordinary ones are rented only as it presses.
@@ -32,7 +32,7 @@
       s.tick(i);
       for (Action a : s.take()) {
         if (a instanceof Action.Hire h && h.spot()) {
-          s.onHired(h.id(), null, true, i);
+          s.onScaleOutAnswered(h.id(), null, true, i);
         } else if (a instanceof Action.Hire h) {
           ordinary += h.count();
         }
--- a/src/test/java/graderelay/SchedulingCostTest.java
+++ b/src/test/java/graderelay/SchedulingCostTest.java
@@ -57,7 +57,8 @@
     s.step(0.2);
     long before = s.looked();
     for (int i = 0; i < 9; i++) {
-      s.onHired(99, List.of(), false, 0.21 + i * 0.011); // Something that starts a round.
+      s.onScaleOutAnswered(
+          99, List.of(), false, 0.21 + i * 0.011); // Something that starts a round.
       s.step(0.21 + i * 0.011);
     }
     assertThat(s.looked() - before).isZero();
--- a/src/test/java/graderelay/ZonePartitionTest.java
+++ b/src/test/java/graderelay/ZonePartitionTest.java
@@ -37,7 +37,7 @@
       s.tick(i);
       for (Action a : s.take()) {
         if (a instanceof Action.Hire h && h.spot()) {
-          s.onHired(h.id(), null, true, i);
+          s.onScaleOutAnswered(h.id(), null, true, i);
         } else if (a instanceof Action.Hire h) {
           ordinary += h.count();
         }
