--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -1,10 +1,10 @@
 package graderelay.api;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.StateClient;
@@ -59,7 +59,7 @@
       UserApi.unavailable(e, "the state service can't be reached");
       return;
     }
-    cancel(new PendingAnswer(loop, e, Constants.USER_DEADLINE_S), id);
+    cancel(new PendingAnswer(loop, e, RequestHedger.USER_DEADLINE_S), id);
   }
 
   private void cancel(PendingAnswer p, String id) {
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -1,13 +1,13 @@
 package graderelay.api;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.JobSpec;
 import graderelay.core.MachineType;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
+import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
@@ -35,6 +35,21 @@
  * read anew.
  */
 final class JobSubmissions {
+  /** Seconds by which a node's copy may lag when it is taken for what was told to users. */
+  private static final double FRESH_S = 3;
+
+  /** Seconds that a submission which the owner has handed on may have to wait for changes here. */
+  private static final double HANDED_ON_WAIT_S = 0.1;
+
+  /**
+   * Seconds that a submission may have to wait for this node's changes by their rate: one that
+   * would wait longer is refused at once, and its user comes back instead of waiting in vain.
+   */
+  private static final double LONGEST_SUBMISSION_WAIT_S = 2;
+
+  /** Submissions under way at once, a bound on a queue; beyond that the newest is refused. */
+  private static final int MOST_SUBMISSIONS = 400;
+
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
   private final Loop loop;
@@ -89,9 +104,9 @@
       UserApi.unavailable(e, "the state service can't be reached");
       return;
     }
-    double longest = e.relayed() ? Constants.HANDED_ON_WAIT_S : Constants.LONGEST_SUBMISSION_WAIT_S;
+    double longest = e.relayed() ? HANDED_ON_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
     boolean tooLate = state.changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
-    if (inFlight >= Constants.MOST_SUBMISSIONS || tooLate) {
+    if (inFlight >= MOST_SUBMISSIONS || tooLate) {
       e.to().accept(Answer.later(429, Json.error("too many submissions at once")));
       return;
     }
@@ -102,7 +117,7 @@
               inFlight--;
               e.to().accept(a);
             });
-    PendingAnswer p = new PendingAnswer(loop, counted, Constants.USER_DEADLINE_S);
+    PendingAnswer p = new PendingAnswer(loop, counted, RequestHedger.USER_DEADLINE_S);
     if (cache.job(spec.id()) != null) {
       answerIfAccepted(p, spec);
       return;
@@ -182,7 +197,7 @@
   private void created(PendingAnswer p, JobSpec spec) {
     Set<String> unknown = new HashSet<>();
     boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
-    boolean fresh = loop.now() - cache.knownUntil() < Constants.FRESH_S;
+    boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
     if (cancelled || (fresh && unknown.isEmpty())) {
       p.answer(201, UserCodec.stage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
     } else {
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import graderelay.core.Scheduler;
 import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange;
@@ -85,14 +84,14 @@
     j.spec.needs().forEach(n.putArray("needs")::add);
     ArrayNode neededBy = n.putArray("needed_by");
     for (Cache.Entry o : new TreeMap<>(cache.jobs()).values()) {
-      if (o.spec.needs().contains(id) && neededBy.size() < Constants.MOST_LISTED) {
+      if (o.spec.needs().contains(id) && neededBy.size() < ListQuery.MOST_LISTED) {
         neededBy.add(o.spec.id());
       }
     }
     ArrayNode claims = n.putArray("claims");
     for (var s : j.slices.entrySet()) {
       TaskBatchRecord r = s.getValue().record();
-      for (int i = 0; i < r.size() && claims.size() < Constants.MOST_LISTED; i++) {
+      for (int i = 0; i < r.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
         if (r.machine(i) != null) {
           claims
               .addObject()
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -1,10 +1,10 @@
 package graderelay.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.constants.Constants;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
+import graderelay.state.StateClient;
 import graderelay.wire.Json;
 import java.util.function.Consumer;
 
@@ -52,7 +52,7 @@
   /** Runs {@code r} again after a moment, unless the request has been answered by then. */
   void retry(Runnable r) {
     loop.after(
-        Constants.STATE_RETRY_S / 2,
+        StateClient.STATE_RETRY_S / 2,
         () -> {
           if (!answered) {
             r.run();
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -1,11 +1,11 @@
 package graderelay.api;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.MachineType;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
+import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.Cancellations;
@@ -81,7 +81,7 @@
 
   /** True while calls to the state service fail: then nothing can be decided here. */
   public boolean stateAway() {
-    return !cache.loaded() || state.failingFor() > Constants.STATE_TIMEOUT_S;
+    return !cache.loaded() || state.failingFor() > StateClient.STATE_TIMEOUT_S;
   }
 
   /** Answers a job submission; see {@link JobSubmissions}. */
@@ -99,7 +99,7 @@
       unavailable(e, "the state service can't be reached");
       return;
     }
-    PendingAnswer p = new PendingAnswer(loop, e, Constants.POLL_DEADLINE_S);
+    PendingAnswer p = new PendingAnswer(loop, e, RequestHedger.POLL_DEADLINE_S);
     lookup.look(
         p,
         id,
--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -2,7 +2,6 @@
 
 import graderelay.config.Options;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.net.HttpClient;
 import graderelay.net.HttpServer;
 import graderelay.net.NettyLoop;
@@ -18,6 +17,15 @@
 /** Runs a controller until it is killed. */
 @Command(name = "serve", description = "Run a controller.", mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
+  /**
+   * Share of the allowed connections that users and workers may have: the rest is for the state
+   * service, the other controllers and direct orders, also when a whole fleet comes at once.
+   */
+  private static final double ACCEPT_SHARE = 0.9;
+
+  /** Share of the allowed connections that idle ones to the outside may take. */
+  private static final double IDLE_LINES_SHARE = 0.06;
+
   /** Not an exit code: the service goes on after the command line is done. */
   static final int RUNNING = -1;
 
@@ -68,10 +76,10 @@
     var clock = new NettyLoop(loop);
     byte[] seed = new SecureRandom().generateSeed(8);
     var random = new SplittableRandom(java.nio.ByteBuffer.wrap(seed).getLong());
-    var client = new HttpClient(loop, (int) (s.maxConnections() * Constants.IDLE_LINES_SHARE));
+    var client = new HttpClient(loop, (int) (s.maxConnections() * IDLE_LINES_SHARE));
     ControllerNode node = new ControllerNode(clock, client, s, options, random);
     node.onLeave(Serve::leave);
-    int most = (int) (s.maxConnections() * Constants.ACCEPT_SHARE);
+    int most = (int) (s.maxConnections() * ACCEPT_SHARE);
     HttpServer api = new HttpServer(loop, clock, most, node::handle);
     HttpServer mesh = new HttpServer(loop, clock, s.maxConnections(), node::handlePeer);
     try {
--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -1,7 +1,6 @@
 package graderelay.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.constants.Constants;
 import graderelay.core.MachineType;
 import graderelay.core.Scheduler.Listed;
 import graderelay.net.Loop;
@@ -19,6 +18,21 @@
 
 /** Speaks the cloud's protocol, within its rate. */
 public final class CloudClient {
+  /** Seconds between lists of the machines at the least; the list itself lags by several. */
+  private static final double LIST_EVERY_S = 4;
+
+  /**
+   * Share of the cloud's rate that lists may take: the pages of a fleet of thousands would leave no
+   * calls for rentals and deletions, which need the rest.
+   */
+  private static final double LIST_SHARE = 0.4;
+
+  /** Seconds before a failed read of the types is repeated; without them nothing is accepted. */
+  public static final double TYPES_RETRY_S = 1;
+
+  /** Seconds to wait for the cloud. */
+  private static final double CLOUD_TIMEOUT_S = 5.0;
+
   /** What a rental request came to: names, or an empty pool, or nobody knows (both unset). */
   public record Hired(List<String> names, boolean noCapacity) {}
 
@@ -59,7 +73,7 @@
   /** Seconds that should lie between lists, so that most calls are left for other uses. */
   public double listEveryS(int machines) {
     double pages = 1 + machines / (double) MOST_IN_PAGE;
-    return Math.max(Constants.LIST_EVERY_S, pages / (tokens.rate() * Constants.LIST_SHARE));
+    return Math.max(LIST_EVERY_S, pages / (tokens.rate() * LIST_SHARE));
   }
 
   /** The whole list of machines, or null. */
@@ -119,8 +133,7 @@
             done.accept(new Hired(null, true));
           } else if (tries > 1) {
             loop.after(
-                Constants.TYPES_RETRY_S,
-                () -> hireAgain(tries - 1, name, type, zone, spot, count, done));
+                TYPES_RETRY_S, () -> hireAgain(tries - 1, name, type, zone, spot, count, done));
           } else {
             done.accept(new Hired(null, false));
           }
@@ -152,7 +165,7 @@
               method,
               path,
               body == null ? null : Json.write(body),
-              Constants.CLOUD_TIMEOUT_S,
+              CLOUD_TIMEOUT_S,
               r -> done.accept(answer(path, r)));
         });
   }
--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import graderelay.core.Policy;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
@@ -16,7 +15,7 @@
 
 /**
  * The operators' own settings: kept in the state service, changed only through the administration
- * API, checked field by field. What is not set has the default of {@link Constants}.
+ * API, checked field by field. What is not set has the default given here.
  */
 public record OperatorSettings(
     int sliceCap,
@@ -29,15 +28,50 @@
     String logLevel,
     Set<String> cordoned,
     Set<String> drained) {
+  /** Tasks. Slice cap of the design: a record of this many fits a value with room to spare. */
+  private static final int SLICE_CAP = 500;
+
+  /** Machines. Sample size of the design, on the ordinary path. */
+  private static final int SAMPLE_SIZE = 3;
+
+  /** Failures of one job in a row before it backs off; the design's attempt cap, see design.md. */
+  private static final int ATTEMPT_CAP = 3;
+
+  /** Seconds that a machine may be idle: well under the minute that is charged at least. */
+  private static final double IDLE_S = 30;
+
+  /** Times the spare room that arrivals of the last minutes suggest. */
+  private static final double SPARE_FACTOR = 1.0;
+
+  /** Largest sample size: beyond that a round is no longer a sample. */
+  private static final int MOST_SAMPLE = 64;
+
+  /** Largest attempt cap. */
+  private static final int MOST_ATTEMPT_CAP = 100;
+
+  /** Seconds; longest idle time that may be set. */
+  private static final double MOST_IDLE_S = 3600;
+
+  /** Largest factor for spare room that may be set. */
+  private static final double MOST_SPARE = 10;
+
+  /**
+   * Machine names in one list of the settings: a whole fleet's. How many there are really room for
+   * depends on the state service's values, which the settings' record has to fit.
+   */
+  private static final int MOST_CORDONED = 4096;
+
+  /** Characters of a machine's name in those lists. */
+  private static final int MOST_MACHINE_NAME = 64;
 
   /** The defaults; a slice must fit a value of the deployment's state service. */
   public static OperatorSettings defaults(int mostSlice, String logLevel) {
     return new OperatorSettings(
-        Math.min(Constants.SLICE_CAP, mostSlice),
-        Constants.SAMPLE_SIZE,
-        Constants.ATTEMPT_CAP,
-        Constants.IDLE_S,
-        Constants.SPARE_FACTOR,
+        Math.min(SLICE_CAP, mostSlice),
+        SAMPLE_SIZE,
+        ATTEMPT_CAP,
+        IDLE_S,
+        SPARE_FACTOR,
         true,
         false,
         logLevel,
@@ -75,10 +109,10 @@
     ObjectNode n = json();
     switch (name) {
       case "slice_cap" -> n.put(name, count(name, v, 1, mostSlice));
-      case "sample_size" -> n.put(name, count(name, v, 1, Constants.MOST_SAMPLE));
-      case "attempt_cap" -> n.put(name, count(name, v, 1, Constants.MOST_ATTEMPT_CAP));
-      case "idle_s" -> n.put(name, amount(name, v, 0, Constants.MOST_IDLE_S));
-      case "spare_factor" -> n.put(name, amount(name, v, 0, Constants.MOST_SPARE));
+      case "sample_size" -> n.put(name, count(name, v, 1, MOST_SAMPLE));
+      case "attempt_cap" -> n.put(name, count(name, v, 1, MOST_ATTEMPT_CAP));
+      case "idle_s" -> n.put(name, amount(name, v, 0, MOST_IDLE_S));
+      case "spare_factor" -> n.put(name, amount(name, v, 0, MOST_SPARE));
       case "spot_allowed", "claims_paused" -> n.put(name, flag(name, v));
       case "log_level" -> {
         if (!v.isTextual() || !Logs.known(v.textValue())) {
@@ -121,15 +155,12 @@
   }
 
   private static ArrayNode names(String name, JsonNode v) throws BadRequest {
-    if (!v.isArray() || v.size() > Constants.MOST_CORDONED) {
-      throw new BadRequest(
-          name + " must be a list of at most " + Constants.MOST_CORDONED + " machine names");
+    if (!v.isArray() || v.size() > MOST_CORDONED) {
+      throw new BadRequest(name + " must be a list of at most " + MOST_CORDONED + " machine names");
     }
     ArrayNode a = Json.array();
     for (JsonNode m : v) {
-      if (!m.isTextual()
-          || m.textValue().isEmpty()
-          || m.textValue().length() > Constants.MOST_MACHINE_NAME) {
+      if (!m.isTextual() || m.textValue().isEmpty() || m.textValue().length() > MOST_MACHINE_NAME) {
         throw new BadRequest(name + " must hold machine names like n-000231");
       }
       a.add(m.textValue());
--- a/src/main/java/graderelay/config/Options.java
+++ b/src/main/java/graderelay/config/Options.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import graderelay.constants.Constants;
 import graderelay.features.Feature;
 import graderelay.features.FeatureRange;
 import graderelay.features.UpgradePolicy;
@@ -21,6 +20,15 @@
  * @param supported the feature levels that this program says it supports
  */
 public record Options(UpgradePolicy features, FeatureRange supported) {
+  /**
+   * Seconds for which all controllers must have been up as they are before the feature level rises:
+   * long enough for an upgrade that fails at its start to be noticed and rolled back.
+   */
+  private static final double FEATURE_SOAK_S = 30;
+
+  /** Longest soak time that may be set, in seconds. */
+  private static final double MOST_SOAK_S = 86_400;
+
   private static final Set<String> TABLES = Set.of("features");
   private static final Set<String> FIELDS = Set.of("min_level", "max_level", "finalize", "soak_s");
 
@@ -118,11 +126,10 @@
   private static double soak(JsonNode f) throws Settings.Wrong {
     JsonNode v = f.path("soak_s");
     if (v.isMissingNode()) {
-      return Constants.FEATURE_SOAK_S;
+      return FEATURE_SOAK_S;
     }
-    if (!v.isNumber() || !(v.doubleValue() >= 0 && v.doubleValue() <= Constants.MOST_SOAK_S)) {
-      throw new Settings.Wrong(
-          "features.soak_s must be a number from 0 to " + (long) Constants.MOST_SOAK_S);
+    if (!v.isNumber() || !(v.doubleValue() >= 0 && v.doubleValue() <= MOST_SOAK_S)) {
+      throw new Settings.Wrong("features.soak_s must be a number from 0 to " + (long) MOST_SOAK_S);
     }
     return v.doubleValue();
   }
--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import graderelay.constants.Constants;
+import graderelay.core.LeaseTiming;
 import graderelay.core.Team;
 import java.io.File;
 import java.io.IOException;
@@ -36,12 +36,53 @@
     double cpuShare,
     int maxConnections,
     StateLimits next) {
+  /** Bytes of a value that are left free, since its size may be counted in another way. */
+  private static final int VALUE_MARGIN_BYTES = 48;
+
+  /** Share of a worker's lease that the owner's hold lasts: takeovers must beat the lease. */
+  private static final double HOLD_OF_LEASE = 0.3;
+
+  /**
+   * Seconds that the hold lasts at most: four renewals, each with time for a slow answer. With a
+   * longer one nobody owns the fleet for longer after each end of an owner.
+   */
+  private static final double MOST_HOLD_S = 3.6;
+
+  /**
+   * Seconds of a cancellation's time that are left when the last lease that was renewed without
+   * knowing of it is over: for answers under way and for a worker that is slow to look.
+   */
+  private static final double CANCEL_MARGIN_S = 1;
+
+  /**
+   * Seconds by which what is known of cancellations may always be old: a slow answer of the state
+   * service costs no lease, also where leases are about as long as cancellations may take.
+   */
+  private static final double LEAST_RENEW_S = 4;
+
+  /** Share of the time that is left to spare for processes that have just begun. */
+  private static final double BEGINNERS_SHARE = 0.4;
+
+  /** Seconds below which a process that has just begun had better wait for the records. */
+  private static final double LEAST_BEGINNERS_S = 0.5;
+
+  /**
+   * Workers' leases for which a zone's deputy may keep them alive after the owner's last word. Cuts
+   * of a zone last about two leases; what really died there starts elsewhere that much later.
+   */
+  private static final double DEPUTY_LEASES = 2;
+
+  /**
+   * Seconds left of a cancellation's time when the last lease that a deputy kept is over: a job may
+   * be cancelled outside just after the cut, of which the deputy knows nothing.
+   */
+  private static final double DEPUTY_CANCEL_MARGIN_S = 2;
 
   /** What the state service allows. */
   public record StateLimits(double changesPerS, double valueKb, int txnOps) {
     /** The largest value, with some room for what is counted in other ways. */
     public int valueBytes() {
-      return (int) (valueKb * 1024) - Constants.VALUE_MARGIN_BYTES;
+      return (int) (valueKb * 1024) - VALUE_MARGIN_BYTES;
     }
   }
 
@@ -63,7 +104,7 @@
 
   /** Seconds that the owner's hold lasts. */
   public double holdS() {
-    return Math.min(Constants.MOST_HOLD_S, leaseS * Constants.HOLD_OF_LEASE);
+    return Math.min(MOST_HOLD_S, leaseS * HOLD_OF_LEASE);
   }
 
   /**
@@ -72,8 +113,8 @@
    * cut at the latest, and the last lease ends a lease after the grant.
    */
   public double grantS() {
-    double most = cancelS - leaseS - holdS() - Constants.DEPUTY_CANCEL_MARGIN_S;
-    return Math.max(0, Math.min(leaseS * Constants.DEPUTY_LEASES, most));
+    double most = cancelS - leaseS - holdS() - DEPUTY_CANCEL_MARGIN_S;
+    return Math.max(0, Math.min(leaseS * DEPUTY_LEASES, most));
   }
 
   /**
@@ -84,7 +125,7 @@
   public double renewWithinS() {
     double beginners = beginnersS();
     double most = cancelSpareS() - (beginners > 0 ? longestLeaseS() + beginners : 0);
-    return Math.max(Constants.LEAST_RENEW_S, most);
+    return Math.max(LEAST_RENEW_S, most);
   }
 
   /**
@@ -95,16 +136,16 @@
    */
   public double beginnersS() {
     double spare = cancelSpareS() - longestLeaseS();
-    double s = Math.min(spare * Constants.BEGINNERS_SHARE, spare - Constants.LEAST_RENEW_S);
-    return deputies().isEmpty() && s > Constants.LEAST_BEGINNERS_S ? s : 0;
+    double s = Math.min(spare * BEGINNERS_SHARE, spare - LEAST_RENEW_S);
+    return deputies().isEmpty() && s > LEAST_BEGINNERS_S ? s : 0;
   }
 
   private double longestLeaseS() {
-    return leaseS * (1 + Constants.DRIFT) + Constants.LEASE_MARGIN_S;
+    return leaseS * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
   }
 
   private double cancelSpareS() {
-    return cancelS * (1 - Constants.DRIFT) - longestLeaseS() - Constants.CANCEL_MARGIN_S;
+    return cancelS * (1 - LeaseTiming.DRIFT) - longestLeaseS() - CANCEL_MARGIN_S;
   }
 
   /** The other controllers by zone, or nobody where all are in one. */
--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -14,6 +13,29 @@
  * for all, and to scale in such machines and scale out others would only begin the wait anew.
  */
 final class BootTimes {
+  /** Times the nominal boot time, and seconds on top, in which a machine usually is up. */
+  private static final double USUAL_BOOTS = 1.8;
+
+  private static final double USUAL_BOOT_S = 5;
+
+  /** Seconds for which the time that a boot took is remembered: troubles last a few minutes. */
+  private static final double BOOT_MEMORY_S = 180;
+
+  /** Times the slowest boot of late that a machine may take and still be waited for. */
+  private static final double SLOWER_BOOT = 1.25;
+
+  /** Overdue machines of a type, with none that came up meanwhile, that show a trouble of all. */
+  private static final int STALLED_BOOTS = 3;
+
+  /** Times longer that machines of such a type are kept: others would take as long. */
+  private static final double STALLED_TIMES = 4;
+
+  /** Times the nominal boot time after which a machine is given up; some take several times. */
+  private static final double BOOT_FACTOR = 3;
+
+  /** Seconds on top of that. */
+  private static final double BOOT_GRACE_S = 15;
+
   private record Boot(String type, double at, double took) {}
 
   private final ClusterState world;
@@ -34,7 +56,7 @@
 
   /** Looks at what is booting; to be called before the questions of one plan. */
   void plan(double now) {
-    recent.removeIf(b -> b.at() < now - Constants.BOOT_MEMORY_S);
+    recent.removeIf(b -> b.at() < now - BOOT_MEMORY_S);
     Map<String, Integer> overdue = new HashMap<>();
     for (Machine m : world.machines.values()) {
       if (!m.reported && m.booting && !m.returning && now - m.rentedAt > usual(m.type)) {
@@ -45,7 +67,7 @@
     overdue.forEach(
         (type, n) -> {
           boolean longEnough = now - startedAt > usual(type);
-          if (longEnough && n >= Constants.STALLED_BOOTS && !cameLately(type, now)) {
+          if (longEnough && n >= STALLED_BOOTS && !cameLately(type, now)) {
             none.add(type);
           }
         });
@@ -73,7 +95,7 @@
 
   /** Seconds in which nearly all machines come up that are not slow. */
   private double usual(String type) {
-    return nominal(type) * Constants.USUAL_BOOTS + Constants.USUAL_BOOT_S;
+    return nominal(type) * USUAL_BOOTS + USUAL_BOOT_S;
   }
 
   private double slowest(String type) {
@@ -93,15 +115,15 @@
   boolean likely(Machine m, double now) {
     double age = now - m.rentedAt;
     return !m.booting
-        || age <= Math.max(usual(m.type), slowest(m.type) * Constants.SLOWER_BOOT)
+        || age <= Math.max(usual(m.type), slowest(m.type) * SLOWER_BOOT)
         || stalled(m.type);
   }
 
   /** Seconds after which a machine that has not come up is scaled in. */
   double limit(String type) {
-    double limit = nominal(type) * Constants.BOOT_FACTOR + Constants.BOOT_GRACE_S;
-    limit = Math.max(limit, slowest(type) * Constants.SLOWER_BOOT);
-    return stalled(type) ? limit * Constants.STALLED_TIMES : limit;
+    double limit = nominal(type) * BOOT_FACTOR + BOOT_GRACE_S;
+    limit = Math.max(limit, slowest(type) * SLOWER_BOOT);
+    return stalled(type) ? limit * STALLED_TIMES : limit;
   }
 
   /** How many of the machines wanted may be requested: of a type that stalls, one at a time. */
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.AdmissionControl;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,6 +11,12 @@
 
 /** Everything the owner knows, with the sums that placement decides by. */
 final class ClusterState {
+  /**
+   * Seconds for which a team's account may be above its committed claims before it is lowered by a
+   * change of its own. Claims lower it on their way, so this is for teams that only end work.
+   */
+  private static final double ACCOUNT_RELEASE_S = 5;
+
   final Map<String, Job> jobs = new LinkedHashMap<>();
   final Map<String, Machine> machines = new LinkedHashMap<>();
   Map<String, MachineType> types = Map.of();
@@ -44,7 +49,7 @@
   final Set<Job> stopped = new LinkedHashSet<>();
 
   /** Records that share the images of each thousand machines. */
-  int imagePartsPerThousand = Constants.IMAGE_PARTS_PER_THOUSAND;
+  int imagePartsPerThousand = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
 
   /** Records that share the images of all machines. */
   int imageParts;
@@ -79,7 +84,7 @@
    */
   ClusterState(Policy policy, String name) {
     this.policy = policy;
-    this.admission = new AdmissionControl(name, Constants.ACCOUNT_RELEASE_S);
+    this.admission = new AdmissionControl(name, ACCOUNT_RELEASE_S);
   }
 
   /** Machines are shared out anew among the records, so that all of them have to be written. */
@@ -245,6 +250,6 @@
         && m.noticeAt == null
         && now >= m.quarantineUntil
         && m.room.cpus() > 0
-        && now - m.lastReport < policy.reportS() * Constants.SILENT_REPORTS;
+        && now - m.lastReport < policy.reportS() * WorkerCommands.SILENT_REPORTS;
   }
 }
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.AccountChange;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,6 +15,9 @@
  * record for each task batch, the final records of jobs, and drops of records without a job.
  */
 final class CompareAndSwapWriter {
+  /** Seconds for which nothing is claimed in a record that is as large as is allowed. */
+  private static final double FULL_SLICE_S = 1;
+
   private final ClusterState world;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
@@ -108,7 +110,7 @@
     // Made by an earlier version for larger values. What is claimed of it ends sooner or later,
     // and then there is room in it again. What is settled stays so, and is written with what ends
     // next.
-    s.fullUntil = now + Constants.FULL_SLICE_S;
+    s.fullUntil = now + FULL_SLICE_S;
     giveUp(fresh, now);
     return fresh.isEmpty() ? null : change(s, List.of(), done, now);
   }
@@ -142,7 +144,8 @@
 
   /** The record in a form that fits a value, or null if there is none. */
   private static TaskBatchRecord fitting(TaskBatchRecord r, int valueBytes) {
-    if (r.size() * Constants.SLICE_BYTES_PER_TASK <= valueBytes || r.bytes(false) <= valueBytes) {
+    if (r.size() * TaskBatchRecord.SLICE_BYTES_PER_TASK <= valueBytes
+        || r.bytes(false) <= valueBytes) {
       return r;
     }
     return r.bytes(true) <= valueBytes ? r.packedCopy() : null;
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -16,6 +15,39 @@
  * what tasks of the class really took.
  */
 final class Deadlines {
+  /** Times its expected run time before its deadline from which a job stops others' work. */
+  private static final double LEISURE_RUNS = 1.5;
+
+  /** Share of the weight that older run times keep with each new one. */
+  private static final double RATIO_MEMORY = 0.98;
+
+  /** Seconds that a task without an estimate is taken to run. */
+  private static final double UNKNOWN_RUN_S = 60;
+
+  /** Seconds before a deadline at which work should be done: fetches, reports and the poll. */
+  private static final double DEADLINE_MARGIN_S = 8;
+
+  /** Times its own time to the deadline that a late job steps back for others at most. */
+  private static final double OVERDUE_SPANS = 2;
+
+  /** Share of the rented CPUs that tasks of uneven size can fill. */
+  private static final double PACKING = 0.85;
+
+  /**
+   * Times the slowest nominal boot beyond which a wanted wait leaves time to rent for it when it
+   * presses: some machines take several times as long.
+   */
+  private static final double PATIENT_BOOTS = 3;
+
+  /**
+   * Times the work that patient jobs of a class with a wanted wait are counted as: bursts come
+   * while machines boot, and a late start costs more than a machine that stands idle for a minute.
+   */
+  private static final double HURRIED_WORK = 1.5;
+
+  /** Seconds in which running work is counted at most when nothing presses. */
+  private static final double PATIENT_S = 60;
+
   private static final class Ratio {
     double sum = 1;
     double count = 1;
@@ -37,14 +69,14 @@
     }
     Ratio r = ratios.computeIfAbsent(spec.jobClass(), c -> new Ratio());
     // Older ones fade, so that a change of habit shows.
-    r.sum = r.sum * Constants.RATIO_MEMORY + Math.min(4, seconds / spec.estimateS());
-    r.count = r.count * Constants.RATIO_MEMORY + 1;
+    r.sum = r.sum * RATIO_MEMORY + Math.min(4, seconds / spec.estimateS());
+    r.count = r.count * RATIO_MEMORY + 1;
   }
 
   /** Expected run time of a task, in seconds: the owner's estimate, corrected by the class. */
   double estimate(JobSpec s) {
     Ratio r = ratios.get(s.jobClass());
-    double e = s.estimateS() > 0 ? s.estimateS() : Constants.UNKNOWN_RUN_S;
+    double e = s.estimateS() > 0 ? s.estimateS() : UNKNOWN_RUN_S;
     return r == null ? e : e * r.sum / r.count;
   }
 
@@ -66,7 +98,7 @@
       return false;
     }
     Double wait = world.policy.waits().get(s.jobClass());
-    return wait == null || wait > Constants.PATIENT_BOOTS * BootTimes.slowestNominal(world);
+    return wait == null || wait > PATIENT_BOOTS * BootTimes.slowestNominal(world);
   }
 
   /** True if more than its deadline is wanted of the class: a first start, or an end, by a time. */
@@ -86,7 +118,7 @@
     if (!hurried(s)) {
       return whole;
     }
-    double next = now + Constants.PATIENT_S + Constants.DEADLINE_MARGIN_S + estimate * 0.5;
+    double next = now + PATIENT_S + DEADLINE_MARGIN_S + estimate * 0.5;
     Double wait = world.policy.waits().get(s.jobClass());
     Double finish = world.policy.finishes().get(s.jobClass());
     double[] wanted = {
@@ -96,7 +128,7 @@
     };
     double due = Double.MAX_VALUE;
     for (double w : wanted) {
-      if (w - now - Constants.DEADLINE_MARGIN_S > estimate) {
+      if (w - now - DEADLINE_MARGIN_S > estimate) {
         due = Math.min(due, w);
       }
     }
@@ -139,9 +171,8 @@
       if (!j.waiting() || j.spec.isService() || !j.hasDue() || hurried(j.spec)) {
         continue;
       }
-      double due = j.dueAt() - Constants.DEADLINE_MARGIN_S;
-      if (now + estimate(j.spec) * Constants.LEISURE_RUNS < due
-          && !QueueOrder.waitingWins(j, now)) {
+      double due = j.dueAt() - DEADLINE_MARGIN_S;
+      if (now + estimate(j.spec) * LEISURE_RUNS < due && !QueueOrder.waitingWins(j, now)) {
         jobs.add(j);
       }
     }
@@ -165,7 +196,7 @@
 
   private Part part(Job j, double now) {
     double estimate = estimate(j.spec);
-    double due = j.dueAt() - Constants.DEADLINE_MARGIN_S;
+    double due = j.dueAt() - DEADLINE_MARGIN_S;
     return new Part(j, due, remaining(j, estimate, now), estimate);
   }
 
@@ -185,7 +216,7 @@
     double work = 0;
     for (Part p : parts) {
       double span = p.job().dueAt() - p.job().acceptedAt;
-      if (now > p.due() + Constants.OVERDUE_SPANS * span) {
+      if (now > p.due() + OVERDUE_SPANS * span) {
         continue; // Stepped back for long enough: it goes first now.
       }
       taken.add(p);
@@ -218,7 +249,7 @@
       double estimate = estimate(s);
       double work = remaining(j, estimate, now);
       if (hurried(s)) {
-        work *= Constants.HURRIED_WORK; // It has more than its deadline to meet.
+        work *= HURRIED_WORK; // It has more than its deadline to meet.
       }
       total += work;
       running += j.claims.size() * s.cpus();
@@ -234,7 +265,7 @@
       capped += Math.min(press(e.getValue(), now), leftForArrays(e.getKey()));
     }
     double need = Math.min(press(all, now), capped);
-    return Math.max(need, Math.min(running, total / Constants.PATIENT_S)) / Constants.PACKING;
+    return Math.max(need, Math.min(running, total / PATIENT_S)) / PACKING;
   }
 
   /** CPUs with which the work of each deadline and all before it is done in time. */
@@ -245,7 +276,7 @@
     for (Due d : dues) {
       sum += d.work();
       // The last wave of tasks has to start this long before the deadline.
-      double slack = d.at() - now - d.estimate() * 0.5 - Constants.DEADLINE_MARGIN_S;
+      double slack = d.at() - now - d.estimate() * 0.5 - DEADLINE_MARGIN_S;
       if (slack > d.estimate() * 0.5) {
         need = Math.max(need, sum / slack);
       }
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,6 +10,24 @@
  * what is stored for the leader after a failover.
  */
 final class DemandHistory {
+  /** Seconds between records of the recent demand, for the next owner. */
+  private static final double KEEP_DEMAND_EVERY_S = 10;
+
+  /**
+   * Arrivals of one class kept in that record for each thousand machines, at some 20 bytes each.
+   * The oldest are left out where they don't fit a value.
+   */
+  private static final int KEPT_ARRIVALS_PER_THOUSAND = 24;
+
+  /** Classes kept in that record. */
+  private static final int KEPT_CLASSES = 12;
+
+  /** Seconds over which arrivals are averaged at the least: a few say little of the next ones. */
+  private static final double LEAST_SPAN_S = 60;
+
+  /** Seconds for which arrivals are remembered to size the spare room. */
+  private static final double ARRIVAL_MEMORY_S = 300;
+
   /** So many tasks of a job of this spec arrived at this time (seconds). */
   record Arrival(double at, JobSpec spec, int tasks) {}
 
@@ -61,18 +78,18 @@
 
   /** Forgets what arrived longer ago than the memory of arrivals. */
   void forgetOld(double now) {
-    arrivals.removeIf(a -> a.at() < now - Constants.ARRIVAL_MEMORY_S);
+    arrivals.removeIf(a -> a.at() < now - ARRIVAL_MEMORY_S);
   }
 
   /** Stores the latest arrivals of each class for the next leader, now and then. */
   void keepDemand(double now) {
-    if (!newArrivals || now - lastKept < Constants.KEEP_DEMAND_EVERY_S) {
+    if (!newArrivals || now - lastKept < KEEP_DEMAND_EVERY_S) {
       return;
     }
     lastKept = now;
     newArrivals = false;
     Map<String, Action.Demand> classes = new HashMap<>();
-    int kept = Constants.KEPT_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
+    int kept = KEPT_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
     for (int i = arrivals.size() - 1; i >= 0; i--) {
       Arrival a = arrivals.get(i);
       Action.Demand d =
@@ -81,7 +98,7 @@
       if (d.arrivals().size() < kept) {
         d.arrivals().add(new double[] {now - a.at(), a.tasks()});
       }
-      if (classes.size() > Constants.KEPT_CLASSES) {
+      if (classes.size() > KEPT_CLASSES) {
         break;
       }
     }
@@ -119,8 +136,7 @@
       sum += a.tasks();
       largest = Math.max(largest, a.tasks());
     }
-    double span =
-        Math.max(Constants.LEAST_SPAN_S, Math.min(Constants.ARRIVAL_MEMORY_S, now - startedAt));
+    double span = Math.max(LEAST_SPAN_S, Math.min(ARRIVAL_MEMORY_S, now - startedAt));
     double mean = sum / span * boot * 1.5;
     // Arrays come in lumps, and several at once on a bad day.
     double lump = typical.isService() ? Math.max(mean, largest) : mean + 2 * largest;
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -20,6 +19,17 @@
  * matter of records alone, which are written in their own time.
  */
 final class Dependencies {
+  /**
+   * Seconds between the end of a job and the start of one that needs it: report, changes, image.
+   */
+  private static final double STAGE_S = 4;
+
+  /** Seconds between questions for the final record of a needed job that nobody has seen end. */
+  private static final double FIND_ENDS_EVERY_S = 2;
+
+  /** Final records asked for at once, a batch. */
+  private static final int MOST_FOUND = 200;
+
   private final ClusterState world;
   private final ToDoubleFunction<JobSpec> estimate;
 
@@ -59,7 +69,7 @@
     next.add(last);
     while (!next.isEmpty()) {
       Job d = next.poll();
-      double by = d.dueAt() - estimate.applyAsDouble(d.spec) - Constants.STAGE_S;
+      double by = d.dueAt() - estimate.applyAsDouble(d.spec) - STAGE_S;
       for (String need : d.needed) {
         Job n = world.jobs.get(need);
         if (n == null) {
@@ -169,7 +179,7 @@
   List<String> toFind(double now) {
     List<String> ids = new ArrayList<>();
     for (var e : missing.entrySet()) {
-      if (now - e.getValue() > Constants.FIND_ENDS_EVERY_S && ids.size() < Constants.MOST_FOUND) {
+      if (now - e.getValue() > FIND_ENDS_EVERY_S && ids.size() < MOST_FOUND) {
         e.setValue(now);
         ids.add(e.getKey());
       }
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -1,7 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
-
 /**
  * Whose fault a failed task is. Mostly it is the machine's, but a job that was submitted with a
  * mistake fails on every machine. Evidence on both sides decides: what else succeeds on the
@@ -10,6 +8,33 @@
  * costs no other job a machine.
  */
 final class FailureAttribution {
+  /** Errors in a row on one machine, of several jobs, after which it is replaced. */
+  private static final int BAD_STREAK = 3;
+
+  /** Seconds without new tasks after an error on a machine; doubles with each in a row. */
+  private static final double QUARANTINE_S = 5;
+
+  /** Seconds; longest quarantine, so that a machine that has recovered is used again. */
+  private static final double LONGEST_QUARANTINE_S = 60;
+
+  /** Seconds of a job's first pause after failing on several machines; doubles. */
+  static final double JOB_BACKOFF_S = 2;
+
+  /**
+   * Seconds that a task has to run to speak for its job and its machine: mistakes and sick machines
+   * mostly end it at its start.
+   */
+  static final double GOOD_RUN_S = 5;
+
+  /**
+   * Times the attempt cap of machines on which tasks of a job fail, although others of it succeed,
+   * after which machines are not blamed for it any more.
+   */
+  private static final int PROVEN_JOB_MACHINES = 4;
+
+  /** Seconds; longest pause of such a job: an accepted job must run, so it is tried on. */
+  private static final double LONGEST_JOB_BACKOFF_S = 30;
+
   private final ClusterState world;
   private final FleetPlanner planner;
 
@@ -21,7 +46,7 @@
   /** A task of the claim failed by itself. */
   void failed(Machine m, Claim c, double now) {
     Job j = c.job;
-    boolean early = c.runningSince == 0 || now - c.runningSince < Constants.GOOD_RUN_S;
+    boolean early = c.runningSince == 0 || now - c.runningSince < GOOD_RUN_S;
     boolean proven = j.doneCount > 0 || (j.ranWell && early);
     j.failedOn.add(m.name);
     int cap = world.policy.tuning().attemptCap();
@@ -32,7 +57,7 @@
       }
       return;
     }
-    if (j.failedOn.size() >= (proven ? cap * Constants.PROVEN_JOB_MACHINES : cap)) {
+    if (j.failedOn.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
       if (!proven) {
         suspect(j, now);
       }
@@ -41,10 +66,9 @@
     m.lastError = now;
     m.errorJobs.merge(j.spec.id(), 1, Integer::sum);
     int streak = m.errorStreak();
-    double pause = Constants.QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
-    m.quarantineUntil =
-        Math.max(m.quarantineUntil, now + Math.min(Constants.LONGEST_QUARANTINE_S, pause));
-    if (streak >= Constants.BAD_STREAK && m.errorJobs.size() > 1 && !m.bad) {
+    double pause = QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
+    m.quarantineUntil = Math.max(m.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
+    if (streak >= BAD_STREAK && m.errorJobs.size() > 1 && !m.bad) {
       m.bad = true;
       m.drain = true;
       // What runs there already is left alone: only starts were seen to fail.
@@ -94,8 +118,8 @@
   }
 
   private void pause(Job j, double now) {
-    double pause = Constants.JOB_BACKOFF_S * Math.pow(2, Math.min(8, j.tries++));
-    j.notBefore = now + Math.min(Constants.LONGEST_JOB_BACKOFF_S, pause);
+    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, j.tries++));
+    j.notBefore = now + Math.min(LONGEST_JOB_BACKOFF_S, pause);
   }
 
   /** A task of the claim runs, or is done: neither its job nor its machine fails everything. */
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,6 +14,30 @@
  * there is room and their image. A closed machine is scaled in once it is empty.
  */
 final class FleetConsolidation {
+  /** Seconds that a machine is charged at least; before that there is nothing to save. */
+  private static final double CHARGED_AT_LEAST_S = 60;
+
+  /**
+   * Share of the ordinary machines that may be closed in one plan, beside one: of hundreds, one a
+   * second would stand idle for minutes after a peak.
+   */
+  private static final double CLOSE_SHARE = 0.02;
+
+  /** Machines looked at in one plan as candidates for closing, for each thousand machines. */
+  private static final int CLOSE_TRIES_PER_THOUSAND = 8;
+
+  /** Share of a machine's own size that must be left over when it is closed: no to and fro. */
+  private static final double CLOSE_SLACK = 0.5;
+
+  /** Jobs of the largest size seen that warm machines must have room for when one is closed. */
+  private static final int WARM_JOBS = 2;
+
+  /** Share of a machine up to which services are moved off it. */
+  private static final double MOVE_SHARE = 0.5;
+
+  /** Seconds between moves of replicas, each of which is away for a moment. */
+  private static final double MOVE_EVERY_S = 2;
+
   private final ClusterState world;
   private final Deadlines deadlines;
   private final DemandHistory demand;
@@ -39,7 +62,7 @@
     boolean impatient =
         world.jobs.values().stream().anyMatch(this::impatient)
             || demand.arrivals().stream().anyMatch(a -> impatient(a.spec()));
-    if (impatient || now - startedAt < Constants.SETTLE_S) {
+    if (impatient || now - startedAt < ScaleInPlanner.SETTLE_S) {
       world.machines.values().forEach(m -> m.closing = false);
       return;
     }
@@ -47,13 +70,13 @@
     double left = reopen(onDemand, surplus);
     onDemand.sort(Comparator.comparingDouble(m -> -wasted(m)));
     int most = atOnce(onDemand);
-    int tries = Constants.CLOSE_TRIES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
+    int tries = CLOSE_TRIES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
     for (Machine m : onDemand) {
-      if (m.closing || keep.contains(m) || now - m.rentedAt < Constants.CHARGED_AT_LEAST_S) {
+      if (m.closing || keep.contains(m) || now - m.rentedAt < CHARGED_AT_LEAST_S) {
         continue;
       }
       double forArrays = m.room.cpus() - serviceCpus(m);
-      boolean enough = left - forArrays > Constants.CLOSE_SLACK * forArrays;
+      boolean enough = left - forArrays > CLOSE_SLACK * forArrays;
       if (enough && tries-- <= 0) {
         break; // The next plan looks again; each look compares with the whole fleet.
       }
@@ -98,7 +121,7 @@
 
   /** Machines or replicas to move in one step: a small fleet one, a large one its share. */
   private static int atOnce(List<Machine> onDemand) {
-    return 1 + (int) (onDemand.size() * Constants.CLOSE_SHARE);
+    return 1 + (int) (onDemand.size() * CLOSE_SHARE);
   }
 
   private boolean impatient(Job j) {
@@ -121,7 +144,7 @@
 
   /** True if the machine's services fit on the other on-demand machines that stay. */
   private boolean movable(Machine m, List<Machine> onDemand, double now) {
-    if (serviceCpus(m) > Constants.MOVE_SHARE * m.room.cpus()) {
+    if (serviceCpus(m) > MOVE_SHARE * m.room.cpus()) {
       return false;
     }
     Map<Machine, Resources> free = new LinkedHashMap<>();
@@ -173,7 +196,7 @@
       }
       // What is moved off this machine takes room there as well.
       int moved = (int) Math.ceil(serviceCpus(m) / Math.max(e.getValue().cpus(), 1e-3));
-      if (slots < Constants.WARM_JOBS * largest.get(e.getKey()) + moved) {
+      if (slots < WARM_JOBS * largest.get(e.getKey()) + moved) {
         return false;
       }
     }
@@ -192,7 +215,7 @@
 
   /** Asks a few settled services on closing machines to stop, where room waits for them. */
   private void move(List<Machine> onDemand, double now) {
-    if (now - lastMove < Constants.MOVE_EVERY_S) {
+    if (now - lastMove < MOVE_EVERY_S) {
       return;
     }
     int left = atOnce(onDemand);
@@ -224,7 +247,7 @@
         && !c.stopAsked
         && c.job.spec.isService()
         && c.runningSince > 0
-        && now - c.runningSince > Constants.CHARGED_AT_LEAST_S;
+        && now - c.runningSince > CHARGED_AT_LEAST_S;
   }
 
   /** The first machine that takes the service of {@code from}, beside what is promised, or null. */
--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -225,7 +224,9 @@
       }
       if (e.stage() == Heartbeat.Stage.EXITED) {
         exited(m, c, e, now);
-      } else if (c.runningSince > 0 && !c.wellSaid && now - c.runningSince > Constants.GOOD_RUN_S) {
+      } else if (c.runningSince > 0
+          && !c.wellSaid
+          && now - c.runningSince > FailureAttribution.GOOD_RUN_S) {
         c.wellSaid = true;
         failureAttribution.good(m, c, now);
       }
@@ -295,7 +296,7 @@
         records.end(c, false, now);
       }
       case "unknown" -> {
-        j.notBefore = now + Constants.JOB_BACKOFF_S;
+        j.notBefore = now + FailureAttribution.JOB_BACKOFF_S;
         records.end(c, false, now);
       }
       default -> records.end(c, false, now);
@@ -314,7 +315,7 @@
 
   /** A worker's lease runs from our last answer, or from the takeover for those of before. */
   void leases(double now) {
-    double lease = world.policy.leaseS() * (1 + Constants.DRIFT) + Constants.LEASE_MARGIN_S;
+    double lease = world.policy.leaseS() * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
     for (Machine m : world.machines.values()) {
       double from = Math.max(Math.max(m.lastAnswered, m.sessionSeen), world.tookOver);
       if (now <= from + lease || (!m.reported && m.claims.isEmpty())) {
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -10,6 +9,15 @@
  * leader after a failover knows where work starts warm.
  */
 final class ImageRecords {
+  /** Seconds between records of the images on machines, each a hint for the next owner. */
+  private static final double KEEP_IMAGES_EVERY_S = 15;
+
+  /**
+   * Such records written at one time, each a change of the state service: a bound on a batch. The
+   * others follow in turn at the next times.
+   */
+  private static final int IMAGE_PARTS_AT_ONCE = 24;
+
   private final ClusterState world;
   private final double startedAt;
   private double lastKept;
@@ -25,7 +33,7 @@
    * so many at a time, in turn.
    */
   void keepImages(double now) {
-    if (now - Math.max(startedAt, lastKept) < Constants.KEEP_IMAGES_EVERY_S) {
+    if (now - Math.max(startedAt, lastKept) < KEEP_IMAGES_EVERY_S) {
       return;
     }
     lastKept = now;
@@ -57,7 +65,7 @@
       changed[m.imagePart(world.imageParts)] |= m.imagesChanged;
     }
     Map<Integer, Map<String, List<String>>> parts = new HashMap<>();
-    for (int i = 0; i < changed.length && parts.size() < Constants.IMAGE_PARTS_AT_ONCE; i++) {
+    for (int i = 0; i < changed.length && parts.size() < IMAGE_PARTS_AT_ONCE; i++) {
       int part = nextPart % changed.length;
       nextPart = part + 1;
       if (changed[part]) {
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.Amount;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -11,6 +10,14 @@
 
 /** The owner's working view of a live job. */
 final class Job {
+  /** Run times and seconds left before it is needed when a job goes by the priority of others. */
+  private static final double PRESSING_RUNS = 2;
+
+  private static final double PRESSING_S = 45;
+
+  /** Share of its class's wanted wait after which a needed job goes by the priority of others. */
+  private static final double PRESSING_WAIT = 0.4;
+
   /** One stored slice, with what is under way for it. */
   static final class Slice {
     final TaskBatchKey key;
@@ -169,11 +176,11 @@
     boolean startPresses =
         wantedWaitS != null
             && needed.isEmpty()
-            && waited > wantedWaitS * Constants.PRESSING_WAIT
+            && waited > wantedWaitS * PRESSING_WAIT
             && waited < wantedWaitS;
     pressing =
         neededBy == Double.POSITIVE_INFINITY
-            || neededBy - now < Constants.PRESSING_RUNS * estimateS + Constants.PRESSING_S
+            || neededBy - now < PRESSING_RUNS * estimateS + PRESSING_S
             || startPresses;
   }
 
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -45,7 +44,7 @@
   /** Earlier owners granted until they lost the fleet at the latest, which was before now. */
   LeaseDelegates(Map<String, String> zones, long epoch, double grantS, double leaseS, double now) {
     this.epoch = epoch;
-    this.lengthS = grantS * (1 + Constants.DRIFT);
+    this.lengthS = grantS * (1 + LeaseTiming.DRIFT);
     this.leaseS = leaseS;
     zones.forEach((m, z) -> all.put(m, new LeaseDelegate(z, now + lengthS)));
   }
@@ -106,6 +105,6 @@
   }
 
   private static boolean silent(LeaseDelegate d, double now) {
-    return now > d.echoAt + Constants.DEPUTY_ALONE_S * (1 - Constants.DRIFT);
+    return now > d.echoAt + LeaseTiming.DEPUTY_ALONE_S * (1 - LeaseTiming.DRIFT);
   }
 }
--- /dev/null
+++ b/src/main/java/graderelay/core/LeaseTiming.java
@@ -0,0 +1,18 @@
+package graderelay.core;
+
+/** Timing of worker and leader leases that every package that reckons with leases shares. */
+public final class LeaseTiming {
+  /** Seconds beyond a worker's lease: timers fire late on a starved process. */
+  public static final double LEASE_MARGIN_S = 0.5;
+
+  /** Share by which two steady clocks may differ: 0.05% on either side. */
+  public static final double DRIFT = 0.001;
+
+  /**
+   * Seconds since the owner's last answer before which a deputy never answers by itself: several of
+   * its questions, and less than a worker needs to find it.
+   */
+  public static final double DEPUTY_ALONE_S = 4;
+
+  private LeaseTiming() {}
+}
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -9,6 +8,9 @@
 
 /** The owner's view of one machine. */
 final class Machine {
+  /** Images remembered of a machine; only a guide for placement. */
+  private static final int MOST_IMAGES = 64;
+
   final String name;
   String type;
   String zone;
@@ -134,7 +136,7 @@
 
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
-    return claims.size() < Constants.MOST_ON_MACHINE
+    return claims.size() < SchedulerLimits.MOST_ON_MACHINE
         && need.cpus() <= room.cpus() - used.cpus() + Resources.SLACK
         && need.gpus() <= room.gpus() - used.gpus() + Resources.SLACK
         && need.memGb() <= room.memGb() - used.memGb() + Resources.SLACK;
@@ -165,7 +167,7 @@
   void learnImage(String image, double now) {
     imagesChanged |= images.put(image, now) == null;
     fetching.remove(image);
-    if (images.size() > Constants.MOST_IMAGES) {
+    if (images.size() > MOST_IMAGES) {
       images.remove(images.keySet().iterator().next());
     }
   }
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -13,6 +12,12 @@
  * the cloud's list, rentals (scale out), give-backs (scale in), cordons and graceful evictions.
  */
 final class MachineEvents {
+  /**
+   * Deleted machines remembered: late lists and reports still name them for minutes, in which a
+   * fleet of four thousand may have been replaced several times. Some 100 bytes each.
+   */
+  private static final int MOST_DROPPED = 20_000;
+
   private final ClusterState world;
   private final FleetPlanner planner;
   private final HeartbeatMonitor heartbeats;
@@ -84,7 +89,7 @@
       }
       heartbeats.machineGone(m, "it was given back", now);
       heartbeats.dropped.add(n);
-      if (heartbeats.dropped.size() > Constants.MOST_DROPPED) {
+      if (heartbeats.dropped.size() > MOST_DROPPED) {
         heartbeats.dropped.remove(heartbeats.dropped.iterator().next());
       }
       gone.add(n);
--- a/src/main/java/graderelay/core/PackingBin.java
+++ b/src/main/java/graderelay/core/PackingBin.java
@@ -1,7 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
-
 /**
  * A bin of the fleet plan's bin packing: a machine that is there, one that is booting, or one that
  * a scale-out request would add ({@code machine} is null for the last two).
@@ -21,6 +19,6 @@
     this.machine = machine;
     this.pool = pool;
     this.free = free;
-    this.places = Constants.MOST_ON_MACHINE - (machine == null ? 0 : machine.claims.size());
+    this.places = SchedulerLimits.MOST_ON_MACHINE - (machine == null ? 0 : machine.claims.size());
   }
 }
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -12,7 +11,16 @@
  * stopped.
  */
 final class PlacementRound {
-  private static final double PAUSE = Constants.NO_ROOM_PAUSE_S;
+  /** Seconds for which a job that found no room waits while no room was given back. */
+  private static final double NO_ROOM_PAUSE_S = 0.25;
+
+  /**
+   * Seconds after its submission from which the first task of a job that has never begun takes the
+   * next room whatever its priority, for the same reason.
+   */
+  private static final double MUST_BEGIN_S = 150;
+
+  private static final double PAUSE = NO_ROOM_PAUSE_S;
   private final ClusterState world;
   private final RandomGenerator random;
   private final PlacementRules rules;
@@ -62,7 +70,7 @@
     int left = changes;
     for (QueueOrder.Entry k : waiting) {
       // On a fleet that work above it fills, a guest's job would not begin at all.
-      if (k.job.neverBegan() && now - k.job.submittedAt > Constants.MUST_BEGIN_S) {
+      if (k.job.neverBegan() && now - k.job.submittedAt > MUST_BEGIN_S) {
         left -= place(k.job, usable, roomy, false, 1, claims, now);
       }
     }
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -10,10 +9,19 @@
  * each time up to a longest pause.
  */
 final class PoolChooser {
+  /** Seconds; first pause after the cloud called a pool empty. */
+  private static final double EMPTY_POOL_PAUSE_S = 6;
+
+  /** Seconds; longest such pause: capacity comes back without a sign. */
+  private static final double LONGEST_EMPTY_POOL_PAUSE_S = 24;
+
+  /** Times its price that such a type counts as when another could be rented instead. */
+  private static final double STALLED_PRICE = 3;
+
   /** A pool that had no capacity of late: not asked again until {@code until} (seconds). */
   private static final class PoolBackoff {
     double until;
-    double pause = Constants.EMPTY_POOL_PAUSE_S;
+    double pause = EMPTY_POOL_PAUSE_S;
   }
 
   private final ClusterState world;
@@ -29,7 +37,7 @@
   void noCapacity(InstancePool pool, double now) {
     PoolBackoff b = backoffs.computeIfAbsent(pool, p -> new PoolBackoff());
     b.until = now + b.pause;
-    b.pause = Math.min(Constants.LONGEST_EMPTY_POOL_PAUSE_S, b.pause * 2);
+    b.pause = Math.min(LONGEST_EMPTY_POOL_PAUSE_S, b.pause * 2);
   }
 
   /** The pool gave all machines asked for. */
@@ -59,7 +67,8 @@
     for (MachineType t : world.types.values()) {
       int slots =
           Math.min(
-              left, Math.min(Constants.MOST_ON_MACHINE, Resources.of(t).times(Resources.of(s))));
+              left,
+              Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(t).times(Resources.of(s))));
       if (slots <= 0) {
         continue;
       }
@@ -70,7 +79,7 @@
             continue;
           }
           double price = t.priceOf(spot) / slots;
-          price *= boots.stalled(t.name()) ? Constants.STALLED_PRICE : 1;
+          price *= boots.stalled(t.name()) ? STALLED_PRICE : 1;
           if (price < bestPrice) {
             bestPrice = price;
             best = p;
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumMap;
@@ -17,6 +16,25 @@
  * and with as little lost as possible.
  */
 final class Preemption {
+  /**
+   * Seconds from a stop to the start in its place, without the time to save: the worker's report,
+   * the change that ends the claim, the next claim, its launch. Where saving doesn't leave as much
+   * of a wanted wait, the work is stopped at once; what has lost least is chosen.
+   */
+  private static final double HURRY_S = 2;
+
+  /** Seconds of lost work that one image fetch is counted as when choosing whom to stop. */
+  private static final double COLD_COST_S = 20;
+
+  /**
+   * Seconds of lost work that each stop counts as, whatever it has done: the task's end, its next
+   * claim and its next end are changes of the state service, of which there are some tens a second.
+   */
+  private static final double STOP_COST_S = 4;
+
+  /** Share of the fleet that work of lower priority may have without being stopped for arrays. */
+  private static final double SPARED_SHARE = 0.1;
+
   private final ClusterState world;
   private final PlacementRules rules;
   private final QuotaGate quota;
@@ -171,7 +189,7 @@
       }
     }
     world.looked += usable.size();
-    return below <= all * Constants.SPARED_SHARE;
+    return below <= all * SPARED_SHARE;
   }
 
   private PriorityQueue<Offer> offers(Job j, List<Machine> usable, boolean within, double now) {
@@ -194,9 +212,9 @@
     if (victims == null) {
       return null;
     }
-    double cost = m.warm(j.spec.image()) ? 0 : Constants.COLD_COST_S;
+    double cost = m.warm(j.spec.image()) ? 0 : COLD_COST_S;
     for (Claim c : victims) {
-      cost += lost(c, now) + Constants.STOP_COST_S;
+      cost += lost(c, now) + STOP_COST_S;
     }
     return new Offer(m, victims, cost);
   }
@@ -206,9 +224,7 @@
     Double wait = world.policy.waits().get(j.spec.jobClass());
     for (Claim c : victims) {
       boolean hurry =
-          j.priority().beats(c.priority)
-              && wait != null
-              && wait < c.job.spec.saveS() + Constants.HURRY_S;
+          j.priority().beats(c.priority) && wait != null && wait < c.job.spec.saveS() + HURRY_S;
       world.askStop(c, now);
       stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
       c.hardStop = hurry;
--- a/src/main/java/graderelay/core/QueueOrder.java
+++ b/src/main/java/graderelay/core/QueueOrder.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
@@ -13,6 +12,9 @@
  * first due.
  */
 final class QueueOrder {
+  /** Times its class's longest wanted wait after which a job is no longer passed by others. */
+  private static final double PASSED_STEPS = 2;
+
   private final ClusterState world;
 
   /** Jobs that wait for others of their team, see {@link Deadlines}. */
@@ -96,7 +98,7 @@
    * others of its priority: the largest jobs must begin as well.
    */
   static boolean waitingWins(Job j, double now) {
-    return j.neverBegan() && now - j.submittedAt > Constants.WAITING_WINS_S;
+    return j.neverBegan() && now - j.submittedAt > SchedulerLimits.WAITING_WINS_S;
   }
 
   /**
@@ -121,7 +123,7 @@
       left += waited <= w ? 1 : 0;
     }
     // Others must not pass it for ever.
-    left = waited > last * Constants.PASSED_STEPS ? 1 : left;
+    left = waited > last * PASSED_STEPS ? 1 : left;
     double worth = left / (double) s.tasks();
     Double whole = world.policy.finishes().get(s.jobClass());
     if (whole != null && waited + s.estimateS() <= whole) {
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -10,6 +9,35 @@
  * closed machines go; a request that got no answer is sent again.
  */
 final class ScaleInPlanner {
+  /**
+   * Report intervals without any sign after which a machine with services is given back. A worker
+   * whose controller hangs needs one timeout of 4 s and a pause of 1 s to find another.
+   */
+  private static final double DEAD_REPORTS = 3.2;
+
+  /** Questions in a row without an answer that this takes as well. */
+  private static final int DEAD_POKES = 2;
+
+  /**
+   * Share of the ordinary machines that may be silent at most: more is a trouble of the network.
+   */
+  private static final double ALONE_SHARE = 0.15;
+
+  /** Seconds for which machines given back in this way count as silent. */
+  private static final double REPLACE_MEMORY_S = 30;
+
+  /** Seconds after a takeover in which no machine is called idle: demand is not known yet. */
+  static final double SETTLE_S = 30;
+
+  /** Seconds that a silent machine is kept once its lease has run out: short cuts heal. */
+  private static final double SILENT_KEEP_S = 30;
+
+  /** Machines in one deletion request, a batch; a limit of the protocol. */
+  private static final int MOST_RETURNED = 100;
+
+  /** Seconds before a deletion without an answer is sent again. */
+  private static final double RETURN_RETRY_S = 4;
+
   /** Why a machine is scaled in; the text goes into the log line. */
   private enum Reason {
     FAILED("it has failed"),
@@ -44,11 +72,11 @@
   void scaleIn(Set<Machine> needed, double now) {
     List<String> back = new ArrayList<>();
     for (Machine m : world.machines.values()) {
-      if (back.size() >= Constants.MOST_RETURNED) {
+      if (back.size() >= MOST_RETURNED) {
         break;
       }
       if (m.returning) {
-        if (now - m.returnAskedAt > Constants.RETURN_RETRY_S) {
+        if (now - m.returnAskedAt > RETURN_RETRY_S) {
           m.returnAskedAt = now;
           back.add(m.name);
         }
@@ -76,17 +104,17 @@
     // One whose heartbeats come but that hears nothing will lose its services all the same.
     double heard = Math.max(m.deafSince != null ? m.deafSince : m.lastReport, startedAt);
     if (m.leaseOver
-        || m.failedPokes < Constants.DEAD_POKES
-        || now - heard < world.policy.reportS() * Constants.DEAD_REPORTS
+        || m.failedPokes < DEAD_POKES
+        || now - heard < world.policy.reportS() * DEAD_REPORTS
         || m.claims.values().stream().noneMatch(c -> c.job.spec.isService())) {
       return false;
     }
-    replacedAt.removeIf(t -> now - t > Constants.REPLACE_MEMORY_S);
+    replacedAt.removeIf(t -> now - t > REPLACE_MEMORY_S);
     SilentMachines silence = silence(now);
     if (silence.mostOf(m.zone) && world.deputies.mayKeep(m.zone, now)) {
       return false; // The zone is cut off, and its lease delegate keeps its services up.
     }
-    return silence.silent + replacedAt.size() <= Math.max(1, silence.up * Constants.ALONE_SHARE);
+    return silence.silent + replacedAt.size() <= Math.max(1, silence.up * ALONE_SHARE);
   }
 
   private SilentMachines silence(double now) {
@@ -100,7 +128,7 @@
         boolean quiet =
             o.failedPokes > 0
                 || now - Math.max(o.lastReport, startedAt)
-                    > world.policy.reportS() * Constants.POKE_REPORTS;
+                    > world.policy.reportS() * WorkerCommands.POKE_REPORTS;
         counted.count(o.zone, quiet);
       }
     }
@@ -122,9 +150,7 @@
     }
     if (m.leaseOver) {
       double silent = now - m.lastReport;
-      return silent > world.policy.leaseS() + Constants.SILENT_KEEP_S
-          ? Reason.SILENT_TOO_LONG
-          : null;
+      return silent > world.policy.leaseS() + SILENT_KEEP_S ? Reason.SILENT_TOO_LONG : null;
     }
     if (!m.claims.isEmpty() || (m.last != null && !m.last.tasks().isEmpty())) {
       return null;
@@ -143,7 +169,7 @@
 
   /** Why a reported machine without work should be scaled in, or null. */
   private Reason emptyMachineReason(Machine m, Set<Machine> needed, double now) {
-    if (m.deafSince != null && now - m.deafSince > Constants.SILENT_KEEP_S) {
+    if (m.deafSince != null && now - m.deafSince > SILENT_KEEP_S) {
       return Reason.DEAF;
     }
     if (m.bad) {
@@ -152,7 +178,7 @@
     if (needed.contains(m) || m.cordoned) {
       return null;
     }
-    if (now - startedAt < Constants.SETTLE_S) {
+    if (now - startedAt < SETTLE_S) {
       return null;
     }
     if (m.closing) {
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,6 +13,9 @@
  * pools. Pools that answered without capacity are backed off from.
  */
 final class ScaleOutPlanner {
+  /** Machines in one rental request, a batch; a limit of the protocol. */
+  private static final int MOST_HIRED = 50;
+
   /** A scale-out request that the cloud has not answered yet. */
   private record PendingRequest(InstancePool pool, int count, double since) {}
 
@@ -152,7 +154,7 @@
   void request(Map<InstancePool, Integer> wanted, double now) {
     for (var e : wanted.entrySet()) {
       InstancePool p = e.getKey();
-      int n = boots.allowed(p.type(), Math.min(Constants.MOST_HIRED, e.getValue()), now);
+      int n = boots.allowed(p.type(), Math.min(MOST_HIRED, e.getValue()), now);
       if (n == 0) {
         continue;
       }
@@ -219,7 +221,7 @@
         onDemandCpusLeft -= world.types.get(p.type()).cpus();
       }
       Resources room = Resources.of(world.types.get(p.type()));
-      int k = Math.min(left, Math.min(Constants.MOST_ON_MACHINE, room.times(need)));
+      int k = Math.min(left, Math.min(SchedulerLimits.MOST_ON_MACHINE, room.times(need)));
       if (zones != null) {
         k = Math.min(k, zones.left(p.zone()));
         zones.take(p.zone(), k);
@@ -228,7 +230,7 @@
       requested.places -= k;
       bins.add(requested);
       left -= k;
-      if (wanted.merge(p, 1, Integer::sum) >= Constants.MOST_HIRED) {
+      if (wanted.merge(p, 1, Integer::sum) >= MOST_HIRED) {
         return;
       }
     }
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.List;
 
 /**
@@ -8,6 +7,15 @@
  * checks), and the scheduling round: place claims, then write them by compare-and-swap.
  */
 final class SchedulingRounds {
+  /** Seconds between rounds at most, for what only time changes. */
+  private static final double ROUND_AT_LEAST_EVERY_S = 0.5;
+
+  /** Seconds between plans of the fleet; a machine takes many times this to boot. */
+  private static final double PLAN_EVERY_S = 1.0;
+
+  /** Seconds between comparisons of the accounts with the committed claims. */
+  private static final double ACCOUNT_CHECK_EVERY_S = 1;
+
   private final ClusterState world;
   private final PlacementRound placement;
   private final FleetPlanner planner;
@@ -50,11 +58,11 @@
     }
     askForEnds(now);
     planIfDue(now);
-    if (now - lastAccountCheck >= Constants.ACCOUNT_CHECK_EVERY_S) {
+    if (now - lastAccountCheck >= ACCOUNT_CHECK_EVERY_S) {
       lastAccountCheck = now;
       world.admission.check();
     }
-    if (now - lastRound >= Constants.ROUND_AT_LEAST_EVERY_S) {
+    if (now - lastRound >= ROUND_AT_LEAST_EVERY_S) {
       world.dirty = true;
     }
     step(now);
@@ -71,7 +79,7 @@
 
   /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placement. */
   private void planIfDue(double now) {
-    if (now - lastPlan >= Constants.PLAN_EVERY_S && !world.loading) {
+    if (now - lastPlan >= PLAN_EVERY_S && !world.loading) {
       lastPlan = now;
       world.dependencies.look(now);
       planner.plan(now);
@@ -83,9 +91,9 @@
   double step(double now) {
     commands.launchCommitted(now);
     if (!world.dirty || world.loading) {
-      return Constants.ROUND_AT_LEAST_EVERY_S;
+      return ROUND_AT_LEAST_EVERY_S;
     }
-    double wait = lastRound + Constants.ROUND_EVERY_S - now;
+    double wait = lastRound + SchedulerLimits.ROUND_EVERY_S - now;
     if (wait > 0) {
       return wait;
     }
@@ -98,6 +106,6 @@
     writer.write(claims, now);
     writer.endJobs(now);
     commands.launchCommitted(now);
-    return Constants.ROUND_AT_LEAST_EVERY_S;
+    return ROUND_AT_LEAST_EVERY_S;
   }
 }
--- a/src/main/java/graderelay/core/TaskBatchChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -13,7 +13,7 @@
     Job job, Job.Slice slice, TaskBatchRecord record, List<Claim> claimed, List<Claim> settled) {
   /** Bytes of the stored form at most. */
   int bytes() {
-    return record.size() * graderelay.constants.Constants.SLICE_BYTES_PER_TASK;
+    return record.size() * TaskBatchRecord.SLICE_BYTES_PER_TASK;
   }
 
   Action.TaskBatchPut put() {
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -10,6 +10,9 @@
  * incarnation (session). Immutable: a change makes a copy.
  */
 public final class TaskBatchRecord {
+  /** Bytes that one task takes in a slice record at most, machine name included. */
+  public static final int SLICE_BYTES_PER_TASK = 32;
+
   private final int[] attempts;
   private final String[] machines;
   private final long[] sessions;
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.AdmissionControl;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -16,6 +15,9 @@
  * that has committed.
  */
 final class TransactionPacker {
+  /** Bytes of slice records in one transaction; the protocol allows 64 KiB in all. */
+  private static final int TXN_BYTES = 40 * 1024;
+
   /**
    * Conditions beside those on task batches, jobs, accounts and limits: leader and feature level.
    */
@@ -84,8 +86,8 @@
     int raisesThen = raises.size() + (raise ? 1 : 0);
     int conditions = CONDITIONS_EACH * (slicesThen + teamsThen) + OTHER_CONDITIONS;
     return slicesThen + raisesThen <= mostChanges
-        && (teamsThen == 0 || conditions <= mostChanges * Constants.CONDITIONS_PER_OP)
-        && bytes + change.bytes() <= Constants.TXN_BYTES;
+        && (teamsThen == 0 || conditions <= mostChanges * SchedulerLimits.CONDITIONS_PER_OP)
+        && bytes + change.bytes() <= TXN_BYTES;
   }
 
   /** Sends what has been taken in. */
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import graderelay.quota.AccountChange;
 import java.util.HashMap;
 import java.util.List;
@@ -11,6 +10,12 @@
  * they hold: the rate of the consensus-backed store bounds what may be under way.
  */
 final class TransactionsInFlight {
+  /** Seconds' worth of changes that may be under way to the state service at once. */
+  private static final double CHANGES_OUT_S = 0.4;
+
+  /** Changes that may be under way in any case: a round trip must not leave the rate unused. */
+  private static final int LEAST_CHANGES_OUT = 4;
+
   private final ClusterState world;
 
   /** What a transaction under way contains. */
@@ -65,8 +70,7 @@
    * later and is more urgent would stand behind it.
    */
   int mostChangesOut() {
-    return Math.max(
-        Constants.LEAST_CHANGES_OUT, (int) (world.policy.changesPerS() * Constants.CHANGES_OUT_S));
+    return Math.max(LEAST_CHANGES_OUT, (int) (world.policy.changesPerS() * CHANGES_OUT_S));
   }
 
   /** Records that a round may change beside what is under way. */
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -1,6 +1,5 @@
 package graderelay.core;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -13,6 +12,33 @@
  * straight. Nothing is started before its claim has committed.
  */
 final class WorkerCommands {
+  /** Report intervals without a report after which a machine is no target for new tasks. */
+  static final double SILENT_REPORTS = 2.2;
+
+  /** Seconds between repeated direct kills of one task; reports' responses repeat them anyway. */
+  private static final double KILL_AGAIN_S = 3;
+
+  /** Seconds on top of the time a task needs to save, for the way to the worker. */
+  private static final double SAVE_SLACK_S = 2;
+
+  /** Seconds that a launch of unknown fate may block a stop before the term is raised. */
+  private static final double DOUBT_S = 5;
+
+  /** Seconds between raises of the term: workers take a higher one at most twice a lease. */
+  private static final double RAISE_PAUSE_S = 8;
+
+  /** Share of those kept from starts of arrays, whose machines' next reports fetch them as well. */
+  private static final double DIRECT_FOR_SERVICES = 0.25;
+
+  /** Share of those kept from questions to machines without services. */
+  private static final double DIRECT_FOR_ORDERS = 0.5;
+
+  /** Report intervals without a report after which a machine is asked straight. */
+  static final double POKE_REPORTS = 1.6;
+
+  /** Seconds between such questions to one machine. */
+  private static final double POKE_EVERY_S = 1.2;
+
   private final ClusterState world;
   private final StoredRecords records;
 
@@ -25,7 +51,7 @@
 
   /** A body may have 64 KiB: what goes beyond one's share follows with the reports' responses. */
   private static boolean room(List<WorkerCommand> orders) {
-    return orders == null || orders.size() < Constants.MOST_ORDERS;
+    return orders == null || orders.size() < SchedulerLimits.MOST_ORDERS;
   }
 
   private double directTokens;
@@ -95,7 +121,7 @@
     if (c.hardStop || s.checkpointS() <= 0) {
       return new WorkerCommand.Kill(c.taskId(), c.attempt, 0);
     }
-    double grace = s.saveS() + Constants.SAVE_SLACK_S;
+    double grace = s.saveS() + SAVE_SLACK_S;
     if (c.stage == Heartbeat.Stage.SAVING) {
       return now - c.stageSince > 2 * grace
           ? new WorkerCommand.Kill(c.taskId(), c.attempt, 0)
@@ -135,12 +161,12 @@
           || m.address == null
           || c.session != m.session
           || c.stage == Heartbeat.Stage.EXITED
-          || now - m.lastReport > world.policy.reportS() * Constants.SILENT_REPORTS) {
+          || now - m.lastReport > world.policy.reportS() * SILENT_REPORTS) {
         continue;
       }
       WorkerCommand.Kill k = killOf(c, now);
       if (k != null
-          && now - c.killAt > Constants.KILL_AGAIN_S
+          && now - c.killAt > KILL_AGAIN_S
           && room(byMachine.get(m))
           && (byMachine.containsKey(m) || direct(now, 0))) {
         c.killAt = now;
@@ -189,10 +215,10 @@
       }
       boolean near =
           m.address != null
-              && now - m.lastReport <= world.policy.reportS() * Constants.SILENT_REPORTS
+              && now - m.lastReport <= world.policy.reportS() * SILENT_REPORTS
               && !m.leaseOver;
       boolean go = near && launchable(m, c) && c.launch == Claim.Launch.NONE;
-      double reserve = c.job.spec.isService() ? 0 : Constants.DIRECT_FOR_SERVICES;
+      double reserve = c.job.spec.isService() ? 0 : DIRECT_FOR_SERVICES;
       if (go && room(byMachine.get(m)) && (byMachine.containsKey(m) || direct(now, reserve))) {
         world.note(
             "start "
@@ -253,15 +279,13 @@
     boolean unheard =
         !m.reported && !m.claims.isEmpty() && now - world.tookOver > world.policy.reportS() / 2;
     boolean deaf = m.deafSince != null;
-    boolean silent =
-        m.reported && now - m.lastReport > world.policy.reportS() * Constants.POKE_REPORTS;
-    double reserve =
-        m.services.cpus() > 0 ? Constants.DIRECT_FOR_SERVICES : Constants.DIRECT_FOR_ORDERS;
+    boolean silent = m.reported && now - m.lastReport > world.policy.reportS() * POKE_REPORTS;
+    double reserve = m.services.cpus() > 0 ? DIRECT_FOR_SERVICES : DIRECT_FOR_ORDERS;
     if (m.address == null
         || m.leaseOver
         || m.returning
         || !(unheard || silent || deaf)
-        || now - m.lastPoke < Constants.POKE_EVERY_S
+        || now - m.lastPoke < POKE_EVERY_S
         || !direct(now, reserve)) {
       return;
     }
@@ -275,7 +299,7 @@
 
   /** Fences launches of unknown fate that stand in the way of an end, by a new term. */
   void doubts(double now) {
-    if (raising || now - lastRaise < Constants.RAISE_PAUSE_S) {
+    if (raising || now - lastRaise < RAISE_PAUSE_S) {
       return;
     }
     for (Machine m : world.machines.values()) {
@@ -284,7 +308,7 @@
         if (c.phase == Claim.Phase.HELD
             && c.launch == Claim.Launch.DOUBTFUL
             && blocked
-            && now - c.launchAt > Constants.DOUBT_S
+            && now - c.launchAt > DOUBT_S
             && c.launchTerm == world.term) {
           raising = true;
           lastRaise = now;
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -1,6 +1,5 @@
 package graderelay.features;
 
-import graderelay.constants.Constants;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -15,6 +14,9 @@
  * takeover would lose: a downgrade goes on from its record, and who is up is found out anew.
  */
 public final class UpgradeCoordinator {
+  /** Seconds without an answer after which a controller's soak time begins anew. */
+  private static final double MEMBER_SILENT_S = 3.2;
+
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   /** What an operator is told. */
@@ -64,7 +66,7 @@
     this.selfIncarnation = selfIncarnation;
     this.peers = List.copyOf(peers);
     this.clock = clock;
-    this.liveness = new MemberLiveness(Constants.MEMBER_SILENT_S);
+    this.liveness = new MemberLiveness(MEMBER_SILENT_S);
   }
 
   private List<String> configured() {
--- a/src/main/java/graderelay/net/Exchange.java
+++ b/src/main/java/graderelay/net/Exchange.java
@@ -1,6 +1,5 @@
 package graderelay.net;
 
-import graderelay.constants.Constants;
 import java.util.function.Consumer;
 
 /**
@@ -10,6 +9,9 @@
  */
 public record Exchange(
     String method, String path, String query, byte[] body, boolean relayed, Consumer<Answer> to) {
+  /** Seconds that a user is told to wait before the next try. */
+  private static final int RETRY_AFTER_S = 1;
+
   /** A request that came from outside. */
   public Exchange(String method, String path, String query, byte[] body, Consumer<Answer> to) {
     this(method, path, query, body, false, to);
@@ -32,7 +34,7 @@
 
     /** Not now: tells when to come back. */
     public static Answer later(int status, byte[] body) {
-      return new Answer(status, body, "application/json", Constants.RETRY_AFTER_S, false);
+      return new Answer(status, body, "application/json", RETRY_AFTER_S, false);
     }
   }
 
--- a/src/main/java/graderelay/net/HttpClient.java
+++ b/src/main/java/graderelay/net/HttpClient.java
@@ -1,6 +1,5 @@
 package graderelay.net;
 
-import graderelay.constants.Constants;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -33,6 +32,19 @@
 
 /** Keeps connections to the outside, one request at a time on each. */
 public final class HttpClient implements Transport {
+  /**
+   * Bytes of a response's body that we take, a bound on a batch: a watch has no limit of its own,
+   * and its tree takes several times as much of the heap. Who has missed more reads the records
+   * anew, page by page.
+   */
+  private static final int MOST_RESPONSE = 4 * 1024 * 1024;
+
+  /** Seconds to wait for a connection. */
+  private static final double CONNECT_TIMEOUT_S = 1.0;
+
+  /** Idle connections kept to one address. */
+  private static final int KEPT_CONNECTIONS = 4;
+
   private final EventLoop loop;
   private final Map<String, Deque<Line>> idle = new HashMap<>();
 
@@ -109,15 +121,14 @@
             .group(loop)
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(
-                ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (Constants.CONNECT_TIMEOUT_S * 1000))
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (CONNECT_TIMEOUT_S * 1000))
             .handler(
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel ch) {
                     ch.pipeline()
                         .addLast(new HttpClientCodec())
-                        .addLast(new HttpObjectAggregator(Constants.MOST_RESPONSE))
+                        .addLast(new HttpObjectAggregator(MOST_RESPONSE))
                         .addLast(line);
                   }
                 });
@@ -214,7 +225,7 @@
         ctx.close();
       } else {
         Deque<Line> lines = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (lines.size() < Constants.KEPT_CONNECTIONS) {
+        if (lines.size() < KEPT_CONNECTIONS) {
           lines.addLast(this);
           keep(this);
         } else {
--- a/src/main/java/graderelay/net/HttpServer.java
+++ b/src/main/java/graderelay/net/HttpServer.java
@@ -1,6 +1,5 @@
 package graderelay.net;
 
-import graderelay.constants.Constants;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -34,6 +33,29 @@
 
 /** Listens on one address. Every request gets one answer, and no connection lasts for nothing. */
 public final class HttpServer {
+  /** Bytes of a request's body; a limit of the protocol. */
+  private static final int MOST_BODY = 64 * 1024;
+
+  /** Connections that may wait to be accepted: those of a whole fleet after a takeover. */
+  private static final int ACCEPT_BACKLOG = 4096;
+
+  /** Bytes of a request line, and of all its headers. */
+  private static final int MOST_LINE = 4096;
+
+  private static final int MOST_HEADERS = 8192;
+
+  /** Seconds after which an idle connection is closed. */
+  private static final double IDLE_CONNECTION_S = 90;
+
+  /** Seconds in which a request must have arrived whole. */
+  private static final double WHOLE_REQUEST_S = 10;
+
+  /** Share of those at which idle ones are closed, the longest idle first. */
+  private static final double CONNECTION_SHARE = 0.88;
+
+  /** Seconds between looks at connections. */
+  private static final double SWEEP_EVERY_S = 2;
+
   private final EventLoop loop;
   private final Loop clock;
   private final Exchange.Handler handler;
@@ -59,7 +81,7 @@
             .group(loop, loop)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.SO_BACKLOG, Constants.ACCEPT_BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -68,9 +90,7 @@
                     Conn c = new Conn(ch);
                     ch.pipeline()
                         .addLast(c.new Opening())
-                        .addLast(
-                            new HttpServerCodec(
-                                Constants.MOST_LINE, Constants.MOST_HEADERS, 8192, true))
+                        .addLast(new HttpServerCodec(MOST_LINE, MOST_HEADERS, 8192, true))
                         .addLast(new Whole())
                         .addLast(c);
                   }
@@ -107,13 +127,13 @@
     double now = clock.now();
     List<Conn> close = new ArrayList<>();
     for (Conn c : conns) {
-      boolean stuck = c.partial && now - c.since > Constants.WHOLE_REQUEST_S;
-      boolean idle = !c.busy && !c.partial && now - c.since > Constants.IDLE_CONNECTION_S;
+      boolean stuck = c.partial && now - c.since > WHOLE_REQUEST_S;
+      boolean idle = !c.busy && !c.partial && now - c.since > IDLE_CONNECTION_S;
       if (stuck || idle) {
         close.add(c);
       }
     }
-    int over = conns.size() - close.size() - (int) (mostConnections * Constants.CONNECTION_SHARE);
+    int over = conns.size() - close.size() - (int) (mostConnections * CONNECTION_SHARE);
     Iterator<Conn> oldest = conns.iterator();
     while (over > 0 && oldest.hasNext()) {
       Conn c = oldest.next();
@@ -123,7 +143,7 @@
       }
     }
     close.forEach(c -> c.channel.close());
-    sweep = clock.after(Constants.SWEEP_EVERY_S, this::sweep);
+    sweep = clock.after(SWEEP_EVERY_S, this::sweep);
   }
 
   /** Makes room for one more connection; false if none is idle. */
@@ -141,7 +161,7 @@
   /** A body that is too large is malformed by the protocol, and the rest of it is not read. */
   private static final class Whole extends HttpObjectAggregator {
     Whole() {
-      super(Constants.MOST_BODY);
+      super(MOST_BODY);
     }
 
     @Override
--- a/src/main/java/graderelay/net/TokenBucket.java
+++ b/src/main/java/graderelay/net/TokenBucket.java
@@ -1,6 +1,5 @@
 package graderelay.net;
 
-import graderelay.constants.Constants;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.function.Consumer;
@@ -11,6 +10,18 @@
  * the least urgent is refused at once.
  */
 public final class TokenBucket {
+  /**
+   * Requests that may wait for tokens; beyond that the least urgent is refused. A bound on a queue:
+   * claims and ends of a fleet of any size go many to a request.
+   */
+  private static final int MOST_WAITING_CALLS = 512;
+
+  /**
+   * Share of what more urgent calls take that a less urgent use gets while it waits: a quarter of
+   * an owner's changes is what a swarm of submissions needs of it at the users' rates.
+   */
+  private static final double PASSED_SHARE = 0.3;
+
   /** What a call is for, the most urgent first. */
   public enum Use {
     RENEWAL,
@@ -62,7 +73,7 @@
       go.accept(true);
       return;
     }
-    if (waiting >= Constants.MOST_WAITING_CALLS && !refuseLessUrgent(use)) {
+    if (waiting >= MOST_WAITING_CALLS && !refuseLessUrgent(use)) {
       refusedCount++;
       go.accept(false);
       return;
@@ -139,7 +150,7 @@
       tokens -= w.cost();
       owed[i] = queues[i].isEmpty() ? 0 : Math.max(0, owed[i] - w.cost());
       for (int k = i + 1; k < queues.length; k++) {
-        owed[k] += queues[k].isEmpty() ? 0 : w.cost() * Constants.PASSED_SHARE;
+        owed[k] += queues[k].isEmpty() ? 0 : w.cost() * PASSED_SHARE;
       }
       w.go().accept(true);
     }
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -1,7 +1,6 @@
 package graderelay.peer;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.features.FeatureGate;
 import graderelay.net.Transport;
 import graderelay.wire.PeerCodec;
@@ -12,6 +11,9 @@
 
 /** The client of the other controllers (the peers): one POST of CBOR to {@link #PATH} each. */
 public final class PeerClient {
+  /** Seconds to wait for another controller. */
+  private static final double MESH_TIMEOUT_S = 1.0;
+
   /** The one path that messages between controllers go to; a wire name, so it stays. */
   public static final String PATH = "/mesh";
 
@@ -66,6 +68,6 @@
 
   /** How long to wait for a peer's answer, in seconds. */
   public double timeoutS() {
-    return Constants.MESH_TIMEOUT_S;
+    return MESH_TIMEOUT_S;
   }
 }
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -1,7 +1,6 @@
 package graderelay.peer;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
@@ -20,6 +19,42 @@
  * whichever answer comes first is right.
  */
 public final class RequestHedger {
+  /** Seconds after which a request that could not be decided is answered with 503. */
+  public static final double USER_DEADLINE_S = 3.5;
+
+  /** Seconds for a poll; its user waits for two. */
+  public static final double POLL_DEADLINE_S = 1.7;
+
+  /**
+   * Seconds after which a request that the state service has not answered is asked of a peer too:
+   * usual answers take 10 ms. Both carry the same conditions, so the first answer is as good.
+   */
+  public static final double HEDGE_S = 0.08;
+
+  /** The same for a poll, which waits for a read that many share anyway; its user waits for 2 s. */
+  private static final double POLL_HEDGE_S = 0.7;
+
+  /**
+   * Requests that are with peers at once: enough for a node that the state service refuses alone,
+   * and no more, since in a storm of questions each would be asked two or three times.
+   */
+  private static final int MOST_HEDGES_OUT = 64;
+
+  /**
+   * Seconds for which a submission that the owner has handed on may stay with a peer before the
+   * owner takes it up after all: a few usual answers of the state service.
+   */
+  private static final double HANDED_ON_S = 0.15;
+
+  /** Seconds for which no submission is handed on to a peer that gave no answer to one. */
+  private static final double PASS_OVER_S = 5;
+
+  /** Seconds beyond its own deadline that a request may have for an answer of a peer. */
+  private static final double HEDGED_S = 0.15;
+
+  /** Peers that one request is passed to at most. */
+  private static final int MOST_HEDGES = 2;
+
   private static final int REFUSED = 503;
   private static final int TOO_MANY = 429;
 
@@ -93,9 +128,7 @@
     return null;
   }
 
-  /**
-   * One request put here and, as a hedged request, to up to {@link Constants#MOST_HEDGES} peers.
-   */
+  /** One request put here and, as a hedged request, to up to {@link #MOST_HEDGES} peers. */
   private final class HedgedRequest {
     private final Exchange e;
     private Answer refusal;
@@ -130,10 +163,10 @@
               run(here);
             }
           };
-      Loop.Timer slow = loop.after(Constants.HANDED_ON_S, ours);
+      Loop.Timer slow = loop.after(HANDED_ON_S, ours);
       askPeer(
           p,
-          Constants.HANDED_ON_S,
+          HANDED_ON_S,
           a -> {
             boolean taken = a != null && a.status() != REFUSED && a.status() != TOO_MANY;
             if (taken && !left[0]) {
@@ -149,7 +182,7 @@
 
     /**
      * Puts the user's request to a peer; calls back with the peer's answer, or with null if none
-     * came, and then the peer is passed over for {@link Constants#PASS_OVER_S}.
+     * came, and then the peer is passed over for {@link #PASS_OVER_S}.
      */
     private void askPeer(Settings.Peer p, double timeoutS, Consumer<Answer> done) {
       peerClient.send(
@@ -160,7 +193,7 @@
           relayed -> {
             Answer a = relayed == null ? null : relayed.answer();
             if (a == null) {
-              passedOver.put(p.address(), loop.now() + Constants.PASS_OVER_S);
+              passedOver.put(p.address(), loop.now() + PASS_OVER_S);
             }
             done.accept(a);
           });
@@ -168,7 +201,7 @@
 
     private double longest() {
       boolean poll = e.method().equals("GET");
-      return Constants.HEDGED_S + (poll ? Constants.POLL_DEADLINE_S : Constants.USER_DEADLINE_S);
+      return HEDGED_S + (poll ? POLL_DEADLINE_S : USER_DEADLINE_S);
     }
 
     private void giveUp() {
@@ -179,12 +212,12 @@
 
     /** A poll waits for a read that many share, so it is slow without being stuck. */
     private double delay() {
-      return e.method().equals("GET") ? Constants.POLL_HEDGE_S : Constants.HEDGE_S;
+      return e.method().equals("GET") ? POLL_HEDGE_S : HEDGE_S;
     }
 
     /** Not everybody: in an outage each question would become one for every controller. */
     private int most() {
-      return Math.min(peerClient.peers().size(), Constants.MOST_HEDGES);
+      return Math.min(peerClient.peers().size(), MOST_HEDGES);
     }
 
     /**
@@ -193,7 +226,7 @@
      * and each time counted against the rate that all were waiting for.
      */
     private void late() {
-      if (stuck.getAsBoolean() && out < Constants.MOST_HEDGES_OUT) {
+      if (stuck.getAsBoolean() && out < MOST_HEDGES_OUT) {
         askNext();
       } else if (!over) {
         timer = loop.after(delay(), this::late);
@@ -215,7 +248,7 @@
       timer = loop.after(delay(), this::late);
       askPeer(
           p,
-          Constants.POLL_DEADLINE_S,
+          POLL_DEADLINE_S,
           a -> {
             out--;
             if (a != null && a.status() != REFUSED) {
@@ -240,7 +273,7 @@
       if (a != null && (refusal == null || fromHere)) {
         refusal = a;
       }
-      boolean may = out < Constants.MOST_HEDGES_OUT && !awayForAll.getAsBoolean();
+      boolean may = out < MOST_HEDGES_OUT && !awayForAll.getAsBoolean();
       if (may && (open == 0 || (fromHere && asked == 0))) {
         // Refused here at once: a peer may be better off.
         timer.cancel();
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -10,7 +10,6 @@
 import graderelay.config.OperatorSettings;
 import graderelay.config.Options;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.MachineType;
 import graderelay.core.Scheduler;
 import graderelay.core.TaskBatchKey;
@@ -42,6 +41,12 @@
  * workers, operators and peers to them. It knows no sockets, so tests run several at once.
  */
 public final class ControllerNode {
+  /** Seconds without an answer of the state service after which this node is not ready. */
+  private static final double READY_S = 2.5;
+
+  /** Seconds between ticks of the core. */
+  static final double TICK_S = 0.25;
+
   private static final Logger LOG = LoggerFactory.getLogger("node");
 
   private final Loop loop;
@@ -274,7 +279,7 @@
       return;
     }
     leadership.tick();
-    tickTimer = loop.after(Constants.TICK_S, this::tick);
+    tickTimer = loop.after(TICK_S, this::tick);
   }
 
   private List<MachineType> machineTypes() {
@@ -291,11 +296,11 @@
       return false;
     }
     boolean here =
-        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < Constants.READY_S;
+        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < READY_S;
     // While the state service refuses us alone, a peer decides what we are asked; while it is away
     // for all, what can be answered is, and the rest is told at once when to come back.
     return here
-        || loop.now() - requestHedger.lastHelp() < Constants.READY_S
+        || loop.now() - requestHedger.lastHelp() < READY_S
         || (cache.loaded() && machineTypes() != null && leadership.awayForAll());
   }
 
--- a/src/main/java/graderelay/service/FeatureDuty.java
+++ b/src/main/java/graderelay/service/FeatureDuty.java
@@ -2,7 +2,6 @@
 
 import graderelay.config.Options;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.features.ClusterStore;
 import graderelay.features.FeatureGate;
 import graderelay.features.Member;
@@ -26,6 +25,9 @@
  * lowers the level while it leads, and leaves when the cluster has gone on without it.
  */
 final class FeatureDuty {
+  /** Seconds between looks at feature levels. */
+  private static final double FEATURE_LOOK_EVERY_S = 1;
+
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   private final Loop loop;
@@ -111,7 +113,7 @@
     if (coordinator != null) {
       coordinator.tick();
     }
-    timer = loop.after(Constants.FEATURE_LOOK_EVERY_S, this::start);
+    timer = loop.after(FEATURE_LOOK_EVERY_S, this::start);
   }
 
   void close() {
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -2,7 +2,6 @@
 
 import graderelay.cloud.CloudClient;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.Scheduler.Outcome;
@@ -203,7 +202,7 @@
     } else if (r.how() == How.NOT_EXECUTED) {
       core.onLimits(
           state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.ownersChanges());
-      loop.after(Constants.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
+      loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
     } else {
       LOG.info("transaction {}: {} {}", id, r.how(), r.body() == null ? "" : r.body());
       // The records as they are now come first; the core decides on them.
@@ -220,7 +219,7 @@
           if (ok) {
             tellOutcome(id, outcome);
           } else {
-            loop.after(Constants.STATE_RETRY_S, () -> catchUpThenTell(id, outcome));
+            loop.after(StateClient.STATE_RETRY_S, () -> catchUpThenTell(id, outcome));
           }
         });
   }
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import graderelay.core.Action;
+import graderelay.core.SchedulerLimits;
 import graderelay.features.Feature;
 import graderelay.net.TokenBucket.Use;
 import graderelay.state.Cache;
@@ -28,6 +28,18 @@
  * answer that is lost or a record that can't be read doesn't matter.
  */
 final class LeaderHints {
+  /** Images named in one of those records: a machine's are bits of one number. */
+  private static final int KEPT_IMAGES = 60;
+
+  /** The same for records in their compact form, at some 18 bytes a machine. */
+  private static final int COMPACT_IMAGE_PARTS_PER_THOUSAND = 12;
+
+  /** Times a value's size that a plain hint may have before its compact form is tried. */
+  private static final int HINT_RATIO = 3;
+
+  /** What of a plain hint is kept if its compact form does not fit a value. */
+  private static final double HINT_KEPT = 0.75;
+
   private static final Logger LOG = LoggerFactory.getLogger("hints");
 
   private final StateClient state;
@@ -48,9 +60,7 @@
 
   /** Records that share the images of each thousand machines. */
   int imagePartsPerThousand() {
-    return compact()
-        ? Constants.COMPACT_IMAGE_PARTS_PER_THOUSAND
-        : Constants.IMAGE_PARTS_PER_THOUSAND;
+    return compact() ? COMPACT_IMAGE_PARTS_PER_THOUSAND : SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
   }
 
   /** The images on machines in all records, the newer form last. */
@@ -97,8 +107,7 @@
   void keepImages(Action.KeepImages k) {
     // By name, since neighbours in that order differ in little.
     Map<String, List<String>> machines = new TreeMap<>(k.machines());
-    IntFunction<ObjectNode> within =
-        bytes -> StateCodec.images(machines, Constants.KEPT_IMAGES, bytes);
+    IntFunction<ObjectNode> within = bytes -> StateCodec.images(machines, KEPT_IMAGES, bytes);
     if (compact()) {
       put(FeatureCodec.IMAGE_HINTS + k.part(), packed(within));
     } else {
@@ -112,10 +121,10 @@
    * @param within makes the plain form in so many bytes
    */
   private ObjectNode packed(IntFunction<ObjectNode> within) {
-    int plainBytes = mostBytes * Constants.HINT_RATIO;
+    int plainBytes = mostBytes * HINT_RATIO;
     ObjectNode packed = CompactHints.pack(within.apply(plainBytes));
     while (Json.write(packed).length > mostBytes) {
-      plainBytes = (int) (plainBytes * Constants.HINT_KEPT);
+      plainBytes = (int) (plainBytes * HINT_KEPT);
       packed = CompactHints.pack(within.apply(plainBytes));
     }
     return packed;
--- a/src/main/java/graderelay/service/LeaderOffice.java
+++ b/src/main/java/graderelay/service/LeaderOffice.java
@@ -1,6 +1,5 @@
 package graderelay.service;
 
-import graderelay.constants.Constants;
 import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Scheduler;
@@ -9,6 +8,7 @@
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
+import graderelay.state.StateClient;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
 import java.util.List;
@@ -23,6 +23,9 @@
  * this node follows.
  */
 final class LeaderOffice implements Leadership.Listener {
+  /** Seconds between looks whether the records are read, for a node that has won the term. */
+  private static final double TAKE_UP_RETRY_S = 0.02;
+
   private final Loop loop;
   private final Cache cache;
   private final BooleanSupplier leading;
@@ -136,7 +139,7 @@
   private void takeUp(long term, double since) {
     if (!cache.loaded()) {
       if (!closed && leading.getAsBoolean() && fencingToken.getAsLong() == term) {
-        loop.after(Constants.TAKE_UP_RETRY_S, () -> takeUp(term, since));
+        loop.after(TAKE_UP_RETRY_S, () -> takeUp(term, since));
       }
       return;
     }
@@ -146,7 +149,7 @@
             return;
           }
           if (!ok || types.get() == null) {
-            loop.after(Constants.STATE_RETRY_S, () -> takeUp(term, since));
+            loop.after(StateClient.STATE_RETRY_S, () -> takeUp(term, since));
             return;
           }
           current = newTerm.get();
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -4,11 +4,11 @@
 import graderelay.cloud.CloudClient;
 import graderelay.config.OperatorSettings;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.Heartbeat;
 import graderelay.core.MachineType;
 import graderelay.core.Policy;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerLimits;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.WorkerCommand;
 import graderelay.features.Feature;
@@ -255,7 +255,7 @@
     }
     core.tick(loop.now());
     actions.carryOut();
-    tickTimer = loop.after(Constants.TICK_S, this::tick);
+    tickTimer = loop.after(ControllerNode.TICK_S, this::tick);
   }
 
   /** Several events of one moment are decided on together. */
@@ -273,7 +273,7 @@
     }
     double wait = core.step(loop.now());
     actions.carryOut();
-    if (wait < Constants.ROUND_EVERY_S * 2 && !stepping) {
+    if (wait < SchedulerLimits.ROUND_EVERY_S * 2 && !stepping) {
       stepping = true;
       stepTimer = loop.after(wait, this::step);
     }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -1,7 +1,6 @@
 package graderelay.service;
 
 import graderelay.cloud.CloudClient;
-import graderelay.constants.Constants;
 import graderelay.core.MachineType;
 import graderelay.net.Loop;
 import java.util.List;
@@ -9,10 +8,13 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the cloud's machine types: every {@link Constants#TYPES_RETRY_S} until it has them, then
- * every {@link Constants#TYPES_EVERY_S} on the leader and five times as seldom on a follower.
+ * Reads the cloud's machine types: every {@link #TYPES_RETRY_S} until it has them, then every
+ * {@link #TYPES_EVERY_S} on the leader and five times as seldom on a follower.
  */
 final class MachineTypePoller {
+  /** Seconds between reads of the machine types by the owner: spot prices move slowly. */
+  private static final double TYPES_EVERY_S = 60;
+
   private final Loop loop;
   private final CloudClient cloud;
   private final BooleanSupplier leading;
@@ -63,8 +65,8 @@
           }
           double wait =
               types == null
-                  ? Constants.TYPES_RETRY_S
-                  : Constants.TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
+                  ? CloudClient.TYPES_RETRY_S
+                  : TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
           timer = loop.after(wait, this::read);
         });
   }
--- a/src/main/java/graderelay/service/Membership.java
+++ b/src/main/java/graderelay/service/Membership.java
@@ -1,6 +1,5 @@
 package graderelay.service;
 
-import graderelay.constants.Constants;
 import graderelay.features.Member;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
@@ -69,7 +68,7 @@
                   if (ok) {
                     look();
                   } else {
-                    loop.after(Constants.STATE_RETRY_S, this::look);
+                    loop.after(StateClient.STATE_RETRY_S, this::look);
                   }
                 }));
   }
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -1,6 +1,5 @@
 package graderelay.service;
 
-import graderelay.constants.Constants;
 import graderelay.core.Scheduler;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket;
@@ -22,6 +21,12 @@
  * a registry costs start-up time and memory that a small machine has better use for.
  */
 public final class Metrics {
+  /** Seconds between looks at how late the event loop is. */
+  private static final double DELAY_PROBE_S = 1;
+
+  /** Measured times kept until somebody reads the metrics for the first time. */
+  private static final int MOST_UNREAD_SPANS = 256;
+
   /** Something whose present value is asked for. */
   private record Source(String name, Tags tags, ToDoubleFunction<Metrics> value) {}
 
@@ -45,9 +50,9 @@
 
   /** Starts to measure how late the event loop is. */
   public void start() {
-    double due = loop.now() + Constants.DELAY_PROBE_S;
+    double due = loop.now() + DELAY_PROBE_S;
     loop.after(
-        Constants.DELAY_PROBE_S,
+        DELAY_PROBE_S,
         () -> {
           span("graderelay.loop.delay", Math.max(0, loop.now() - due));
           if (!closed) {
@@ -70,7 +75,7 @@
   public void span(String name, double seconds) {
     if (registry != null) {
       timer(name).record((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
-    } else if (unread.size() < Constants.MOST_UNREAD_SPANS) {
+    } else if (unread.size() < MOST_UNREAD_SPANS) {
       unread.add(new Span(name, seconds));
     }
   }
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -2,12 +2,18 @@
 
 import graderelay.config.OperatorSettings;
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.Policy;
+import graderelay.core.TaskBatchRecord;
 import graderelay.state.StateClient;
 
 /** Builds the core's {@link Policy} from the settings and what the state service allows now. */
 final class SchedulerPolicy {
+  /**
+   * Orders sent straight to workers in a second, for each core that a controller has: each may cost
+   * a connection, about a millisecond, so this many take about a fifth of what it has.
+   */
+  private static final double DIRECT_PER_CORE_S = 200;
+
   private SchedulerPolicy() {}
 
   /** The policy of a term that starts now. */
@@ -22,7 +28,7 @@
         settings.least().txnOps(),
         (int) ((state.smaller() ? settings.least() : settings.now()).valueKb() * 1024),
         state.ownersChanges(),
-        settings.cpuShare() * Constants.DIRECT_PER_CORE_S,
+        settings.cpuShare() * DIRECT_PER_CORE_S,
         settings.waits(),
         settings.waitSteps(),
         settings.finishes(),
@@ -32,6 +38,6 @@
   /** The most tasks in one slice record, at least one. */
   static int mostSliceTasks(Settings s) {
     // New records fit what the state service will allow as well.
-    return Math.max(1, (int) (s.least().valueKb() * 1024 / Constants.SLICE_BYTES_PER_TASK));
+    return Math.max(1, (int) (s.least().valueKb() * 1024 / TaskBatchRecord.SLICE_BYTES_PER_TASK));
   }
 }
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -1,7 +1,6 @@
 package graderelay.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.constants.Constants;
 import graderelay.core.JobSpec;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
@@ -28,6 +27,18 @@
  * states; who needs the truth asks for a catch-up first, which many can share.
  */
 public final class Cache {
+  /** Milliseconds that a watch is asked to wait; short, so that its end shows a healthy path. */
+  private static final int WATCH_BLOCK_MS = 1000;
+
+  /** Seconds between catch-up reads; all reads in between share the next one. */
+  private static final double CATCH_UP_EVERY_S = 0.04;
+
+  /** Seconds between watches at the least, so that a burst of changes costs few requests. */
+  private static final double WATCH_EVERY_S = 0.02;
+
+  /** Final states kept in memory; older ones are read from the state service. */
+  private static final int FINAL_STATES = 4096;
+
   private static final Logger LOG = LoggerFactory.getLogger("cache");
 
   /** A live job. */
@@ -85,7 +96,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
-          return size() > Constants.FINAL_STATES;
+          return size() > FINAL_STATES;
         }
       };
 
@@ -288,7 +299,7 @@
         pages -> {
           if (pages == null) {
             loading = false;
-            loop.after(Constants.STATE_RETRY_S, this::load);
+            loop.after(StateClient.STATE_RETRY_S, this::load);
           } else {
             got.add(pages);
             if (prefixes[i].equals(StateCodec.TERM) && !headKnown) {
@@ -312,7 +323,7 @@
         pages -> {
           loading = false;
           if (pages == null) {
-            loop.after(Constants.STATE_RETRY_S, this::load);
+            loop.after(StateClient.STATE_RETRY_S, this::load);
           } else {
             got.add(pages);
             take(got);
@@ -369,7 +380,7 @@
             listener.onQuota();
             watch(++generation);
           } else {
-            loop.after(Constants.STATE_RETRY_S, this::load);
+            loop.after(StateClient.STATE_RETRY_S, this::load);
           }
         });
   }
@@ -379,7 +390,7 @@
     if (closed || gen != generation) {
       return;
     }
-    double pause = Math.max(Constants.WATCH_EVERY_S, state.readEveryS());
+    double pause = Math.max(WATCH_EVERY_S, state.readEveryS());
     double wait = lastWatch + pause - loop.now();
     if (wait > 0) {
       loop.after(wait, () -> watch(gen));
@@ -390,7 +401,7 @@
     state.watch(
         StateCodec.ROOT,
         revision,
-        Constants.WATCH_BLOCK_MS,
+        WATCH_BLOCK_MS,
         Use.CLAIM,
         r -> {
           if (r.done()) {
@@ -401,7 +412,7 @@
             loaded = false;
             load();
           } else {
-            loop.after(Constants.STATE_RETRY_S, () -> watch(gen));
+            loop.after(StateClient.STATE_RETRY_S, () -> watch(gen));
           }
         });
   }
@@ -417,7 +428,7 @@
       return;
     }
     catching = true;
-    double pause = Math.max(Constants.CATCH_UP_EVERY_S, state.readEveryS());
+    double pause = Math.max(CATCH_UP_EVERY_S, state.readEveryS());
     double wait = lastCatch + pause - loop.now();
     if (wait > 0) {
       loop.after(wait, this::catchNow);
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -1,9 +1,9 @@
 package graderelay.state;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.CancellationKnowledge;
 import graderelay.core.Heartbeat;
+import graderelay.core.LeaseTiming;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
 import java.util.ArrayList;
@@ -26,6 +26,15 @@
  * have told a user. A message that a job was cancelled helps, but proves nothing: it may be lost.
  */
 public final class Cancellations {
+  /** Seconds by which what is known of cancellations is old when the peers are asked. */
+  private static final double ASK_CANCELLATIONS_S = 2;
+
+  /**
+   * Cancelled jobs, not over yet, in a word to a peer, at some 12 bytes each; beyond that it says
+   * nothing. Their number depends on users and on how fast records are written, not on machines.
+   */
+  private static final int MOST_CANCELLATIONS = 8000;
+
   private final Loop loop;
   private final Cache cache;
   private final List<Settings.Peer> peers;
@@ -106,7 +115,7 @@
 
   /** True if what we know is getting old, so that the peers should be asked. */
   public boolean ageing() {
-    return loop.now() > knownUntil() + Constants.ASK_CANCELLATIONS_S;
+    return loop.now() > knownUntil() + ASK_CANCELLATIONS_S;
   }
 
   /** The kills that go with an answer to this report; anybody may order these, at any time. */
@@ -144,7 +153,7 @@
     prune();
     Collection<String> jobs = new TreeSet<>(cache.stopped());
     jobs.addAll(heard.keySet());
-    if (jobs.size() > Constants.MOST_CANCELLATIONS) {
+    if (jobs.size() > MOST_CANCELLATIONS) {
       return CancellationKnowledge.NONE;
     }
     double now = loop.now();
@@ -165,7 +174,7 @@
   public void heard(String peer, double sentAt, CancellationKnowledge w) {
     adopt(sentAt, w);
     // What an earlier process of that peer has told is known only if it ended before our figure.
-    double began = loop.now() - w.processS() * (1 - Constants.DRIFT);
+    double began = loop.now() - w.processS() * (1 - LeaseTiming.DRIFT);
     if (w.complete() || (w.processS() > 0 && knownUntil() >= began)) {
       vouched.merge(peer, sentAt, Math::max);
     }
@@ -182,7 +191,7 @@
   public void adopt(double sentAt, CancellationKnowledge w) {
     w.jobs().forEach(this::learn);
     if (w.knownS() >= 0) {
-      knownByWord = Math.max(knownByWord, sentAt - w.knownS() * (1 + Constants.DRIFT));
+      knownByWord = Math.max(knownByWord, sentAt - w.knownS() * (1 + LeaseTiming.DRIFT));
     }
   }
 }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
+import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
@@ -22,6 +22,61 @@
  * state service lets anybody else in.
  */
 public final class Leadership {
+  /** Share of the hold between renewals, so that two may be lost. */
+  private static final double RENEW_OF_HOLD = 0.25;
+
+  /** Seconds before the hold's own end at which the owner counts it as over. */
+  private static final double HOLD_MARGIN_S = 0.25;
+
+  /** Seconds of pause before a node tries again to take over, with as much again at random. */
+  private static final double TAKEOVER_RETRY_S = 0.15;
+
+  /**
+   * Seconds for which a peer promises not to take over, while the owner can't renew its hold. A
+   * restarted node waits as long, since it may have forgotten a promise.
+   */
+  private static final double PROMISE_S = 0.6;
+
+  /** Seconds between requests for promises. */
+  private static final double PROMISE_EVERY_S = 0.2;
+
+  /**
+   * Seconds for which a peer promises not to take over while leases are kept alive without an
+   * owner. A restarted node waits as long before it takes over, so it is short.
+   */
+  private static final double KEEP_S = 0.6;
+
+  /** Seconds between requests for such promises. */
+  private static final double KEEP_EVERY_S = 0.2;
+
+  /**
+   * Seconds for which an owner counts on a silent peer's bar after it last read the records, and
+   * for which that peer waits on its way out of it. Longer than outages of the state service that
+   * were met, and no longer than users can wait should all others be gone.
+   */
+  public static final double BAR_S = 30;
+
+  /** Seconds of silence after which a peer is barred: a few questions, and less than a restart. */
+  public static final double BAR_AFTER_S = 3.2;
+
+  /** Seconds between looks of a barred node whether it may take over. */
+  private static final double BAR_LOOK_S = 0.5;
+
+  /** Seconds after the end of a promise at which a node tries to take over. */
+  private static final double AFTER_BAR_S = 0.005;
+
+  /** Seconds before the end of a promise at which it counts as over. */
+  static final double KEEP_MARGIN_S = 0.05;
+
+  /** Seconds of failing calls after which a node takes the state service for away. */
+  public static final double KEEP_AFTER_S = 0.5;
+
+  /** Seconds since a worker last asked for which the promises are kept up. */
+  private static final double KEEP_WANTED_S = 10;
+
+  /** Seconds of failing renewals after which a peer that is served better gets the fleet. */
+  private static final double HANDOVER_S = 0.8;
+
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
   /** Hears of changes. */
@@ -114,8 +169,8 @@
     cancellations.mutePeers(p -> loop.now() < supervisor.suspendedUntil(p));
     this.holdS = holdS;
     // An earlier process of this member may have made a promise just before it ended.
-    this.keepBefore = loop.now() + Constants.KEEP_S * (1 + Constants.DRIFT);
-    this.notBefore = loop.now() + Constants.PROMISE_S * (1 + Constants.DRIFT);
+    this.keepBefore = loop.now() + KEEP_S * (1 + LeaseTiming.DRIFT);
+    this.notBefore = loop.now() + PROMISE_S * (1 + LeaseTiming.DRIFT);
   }
 
   /** What this leadership shows its supervisor of peers. */
@@ -205,12 +260,12 @@
     }
     if (b.leaving().equals(self)) {
       leftAt = Double.isNaN(leftAt) ? loop.now() : leftAt;
-      double wait = leftAt + Constants.BAR_S * (1 + Constants.DRIFT) - loop.now();
+      double wait = leftAt + BAR_S * (1 + LeaseTiming.DRIFT) - loop.now();
       if (wait <= 0) {
         return true;
       }
       // Looked at again soon: the owner may lift the bar meanwhile.
-      later(Math.min(wait, Constants.BAR_LOOK_S), this::consider);
+      later(Math.min(wait, BAR_LOOK_S), this::consider);
       return false;
     }
     leftAt = Double.NaN;
@@ -234,7 +289,7 @@
     if (owner || closed || cache.term() > itsTerm) {
       return false;
     }
-    notBefore = Math.max(notBefore, loop.now() + seconds * (1 + Constants.DRIFT));
+    notBefore = Math.max(notBefore, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
     promisedTerm = Math.max(promisedTerm, itsTerm);
     return true;
   }
@@ -261,7 +316,7 @@
     for (Settings.Peer p : mesh.peers()) {
       mesh.send(
           p.address(),
-          new PeerRequest.Pledge(member, of, Constants.PROMISE_S),
+          new PeerRequest.Pledge(member, of, PROMISE_S),
           PeerCodec::pledged,
           mesh.timeoutS(),
           answer -> {
@@ -271,19 +326,18 @@
             }
             if (answer.granted()) {
               promised.put(
-                  p.member(),
-                  sentAt + Constants.PROMISE_S * (1 - Constants.DRIFT) - Constants.KEEP_MARGIN_S);
+                  p.member(), sentAt + PROMISE_S * (1 - LeaseTiming.DRIFT) - KEEP_MARGIN_S);
             }
             boolean alone =
                 answer.reachesState()
                     && !Double.isNaN(failingSince)
-                    && loop.now() - failingSince > Constants.HANDOVER_S;
+                    && loop.now() - failingSince > HANDOVER_S;
             if (alone) {
               handOver(p);
             }
           });
     }
-    loop.after(Constants.PROMISE_EVERY_S, this::askPeers);
+    loop.after(PROMISE_EVERY_S, this::askPeers);
   }
 
   /** The state service refuses us alone: who is served should own the fleet. */
@@ -291,7 +345,7 @@
     long old = hold;
     long of = term;
     lose("only this node can't reach the state service; leaving the fleet to " + p.member());
-    standBack(Constants.PROMISE_S);
+    standBack(PROMISE_S);
     mesh.send(
         p.address(),
         new PeerRequest.Handover(member, of, old),
@@ -337,7 +391,7 @@
       return;
     }
     if (o == null) {
-      later(random.getAsDouble() * Constants.TAKEOVER_RETRY_S / 3, this::take);
+      later(random.getAsDouble() * TAKEOVER_RETRY_S / 3, this::take);
     } else if (o.member().equals(member)) {
       // Our own earlier process, which is dead: nobody else runs under our name.
       trying = true;
@@ -372,9 +426,7 @@
   }
 
   private void again() {
-    later(
-        Constants.TAKEOVER_RETRY_S * (1 + random.getAsDouble()),
-        () -> cache.catchUp(ok -> consider()));
+    later(TAKEOVER_RETRY_S * (1 + random.getAsDouble()), () -> cache.catchUp(ok -> consider()));
   }
 
   /** Keeps this node from taking over for a while, after it gave the fleet up. */
@@ -420,12 +472,12 @@
   public boolean awayForAll() {
     double now = loop.now();
     return stateAway()
-        && now - lastAway < Constants.REACHES_S
-        && now - lastReaching > Constants.REACHES_S;
+        && now - lastAway < StateClient.REACHES_S
+        && now - lastReaching > StateClient.REACHES_S;
   }
 
   private boolean stateAway() {
-    return state.failingFor() > Constants.KEEP_AFTER_S;
+    return state.failingFor() > KEEP_AFTER_S;
   }
 
   /** A worker asks for us while nobody owns the fleet: sees whether its lease can be kept alive. */
@@ -437,8 +489,7 @@
   }
 
   private void askKeep() {
-    askingKeep =
-        !closed && !owner && stateAway() && loop.now() - lastWant < Constants.KEEP_WANTED_S;
+    askingKeep = !closed && !owner && stateAway() && loop.now() - lastWant < KEEP_WANTED_S;
     if (!askingKeep) {
       return;
     }
@@ -446,19 +497,18 @@
     for (Settings.Peer p : mesh.peers()) {
       mesh.send(
           p.address(),
-          new PeerRequest.KeepPledge(member, Constants.KEEP_S),
+          new PeerRequest.KeepPledge(member, KEEP_S),
           PeerCodec::pledged,
           mesh.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
             if (answer != null && answer.granted()) {
               keepPromised.put(
-                  p.member(),
-                  sentAt + Constants.KEEP_S * (1 - Constants.DRIFT) - Constants.KEEP_MARGIN_S);
+                  p.member(), sentAt + KEEP_S * (1 - LeaseTiming.DRIFT) - KEEP_MARGIN_S);
             }
           });
     }
-    loop.after(Constants.KEEP_EVERY_S, this::askKeep);
+    loop.after(KEEP_EVERY_S, this::askKeep);
   }
 
   /**
@@ -468,7 +518,7 @@
     if (owner || closed || state.reached()) {
       return false;
     }
-    keepBefore = Math.max(keepBefore, loop.now() + seconds * (1 + Constants.DRIFT));
+    keepBefore = Math.max(keepBefore, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
     return true;
   }
 
@@ -481,7 +531,7 @@
     }
     double barred = barredUntil(ours) - loop.now();
     if (barred > 0) {
-      later(barred + Constants.AFTER_BAR_S, this::consider);
+      later(barred + AFTER_BAR_S, this::consider);
       return;
     }
     if (!leftBar()) {
@@ -563,7 +613,7 @@
             state.endHold(newHold, x -> {});
             again();
           } else {
-            loop.after(Constants.TAKEOVER_RETRY_S, () -> resolve(newTerm, newHold, sentAt, ours));
+            loop.after(TAKEOVER_RETRY_S, () -> resolve(newTerm, newHold, sentAt, ours));
           }
         });
   }
@@ -589,12 +639,11 @@
   }
 
   private void counted(double sentAt) {
-    heldUntil =
-        Math.max(heldUntil, sentAt + holdS * (1 - Constants.DRIFT) - Constants.HOLD_MARGIN_S);
+    heldUntil = Math.max(heldUntil, sentAt + holdS * (1 - LeaseTiming.DRIFT) - HOLD_MARGIN_S);
   }
 
   private void renewLater() {
-    renewal = loop.after(holdS * Constants.RENEW_OF_HOLD, this::renew);
+    renewal = loop.after(holdS * RENEW_OF_HOLD, this::renew);
   }
 
   private void renew() {
@@ -605,7 +654,7 @@
     long of = hold;
     state.extendHold(
         of,
-        holdS * Constants.RENEW_OF_HOLD * 2,
+        holdS * RENEW_OF_HOLD * 2,
         r -> {
           if (!owner || hold != of) {
             return;
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
+import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
@@ -22,6 +22,9 @@
  * it is suspended by a record that its own election is conditioned on.
  */
 final class PeerSupervisor {
+  /** Seconds between an owner's questions to its peers. */
+  private static final double LOOK_AFTER_EVERY_S = 1;
+
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
   /** Seconds after an election in which nobody is suspended: answers are still to come. */
@@ -88,7 +91,7 @@
   /** True if the peer answered our last questions. */
   boolean hears(String peer) {
     double last = lastHeard.getOrDefault(peer, Double.NEGATIVE_INFINITY);
-    return leader.leads() && loop.now() - last < Constants.LOOK_AFTER_EVERY_S * 1.5;
+    return leader.leads() && loop.now() - last < LOOK_AFTER_EVERY_S * 1.5;
   }
 
   /**
@@ -98,7 +101,7 @@
    */
   double suspendedUntil(String peer) {
     return leader.leads() && stands(cache.bar(peer), peer) && cache.sureAt() >= wonAt
-        ? cache.sureAt() + Constants.BAR_S * (1 - Constants.DRIFT) - Constants.KEEP_MARGIN_S
+        ? cache.sureAt() + Leadership.BAR_S * (1 - LeaseTiming.DRIFT) - Leadership.KEEP_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
 
@@ -128,7 +131,7 @@
           });
       suspendOrLift(p.member());
     }
-    loop.after(Constants.LOOK_AFTER_EVERY_S, this::ask);
+    loop.after(LOOK_AFTER_EVERY_S, this::ask);
   }
 
   private void suspendOrLift(String peer) {
@@ -138,7 +141,7 @@
     }
     StateCodec.Bar present = cache.bar(peer);
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
-    boolean suspends = !stands(present, peer) && silent > Constants.BAR_AFTER_S;
+    boolean suspends = !stands(present, peer) && silent > Leadership.BAR_AFTER_S;
     String key = cache.election().suspensionKey(peer);
     StateClient.Txn txn =
         new StateClient.Txn()
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -3,12 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
+import graderelay.core.SchedulerLimits;
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.TokenBucket;
 import graderelay.net.TokenBucket.Use;
 import graderelay.net.Transport;
+import graderelay.peer.RequestHedger;
 import graderelay.wire.Json;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -23,6 +24,39 @@
 
 /** Speaks the state service's protocol, within this node's share of its rates. */
 public final class StateClient {
+  /** Seconds since its last answer for which a node says that it reaches the state service. */
+  static final double REACHES_S = 1.3;
+
+  /** Share of the deployment's request rate that the owner gives itself. */
+  private static final double OWNER_REQUESTS = 0.42;
+
+  /** Share of the request rate that the others have together; the rest is for renewals. */
+  private static final double OTHERS_REQUESTS = 0.5;
+
+  /** Share of the deployment's change rate that the owner gives itself. */
+  private static final double OWNER_CHANGES = 0.7;
+
+  /** Share of the change rate that the others have together. */
+  private static final double OTHERS_CHANGES = 0.3;
+
+  /**
+   * Requests in whose time at a node's own rate one catch-up read and one watch may go: a quarter
+   * each, so that half is left for what users ask and the owner writes.
+   */
+  private static final double READ_EVERY_REQUESTS = 4;
+
+  /** Seconds for which a peer may use what the owner has lent it: a few of its messages. */
+  private static final double LENT_S = 3.5;
+
+  /** Seconds to wait for an ordinary answer: usually 10 ms, at times a few hundred. */
+  public static final double STATE_TIMEOUT_S = 1.2;
+
+  /** Seconds before a failed call to the state service is repeated. */
+  public static final double STATE_RETRY_S = 0.2;
+
+  /** Items in one page of a list, a batch: each may be near the value limit of some 16 KiB. */
+  private static final int PAGE_ITEMS = 200;
+
   /** How a call ended. */
   public enum How {
     DONE,
@@ -125,11 +159,11 @@
   }
 
   private double othersRequests() {
-    return rps * Constants.OTHERS_REQUESTS / others;
+    return rps * OTHERS_REQUESTS / others;
   }
 
   private double othersChanges() {
-    return changesPerS * Constants.OTHERS_CHANGES / others;
+    return changesPerS * OTHERS_CHANGES / others;
   }
 
   /** Changes a second of a node that does not own the fleet, unless the owner lends it more. */
@@ -153,9 +187,9 @@
   /** The owner lets us make so many changes a second for the moment. */
   void borrow(double rate) {
     changes.rate(Math.max(othersChanges(), rate));
-    borrowedUntil = loop.now() + Constants.LENT_S;
+    borrowedUntil = loop.now() + LENT_S;
     loop.after(
-        Constants.LENT_S,
+        LENT_S,
         () -> {
           if (!owner && loop.now() >= borrowedUntil) {
             changes.rate(othersChanges());
@@ -172,19 +206,19 @@
 
   /** Changes a second that this node may make while it owns the fleet. */
   public double ownersChanges() {
-    return changesPerS * Constants.OWNER_CHANGES;
+    return changesPerS * OWNER_CHANGES;
   }
 
   /** The owner has the larger share: claims must not starve behind what the others read. */
   public void owns(boolean owner) {
     this.owner = owner;
-    requests.rate(owner ? rps * Constants.OWNER_REQUESTS : othersRequests());
+    requests.rate(owner ? rps * OWNER_REQUESTS : othersRequests());
     changes.rate(owner ? ownersChanges() : othersChanges());
   }
 
   /** Seconds that should lie between reads of one kind, so that they fit this node's share. */
   public double readEveryS() {
-    return Constants.READ_EVERY_REQUESTS / requests.rate();
+    return READ_EVERY_REQUESTS / requests.rate();
   }
 
   /** When the service last answered this node properly. */
@@ -199,7 +233,7 @@
 
   /** True if the service serves this node: its last call went well, a moment ago. */
   public boolean reached() {
-    return failingFor() == 0 && loop.now() - lastOk < Constants.REACHES_S;
+    return failingFor() == 0 && loop.now() - lastOk < REACHES_S;
   }
 
   /**
@@ -209,7 +243,7 @@
   public boolean stuck() {
     return failingFor() > 0
         || (!unanswered.isEmpty()
-            && loop.now() - unanswered.values().iterator().next() > Constants.HEDGE_S / 2);
+            && loop.now() - unanswered.values().iterator().next() > RequestHedger.HEDGE_S / 2);
   }
 
   public TokenBucket requestTokens() {
@@ -226,7 +260,7 @@
   }
 
   public void get(String key, Use use, Consumer<Result> done) {
-    call(use, "GET", "/store/" + key, null, Constants.STATE_TIMEOUT_S, done);
+    call(use, "GET", "/store/" + key, null, STATE_TIMEOUT_S, done);
   }
 
   /** Reads all keys under a prefix, page by page. The first page's revision is the list's. */
@@ -241,13 +275,13 @@
             + enc(prefix)
             + (after == null ? "" : "&after=" + enc(after))
             + "&most="
-            + Constants.PAGE_ITEMS;
+            + PAGE_ITEMS;
     call(
         use,
         "GET",
         path,
         null,
-        Constants.STATE_TIMEOUT_S,
+        STATE_TIMEOUT_S,
         r -> {
           if (!r.done()) {
             done.accept(null);
@@ -277,7 +311,7 @@
 
   /** Conditions that a transaction may have beside the fence. */
   static int mostConditions(int txnOps) {
-    return Math.max(1, txnOps * Constants.CONDITIONS_PER_OP - 1);
+    return Math.max(1, txnOps * SchedulerLimits.CONDITIONS_PER_OP - 1);
   }
 
   public void commit(Txn txn, Use use, Consumer<Result> done) {
@@ -302,14 +336,14 @@
             done.accept(new Result(How.NOT_EXECUTED, null));
           } else {
             taken += txn.changes.size();
-            call(use, "POST", "/multi", body, Constants.STATE_TIMEOUT_S, done);
+            call(use, "POST", "/multi", body, STATE_TIMEOUT_S, done);
           }
         });
   }
 
   public void createHold(long lifeMs, Consumer<Result> done) {
     ObjectNode body = Json.object().put("life_ms", lifeMs);
-    call(Use.RENEWAL, "POST", "/holds", body, Constants.STATE_TIMEOUT_S, done);
+    call(Use.RENEWAL, "POST", "/holds", body, STATE_TIMEOUT_S, done);
   }
 
   public void extendHold(long hold, double timeoutS, Consumer<Result> done) {
@@ -317,13 +351,13 @@
   }
 
   public void endHold(long hold, Consumer<Result> done) {
-    call(Use.RENEWAL, "DELETE", "/holds/" + hold, null, Constants.STATE_TIMEOUT_S, done);
+    call(Use.RENEWAL, "DELETE", "/holds/" + hold, null, STATE_TIMEOUT_S, done);
   }
 
   /** Changes under a prefix after a revision; with {@code blockMs} 0 it only catches up. */
   public void watch(String prefix, long after, int blockMs, Use use, Consumer<Result> done) {
     String path = "/watch?under=" + enc(prefix) + "&after=" + after + "&block_ms=" + blockMs;
-    call(use, "GET", path, null, Constants.STATE_TIMEOUT_S + blockMs / 1000.0, done);
+    call(use, "GET", path, null, STATE_TIMEOUT_S + blockMs / 1000.0, done);
   }
 
   private static String enc(String s) {
@@ -342,7 +376,7 @@
           }
           byte[] bytes = body == null ? null : Json.write(body);
           long call = nextCall++;
-          if (timeoutS <= Constants.STATE_TIMEOUT_S) {
+          if (timeoutS <= STATE_TIMEOUT_S) {
             unanswered.put(call, loop.now());
           }
           transport.call(
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -1,6 +1,5 @@
 package graderelay.state;
 
-import graderelay.constants.Constants;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -9,6 +8,18 @@
  * them back bit by bit.
  */
 final class WriteCapacityLending {
+  /** Times what a peer wrote in the last second that it may write: users come in bursts. */
+  private static final double SHARE_ROOM = 2;
+
+  /** Share of the deployment's changes that one peer may have at most. */
+  private static final double MOST_SHARE = 0.25;
+
+  /** Share of what a peer could write that it keeps for the next second when it needs less. */
+  private static final double SHARE_KEPT = 0.85;
+
+  /** Share of its own changes that an owner lends at most: claims and ends must go on. */
+  private static final double MOST_LENT = 0.35;
+
   private final StateClient state;
 
   /** Changes a second that each peer may make. */
@@ -31,14 +42,14 @@
   /** A peer made, or would have made, so many changes since it was last asked. */
   void wanted(String peer, double changes) {
     double usual = state.usualShare();
-    double most = state.allChanges() * Constants.MOST_SHARE;
-    double need = Math.min(most, changes * Constants.SHARE_ROOM);
-    shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * Constants.SHARE_KEPT)));
+    double most = state.allChanges() * MOST_SHARE;
+    double need = Math.min(most, changes * SHARE_ROOM);
+    shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * SHARE_KEPT)));
     double lent = 0;
     for (double s : shares.values()) {
       lent += s - usual;
     }
-    double mostLent = state.ownersChanges() * Constants.MOST_LENT;
+    double mostLent = state.ownersChanges() * MOST_LENT;
     if (lent > mostLent) {
       double scale = mostLent / lent;
       shares.replaceAll((p, s) -> usual + (s - usual) * scale);
--- a/src/main/java/graderelay/wire/CompactHints.java
+++ b/src/main/java/graderelay/wire/CompactHints.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import io.airlift.compress.MalformedInputException;
 import io.airlift.compress.zstd.ZstdCompressor;
 import io.airlift.compress.zstd.ZstdDecompressor;
@@ -14,6 +13,9 @@
  * letter, so that a record takes a small part of its plain form.
  */
 public final class CompactHints {
+  /** Bytes of a compact hint once it is decompressed; more is a mistake. */
+  private static final int MOST_HINT_BYTES = 1024 * 1024;
+
   private static final String PACKED = "z";
 
   private CompactHints() {}
@@ -50,7 +52,7 @@
   private static byte[] decompressed(byte[] packed) throws MalformedRecord {
     try {
       long size = ZstdDecompressor.getDecompressedSize(packed, 0, packed.length);
-      if (size < 0 || size > Constants.MOST_HINT_BYTES) {
+      if (size < 0 || size > MOST_HINT_BYTES) {
         throw new MalformedRecord(PACKED + " would take " + size + " bytes");
       }
       byte[] cbor = new byte[(int) size];
--- a/src/main/java/graderelay/wire/Fields.java
+++ b/src/main/java/graderelay/wire/Fields.java
@@ -1,10 +1,15 @@
 package graderelay.wire;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.constants.Constants;
 
 /** Checked reads of a request's fields; errors name the field. */
 final class Fields {
+  /** Characters of a name in a submission, so that a job's record stays small. */
+  static final int MOST_NAME = 128;
+
+  /** Largest amount of a resource or of seconds in a submission: more is a mistake. */
+  private static final double MOST_AMOUNT = 1e9;
+
   private final JsonNode n;
 
   Fields(JsonNode n) throws BadRequest {
@@ -27,8 +32,8 @@
     if (!v.isTextual() || v.textValue().isEmpty()) {
       throw new BadRequest(name + " must be a string that is not empty");
     }
-    if (v.textValue().length() > Constants.MOST_NAME) {
-      throw new BadRequest(name + " is longer than " + Constants.MOST_NAME + " characters");
+    if (v.textValue().length() > MOST_NAME) {
+      throw new BadRequest(name + " is longer than " + MOST_NAME + " characters");
     }
     return v.textValue();
   }
@@ -61,7 +66,7 @@
   double amount(String name, boolean zeroAllowed) throws BadRequest {
     JsonNode v = need(name);
     double d = v.isNumber() ? v.doubleValue() : Double.NaN;
-    if (!(d >= 0) || d > Constants.MOST_AMOUNT || (d == 0 && !zeroAllowed)) {
+    if (!(d >= 0) || d > MOST_AMOUNT || (d == 0 && !zeroAllowed)) {
       throw new BadRequest(
           name + " must be a number " + (zeroAllowed ? "of at least 0" : "above 0"));
     }
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
 import graderelay.core.Priority;
@@ -15,6 +14,15 @@
 
 /** What passes between users and controllers. */
 public final class UserCodec {
+  /** Jobs that a submission may name; a request has at most 64 KiB. */
+  public static final int MOST_NEEDS = 2000;
+
+  /** Tasks of one job; a limit of the protocol. */
+  private static final int MOST_TASKS = 100_000;
+
+  /** Machine types that a submission may name, for the same reason. */
+  private static final int MOST_TYPES = 32;
+
   /** The field of a submission that names the jobs it waits for. */
   public static final String NEEDS = "awaits";
 
@@ -46,7 +54,7 @@
         f.text("crew"),
         kind,
         priority(f.text("urgency")),
-        f.count("boards", 1, Constants.MOST_TASKS),
+        f.count("boards", 1, MOST_TASKS),
         f.amount("cpus", false),
         f.amount("cards", true),
         f.amount("mem_gb", true),
@@ -74,8 +82,8 @@
     if (!n.isArray()) {
       throw new BadRequest(NEEDS + " must be null or a list of job ids");
     }
-    if (n.size() > Constants.MOST_NEEDS) {
-      throw new BadRequest(NEEDS + " has more than " + Constants.MOST_NEEDS + " entries");
+    if (n.size() > MOST_NEEDS) {
+      throw new BadRequest(NEEDS + " has more than " + MOST_NEEDS + " entries");
     }
     Set<String> needs = new LinkedHashSet<>();
     for (JsonNode need : n) {
@@ -122,13 +130,13 @@
     if (!n.isArray()) {
       throw new BadRequest("rigs must be null or a list of machine types");
     }
-    if (n.size() > Constants.MOST_TYPES) {
-      throw new BadRequest("rigs has more than " + Constants.MOST_TYPES + " entries");
+    if (n.size() > MOST_TYPES) {
+      throw new BadRequest("rigs has more than " + MOST_TYPES + " entries");
     }
     List<String> types = new ArrayList<>();
     for (JsonNode t : n) {
-      if (!t.isTextual() || t.textValue().length() > Constants.MOST_NAME) {
-        throw new BadRequest("rigs must hold strings of at most " + Constants.MOST_NAME);
+      if (!t.isTextual() || t.textValue().length() > Fields.MOST_NAME) {
+        throw new BadRequest("rigs must hold strings of at most " + Fields.MOST_NAME);
       }
       types.add(t.textValue());
     }
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -1,8 +1,8 @@
 package graderelay.worker;
 
 import graderelay.config.Settings;
-import graderelay.constants.Constants;
 import graderelay.core.Heartbeat;
+import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
@@ -22,6 +22,18 @@
  * zone there is nobody outside to be cut off from, and no deputy.
  */
 public final class LeaseDelegate {
+  /** Seconds between a deputy's questions to the owner. */
+  private static final double DEPUTY_ASKS_S = 1;
+
+  /** Seconds without an answer after which a deputy gives its grant back through the records. */
+  private static final double DEPUTY_GIVES_BACK_S = 2;
+
+  /**
+   * Seconds between two looks of a lease delegate after which it takes itself for suspended
+   * meanwhile: what it was granted counts no more until it has heard the leader again.
+   */
+  private static final double SUSPENDED_S = 3;
+
   private final Loop loop;
   private final PeerClient mesh;
   private final Leadership leadership;
@@ -67,7 +79,7 @@
     this.cancellations = cancellations;
     this.member = s.member();
     this.zone = s.zone();
-    this.lengthS = s.grantS() * (1 - Constants.DRIFT);
+    this.lengthS = s.grantS() * (1 - LeaseTiming.DRIFT);
     this.needed = !s.deputies().isEmpty() && lengthS > 0;
     this.self = Long.toHexString(nonce);
     // An earlier process of this member may have answered until it ended.
@@ -95,13 +107,13 @@
   public boolean answers(Heartbeat r) {
     double now = loop.now();
     // After standing still it may have been replaced, and the cluster may have moved on meanwhile.
-    boolean stoodStill = now - lastTick > Constants.SUSPENDED_S;
+    boolean stoodStill = now - lastTick > SUSPENDED_S;
     boolean may =
         now < until
             && !stoodStill
             && !cache.features().gate().isShut()
-            && now > lastContact + Constants.DEPUTY_ALONE_S * (1 + Constants.DRIFT)
-            && state.failingFor() > Constants.KEEP_AFTER_S
+            && now > lastContact + LeaseTiming.DEPUTY_ALONE_S * (1 + LeaseTiming.DRIFT)
+            && state.failingFor() > Leadership.KEEP_AFTER_S
             && zone.equals(r.zone())
             && r.term() <= term
             && cancellations.mayRenew();
@@ -120,7 +132,7 @@
       return;
     }
     double now = loop.now();
-    if (now - lastTick > Constants.SUSPENDED_S) {
+    if (now - lastTick > SUSPENDED_S) {
       until = Double.NEGATIVE_INFINITY;
     }
     lastTick = now;
@@ -135,7 +147,7 @@
     } else if (address != null) {
       ask(address, now);
     }
-    boolean lost = now - lastContact > Constants.DEPUTY_GIVES_BACK_S && state.reached();
+    boolean lost = now - lastContact > DEPUTY_GIVES_BACK_S && state.reached();
     if (lost && of != 0 && until > now) {
       // Users and workers are better served by the owner, which must not wait for us.
       until = Double.NEGATIVE_INFINITY;
@@ -145,7 +157,7 @@
     if (givingBack && state.reached()) {
       giveBack(now);
     }
-    timer = loop.after(Constants.DEPUTY_ASKS_S, this::tick);
+    timer = loop.after(DEPUTY_ASKS_S, this::tick);
   }
 
   private void ask(String address, double sentAt) {
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -1,7 +1,7 @@
 package graderelay.worker;
 
-import graderelay.constants.Constants;
 import graderelay.core.Heartbeat;
+import graderelay.core.SchedulerLimits;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
@@ -27,6 +27,18 @@
  * cut between the two doesn't cost it its lease.
  */
 public final class WorkerApi {
+  /** Seconds within which a worker that comes back is taken to be unable to reach the owner. */
+  private static final double RELAY_MEMORY_S = 12;
+
+  /**
+   * Workers remembered as pointed to the owner, some 150 bytes each: all of a fleet of four
+   * thousand, with as many again that were replaced a moment ago.
+   */
+  private static final int MOST_POINTED = 8192;
+
+  /** Seconds after which a worker whose reports are passed on is pointed to the owner again. */
+  private static final double RELAY_FOR_S = 25;
+
   private record Pointed(double at, double relayedSince, long session, long seq) {}
 
   private final Loop loop;
@@ -92,13 +104,13 @@
       elsewhere(e.to(), o == null ? null : o.member());
       return;
     }
-    boolean back = p != null && now - p.at() < Constants.RELAY_MEMORY_S;
+    boolean back = p != null && now - p.at() < RELAY_MEMORY_S;
     // A worker with the owner's own term was answered by it before: it is here since the owner no
     // longer answers, and to point it back would cost it half its lease. That it was pointed there
     // long ago, before it was answered, is no reason to do so again.
     boolean longAgo = p == null || (!back && p.relayedSince() == Double.POSITIVE_INFINITY);
     back |= longAgo && o != null && r.term() >= o.term();
-    boolean longEnough = back && p != null && now - p.relayedSince() > Constants.RELAY_FOR_S;
+    boolean longEnough = back && p != null && now - p.relayedSince() > RELAY_FOR_S;
     if (address == null || !back || longEnough) {
       if (address != null) {
         remember(r, new Pointed(now, Double.POSITIVE_INFINITY, r.session(), r.seq()));
@@ -124,7 +136,7 @@
 
   private void remember(Heartbeat r, Pointed p) {
     pointed.put(r.machine(), p);
-    if (pointed.size() > Constants.MOST_POINTED) {
+    if (pointed.size() > MOST_POINTED) {
       pointed.remove(pointed.keySet().iterator().next());
     }
   }
@@ -151,7 +163,7 @@
 
   /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
   private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> orders) {
-    byte[] body = Json.write(WorkerCodec.response(term, orders, Constants.MOST_ORDERS));
+    byte[] body = Json.write(WorkerCodec.response(term, orders, SchedulerLimits.MOST_ORDERS));
     to.accept(Answer.json(200, body));
   }
 
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -1,6 +1,5 @@
 package graderelay.worker;
 
-import graderelay.constants.Constants;
 import graderelay.core.Action;
 import graderelay.core.Heartbeat;
 import graderelay.core.Scheduler.Sent;
@@ -11,6 +10,9 @@
 
 /** Sends orders straight to workers: for speed, since reports' responses carry them as well. */
 public final class WorkerClient {
+  /** Seconds to wait for a worker's answer to direct orders. */
+  private static final double WORKER_TIMEOUT_S = 2.0;
+
   /** Hears how orders ended. */
   public interface Done {
     void done(Sent how, Heartbeat report);
@@ -29,7 +31,7 @@
         "POST",
         "/commands",
         body,
-        Constants.WORKER_TIMEOUT_S,
+        WORKER_TIMEOUT_S,
         r -> done.done(how(r), report(r)));
   }
 
--- a/src/test/java/graderelay/BadDependenciesTest.java
+++ b/src/test/java/graderelay/BadDependenciesTest.java
@@ -6,11 +6,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.constants.Constants;
 import graderelay.sim.RandomDay;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.wire.Json;
+import graderelay.wire.UserCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -176,10 +176,10 @@
   void moreNamesThanASubmissionMayHaveAreRefusedWithTheLimit() {
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[]");
-    for (int i = 0; i <= Constants.MOST_NEEDS; i++) {
+    for (int i = 0; i <= UserCodec.MOST_NEEDS; i++) {
       body.withArray("awaits").add(jobs.over.id);
     }
-    assertRefused(jobs.submit(1, body), 400, String.valueOf(Constants.MOST_NEEDS));
+    assertRefused(jobs.submit(1, body), 400, String.valueOf(UserCodec.MOST_NEEDS));
     fine(jobs.world);
   }
 
--- a/src/test/java/graderelay/LargeJobsTest.java
+++ b/src/test/java/graderelay/LargeJobsTest.java
@@ -3,8 +3,8 @@
 import static graderelay.ScenarioSteps.hearing;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.constants.Constants;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerLimits;
 import graderelay.sim.SimWorld;
 import java.util.List;
 import java.util.Map;
@@ -35,7 +35,7 @@
       SchedulerFixture.commitAll(s, mark += 2, now + 0.7);
     }
     assertThat(SchedulerFixture.tasksStarted(s, "j-9")).isPositive();
-    assertThat(now).isBetween(Constants.WAITING_WINS_S, 120.0);
+    assertThat(now).isBetween(SchedulerLimits.WAITING_WINS_S, 120.0);
   }
 
   @Test
--- a/src/test/java/graderelay/PackageDependenciesTest.java
+++ b/src/test/java/graderelay/PackageDependenciesTest.java
@@ -6,6 +6,7 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The packages depend on each other in one direction only. */
@@ -15,6 +16,20 @@
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("graderelay");
 
+  /** The packages as docs/architecture.md draws them; those of one layer may not share a cycle. */
+  private static final List<List<String>> TOP_DOWN =
+      List.of(
+          List.of("cli"),
+          List.of("service"),
+          List.of("api"),
+          List.of("worker"),
+          List.of("state"),
+          List.of("peer", "cloud"),
+          List.of("config"),
+          List.of("wire"),
+          List.of("core", "net"),
+          List.of("quota", "features"));
+
   @Test
   void packagesHaveNoCycles() {
     slices().matching("graderelay.(*)..").should().beFreeOfCycles().check(CLASSES);
@@ -41,10 +56,30 @@
   }
 
   @Test
-  void constantsDependOnNothingOfOurs() {
+  void eachPackageUsesOnlyPackagesBelowIt() {
+    for (int layer = 0; layer < TOP_DOWN.size(); layer++) {
+      String[] above =
+          TOP_DOWN.subList(0, layer).stream()
+              .flatMap(List::stream)
+              .map(name -> "graderelay." + name + "..")
+              .toArray(String[]::new);
+      for (String name : TOP_DOWN.get(layer)) {
+        noClasses()
+            .that()
+            .resideInAPackage("graderelay." + name + "..")
+            .should()
+            .dependOnClassesThat()
+            .resideInAnyPackage(above)
+            .check(CLASSES);
+      }
+    }
+  }
+
+  @Test
+  void quotaAndFeaturesDependOnNothingOfOurs() {
     noClasses()
         .that()
-        .resideInAPackage("graderelay.constants..")
+        .resideInAnyPackage("graderelay.quota..", "graderelay.features..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/PreemptionTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.constants.Constants;
 import graderelay.core.Action;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerLimits;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -108,7 +108,7 @@
       SchedulerFixture.commitAll(s, 10 + i, 0.2 + i * 0.1);
     }
     for (int i = 0; i < 2; i++) {
-      assertThat(SchedulerFixture.claimsOf(s, "n-" + i)).isEqualTo(Constants.MOST_ON_MACHINE);
+      assertThat(SchedulerFixture.claimsOf(s, "n-" + i)).isEqualTo(SchedulerLimits.MOST_ON_MACHINE);
     }
     s.tick(3);
     // And the plan knows it: for what is left it rents as many machines as that takes.
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/SuspendedControllersTest.java
@@ -4,8 +4,8 @@
 import static graderelay.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.constants.Constants;
 import graderelay.sim.SimWorld;
+import graderelay.state.Leadership;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -63,12 +63,12 @@
     w.crash(owner);
     w.crash((owner + 2) % 3);
     w.start(back);
-    w.loop.run(Constants.BAR_S - 2);
+    w.loop.run(Leadership.BAR_S - 2);
     assertThat(w.owner()).isNegative();
     // Another process of it has nothing to count from, and begins anew.
     w.crash(back);
     w.start(back);
-    w.loop.run(Constants.BAR_S - 2);
+    w.loop.run(Leadership.BAR_S - 2);
     assertThat(w.owner()).isNegative();
     w.loop.run(10);
     assertThat(w.owner()).isEqualTo(back);
