--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -25,7 +25,7 @@
   private static final String ROOT = "/admin";
 
   private final Cache cache;
-  private final PeerClient mesh;
+  private final PeerClient peerClient;
   private final Supplier<Scheduler> scheduler;
   private final FleetViews fleet;
   private final JobViews jobs;
@@ -35,7 +35,7 @@
    * Makes the handler of the operators' requests under {@code /admin}.
    *
    * @param platform this controller's settings of the deploy file
-   * @param mostSlice the most tasks that a slice may hold
+   * @param mostBatchTasks the most tasks that a task batch may hold
    * @param scheduler the scheduler while this controller leads, else null
    * @param ready true once this controller may answer
    */
@@ -45,15 +45,15 @@
       TeamLimits limits,
       StateClient state,
       Cache cache,
-      PeerClient mesh,
+      PeerClient peerClient,
       OperatorSettings defaults,
-      int mostSlice,
+      int mostBatchTasks,
       Supplier<Scheduler> scheduler,
       BooleanSupplier ready) {
     this.cache = cache;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.scheduler = scheduler;
-    this.settings = new SettingsWrites(platform, state, cache, defaults, mostSlice);
+    this.settings = new SettingsWrites(platform, state, cache, defaults, mostBatchTasks);
     this.fleet =
         new FleetViews(loop, platform, limits, state, cache, scheduler, ready, settings::current);
     this.jobs = new JobViews(cache, scheduler);
@@ -125,17 +125,17 @@
       here.accept(e);
       return;
     }
-    StateCodec.Owner leader = cache.owner();
-    String address = leader == null ? null : mesh.addressOf(leader.member());
+    StateCodec.LeaderRecord leader = cache.leader();
+    String address = leader == null ? null : peerClient.addressOf(leader.member());
     if (address == null || e.relayed()) {
       UserApi.unavailable(e, "nobody owns the fleet at the moment");
       return;
     }
-    mesh.send(
+    peerClient.send(
         address,
         new PeerRequest.AdminRequest(e.method(), e.path(), e.query(), e.body()),
         PeerCodec::relayed,
-        mesh.timeoutS(),
+        peerClient.timeoutS(),
         relayed -> {
           if (relayed == null) {
             UserApi.unavailable(e, "the owner " + leader.member() + " did not answer");
--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -57,7 +57,7 @@
 
   /** This controller, who leads, and how many live jobs wait or run. */
   void status(Exchange e) {
-    StateCodec.Owner leader = cache.owner();
+    StateCodec.LeaderRecord leader = cache.leader();
     ObjectNode n = Json.object();
     n.put("member", platform.member())
         .put("zone", platform.zone())
@@ -67,7 +67,8 @@
     int waiting = 0;
     int running = 0;
     for (Cache.Entry j : cache.jobs().values()) {
-      boolean claimed = j.slices.values().stream().anyMatch(s -> s.record().claimedCount() > 0);
+      boolean claimed =
+          j.taskBatches.values().stream().anyMatch(s -> s.record().claimedCount() > 0);
       running += claimed ? 1 : 0;
       waiting += claimed ? 0 : 1;
     }
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -84,7 +84,7 @@
     String key = StateCodec.jobKey(id);
     StateClient.Txn txn =
         new StateClient.Txn()
-            .when(key, live.mark)
+            .when(key, live.revision)
             .when(cache.election().suspensionKey(settings.member()), 0)
             .put(key, StateCodec.job(live.spec, true));
     state.commit(
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -19,11 +19,11 @@
     return new JobState(stageOf(e), e.cancelled() ? 0 : e.tasks(), 0, null);
   }
 
-  /** The state of a live job, summed over its slices. */
+  /** The state of a live job, summed over its task batches. */
   static JobState live(Cache.Entry e) {
     int done = 0;
     int claimed = 0;
-    for (Cache.SliceEntry s : e.slices.values()) {
+    for (Cache.TaskBatchEntry s : e.taskBatches.values()) {
       TaskBatchRecord r = s.record();
       done += r.doneCount();
       claimed += r.claimedCount();
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -38,7 +38,7 @@
   /** Seconds by which a node's copy may lag when it is taken for what was told to users. */
   private static final double FRESH_S = 3;
 
-  /** Seconds that a submission which the owner has handed on may have to wait for changes here. */
+  /** Seconds that a submission which the leader has handed on may have to wait for changes here. */
   private static final double HANDED_ON_WAIT_S = 0.1;
 
   /**
@@ -58,7 +58,7 @@
   private final Settings settings;
   private final TeamLimits limits;
   private final Supplier<Collection<MachineType>> types;
-  private final IntSupplier sliceCap;
+  private final IntSupplier batchCapacity;
   private final CancellationResolver dependencies;
   private final JobLookup lookup;
   private final BooleanSupplier stateUnreachable;
@@ -71,7 +71,7 @@
       Settings settings,
       TeamLimits limits,
       Supplier<Collection<MachineType>> types,
-      IntSupplier sliceCap,
+      IntSupplier batchCapacity,
       CancellationResolver dependencies,
       JobLookup lookup,
       BooleanSupplier stateUnreachable) {
@@ -81,7 +81,7 @@
     this.settings = settings;
     this.limits = limits;
     this.types = types;
-    this.sliceCap = sliceCap;
+    this.batchCapacity = batchCapacity;
     this.dependencies = dependencies;
     this.lookup = lookup;
     this.stateUnreachable = stateUnreachable;
@@ -91,7 +91,7 @@
   void submit(Exchange e) {
     JobSpec spec;
     try {
-      spec = UserCodec.submission(Json.read(e.body()), loop.wallMs(), sliceCap.getAsInt());
+      spec = UserCodec.submission(Json.read(e.body()), loop.wallMs(), batchCapacity.getAsInt());
     } catch (BadRequest b) {
       UserApi.refuse(e, 400, b.getMessage());
       return;
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -30,7 +30,7 @@
   private ObjectNode describe(Cache.Entry j) {
     int done = 0;
     int claimed = 0;
-    for (Cache.SliceEntry s : j.slices.values()) {
+    for (Cache.TaskBatchEntry s : j.taskBatches.values()) {
       done += s.record().doneCount();
       claimed += s.record().claimedCount();
     }
@@ -89,13 +89,13 @@
       }
     }
     ArrayNode claims = n.putArray("claims");
-    for (var s : j.slices.entrySet()) {
+    for (var s : j.taskBatches.entrySet()) {
       TaskBatchRecord r = s.getValue().record();
       for (int i = 0; i < r.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
         if (r.machine(i) != null) {
           claims
               .addObject()
-              .put("task", j.spec.taskId(s.getKey() * j.spec.sliceCap() + i))
+              .put("task", j.spec.taskId(s.getKey() * j.spec.batchCapacity() + i))
               .put("attempt", r.attempt(i))
               .put("machine", r.machine(i))
               .put("session", r.session(i));
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -17,38 +17,44 @@
 
 /**
  * The operators' settings: one record in the state service that every controller follows, read with
- * its mark (revision) and changed by compare-and-swap on it. Pausing claims, cordoning a machine
- * and draining it (graceful eviction) are changes of that record too.
+ * its revision (revision) and changed by compare-and-swap on it. Pausing claims, cordoning a
+ * machine and draining it (graceful eviction) are changes of that record too.
  */
 final class SettingsWrites {
   private final Settings platform;
   private final StateClient state;
   private final Cache cache;
   private final OperatorSettings defaults;
-  private final int mostSlice;
+  private final int mostBatchTasks;
 
   SettingsWrites(
-      Settings platform, StateClient state, Cache cache, OperatorSettings defaults, int mostSlice) {
+      Settings platform,
+      StateClient state,
+      Cache cache,
+      OperatorSettings defaults,
+      int mostBatchTasks) {
     this.platform = platform;
     this.state = state;
     this.cache = cache;
     this.defaults = defaults;
-    this.mostSlice = mostSlice;
+    this.mostBatchTasks = mostBatchTasks;
   }
 
   /** The settings as this controller's copy of the record has them. */
   OperatorSettings current() {
-    return OperatorSettings.stored(cache.settings(), defaults, mostSlice);
+    return OperatorSettings.stored(cache.settings(), defaults, mostBatchTasks);
   }
 
   private ObjectNode view() {
-    ObjectNode n = Json.object().put("mark", cache.settingsMark());
+    ObjectNode n = Json.object().put("mark", cache.settingsRevision());
     n.set("values", current().json());
     n.set("defaults", defaults.json());
     return n;
   }
 
-  /** {@code GET /admin/settings}: mark, values and defaults, after the records are read anew. */
+  /**
+   * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
+   */
   void read(Exchange e) {
     cache.catchUp(
         ok -> {
@@ -60,19 +66,21 @@
         });
   }
 
-  /** {@code PUT /admin/settings}: {@code {"values": {...}, "mark": N}}, the mark optional. */
+  /**
+   * {@code PUT /admin/settings}: {@code {"values": {...}, "revision": N}}, the revision optional.
+   */
   void change(Exchange e) {
     JsonNode body = Json.read(e.body());
     if (body == null || !body.isObject() || !body.path("values").isObject()) {
       UserApi.refuse(e, 400, "values must be an object with the settings to change");
       return;
     }
-    JsonNode mark = body.path("mark");
-    if (!mark.isMissingNode() && !mark.isIntegralNumber()) {
+    JsonNode revision = body.path("mark");
+    if (!revision.isMissingNode() && !revision.isIntegralNumber()) {
       UserApi.refuse(e, 400, "mark must be the integer that reading the settings gave");
       return;
     }
-    write(e, body.get("values"), mark.isMissingNode() ? -1 : mark.longValue());
+    write(e, body.get("values"), revision.isMissingNode() ? -1 : revision.longValue());
   }
 
   /** {@code POST /admin/claims/pause} and {@code /resume}, on the record as it is now. */
@@ -104,27 +112,27 @@
     cordoned.forEach(c::add);
     ArrayNode d = values.putArray("drained");
     drained.forEach(d::add);
-    write(e, values, cache.settingsMark());
+    write(e, values, cache.settingsRevision());
   }
 
   /**
-   * Changes some fields, on the record as it is now or, if {@code onMark} is at least 0, only on
-   * the record of that mark (else 409).
+   * Changes some fields, on the record as it is now or, if {@code ifRevision} is at least 0, only
+   * on the record of that revision (else 409).
    */
-  private void write(Exchange e, JsonNode values, long onMark) {
+  private void write(Exchange e, JsonNode values, long ifRevision) {
     cache.catchUp(
         ok -> {
           if (!ok) {
             UserApi.unavailable(e, "the state service can't be reached");
             return;
           }
-          if (onMark >= 0 && onMark != cache.settingsMark()) {
+          if (ifRevision >= 0 && ifRevision != cache.settingsRevision()) {
             Replies.json(e, 409, view().put("error", "the settings have changed since"));
             return;
           }
           OperatorSettings next;
           try {
-            next = current().with(values, defaults, mostSlice);
+            next = current().with(values, defaults, mostBatchTasks);
           } catch (BadRequest b) {
             UserApi.refuse(e, 400, b.getMessage());
             return;
@@ -135,7 +143,7 @@
           }
           StateClient.Txn txn =
               new StateClient.Txn()
-                  .when(StateCodec.SETTINGS, cache.settingsMark())
+                  .when(StateCodec.SETTINGS, cache.settingsRevision())
                   .put(StateCodec.SETTINGS, next.json());
           state.commit(
               txn,
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -35,7 +35,7 @@
    * Makes the handler of the users' requests: submissions, polls and cancellations.
    *
    * @param types the machine types that may be rented, or null while they are not known yet
-   * @param sliceCap tasks in one slice of a job submitted now
+   * @param batchCapacity tasks in one task batch of a job submitted now
    */
   public UserApi(
       Loop loop,
@@ -45,7 +45,7 @@
       Settings settings,
       TeamLimits limits,
       Supplier<Collection<MachineType>> types,
-      IntSupplier sliceCap) {
+      IntSupplier batchCapacity) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
@@ -61,7 +61,7 @@
             settings,
             limits,
             types,
-            sliceCap,
+            batchCapacity,
             dependencies,
             lookup,
             this::stateAway);
--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -81,15 +81,15 @@
     node.onLeave(Serve::leave);
     int most = (int) (s.maxConnections() * ACCEPT_SHARE);
     HttpServer api = new HttpServer(loop, clock, most, node::handle);
-    HttpServer mesh = new HttpServer(loop, clock, s.maxConnections(), node::handlePeer);
+    HttpServer peerClient = new HttpServer(loop, clock, s.maxConnections(), node::handlePeer);
     try {
       api.listen(s.apiAddress()).sync();
-      mesh.listen(s.meshAddress()).sync();
+      peerClient.listen(s.peerAddress()).sync();
     } catch (Exception e) {
       LoggerFactory.getLogger("serve").error("an address can't be had: {}", e.getMessage());
       return false;
     }
-    node.watchConnections(() -> api.connections() + mesh.connections(), client::connections);
+    node.watchConnections(() -> api.connections() + peerClient.connections(), client::connections);
     clock.execute(node::start);
     return true;
   }
--- a/src/main/java/graderelay/cli/WarmupWorld.java
+++ b/src/main/java/graderelay/cli/WarmupWorld.java
@@ -22,7 +22,7 @@
        "boards":[{"board":"j-000009/0","pass":1,"stage":"running"}]}"""
           .formatted(1);
 
-  private record Item(JsonNode value, long mark) {}
+  private record Item(JsonNode value, long revision) {}
 
   private final TreeMap<String, Item> items = new TreeMap<>();
   private long revision = 1;
@@ -60,7 +60,8 @@
     } else if (p.equals("/watch")) {
       var news = out.put("ledger", revision).putArray("news");
       items.forEach(
-          (k, i) -> news.addObject().put("put", k).put("mark", i.mark()).set("data", i.value()));
+          (k, i) ->
+              news.addObject().put("put", k).put("mark", i.revision()).set("data", i.value()));
     }
     e.to().accept(Answer.json(200, Json.write(out)));
   }
--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -34,7 +34,7 @@
   private static final double CLOUD_TIMEOUT_S = 5.0;
 
   /** What a rental request came to: names, or an empty pool, or nobody knows (both unset). */
-  public record Hired(List<String> names, boolean noCapacity) {}
+  public record ScaledOut(List<String> names, boolean noCapacity) {}
 
   /** Machines in one page of the list, a batch; a limit of the protocol. */
   private static final int MOST_IN_PAGE = 500;
@@ -106,42 +106,42 @@
    * Rents machines under a name that is used for this one request for ever. A request without an
    * answer is repeated under the same name, so that it rents once.
    */
-  public void hire(
-      String name, String type, String zone, boolean spot, int count, Consumer<Hired> done) {
-    hireAgain(3, name, type, zone, spot, count, done);
+  public void scaleOut(
+      String name, String type, String zone, boolean spot, int count, Consumer<ScaledOut> done) {
+    scaleOutAgain(3, name, type, zone, spot, count, done);
   }
 
-  private void hireAgain(
+  private void scaleOutAgain(
       int tries,
       String name,
       String type,
       String zone,
       boolean spot,
       int count,
-      Consumer<Hired> done) {
+      Consumer<ScaledOut> done) {
     call(
         Use.CLAIM,
         "POST",
         "/machines",
-        CloudCodec.hire(name, type, zone, spot, count),
+        CloudCodec.scaleOut(name, type, zone, spot, count),
         r -> {
           if (r.ok() && r.body() != null) {
-            done.accept(new Hired(CloudCodec.names(r.body()), false));
+            done.accept(new ScaledOut(CloudCodec.names(r.body()), false));
           } else if (r.status() == 503
               && r.body() != null
               && r.body().path("error").asText().equals("no capacity")) {
-            done.accept(new Hired(null, true));
+            done.accept(new ScaledOut(null, true));
           } else if (tries > 1) {
             loop.after(
-                TYPES_RETRY_S, () -> hireAgain(tries - 1, name, type, zone, spot, count, done));
+                TYPES_RETRY_S, () -> scaleOutAgain(tries - 1, name, type, zone, spot, count, done));
           } else {
-            done.accept(new Hired(null, false));
+            done.accept(new ScaledOut(null, false));
           }
         });
   }
 
   /** Deletes machines; true once the cloud has said that they are gone. */
-  public void giveBack(List<String> names, Consumer<Boolean> done) {
+  public void scaleIn(List<String> names, Consumer<Boolean> done) {
     call(Use.CLAIM, "POST", "/machines/delete", CloudCodec.names(names), r -> done.accept(r.ok()));
   }
 
--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -18,7 +18,7 @@
  * API, checked field by field. What is not set has the default given here.
  */
 public record OperatorSettings(
-    int sliceCap,
+    int batchCapacity,
     int sampleSize,
     int attemptCap,
     double idleS,
@@ -28,8 +28,8 @@
     String logLevel,
     Set<String> cordoned,
     Set<String> drained) {
-  /** Tasks. Slice cap of the design: a record of this many fits a value with room to spare. */
-  private static final int SLICE_CAP = 500;
+  /** Tasks. Task batch cap of the design: a record of this many fits a value with room to spare. */
+  private static final int BATCH_CAPACITY = 500;
 
   /** Machines. Sample size of the design, on the ordinary path. */
   private static final int SAMPLE_SIZE = 3;
@@ -64,10 +64,10 @@
   /** Characters of a machine's name in those lists. */
   private static final int MOST_MACHINE_NAME = 64;
 
-  /** The defaults; a slice must fit a value of the deployment's state service. */
-  public static OperatorSettings defaults(int mostSlice, String logLevel) {
+  /** The defaults; a task batch must fit a value of the deployment's state service. */
+  public static OperatorSettings defaults(int mostBatchTasks, String logLevel) {
     return new OperatorSettings(
-        Math.min(SLICE_CAP, mostSlice),
+        Math.min(BATCH_CAPACITY, mostBatchTasks),
         SAMPLE_SIZE,
         ATTEMPT_CAP,
         IDLE_S,
@@ -81,11 +81,11 @@
 
   public Policy.Tuning tuning() {
     return new Policy.Tuning(
-        sliceCap, sampleSize, attemptCap, idleS, spareFactor, spotAllowed, claimsPaused);
+        batchCapacity, sampleSize, attemptCap, idleS, spareFactor, spotAllowed, claimsPaused);
   }
 
   /** The settings with some fields changed; null takes a field back to its default. */
-  public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int mostSlice)
+  public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int mostBatchTasks)
       throws BadRequest {
     if (changes == null || !changes.isObject()) {
       throw new BadRequest("values must be an object");
@@ -96,19 +96,19 @@
       JsonNode v = changes.get(name);
       s =
           v.isNull()
-              ? s.set(name, defaults.json().get(name), mostSlice)
-              : s.set(name, v, mostSlice);
+              ? s.set(name, defaults.json().get(name), mostBatchTasks)
+              : s.set(name, v, mostBatchTasks);
     }
     return s;
   }
 
-  private OperatorSettings set(String name, JsonNode v, int mostSlice) throws BadRequest {
+  private OperatorSettings set(String name, JsonNode v, int mostBatchTasks) throws BadRequest {
     if (v == null) {
       throw new BadRequest(name + " is not a setting; there are " + fieldNames());
     }
     ObjectNode n = json();
     switch (name) {
-      case "slice_cap" -> n.put(name, count(name, v, 1, mostSlice));
+      case "slice_cap" -> n.put(name, count(name, v, 1, mostBatchTasks));
       case "sample_size" -> n.put(name, count(name, v, 1, MOST_SAMPLE));
       case "attempt_cap" -> n.put(name, count(name, v, 1, MOST_ATTEMPT_CAP));
       case "idle_s" -> n.put(name, amount(name, v, 0, MOST_IDLE_S));
@@ -170,7 +170,7 @@
 
   public ObjectNode json() {
     ObjectNode n = Json.object();
-    n.put("slice_cap", sliceCap).put("sample_size", sampleSize).put("attempt_cap", attemptCap);
+    n.put("slice_cap", batchCapacity).put("sample_size", sampleSize).put("attempt_cap", attemptCap);
     n.put("idle_s", idleS).put("spare_factor", spareFactor);
     n.put("spot_allowed", spotAllowed).put("claims_paused", claimsPaused);
     n.put("log_level", logLevel);
@@ -203,13 +203,13 @@
   }
 
   /** The stored record over the defaults; what can't be read there is left at its default. */
-  public static OperatorSettings stored(JsonNode n, OperatorSettings defaults, int mostSlice) {
+  public static OperatorSettings stored(JsonNode n, OperatorSettings defaults, int mostBatchTasks) {
     OperatorSettings s = defaults;
     if (n != null) {
       for (Iterator<String> names = n.fieldNames(); names.hasNext(); ) {
         String name = names.next();
         try {
-          s = s.set(name, n.get(name), mostSlice);
+          s = s.set(name, n.get(name), mostBatchTasks);
         } catch (BadRequest e) {
           // Written by another version: its default serves.
         }
--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -16,7 +16,7 @@
     String member,
     String zone,
     String apiAddress,
-    String meshAddress,
+    String peerAddress,
     List<Peer> peers,
     String cloudAddress,
     String stateAddress,
@@ -39,12 +39,12 @@
   /** Bytes of a value that are left free, since its size may be counted in another way. */
   private static final int VALUE_MARGIN_BYTES = 48;
 
-  /** Share of a worker's lease that the owner's hold lasts: takeovers must beat the lease. */
+  /** Share of a worker's lease that the leader's hold lasts: takeovers must beat the lease. */
   private static final double HOLD_OF_LEASE = 0.3;
 
   /**
    * Seconds that the hold lasts at most: four renewals, each with time for a slow answer. With a
-   * longer one nobody owns the fleet for longer after each end of an owner.
+   * longer one nobody owns the fleet for longer after each end of a leader.
    */
   private static final double MOST_HOLD_S = 3.6;
 
@@ -67,16 +67,17 @@
   private static final double LEAST_BEGINNERS_S = 0.5;
 
   /**
-   * Workers' leases for which a zone's deputy may keep them alive after the owner's last word. Cuts
-   * of a zone last about two leases; what really died there starts elsewhere that much later.
+   * Workers' leases for which a zone's lease delegate may keep them alive after the leader's last
+   * word. Cuts of a zone last about two leases; what really died there starts elsewhere that much
+   * later.
    */
-  private static final double DEPUTY_LEASES = 2;
+  private static final double DELEGATE_LEASES = 2;
 
   /**
-   * Seconds left of a cancellation's time when the last lease that a deputy kept is over: a job may
-   * be cancelled outside just after the cut, of which the deputy knows nothing.
+   * Seconds left of a cancellation's time when the last lease that a lease delegate kept is over: a
+   * job may be cancelled outside just after the cut, of which the lease delegate knows nothing.
    */
-  private static final double DEPUTY_CANCEL_MARGIN_S = 2;
+  private static final double DELEGATE_CANCEL_MARGIN_S = 2;
 
   /** What the state service allows. */
   public record StateLimits(double changesPerS, double valueKb, int txnOps) {
@@ -102,19 +103,19 @@
   /** Another controller. */
   public record Peer(String member, String zone, String address) {}
 
-  /** Seconds that the owner's hold lasts. */
+  /** Seconds that the leader's hold lasts. */
   public double holdS() {
     return Math.min(MOST_HOLD_S, leaseS * HOLD_OF_LEASE);
   }
 
   /**
-   * Seconds for which a zone's deputy may keep leases alive after the owner's last word. What it
-   * keeps must be gone within a cancellation's time: the owner's last word comes a hold after the
-   * cut at the latest, and the last lease ends a lease after the grant.
+   * Seconds for which a zone's lease delegate may keep leases alive after the leader's last word.
+   * What it keeps must be gone within a cancellation's time: the leader's last word comes a hold
+   * after the cut at the latest, and the last lease ends a lease after the grant.
    */
   public double grantS() {
-    double most = cancelS - leaseS - holdS() - DEPUTY_CANCEL_MARGIN_S;
-    return Math.max(0, Math.min(leaseS * DEPUTY_LEASES, most));
+    double most = cancelS - leaseS - holdS() - DELEGATE_CANCEL_MARGIN_S;
+    return Math.max(0, Math.min(leaseS * DELEGATE_LEASES, most));
   }
 
   /**
@@ -131,13 +132,13 @@
   /**
    * Seconds from the start of a process for which it may renew leases without knowing anything of
    * cancellations. Whoever renewed them before was at most {@link #renewWithinS} behind, and it
-   * ended a lease ago at the most, since there would be none to renew. Where zones have deputies,
-   * which use all of the time that a cancellation leaves, there is nothing to give away.
+   * ended a lease ago at the most, since there would be none to renew. Where zones have lease
+   * delegates, which use all of the time that a cancellation leaves, there is nothing to give away.
    */
   public double beginnersS() {
     double spare = cancelSpareS() - longestLeaseS();
     double s = Math.min(spare * BEGINNERS_SHARE, spare - LEAST_RENEW_S);
-    return deputies().isEmpty() && s > LEAST_BEGINNERS_S ? s : 0;
+    return delegates().isEmpty() && s > LEAST_BEGINNERS_S ? s : 0;
   }
 
   private double longestLeaseS() {
@@ -149,7 +150,7 @@
   }
 
   /** The other controllers by zone, or nobody where all are in one. */
-  public Map<String, String> deputies() {
+  public Map<String, String> delegates() {
     Map<String, String> zones = new HashMap<>();
     peers.forEach(p -> zones.put(p.member(), p.zone()));
     return zones.values().stream().allMatch(zone::equals) ? Map.of() : zones;
--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -8,30 +8,35 @@
 public sealed interface Action {
 
   /**
-   * One transaction: every part is conditioned on the owner record, on the mark of each changed
-   * record, and, for claims, on the mark of the job, so that a cancellation and a claim compete.
-   * With stored limits the accounts of the teams whose claims it holds are among the records.
+   * One transaction: every part is conditioned on the leader record, on the revision of each
+   * changed record, and, for claims, on the revision of the job, so that a cancellation and a claim
+   * compete. With stored limits the accounts of the teams whose claims it holds are among the
+   * records.
    */
   record Write(
       long id,
-      List<TaskBatchPut> slices,
+      List<TaskBatchPut> taskBatches,
       List<JobEnd> ends,
       List<TaskBatchDrop> drops,
       List<AccountChange> accounts)
       implements Action {}
 
   /**
-   * Replaces a task batch's record if it is still at revision {@code mark}. {@code jobMark} is the
-   * job's revision that was checked.
+   * Replaces a task batch's record if it is still at revision {@code revision}. {@code jobRevision}
+   * is the job's revision that was checked.
    */
-  record TaskBatchPut(TaskBatchKey key, long mark, TaskBatchRecord record, long jobMark) {}
+  record TaskBatchPut(TaskBatchKey key, long revision, TaskBatchRecord record, long jobRevision) {}
 
-  /** Replaces a job by its final record and drops the slices named. */
+  /** Replaces a job by its final record and drops the task batches named. */
   record JobEnd(
-      String job, long jobMark, boolean cancelled, int tasks, List<TaskBatchDrop> slices) {}
+      String job,
+      long jobRevision,
+      boolean cancelled,
+      int tasks,
+      List<TaskBatchDrop> taskBatches) {}
 
   /** Removes a task batch's record that no longer has a job. */
-  record TaskBatchDrop(TaskBatchKey key, long mark) {}
+  record TaskBatchDrop(TaskBatchKey key, long revision) {}
 
   /** Sends orders straight to a worker. */
   record Command(
@@ -39,16 +44,16 @@
       implements Action {}
 
   /** Rents machines. */
-  record Hire(long id, String type, String zone, boolean spot, int count) implements Action {}
+  record ScaleOut(long id, String type, String zone, boolean spot, int count) implements Action {}
 
   /** Gives machines back. */
-  record GiveBack(List<String> machines) implements Action {}
+  record ScaleIn(List<String> machines) implements Action {}
 
-  /** Asks for a new term for this same owner, to fence launches whose fate is unknown. */
+  /** Asks for a new term for this same leader, to fence launches whose fate is unknown. */
   record RaiseTerm() implements Action {}
 
   /**
-   * Keeps what the last minutes asked for, so that the next owner doesn't send machines away that
+   * Keeps what the last minutes asked for, so that the next leader doesn't send machines away that
    * will be needed. Ages are in seconds.
    */
   record KeepDemand(List<Demand> classes) implements Action {}
@@ -57,7 +62,7 @@
   record Demand(JobSpec latest, List<double[]> arrivals) {}
 
   /**
-   * Keeps which images machines have, so that the next owner finds the warm ones. {@code part} is
+   * Keeps which images machines have, so that the next leader finds the warm ones. {@code part} is
    * one of a few records that share the fleet.
    */
   record KeepImages(int part, java.util.Map<String, List<String>> machines) implements Action {}
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -7,16 +7,16 @@
 
 /** Answers the administration API's questions on machines, teams and jobs for {@link Scheduler}. */
 final class AdminViews {
-  private final ClusterState world;
+  private final ClusterState cluster;
 
-  AdminViews(ClusterState world) {
-    this.world = world;
+  AdminViews(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** One line on each machine, {@code now} in seconds on this leader's clock. */
   List<Scheduler.MachineView> machines(double now) {
     List<Scheduler.MachineView> views = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       String state = stateOf(m, now);
       views.add(
           new Scheduler.MachineView(
@@ -60,18 +60,18 @@
   Scheduler.TeamUsage teamUsage(String team) {
     long tasks = 0;
     Amount waiting = Amount.NONE;
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (j.waiting() && j.spec.team().equals(team)) {
         tasks += j.open.cardinality();
         waiting = waiting.plus(j.amount.times(j.open.cardinality()));
       }
     }
-    return new Scheduler.TeamUsage(world.admission.standing(team), tasks, waiting);
+    return new Scheduler.TeamUsage(cluster.admission.standing(team), tasks, waiting);
   }
 
   /** Why a job has tasks that wait, or null if it is not known or has none. */
   String whyWaiting(String job) {
-    Job j = world.jobs.get(job);
+    Job j = cluster.jobs.get(job);
     if (j != null && j.blocked() && !j.stop) {
       return "it needs " + String.join(", ", new TreeSet<>(j.needed));
     }
--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -38,28 +38,28 @@
 
   private record Boot(String type, double at, double took) {}
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final double startedAt;
   private final Deque<Boot> recent = new ArrayDeque<>();
   private Set<String> stalled = Set.of();
   private final Map<String, Double> lastTry = new HashMap<>();
 
-  BootTimes(ClusterState world, double now) {
-    this.world = world;
+  BootTimes(ClusterState cluster, double now) {
+    this.cluster = cluster;
     this.startedAt = now;
   }
 
   /** The machine has sent its first heartbeat. */
   void up(Machine m, double now) {
-    recent.add(new Boot(m.type, now, now - m.rentedAt));
+    recent.add(new Boot(m.type, now, now - m.requestedAt));
   }
 
   /** Looks at what is booting; to be called before the questions of one plan. */
   void plan(double now) {
     recent.removeIf(b -> b.at() < now - BOOT_MEMORY_S);
     Map<String, Integer> overdue = new HashMap<>();
-    for (Machine m : world.machines.values()) {
-      if (!m.reported && m.booting && !m.returning && now - m.rentedAt > usual(m.type)) {
+    for (Machine m : cluster.machines.values()) {
+      if (!m.reported && m.booting && !m.returning && now - m.requestedAt > usual(m.type)) {
         overdue.merge(m.type, 1, Integer::sum);
       }
     }
@@ -80,16 +80,16 @@
   }
 
   /** The longest nominal boot time of the machine types, in seconds; 0 without types. */
-  static double slowestNominal(ClusterState world) {
+  static double slowestNominal(ClusterState cluster) {
     double boot = 0;
-    for (MachineType t : world.types.values()) {
+    for (MachineType t : cluster.types.values()) {
       boot = Math.max(boot, t.bootS());
     }
     return boot;
   }
 
   private double nominal(String type) {
-    MachineType t = world.types.get(type);
+    MachineType t = cluster.types.get(type);
     return t == null ? 0 : t.bootS();
   }
 
@@ -113,7 +113,7 @@
 
   /** True if the machine, which has sent no heartbeat yet, is likely to come soon. */
   boolean likely(Machine m, double now) {
-    double age = now - m.rentedAt;
+    double age = now - m.requestedAt;
     return !m.booting
         || age <= Math.max(usual(m.type), slowest(m.type) * SLOWER_BOOT)
         || stalled(m.type);
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -14,7 +14,7 @@
 final class CandidateMachines {
   private static final int COLD = 4;
   private static final int STRATA = COLD + 2;
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final RandomGenerator random;
   private final PlacementRules rules;
   private final Job job;
@@ -29,13 +29,13 @@
    * @param warmOnly whether only machines that have or fetch the image count
    */
   CandidateMachines(
-      ClusterState world,
+      ClusterState cluster,
       RandomGenerator random,
       PlacementRules rules,
       Job j,
       List<Machine> roomy,
       boolean warmOnly) {
-    this.world = world;
+    this.cluster = cluster;
     this.random = random;
     this.rules = rules;
     job = j;
@@ -51,7 +51,7 @@
         }
       }
     }
-    world.looked += roomy.size();
+    cluster.looked += roomy.size();
   }
 
   private static int stratum(Job j, Machine m) {
@@ -66,7 +66,7 @@
       if (zoned && !pool.isEmpty()) {
         List<Machine> here = new ArrayList<>(pool);
         here.removeIf(m -> !PlacementRules.zoneAllowed(job, m.zone));
-        world.looked += pool.size();
+        cluster.looked += pool.size();
         Machine m = sample(here);
         if (m != null) {
           return m;
@@ -85,14 +85,14 @@
   private Machine sample(List<Machine> pool) {
     Machine chosen = null;
     double chosenLeft = 0;
-    int n = Math.max(1, world.policy.tuning().sampleSize());
+    int n = Math.max(1, cluster.policy.tuning().sampleSize());
     int active = pool.size();
     while (n > 0 && active > 0) {
       int i = random.nextInt(active);
       Machine m = pool.get(i);
       active--;
       pool.set(i, pool.get(active));
-      world.looked++;
+      cluster.looked++;
       if (!m.holds(job.need)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -15,7 +15,7 @@
     SETTLING
   }
 
-  /** What is known of the launch order of this attempt under the present owner. */
+  /** What is known of the launch order of this attempt under the present leader. */
   enum Launch {
     /** No order is under way that could still be carried out. */
     NONE,
@@ -53,7 +53,7 @@
 
   double launchAt;
 
-  /** Taken over from an earlier owner, who may have launched it. */
+  /** Taken over from an earlier leader, who may have launched it. */
   boolean fromPast;
 
   Heartbeat.Stage stage;
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Everything the owner knows, with the sums that placement decides by. */
+/** Everything the leader knows, with the sums that placement decides by. */
 final class ClusterState {
   /**
    * Seconds for which a team's account may be above its committed claims before it is lowered by a
@@ -33,10 +33,10 @@
   /** All live claims, by priority. */
   final PriorityCounts byPriority = new PriorityCounts();
 
-  /** What an earlier owner kept of the images on machines. */
+  /** What an earlier leader kept of the images on machines. */
   final Map<String, List<String>> knownImages = new HashMap<>();
 
-  /** The term that this owner won; what has not seen it has not heard this owner. */
+  /** The term that this leader won; what has not seen it has not heard this leader. */
   long firstTerm;
 
   /** Rises whenever there may be more room than before, so that what found none tries again. */
@@ -60,7 +60,7 @@
   /** The records are still being read: nothing is new yet. */
   boolean loading = true;
 
-  /** The term under which orders go out, and when this owner began. */
+  /** The term under which orders go out, and when this leader began. */
   long term;
 
   double tookOver;
@@ -69,7 +69,7 @@
   Dependencies dependencies;
 
   /** Who may keep leases alive in zones that are cut off from us. */
-  LeaseDelegates deputies;
+  LeaseDelegates delegates;
 
   /** Admission by the stored limits, once they are switched on. */
   final AdmissionControl admission;
@@ -235,7 +235,7 @@
   }
 
   /**
-   * True if the machine can be given a task now: it reports, it has shown that it hears this owner
+   * True if the machine can be given a task now: it reports, it has shown that it hears this leader
    * (a copy of a report from before the takeover can't), and nothing is known against it. A machine
    * that missed two reports is no target, since a launch to it would be of unknown fate.
    */
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Room kept in a placement round for tasks that can't be claimed yet, since a change of their slice
- * record, or of their team's account, is on its way. Lower work would take it meanwhile and be
- * preempted for them a moment later, and again: on a full fleet an array of a hundred thousand
+ * Room kept in a placement round for tasks that can't be claimed yet, since a change of their task
+ * batch record, or of their team's account, is on its way. Lower work would take it meanwhile and
+ * be preempted for them a moment later, and again: on a full fleet an array of a hundred thousand
  * small tasks was preempted half a million times.
  */
 final class CommitReservations {
-  private final ClusterState world;
+  private final ClusterState cluster;
 
   /** CPUs that tasks of each priority will take as soon as a change of theirs has committed. */
   private final Map<Priority, Double> reserved = new EnumMap<>(Priority.class);
@@ -22,8 +22,8 @@
   /** Claims of the round already taken off {@link #freeCpus}. */
   private int countedClaims;
 
-  CommitReservations(ClusterState world) {
-    this.world = world;
+  CommitReservations(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** Reserves, for a new round, the CPUs of what waits above the lowest priority in the queue. */
@@ -35,7 +35,7 @@
       JobSpec s = k.job.spec;
       if (k.job.priority().beats(lowest) && k.job.notBefore <= now) {
         // Not for what its team's limit keeps from running in any case.
-        double cpus = Math.min(blocked(world, k.job) * s.cpus(), world.cpusLeft(s.team()));
+        double cpus = Math.min(blocked(cluster, k.job) * s.cpus(), cluster.cpusLeft(s.team()));
         if (cpus > 0) {
           reserved.merge(k.job.priority(), cpus, Double::sum);
         }
@@ -44,12 +44,12 @@
   }
 
   /** Open tasks of the job whose record, or team's account, is being changed. */
-  static int blocked(ClusterState world, Job j) {
-    if (world.admission.isPassing(j.spec.team())) {
+  static int blocked(ClusterState cluster, Job j) {
+    if (cluster.admission.isPassing(j.spec.team())) {
       return j.open.cardinality();
     }
     int n = 0;
-    for (Job.Slice s : j.slices.values()) {
+    for (Job.TaskBatch s : j.taskBatches.values()) {
       n += s.inFlight ? j.open.get(s.base, s.base + s.record.size()).cardinality() : 0;
     }
     return n;
@@ -70,7 +70,7 @@
     }
     if (Double.isNaN(freeCpus)) {
       freeCpus = 0;
-      world.looked += usable.size();
+      cluster.looked += usable.size();
       for (Machine m : usable) {
         freeCpus += m.room.cpus() - m.used.cpus();
       }
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -12,68 +12,69 @@
  * answer counts as committed only if the record seen meanwhile is the one it wrote.
  */
 final class CompareAndSwapAnswers {
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
 
   /** Hears of each job's end that has committed. */
   ObjDoubleConsumer<Action.JobEnd> ended = (e, now) -> {};
 
-  CompareAndSwapAnswers(ClusterState world, StoredRecords records, TransactionsInFlight inFlight) {
-    this.world = world;
+  CompareAndSwapAnswers(
+      ClusterState cluster, StoredRecords records, TransactionsInFlight inFlight) {
+    this.cluster = cluster;
     this.records = records;
     this.inFlight = inFlight;
   }
 
-  /** The answer to transaction {@code id}; {@code mark} is the store's revision after it. */
-  void onWrite(long id, Scheduler.Outcome outcome, long mark, double now) {
+  /** The answer to transaction {@code id}; {@code revision} is the store's revision after it. */
+  void onWrite(long id, Scheduler.Outcome outcome, long revision, double now) {
     TransactionsInFlight.Sending s = inFlight.answered(id);
     if (s == null) {
       return;
     }
-    for (Action.TaskBatchPut p : s.write().slices()) {
-      Job j = world.jobs.get(p.key().job());
+    for (Action.TaskBatchPut p : s.write().taskBatches()) {
+      Job j = cluster.jobs.get(p.key().job());
       if (j != null) {
-        batchAnswered(j, p, s, outcome, mark, now);
+        batchAnswered(j, p, s, outcome, revision, now);
       }
     }
     for (Action.JobEnd e : s.write().ends()) {
-      Job j = world.jobs.get(e.job());
+      Job j = cluster.jobs.get(e.job());
       if (j == null) {
         continue;
       }
       if (outcome == Scheduler.Outcome.COMMITTED) {
-        world.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
-        Set<TaskBatchKey> droppedSlices = new HashSet<>();
-        e.slices().forEach(d -> droppedSlices.add(d.key()));
-        for (Job.Slice left : j.slices.values()) {
-          if (!droppedSlices.contains(left.key) && left.mark > 0) {
-            records.orphans.put(left.key, left.mark);
+        cluster.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
+        Set<TaskBatchKey> droppedBatches = new HashSet<>();
+        e.taskBatches().forEach(d -> droppedBatches.add(d.key()));
+        for (Job.TaskBatch left : j.taskBatches.values()) {
+          if (!droppedBatches.contains(left.key) && left.revision > 0) {
+            records.orphans.put(left.key, left.revision);
           }
         }
         records.forget(j, now);
         ended.accept(e, now);
       } else {
         j.ending = false;
-        world.maybeOver.add(j);
+        cluster.maybeOver.add(j);
       }
     }
     for (Action.TaskBatchDrop d : s.write().drops()) {
       if (outcome != Scheduler.Outcome.COMMITTED) {
-        records.orphans.putIfAbsent(d.key(), d.mark());
+        records.orphans.putIfAbsent(d.key(), d.revision());
       }
     }
-    accountsAnswered(s.write().accounts(), outcome, mark);
-    world.dirty = true;
+    accountsAnswered(s.write().accounts(), outcome, revision);
+    cluster.dirty = true;
   }
 
   /** What the transaction's task batches say has been taken before. */
   private void accountsAnswered(
       List<AccountChange> accounts, Scheduler.Outcome outcome, long revision) {
     switch (outcome) {
-      case COMMITTED -> world.admission.committed(accounts, revision);
-      case REFUSED -> world.admission.refused(accounts);
-      case UNKNOWN -> world.admission.unanswered(accounts);
+      case COMMITTED -> cluster.admission.committed(accounts, revision);
+      case REFUSED -> cluster.admission.refused(accounts);
+      case UNKNOWN -> cluster.admission.unanswered(accounts);
     }
   }
 
@@ -82,12 +83,12 @@
       Action.TaskBatchPut p,
       TransactionsInFlight.Sending sent,
       Scheduler.Outcome outcome,
-      long mark,
+      long revision,
       double now) {
-    Job.Slice s = j.slices.get(p.key().index());
+    Job.TaskBatch s = j.taskBatches.get(p.key().index());
     s.inFlight = false;
     TaskBatchRecord stash = s.stash;
-    long stashMark = s.stashMark;
+    long stashRevision = s.stashRevision;
     s.stash = null;
     boolean landed = outcome == Scheduler.Outcome.COMMITTED;
     if (!landed
@@ -95,17 +96,17 @@
         && stash != null
         && stash.equals(p.record())) {
       landed = true;
-      mark = stashMark;
+      revision = stashRevision;
     }
     List<Claim> claimed = sent.claimed().getOrDefault(p.key(), List.of());
     List<Claim> settled = sent.settled().getOrDefault(p.key(), List.of());
     if (landed) {
       s.record = p.record();
-      s.mark = mark;
-      records.track(j, s.key, s.record, mark);
+      s.revision = revision;
+      records.track(j, s.key, s.record, revision);
       for (Claim c : settled) {
         records.settle.remove(c);
-        world.remove(c, now);
+        cluster.remove(c, now);
         if (c.done) {
           j.doneCount++;
         } else {
@@ -115,19 +116,19 @@
       }
       for (Claim c : claimed) {
         if (c.phase == Claim.Phase.CLAIMING) {
-          world.held(c);
+          cluster.held(c);
           records.committed.add(c);
         }
       }
     } else {
       for (Claim c : claimed) {
-        world.remove(c, now);
+        cluster.remove(c, now);
         j.open.set(c.task);
       }
       // Settled ones stay in the settle set and are written again.
     }
-    if (stash != null && stashMark > s.mark) {
-      records.adopt(j, s, stash, stashMark, now);
+    if (stash != null && stashRevision > s.revision) {
+      records.adopt(j, s, stash, stashRevision, now);
     }
   }
 }
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -16,30 +16,30 @@
  */
 final class CompareAndSwapWriter {
   /** Seconds for which nothing is claimed in a record that is as large as is allowed. */
-  private static final double FULL_SLICE_S = 1;
+  private static final double FULL_BATCH_S = 1;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
 
-  CompareAndSwapWriter(ClusterState world, StoredRecords records, TransactionsInFlight inFlight) {
-    this.world = world;
+  CompareAndSwapWriter(ClusterState cluster, StoredRecords records, TransactionsInFlight inFlight) {
+    this.cluster = cluster;
     this.records = records;
     this.inFlight = inFlight;
   }
 
   /** Puts new claims and settled ones into transactions, one record for each task batch. */
   void write(List<Claim> claims, double now) {
-    Map<Job.Slice, List<Claim>> claimed = new LinkedHashMap<>();
+    Map<Job.TaskBatch, List<Claim>> claimed = new LinkedHashMap<>();
     for (Claim c : claims) {
-      claimed.computeIfAbsent(sliceOf(c), k -> new ArrayList<>()).add(c);
+      claimed.computeIfAbsent(batchOf(c), k -> new ArrayList<>()).add(c);
     }
-    Map<Job.Slice, List<Claim>> settled = settledBeside(claimed.keySet(), now);
-    Set<Job.Slice> all = new LinkedHashSet<>(claimed.keySet());
+    Map<Job.TaskBatch, List<Claim>> settled = settledBeside(claimed.keySet(), now);
+    Set<Job.TaskBatch> all = new LinkedHashSet<>(claimed.keySet());
     all.addAll(settled.keySet());
     TransactionPacker packer =
-        new TransactionPacker(Math.max(1, world.policy.txnOps()), world.admission, this::send);
-    for (Job.Slice s : all) {
+        new TransactionPacker(Math.max(1, cluster.policy.txnOps()), cluster.admission, this::send);
+    for (Job.TaskBatch s : all) {
       List<Claim> fresh = claimed.getOrDefault(s, List.of());
       List<Claim> done = settled.getOrDefault(s, List.of());
       TaskBatchChange change = change(s, fresh, done, now);
@@ -56,25 +56,25 @@
     writeAccounts(now);
   }
 
-  private static Job.Slice sliceOf(Claim c) {
-    return c.job.slice(c.job.spec.sliceOf(c.task));
+  private static Job.TaskBatch batchOf(Claim c) {
+    return c.job.taskBatch(c.job.spec.batchOf(c.task));
   }
 
   /** Claims that are to be ended now, with the task batches that are claimed of or beside them. */
-  private Map<Job.Slice, List<Claim>> settledBeside(Set<Job.Slice> claimed, double now) {
-    Map<Job.Slice, List<Claim>> settled = new LinkedHashMap<>();
+  private Map<Job.TaskBatch, List<Claim>> settledBeside(Set<Job.TaskBatch> claimed, double now) {
+    Map<Job.TaskBatch, List<Claim>> settled = new LinkedHashMap<>();
     int room = inFlight.changesLeft() - claimed.size();
     Map<Job, Boolean> whole = new HashMap<>();
     // When hundreds of machines die at once, replicas are down until their ends have committed.
     List<Claim> ends = new ArrayList<>(records.settle);
     ends.sort(Comparator.comparing(c -> !c.job.spec.isService()));
     for (Claim c : ends) {
-      Job.Slice s = sliceOf(c);
+      Job.TaskBatch s = batchOf(c);
       if (c.job.stop) {
-        // The whole job ends in one write; until then a new owner asks for the proof again.
+        // The whole job ends in one write; until then a new leader asks for the proof again.
         if (!s.inFlight) {
           records.settle.remove(c);
-          world.remove(c, now);
+          cluster.remove(c, now);
         }
         continue;
       }
@@ -92,7 +92,7 @@
   }
 
   /** The task batch with these claims and without those, or null if nothing can be stored of it. */
-  private TaskBatchChange change(Job.Slice s, List<Claim> fresh, List<Claim> done, double now) {
+  private TaskBatchChange change(Job.TaskBatch s, List<Claim> fresh, List<Claim> done, double now) {
     if (fresh.isEmpty() && done.isEmpty()) {
       return null;
     }
@@ -103,14 +103,14 @@
     for (Claim c : fresh) {
       r.claim(c.task - s.base, c.attempt, c.machine, c.session);
     }
-    TaskBatchRecord fitting = fitting(r, world.policy.valueBytes());
+    TaskBatchRecord fitting = fitting(r, cluster.policy.valueBytes());
     if (fitting != null) {
-      return new TaskBatchChange(world.jobs.get(s.key.job()), s, fitting, fresh, done);
+      return new TaskBatchChange(cluster.jobs.get(s.key.job()), s, fitting, fresh, done);
     }
     // Made by an earlier version for larger values. What is claimed of it ends sooner or later,
     // and then there is room in it again. What is settled stays so, and is written with what ends
     // next.
-    s.fullUntil = now + FULL_SLICE_S;
+    s.fullUntil = now + FULL_BATCH_S;
     giveUp(fresh, now);
     return fresh.isEmpty() ? null : change(s, List.of(), done, now);
   }
@@ -118,19 +118,19 @@
   /** Takes claims back that were never sent. */
   private void giveUp(List<Claim> claims, double now) {
     for (Claim c : claims) {
-      world.remove(c, now);
+      cluster.remove(c, now);
       c.job.open.set(c.task);
     }
   }
 
   /** Fences accounts that somebody waits for, and lowers those that reserve too much. */
   private void writeAccounts(double now) {
-    if (!world.admission.enabled()) {
+    if (!cluster.admission.enabled()) {
       return;
     }
-    int most = Math.max(1, world.policy.txnOps());
-    emitAccounts(world.admission.fences(most));
-    emitAccounts(world.admission.releases(Math.min(most, inFlight.changesLeft()), now));
+    int most = Math.max(1, cluster.policy.txnOps());
+    emitAccounts(cluster.admission.fences(most));
+    emitAccounts(cluster.admission.releases(Math.min(most, inFlight.changesLeft()), now));
   }
 
   private void emitAccounts(List<AccountChange> accounts) {
@@ -144,7 +144,7 @@
 
   /** The record in a form that fits a value, or null if there is none. */
   private static TaskBatchRecord fitting(TaskBatchRecord r, int valueBytes) {
-    if (r.size() * TaskBatchRecord.SLICE_BYTES_PER_TASK <= valueBytes
+    if (r.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK <= valueBytes
         || r.bytes(false) <= valueBytes) {
       return r;
     }
@@ -156,13 +156,13 @@
     Map<TaskBatchKey, List<Claim>> settled = new HashMap<>();
     List<Action.TaskBatchPut> puts = new ArrayList<>();
     for (TaskBatchChange c : changes) {
-      claimed.put(c.slice().key, c.claimed());
-      settled.put(c.slice().key, c.settled());
+      claimed.put(c.taskBatch().key, c.claimed());
+      settled.put(c.taskBatch().key, c.settled());
       puts.add(c.put());
-      c.slice().inFlight = true;
+      c.taskBatch().inFlight = true;
     }
     List<AccountChange> accounts = new ArrayList<>();
-    teams.forEach(team -> accounts.add(world.admission.claim(team)));
+    teams.forEach(team -> accounts.add(cluster.admission.claim(team)));
     inFlight.emit(
         new Action.Write(inFlight.nextId(), List.copyOf(puts), List.of(), List.of(), accounts),
         claimed,
@@ -187,11 +187,11 @@
    */
   void endJobs(double now) {
     List<Job> cancelled = new ArrayList<>();
-    for (Job j : new ArrayList<>(world.maybeOver)) {
+    for (Job j : new ArrayList<>(cluster.maybeOver)) {
       boolean over = j.stop ? j.claims.isEmpty() : endsWhole(j);
       if (!over) {
-        world.maybeOver.remove(j);
-      } else if (j.ending || j.slices.values().stream().anyMatch(s -> s.inFlight)) {
+        cluster.maybeOver.remove(j);
+      } else if (j.ending || j.taskBatches.values().stream().anyMatch(s -> s.inFlight)) {
         continue;
       } else if (j.stop) {
         cancelled.add(j);
@@ -215,16 +215,16 @@
     // Users wait for the end, nobody for the task batches to go: in a swarm of single tasks they
     // would
     // take as many changes again. What is left goes as soon as there is time.
-    int most = Math.min(world.policy.txnOps() - 2, inFlight.changesLeft() - 2);
+    int most = Math.min(cluster.policy.txnOps() - 2, inFlight.changesLeft() - 2);
     List<Action.TaskBatchDrop> drops = new ArrayList<>();
-    for (Job.Slice s : j.slices.values()) {
-      if (s.mark > 0 && drops.size() < most) {
-        drops.add(new Action.TaskBatchDrop(s.key, s.mark));
+    for (Job.TaskBatch s : j.taskBatches.values()) {
+      if (s.revision > 0 && drops.size() < most) {
+        drops.add(new Action.TaskBatchDrop(s.key, s.revision));
       }
     }
     j.ending = true;
     Action.JobEnd e =
-        new Action.JobEnd(j.spec.id(), j.mark, j.stop, j.spec.tasks(), List.copyOf(drops));
+        new Action.JobEnd(j.spec.id(), j.revision, j.stop, j.spec.tasks(), List.copyOf(drops));
     inFlight.emit(
         new Action.Write(inFlight.nextId(), List.of(), List.of(e), List.of(), List.of()),
         Map.of(),
@@ -232,7 +232,7 @@
   }
 
   private void dropOrphans() {
-    int most = Math.min(world.policy.txnOps(), inFlight.changesLeft());
+    int most = Math.min(cluster.policy.txnOps(), inFlight.changesLeft());
     if (records.orphans.isEmpty() || most <= 0 || inFlight.orphanWriteOpen()) {
       return;
     }
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -55,11 +55,11 @@
 
   private record Due(double at, double work, double estimate) {}
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final Map<String, Ratio> ratios = new HashMap<>();
 
-  Deadlines(ClusterState world) {
-    this.world = world;
+  Deadlines(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** A task has run to its end in so many seconds. */
@@ -73,7 +73,7 @@
     r.count = r.count * RATIO_MEMORY + 1;
   }
 
-  /** Expected run time of a task, in seconds: the owner's estimate, corrected by the class. */
+  /** Expected run time of a task, in seconds: the leader's estimate, corrected by the class. */
   double estimate(JobSpec s) {
     Ratio r = ratios.get(s.jobClass());
     double e = s.estimateS() > 0 ? s.estimateS() : UNKNOWN_RUN_S;
@@ -97,14 +97,14 @@
     if (s.isService() || !s.spot() || !due) {
       return false;
     }
-    Double wait = world.policy.waits().get(s.jobClass());
-    return wait == null || wait > PATIENT_BOOTS * BootTimes.slowestNominal(world);
+    Double wait = cluster.policy.waits().get(s.jobClass());
+    return wait == null || wait > PATIENT_BOOTS * BootTimes.slowestNominal(cluster);
   }
 
   /** True if more than its deadline is wanted of the class: a first start, or an end, by a time. */
   private boolean hurried(JobSpec s) {
-    return world.policy.waits().containsKey(s.jobClass())
-        || world.policy.finishes().containsKey(s.jobClass());
+    return cluster.policy.waits().containsKey(s.jobClass())
+        || cluster.policy.finishes().containsKey(s.jobClass());
   }
 
   /**
@@ -119,8 +119,8 @@
       return whole;
     }
     double next = now + PATIENT_S + DEADLINE_MARGIN_S + estimate * 0.5;
-    Double wait = world.policy.waits().get(s.jobClass());
-    Double finish = world.policy.finishes().get(s.jobClass());
+    Double wait = cluster.policy.waits().get(s.jobClass());
+    Double finish = cluster.policy.finishes().get(s.jobClass());
     double[] wanted = {
       wait == null || j.open.isEmpty() ? whole : j.submittedAt + wait + estimate,
       finish == null ? whole : j.submittedAt + finish,
@@ -144,7 +144,7 @@
    */
   Set<Job> steppingBack(double fleetCpus, double now) {
     Map<String, List<Part>> teams = new HashMap<>();
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       JobSpec s = j.spec;
       if (!s.isService() && j.hasDue() && !j.stop && !j.suspect && !j.complete() && !j.blocked()) {
         teams.computeIfAbsent(s.team(), t -> new ArrayList<>()).add(part(j, now));
@@ -167,7 +167,7 @@
    */
   Set<Job> atLeisure(double now) {
     Set<Job> jobs = new HashSet<>();
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (!j.waiting() || j.spec.isService() || !j.hasDue() || hurried(j.spec)) {
         continue;
       }
@@ -181,12 +181,12 @@
 
   /** CPUs that a team's limit leaves beside its services; without a limit, any number. */
   private double leftForArrays(String team) {
-    Team t = world.policy.team(team);
+    Team t = cluster.policy.team(team);
     if (t == null || t.cpusMax() <= 0) {
       return Double.MAX_VALUE;
     }
     double left = t.cpusMax();
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (j.spec.isService() && j.spec.team().equals(team)) {
         left -= j.claims.size() * j.spec.cpus();
       }
@@ -241,7 +241,7 @@
     List<Due> all = new ArrayList<>();
     Map<String, List<Due>> byTeam = new HashMap<>();
     double total = 0;
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       JobSpec s = j.spec;
       if (!patient(j) || j.stop || j.suspect || j.blocked()) {
         continue;
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -10,7 +10,7 @@
  * what is stored for the leader after a failover.
  */
 final class DemandHistory {
-  /** Seconds between records of the recent demand, for the next owner. */
+  /** Seconds between records of the recent demand, for the next leader. */
   private static final double KEEP_DEMAND_EVERY_S = 10;
 
   /**
@@ -31,14 +31,14 @@
   /** So many tasks of a job of this spec arrived at this time (seconds). */
   record Arrival(double at, JobSpec spec, int tasks) {}
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final double startedAt;
   private final List<Arrival> arrivals = new ArrayList<>();
   private boolean newArrivals;
   private double lastKept = Double.NEGATIVE_INFINITY;
 
-  DemandHistory(ClusterState world, double startedAt) {
-    this.world = world;
+  DemandHistory(ClusterState cluster, double startedAt) {
+    this.cluster = cluster;
     this.startedAt = startedAt;
   }
 
@@ -89,7 +89,7 @@
     lastKept = now;
     newArrivals = false;
     Map<String, Action.Demand> classes = new HashMap<>();
-    int kept = KEPT_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
+    int kept = KEPT_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
     for (int i = arrivals.size() - 1; i >= 0; i--) {
       Arrival a = arrivals.get(i);
       Action.Demand d =
@@ -102,7 +102,7 @@
         break;
       }
     }
-    world.out.add(new Action.KeepDemand(List.copyOf(classes.values())));
+    cluster.out.add(new Action.KeepDemand(List.copyOf(classes.values())));
   }
 
   /**
@@ -115,10 +115,10 @@
     for (Arrival a : arrivals) {
       byClass.computeIfAbsent(a.spec().jobClass(), c -> new ArrayList<>()).add(a);
     }
-    double boot = BootTimes.slowestNominal(world);
+    double boot = BootTimes.slowestNominal(cluster);
     Map<JobSpec, Integer> spare = new HashMap<>();
     for (var e : byClass.entrySet()) {
-      Double wait = world.policy.waits().get(e.getKey());
+      Double wait = cluster.policy.waits().get(e.getKey());
       if (wait == null || wait > boot) {
         continue;
       }
@@ -140,6 +140,6 @@
     double mean = sum / span * boot * 1.5;
     // Arrays come in lumps, and several at once on a bad day.
     double lump = typical.isService() ? Math.max(mean, largest) : mean + 2 * largest;
-    return lump * world.policy.tuning().spareFactor();
+    return lump * cluster.policy.tuning().spareFactor();
   }
 }
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -30,7 +30,7 @@
   /** Final records asked for at once, a batch. */
   private static final int MOST_FOUND = 200;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final ToDoubleFunction<JobSpec> estimate;
 
   /** Live jobs by a job that they wait for. */
@@ -39,8 +39,8 @@
   /** Needed jobs that are not live here, and when their final records were last asked for. */
   private final Map<String, Double> missing = new LinkedHashMap<>();
 
-  Dependencies(ClusterState world, ToDoubleFunction<JobSpec> estimate) {
-    this.world = world;
+  Dependencies(ClusterState cluster, ToDoubleFunction<JobSpec> estimate) {
+    this.cluster = cluster;
     this.estimate = estimate;
   }
 
@@ -50,7 +50,7 @@
     boolean cancelled = false;
     for (String need : j.needed) {
       dependents.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(j);
-      Job n = world.jobs.get(need);
+      Job n = cluster.jobs.get(need);
       if (n == null) {
         missing.putIfAbsent(need, Double.NEGATIVE_INFINITY);
       }
@@ -71,7 +71,7 @@
       Job d = next.poll();
       double by = d.dueAt() - estimate.applyAsDouble(d.spec) - STAGE_S;
       for (String need : d.needed) {
-        Job n = world.jobs.get(need);
+        Job n = cluster.jobs.get(need);
         if (n == null) {
           continue;
         }
@@ -126,14 +126,14 @@
   }
 
   private void press(Job j, double now) {
-    Double wantedWaitS = world.policy.waits().get(j.spec.jobClass());
+    Double wantedWaitS = cluster.policy.waits().get(j.spec.jobClass());
     j.press(estimate.applyAsDouble(j.spec), wantedWaitS, now);
   }
 
   /** Looks which of the needed jobs press; to be called now and then. */
   void look(double now) {
     for (String id : dependents.keySet()) {
-      Job j = world.jobs.get(id);
+      Job j = cluster.jobs.get(id);
       if (j != null) {
         press(j, now);
       }
@@ -147,7 +147,7 @@
     next.add(j);
     while (!next.isEmpty()) {
       for (String need : next.poll().needed) {
-        Job n = world.jobs.get(need);
+        Job n = cluster.jobs.get(need);
         if (n != null && seen.add(n)) {
           press(n, now);
           next.add(n);
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -35,11 +35,11 @@
   /** Seconds; longest pause of such a job: an accepted job must run, so it is tried on. */
   private static final double LONGEST_JOB_BACKOFF_S = 30;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final FleetPlanner planner;
 
-  FailureAttribution(ClusterState world, FleetPlanner planner) {
-    this.world = world;
+  FailureAttribution(ClusterState cluster, FleetPlanner planner) {
+    this.cluster = cluster;
     this.planner = planner;
   }
 
@@ -49,7 +49,7 @@
     boolean early = c.runningSince == 0 || now - c.runningSince < GOOD_RUN_S;
     boolean proven = j.doneCount > 0 || (j.ranWell && early);
     j.failedOn.add(m.name);
-    int cap = world.policy.tuning().attemptCap();
+    int cap = cluster.policy.tuning().attemptCap();
     if (j.suspect) {
       // The rest of one volley says nothing new; only a later try does.
       if (c.since > j.suspectSince) {
@@ -72,7 +72,7 @@
       m.bad = true;
       m.drain = true;
       // What runs there already is left alone: only starts were seen to fail.
-      world.note("machine " + m.name + " fails tasks of several jobs: no new ones");
+      cluster.note("machine " + m.name + " fails tasks of several jobs: no new ones");
       acquit(m, now);
     }
   }
@@ -84,34 +84,34 @@
     j.tries = 0;
     pause(j, now);
     planner.onBroken(j.spec);
-    world.note(
+    cluster.note(
         j.spec.id()
             + " fails on every machine, "
             + j.failedOn.size()
             + " so far: tried one task at a time from now on");
     for (String name : j.failedOn) {
-      Machine m = world.machines.get(name);
+      Machine m = cluster.machines.get(name);
       if (m == null || m.errorJobs.remove(j.spec.id()) == null) {
         continue;
       }
       if (m.bad && m.errorJobs.size() < 2 && !m.returning) {
         m.bad = false;
         m.drain = false;
-        world.note("machine " + m.name + " is used again: the jobs were at fault");
+        cluster.note("machine " + m.name + " is used again: the jobs were at fault");
       }
       if (m.errorJobs.isEmpty()) {
         m.quarantineUntil = Double.NEGATIVE_INFINITY;
-        world.roomVersion++;
+        cluster.roomVersion++;
       }
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /** The machine fails everything, so that jobs are not to blame for what failed there. */
   private void acquit(Machine m, double now) {
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       boolean met = j.failedOn.remove(m.name);
-      if (met && j.suspect && j.failedOn.size() < world.policy.tuning().attemptCap()) {
+      if (met && j.suspect && j.failedOn.size() < cluster.policy.tuning().attemptCap()) {
         clear(j, now);
       }
     }
@@ -128,7 +128,7 @@
     if (!j.ranWell || j.unsure || j.suspect) {
       j.ranWell = true;
       j.unsure = false;
-      world.dirty = true;
+      cluster.dirty = true;
       if (j.suspect) {
         clear(j, now);
       }
@@ -144,8 +144,8 @@
     j.tries = 0;
     j.notBefore = now;
     j.failedOn.clear();
-    world.dirty = true;
-    world.roomVersion++;
-    world.note(j.spec.id() + " is not at fault: its machines were");
+    cluster.dirty = true;
+    cluster.roomVersion++;
+    cluster.note(j.spec.id() + " is not at fault: its machines were");
   }
 }
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Consolidation before scale in: marks as closing the on-demand machines that deadlines don't need,
- * the dearest first. Arrays on them run to their end; services are moved one at a time to where
- * there is room and their image. A closed machine is scaled in once it is empty.
+ * Consolidation before scale in: revisions as closing the on-demand machines that deadlines don't
+ * need, the dearest first. Arrays on them run to their end; services are moved one at a time to
+ * where there is room and their image. A closed machine is scaled in once it is empty.
  */
 final class FleetConsolidation {
   /** Seconds that a machine is charged at least; before that there is nothing to save. */
@@ -38,15 +38,15 @@
   /** Seconds between moves of replicas, each of which is away for a moment. */
   private static final double MOVE_EVERY_S = 2;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final Deadlines deadlines;
   private final DemandHistory demand;
   private final double startedAt;
   private double lastMove = Double.NEGATIVE_INFINITY;
 
   FleetConsolidation(
-      ClusterState world, Deadlines deadlines, DemandHistory demand, double startedAt) {
-    this.world = world;
+      ClusterState cluster, Deadlines deadlines, DemandHistory demand, double startedAt) {
+    this.cluster = cluster;
     this.deadlines = deadlines;
     this.demand = demand;
     this.startedAt = startedAt;
@@ -60,19 +60,19 @@
    */
   void close(double surplus, Set<Machine> keep, double now) {
     boolean impatient =
-        world.jobs.values().stream().anyMatch(this::impatient)
+        cluster.jobs.values().stream().anyMatch(this::impatient)
             || demand.arrivals().stream().anyMatch(a -> impatient(a.spec()));
     if (impatient || now - startedAt < ScaleInPlanner.SETTLE_S) {
-      world.machines.values().forEach(m -> m.closing = false);
+      cluster.machines.values().forEach(m -> m.closing = false);
       return;
     }
     List<Machine> onDemand = onDemandMachines();
     double left = reopen(onDemand, surplus);
     onDemand.sort(Comparator.comparingDouble(m -> -wasted(m)));
     int most = atOnce(onDemand);
-    int tries = CLOSE_TRIES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(world);
+    int tries = CLOSE_TRIES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
     for (Machine m : onDemand) {
-      if (m.closing || keep.contains(m) || now - m.rentedAt < CHARGED_AT_LEAST_S) {
+      if (m.closing || keep.contains(m) || now - m.requestedAt < CHARGED_AT_LEAST_S) {
         continue;
       }
       double forArrays = m.room.cpus() - serviceCpus(m);
@@ -83,7 +83,7 @@
       if (enough && movable(m, onDemand, now) && warmEnoughWithout(m, onDemand)) {
         m.closing = true;
         left -= forArrays;
-        world.note("closing " + m.name + ": its work fits on cheaper machines");
+        cluster.note("closing " + m.name + ": its work fits on cheaper machines");
         if (--most <= 0) {
           break; // A few at a time, so that the next plan sees what came of it.
         }
@@ -95,12 +95,12 @@
   /** Reported on-demand machines of a known type that are not on their way out. */
   private List<Machine> onDemandMachines() {
     List<Machine> onDemand = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       if (m.reported
           && !m.spot
           && !m.leaseOver
           && !m.returning
-          && world.types.containsKey(m.type)) {
+          && cluster.types.containsKey(m.type)) {
         onDemand.add(m);
       }
     }
@@ -138,7 +138,7 @@
 
   /** Money an hour that the machine costs beyond what its services would cost elsewhere. */
   private double wasted(Machine m) {
-    MachineType t = world.types.get(m.type);
+    MachineType t = cluster.types.get(m.type);
     return t.price() * (1 - serviceCpus(m) / t.cpus());
   }
 
@@ -149,7 +149,7 @@
     }
     Map<Machine, Resources> free = new LinkedHashMap<>();
     for (Machine o : onDemand) {
-      if (o != m && !o.closing && world.usable(o, now)) {
+      if (o != m && !o.closing && cluster.usable(o, now)) {
         free.put(o, o.room.minus(o.services));
       }
     }
@@ -181,7 +181,7 @@
     Map<String, JobSpec> typical = new HashMap<>();
     for (DemandHistory.Arrival a : demand.arrivals()) {
       JobSpec s = a.spec();
-      if (s.isService() && world.policy.waits().containsKey(s.jobClass()) && m.warm(s.image())) {
+      if (s.isService() && cluster.policy.waits().containsKey(s.jobClass()) && m.warm(s.image())) {
         largest.merge(s.image(), s.tasks(), Math::max);
         typical.put(s.image(), s);
       }
@@ -230,10 +230,10 @@
         }
         Machine to = target(c, m, onDemand, promised, now);
         if (to != null) {
-          world.askStop(c, now);
+          cluster.askStop(c, now);
           lastMove = now;
           promised.merge(to, c.room(), Resources::plus);
-          world.note("move " + c.taskId() + " off " + m.name);
+          cluster.note("move " + c.taskId() + " off " + m.name);
           if (--left <= 0) {
             return;
           }
@@ -258,7 +258,7 @@
           && !to.closing
           && to.holds(c.room())
           && goodTarget(c, to)
-          && world.usable(to, now)
+          && cluster.usable(to, now)
           && to.free().minus(promised.getOrDefault(to, Resources.NONE)).holds(c.room())) {
         return to;
       }
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -11,7 +11,7 @@
  * the demand and image records that a leader after a failover starts from.
  */
 final class FleetPlanner {
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final BootTimes boots;
   private final Deadlines deadlines;
   private final DemandHistory demand;
@@ -22,20 +22,20 @@
   private Set<Job> stepBack = Set.of();
   private Set<Job> atLeisure = Set.of();
 
-  FleetPlanner(ClusterState world, double now) {
-    this.world = world;
-    this.boots = new BootTimes(world, now);
-    this.deadlines = new Deadlines(world);
-    this.demand = new DemandHistory(world, now);
-    this.scaleOut = new ScaleOutPlanner(world, boots, deadlines);
-    this.consolidation = new FleetConsolidation(world, deadlines, demand, now);
-    this.scaleIn = new ScaleInPlanner(world, boots, now);
-    this.images = new ImageRecords(world, now);
+  FleetPlanner(ClusterState cluster, double now) {
+    this.cluster = cluster;
+    this.boots = new BootTimes(cluster, now);
+    this.deadlines = new Deadlines(cluster);
+    this.demand = new DemandHistory(cluster, now);
+    this.scaleOut = new ScaleOutPlanner(cluster, boots, deadlines);
+    this.consolidation = new FleetConsolidation(cluster, deadlines, demand, now);
+    this.scaleIn = new ScaleInPlanner(cluster, boots, now);
+    this.images = new ImageRecords(cluster, now);
   }
 
   /** Thousands of machines, the last of which need not be full; at least one. */
-  static int thousandsOfMachines(ClusterState world) {
-    return 1 + Math.max(0, world.machines.size() - 1) / 1000;
+  static int thousandsOfMachines(ClusterState cluster) {
+    return 1 + Math.max(0, cluster.machines.size() - 1) / 1000;
   }
 
   void onArrival(JobSpec spec, double at) {
@@ -89,7 +89,7 @@
 
   /** Plans the fleet and adds the scale-out, scale-in and record actions to the world's out. */
   void plan(double now) {
-    if (world.types.isEmpty()) {
+    if (cluster.types.isEmpty()) {
       return;
     }
     demand.forgetOld(now);
--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -12,19 +12,19 @@
  * until proven gone: it ends here or not at all.
  */
 final class HeartbeatMonitor {
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final StoredRecords records;
   private final WorkerCommands commands;
   private final FleetPlanner planner;
   private final FailureAttribution failureAttribution;
 
   HeartbeatMonitor(
-      ClusterState world, StoredRecords records, WorkerCommands commands, FleetPlanner planner) {
-    this.world = world;
+      ClusterState cluster, StoredRecords records, WorkerCommands commands, FleetPlanner planner) {
+    this.cluster = cluster;
     this.records = records;
     this.commands = commands;
     this.planner = planner;
-    this.failureAttribution = new FailureAttribution(world, planner);
+    this.failureAttribution = new FailureAttribution(cluster, planner);
   }
 
   long stale;
@@ -42,15 +42,15 @@
     if (dropped.contains(r.machine())) {
       return false; // Held back on the way: the cloud has said that the machine is gone.
     }
-    Machine m = world.machine(r.machine(), now);
+    Machine m = cluster.machine(r.machine(), now);
     if (m.reported && !r.newerThan(m.session, m.seq)) {
       takeStale(m, r, checkin);
       return false; // Held back on the way: its list is older than what we know.
     }
     boolean first = !m.reported;
-    boolean wasUsable = world.usable(m, now);
+    boolean wasUsable = cluster.usable(m, now);
     if (first || m.type == null || !m.type.equals(r.type())) {
-      world.locate(m, r.type(), r.zone(), r.spot());
+      cluster.locate(m, r.type(), r.zone(), r.spot());
     }
     if (first || r.session() != m.session) {
       m.sessionSeen = now;
@@ -61,18 +61,18 @@
     if (first) {
       m.idleSince = now;
       planner.onUp(m, now);
-      world.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
+      cluster.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
     }
     if (r.noticeS() != null && m.noticeAt == null) {
       m.noticeAt = now + r.noticeS();
-      world.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
+      cluster.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
       commands.drainClaims(m, now);
     }
     learnImages(m, r, now);
     judgeClaims(m, r, checkin, now);
-    if (!wasUsable && world.usable(m, now)) {
-      world.roomVersion++;
-      world.dirty = true;
+    if (!wasUsable && cluster.usable(m, now)) {
+      cluster.roomVersion++;
+      cluster.dirty = true;
     }
     return true;
   }
@@ -146,14 +146,14 @@
     if (via != null && m.answeredThere) {
       if (next && !via.equals(m.via)) {
         why = "it went to another controller after our answer";
-      } else if (same && r.term() < world.firstTerm) {
+      } else if (same && r.term() < cluster.firstTerm) {
         why = "it doesn't know the term of our answer";
       } else if (same && ignoresLaunch(m, r)) {
         why = "it doesn't show what our answer told it to start";
       } else if (r.session() > m.session
-          && now - m.lastAnswered < world.policy.leaseS() / 2
-          && (r.term() >= world.firstTerm
-              || m.lastAnswered - m.firstAnswered > world.policy.reportS() / 2)) {
+          && now - m.lastAnswered < cluster.policy.leaseS() / 2
+          && (r.term() >= cluster.firstTerm
+              || m.lastAnswered - m.firstAnswered > cluster.policy.reportS() / 2)) {
         // A first answer alone may have come when its lease was over already, as after a takeover.
         why = "its lease ran out although we had just answered";
       }
@@ -161,12 +161,12 @@
     boolean took = via == null || r.term() > m.seenTerm || (next && m.answeredThere);
     if (why == null && took) {
       if (m.deafSince != null) {
-        world.note("machine " + m.name + " hears us again");
+        cluster.note("machine " + m.name + " hears us again");
       }
       m.deafSince = null;
     } else if (why != null && m.deafSince == null) {
       m.deafSince = now;
-      world.note("machine " + m.name + " does not hear us: " + why);
+      cluster.note("machine " + m.name + " does not hear us: " + why);
     }
   }
 
@@ -202,7 +202,7 @@
       return;
     }
     if (c.session < r.session()) {
-      world.note(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
+      cluster.note(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
       records.end(c, false, now);
       return;
     }
@@ -234,8 +234,8 @@
     }
     switch (c.launch) {
       case NONE -> {
-        // An earlier owner may have launched it, but its orders are refused now.
-        if (c.fromPast && r.term() >= world.term) {
+        // An earlier leader may have launched it, but its orders are refused now.
+        if (c.fromPast && r.term() >= cluster.term) {
           records.end(c, false, now);
         }
       }
@@ -252,7 +252,7 @@
         }
       }
       case SEEN -> {
-        world.note(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
+        cluster.note(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
         records.end(c, false, now);
       }
       case DIRECT -> {}
@@ -268,7 +268,7 @@
 
   private void exited(Machine m, Claim c, Heartbeat.Entry e, double now) {
     Job j = c.job;
-    world.note(
+    cluster.note(
         c.taskId()
             + " attempt "
             + c.attempt
@@ -277,7 +277,7 @@
             + " exited: "
             + e.why()
             + (e.saved() ? ", saved" : ""));
-    world.out.add(new Action.Seen(e.why(), -1));
+    cluster.out.add(new Action.Seen(e.why(), -1));
     switch (e.why()) {
       case "done" -> {
         failureAttribution.good(m, c, now);
@@ -292,7 +292,7 @@
       }
       case "no_room" -> {
         // Something runs there that we don't know of yet; the next reports will show it.
-        m.quarantineUntil = Math.max(m.quarantineUntil, now + world.policy.reportS());
+        m.quarantineUntil = Math.max(m.quarantineUntil, now + cluster.policy.reportS());
         records.end(c, false, now);
       }
       case "unknown" -> {
@@ -305,7 +305,7 @@
 
   /** The worker's lease cannot begin later than this answer. */
   void answered(String machine, double now) {
-    Machine m = world.machines.get(machine);
+    Machine m = cluster.machines.get(machine);
     if (m != null) {
       m.lastAnswered = now;
       m.firstAnswered = Double.isNaN(m.firstAnswered) ? now : m.firstAnswered;
@@ -315,19 +315,19 @@
 
   /** A worker's lease runs from our last answer, or from the takeover for those of before. */
   void leases(double now) {
-    double lease = world.policy.leaseS() * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
-    for (Machine m : world.machines.values()) {
-      double from = Math.max(Math.max(m.lastAnswered, m.sessionSeen), world.tookOver);
+    double lease = cluster.policy.leaseS() * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
+    for (Machine m : cluster.machines.values()) {
+      double from = Math.max(Math.max(m.lastAnswered, m.sessionSeen), cluster.tookOver);
       if (now <= from + lease || (!m.reported && m.claims.isEmpty())) {
         continue;
       }
-      // A deputy of its zone may have answered it since.
-      if (now <= world.deputies.renewedUntil(m.zone, now) + lease) {
+      // A lease delegate of its zone may have answered it since.
+      if (now <= cluster.delegates.renewedUntil(m.zone, now) + lease) {
         continue;
       }
       if (!m.leaseOver) {
         m.leaseOver = true;
-        world.note("the lease of " + m.name + " is over, " + m.claims.size() + " claims");
+        cluster.note("the lease of " + m.name + " is over, " + m.claims.size() + " claims");
       }
       // Also those that committed since: nothing is launched on a machine whose lease is over.
       for (Claim c : new ArrayList<>(m.claims.values())) {
@@ -341,14 +341,14 @@
   void machineGone(Machine m, String why, double now) {
     for (Claim c : new ArrayList<>(m.claims.values())) {
       if (c.phase == Claim.Phase.HELD) {
-        world.note(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
+        cluster.note(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
         records.end(c, false, now);
       }
     }
   }
 
   void onSent(Action.Command cmd, Scheduler.Sent how, Heartbeat report, double now) {
-    Machine m = world.machines.get(cmd.machine());
+    Machine m = cluster.machines.get(cmd.machine());
     if (m == null) {
       return;
     }
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -9,7 +9,7 @@
  * leader after a failover knows where work starts warm.
  */
 final class ImageRecords {
-  /** Seconds between records of the images on machines, each a hint for the next owner. */
+  /** Seconds between records of the images on machines, each a hint for the next leader. */
   private static final double KEEP_IMAGES_EVERY_S = 15;
 
   /**
@@ -18,13 +18,13 @@
    */
   private static final int IMAGE_PARTS_AT_ONCE = 24;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final double startedAt;
   private double lastKept;
   private int nextPart;
 
-  ImageRecords(ClusterState world, double startedAt) {
-    this.world = world;
+  ImageRecords(ClusterState cluster, double startedAt) {
+    this.cluster = cluster;
     this.startedAt = startedAt;
   }
 
@@ -37,16 +37,16 @@
       return;
     }
     lastKept = now;
-    int wanted = world.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(world);
-    if (wanted > world.imageParts) {
-      world.imageParts(wanted); // It does not shrink with the fleet, or it would go to and fro.
+    int wanted = cluster.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(cluster);
+    if (wanted > cluster.imageParts) {
+      cluster.imageParts(wanted); // It does not shrink with the fleet, or it would go to and fro.
     }
     Map<Integer, Map<String, List<String>>> parts = changedParts();
     if (parts.isEmpty()) {
       return;
     }
-    for (Machine m : world.machines.values()) {
-      Map<String, List<String>> part = parts.get(m.imagePart(world.imageParts));
+    for (Machine m : cluster.machines.values()) {
+      Map<String, List<String>> part = parts.get(m.imagePart(cluster.imageParts));
       if (part == null) {
         continue;
       }
@@ -55,14 +55,14 @@
         part.put(m.name, List.copyOf(m.images.keySet()));
       }
     }
-    parts.forEach((i, machines) -> world.out.add(new Action.KeepImages(i, machines)));
+    parts.forEach((i, machines) -> cluster.out.add(new Action.KeepImages(i, machines)));
   }
 
   /** The records to write now, empty as yet: the next in turn of those that are out of date. */
   private Map<Integer, Map<String, List<String>>> changedParts() {
-    boolean[] changed = new boolean[world.imageParts];
-    for (Machine m : world.machines.values()) {
-      changed[m.imagePart(world.imageParts)] |= m.imagesChanged;
+    boolean[] changed = new boolean[cluster.imageParts];
+    for (Machine m : cluster.machines.values()) {
+      changed[m.imagePart(cluster.imageParts)] |= m.imagesChanged;
     }
     Map<Integer, Map<String, List<String>>> parts = new HashMap<>();
     for (int i = 0; i < changed.length && parts.size() < IMAGE_PARTS_AT_ONCE; i++) {
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The owner's working view of a live job. */
+/** The leader's working view of a live job. */
 final class Job {
   /** Run times and seconds left before it is needed when a job goes by the priority of others. */
   private static final double PRESSING_RUNS = 2;
@@ -18,29 +18,29 @@
   /** Share of its class's wanted wait after which a needed job goes by the priority of others. */
   private static final double PRESSING_WAIT = 0.4;
 
-  /** One stored slice, with what is under way for it. */
-  static final class Slice {
+  /** One stored task batch, with what is under way for it. */
+  static final class TaskBatch {
     final TaskBatchKey key;
     final int base;
     TaskBatchRecord record;
-    long mark;
+    long revision;
 
-    /** A transaction on it has not been answered yet, so its mark is about to change. */
+    /** A transaction on it has not been answered yet, so its revision is about to change. */
     boolean inFlight;
 
     /** What the watch said while the transaction was unanswered, or null. */
     TaskBatchRecord stash;
 
-    long stashMark;
+    long stashRevision;
 
     /** No more of its tasks are claimed before this time, since its record would be too large. */
     double fullUntil = Double.NEGATIVE_INFINITY;
 
-    Slice(TaskBatchKey key, int base, TaskBatchRecord record, long mark) {
+    TaskBatch(TaskBatchKey key, int base, TaskBatchRecord record, long revision) {
       this.key = key;
       this.base = base;
       this.record = record;
-      this.mark = mark;
+      this.revision = revision;
     }
   }
 
@@ -52,12 +52,14 @@
   /** The same, as stored limits count it. */
   final Amount amount;
 
-  long mark;
+  long revision;
   boolean stop;
   boolean ending;
 
-  /** Slices stored or about to be; slices that no task was ever claimed of are absent. */
-  final TreeMap<Integer, Slice> slices = new TreeMap<>();
+  /**
+   * Task batches stored or about to be; task batches that no task was ever claimed of are absent.
+   */
+  final TreeMap<Integer, TaskBatch> taskBatches = new TreeMap<>();
 
   /** Tasks that nobody has claimed and that are not done. */
   final BitSet open;
@@ -97,11 +99,11 @@
 
   final Map<String, Integer> zoneClaims = new HashMap<>();
 
-  Job(JobSpec spec, long mark, boolean stop, double now) {
+  Job(JobSpec spec, long revision, boolean stop, double now) {
     this.spec = spec;
     this.need = Resources.of(spec);
     this.amount = need.amount();
-    this.mark = mark;
+    this.revision = revision;
     this.stop = stop;
     this.waitingSince = now;
     this.priority = spec.priority();
@@ -110,14 +112,14 @@
     this.open.set(0, spec.tasks());
   }
 
-  Slice slice(int index) {
-    return slices.computeIfAbsent(
+  TaskBatch taskBatch(int index) {
+    return taskBatches.computeIfAbsent(
         index,
         i ->
-            new Slice(
+            new TaskBatch(
                 new TaskBatchKey(spec.id(), i),
-                i * spec.sliceCap(),
-                TaskBatchRecord.fresh(spec.sliceSize(i)),
+                i * spec.batchCapacity(),
+                TaskBatchRecord.fresh(spec.batchSize(i)),
                 0));
   }
 
@@ -215,7 +217,7 @@
 
   /** True while none of its tasks has ever been claimed. */
   boolean neverBegan() {
-    return claims.isEmpty() && slices.isEmpty();
+    return claims.isEmpty() && taskBatches.isEmpty();
   }
 
   /** Claims that already give their place up for a waiting task of this job. */
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -5,45 +5,45 @@
  * DAG dependencies. A cancelled job's claims are stopped at once, and so are the jobs that need it.
  */
 final class JobRecordEvents {
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
   private final WorkerCommands commands;
 
   JobRecordEvents(
-      ClusterState world, FleetPlanner planner, StoredRecords records, WorkerCommands commands) {
-    this.world = world;
+      ClusterState cluster, FleetPlanner planner, StoredRecords records, WorkerCommands commands) {
+    this.cluster = cluster;
     this.planner = planner;
     this.records = records;
     this.commands = commands;
   }
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
-  void onJob(JobSpec spec, boolean stop, long mark, double submittedAt, double now) {
-    Job j = world.jobs.get(spec.id());
+  void onJob(JobSpec spec, boolean stop, long revision, double submittedAt, double now) {
+    Job j = cluster.jobs.get(spec.id());
     if (j == null) {
-      j = new Job(spec, mark, stop, now);
+      j = new Job(spec, revision, stop, now);
       j.acceptedAt = submittedAt;
       j.submittedAt = submittedAt;
-      world.jobs.put(spec.id(), j);
+      cluster.jobs.put(spec.id(), j);
       if (!j.blocked()) {
         planner.onArrival(spec, submittedAt);
       }
-      world.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
-      world.dependencies.look(j, now);
+      cluster.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
+      cluster.dependencies.look(j, now);
       // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
-    } else if (mark > j.mark) {
-      j.mark = mark;
+    } else if (revision > j.revision) {
+      j.revision = revision;
       if (stop && !j.stop) {
-        world.note("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
+        cluster.note("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
       }
       j.stop |= stop;
     }
     if (j.stop) {
       stopped(j, now);
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /**
@@ -51,53 +51,53 @@
    * end of it can commit against the record as we know it, and its tasks are stopped at once.
    */
   void onCancelled(String job, double now) {
-    Job j = world.jobs.get(job);
+    Job j = cluster.jobs.get(job);
     if (j != null && !j.stop) {
-      world.note(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
+      cluster.note(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
       j.stop = true;
       stopped(j, now);
-      world.dirty = true;
+      cluster.dirty = true;
     }
   }
 
   private void stopped(Job j, double now) {
-    world.stopped.add(j);
-    world.maybeOver.add(j);
+    cluster.stopped.add(j);
+    cluster.maybeOver.add(j);
     commands.stopClaims(j, now);
-    world.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
+    cluster.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
   }
 
   /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
   private void cancelWithNeeded(Job d, double now) {
-    world.note(d.spec.id() + " is cancelled with a job that it needs");
+    cluster.note(d.spec.id() + " is cancelled with a job that it needs");
     d.stop = true;
-    world.stopped.add(d);
-    world.maybeOver.add(d);
-    world.dirty = true;
+    cluster.stopped.add(d);
+    cluster.maybeOver.add(d);
+    cluster.dirty = true;
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   void onEnd(String job, boolean cancelled, double at, double now) {
-    if (!world.dependencies.needed(job)) {
+    if (!cluster.dependencies.needed(job)) {
       return;
     }
     if (cancelled) {
-      world.dependencies.cancelled(job).forEach(d -> cancelWithNeeded(d, now));
+      cluster.dependencies.cancelled(job).forEach(d -> cancelWithNeeded(d, now));
       return;
     }
-    for (Job d : world.dependencies.done(job, Math.min(at, now))) {
+    for (Job d : cluster.dependencies.done(job, Math.min(at, now))) {
       d.submittedAt = Math.max(d.acceptedAt, d.neededUntil);
       d.waitingSince = now;
       d.waitReason = "new";
       planner.onArrival(d.spec, d.submittedAt);
-      world.note(d.spec.id() + " may begin: all that it needs is done");
+      cluster.note(d.spec.id() + " may begin: all that it needs is done");
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /** The job's record is gone from the store. */
   void onJobGone(String id, double now) {
-    Job j = world.jobs.get(id);
+    Job j = cluster.jobs.get(id);
     if (j != null && !j.ending) {
       records.forget(j, now);
     }
--- a/src/main/java/graderelay/core/JobSpec.java
+++ b/src/main/java/graderelay/core/JobSpec.java
@@ -10,7 +10,8 @@
  * @param zone the only allowed zone, or null
  * @param deadlineS seconds from submission, or null
  * @param submittedMs time of day at acceptance
- * @param sliceCap tasks in one slice; fixed at acceptance, so that stored slices keep their place
+ * @param batchCapacity tasks in one task batch; fixed at acceptance, so that stored task batches
+ *     keep their place
  * @param needs jobs that have to be done before any task of this one starts, its dependencies
  */
 public record JobSpec(
@@ -35,7 +36,7 @@
     double saveS,
     Double deadlineS,
     long submittedMs,
-    int sliceCap,
+    int batchCapacity,
     List<String> needs) {
 
   /** True if a machine of this type is among the allowed ones and could hold a task when empty. */
@@ -71,7 +72,7 @@
         saveS,
         deadlineS,
         submittedMs,
-        sliceCap,
+        batchCapacity,
         List.copyOf(others));
   }
 
@@ -85,14 +86,14 @@
     return id + "/" + task;
   }
 
-  /** The slice that a task belongs to. */
-  public int sliceOf(int task) {
-    return task / sliceCap;
+  /** The task batch that a task belongs to. */
+  public int batchOf(int task) {
+    return task / batchCapacity;
   }
 
-  /** How many tasks slice {@code index} has. */
-  public int sliceSize(int index) {
-    return Math.min(sliceCap, tasks - index * sliceCap);
+  /** How many tasks task batch {@code index} has. */
+  public int batchSize(int index) {
+    return Math.min(batchCapacity, tasks - index * batchCapacity);
   }
 
   public boolean isService() {
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * The controllers that may keep leases alive in a zone that is cut off, as the owner counts it. A
- * deputy answers its zone's workers by itself, without orders, only while it reaches neither the
- * owner nor the state service, and only for so long after the owner's last word. Nothing is known
- * of a deputy that is silent, so its zone's leases count as renewed until its grant has run out;
- * from one that speaks we know that it does not answer by itself.
+ * The controllers that may keep leases alive in a zone that is cut off, as the leader counts it. A
+ * lease delegate answers its zone's workers by itself, without orders, only while it reaches
+ * neither the leader nor the state service, and only for so long after the leader's last word.
+ * Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed until
+ * its grant has run out; from one that speaks we know that it does not answer by itself.
  */
 final class LeaseDelegates {
   /**
-   * A deputy's question for a grant.
+   * A lease delegate's question for a grant.
    *
    * @param self tells its process from earlier ones of the same member
    * @param n number of the question
@@ -41,7 +41,7 @@
   private final double lengthS;
   private final double leaseS;
 
-  /** Earlier owners granted until they lost the fleet at the latest, which was before now. */
+  /** Earlier leaders granted until they lost the fleet at the latest, which was before now. */
   LeaseDelegates(Map<String, String> zones, long epoch, double grantS, double leaseS, double now) {
     this.epoch = epoch;
     this.lengthS = grantS * (1 + LeaseTiming.DRIFT);
@@ -69,8 +69,8 @@
   }
 
   /**
-   * A deputy that reaches the state service but not us has given its grants back, up to that of its
-   * question {@code n}. One that was granted since may hold.
+   * A lease delegate that reaches the state service but not us has given its grants back, up to
+   * that of its question {@code n}. One that was granted since may hold.
    */
   void free(String member, String self, long n, long of, double aloneS, double now) {
     LeaseDelegate d = all.get(member);
@@ -80,7 +80,7 @@
     }
   }
 
-  /** No lease in the zone was renewed by a deputy later than this. */
+  /** No lease in the zone was renewed by a lease delegate later than this. */
   double renewedUntil(String zone, double now) {
     double last = Double.NEGATIVE_INFINITY;
     for (LeaseDelegate d : all.values()) {
@@ -94,7 +94,7 @@
     return last;
   }
 
-  /** True if leases in the zone may go on since a deputy answered its workers by itself. */
+  /** True if leases in the zone may go on since a lease delegate answered its workers by itself. */
   boolean mayKeep(String zone, double now) {
     for (LeaseDelegate d : all.values()) {
       if (d.zone.equals(zone) && silent(d, now) && now < d.grantedUntil + leaseS) {
@@ -105,6 +105,6 @@
   }
 
   private static boolean silent(LeaseDelegate d, double now) {
-    return now > d.echoAt + LeaseTiming.DEPUTY_ALONE_S * (1 - LeaseTiming.DRIFT);
+    return now > d.echoAt + LeaseTiming.DELEGATE_ALONE_S * (1 - LeaseTiming.DRIFT);
   }
 }
--- a/src/main/java/graderelay/core/LeaseTiming.java
+++ b/src/main/java/graderelay/core/LeaseTiming.java
@@ -9,10 +9,10 @@
   public static final double DRIFT = 0.001;
 
   /**
-   * Seconds since the owner's last answer before which a deputy never answers by itself: several of
-   * its questions, and less than a worker needs to find it.
+   * Seconds since the leader's last answer before which a lease delegate never answers by itself:
+   * several of its questions, and less than a worker needs to find it.
    */
-  public static final double DEPUTY_ALONE_S = 4;
+  public static final double DELEGATE_ALONE_S = 4;
 
   private LeaseTiming() {}
 }
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The owner's view of one machine. */
+/** The leader's view of one machine. */
 final class Machine {
   /** Images remembered of a machine; only a guide for placement. */
   private static final int MOST_IMAGES = 64;
@@ -21,7 +21,7 @@
   final double knownSince;
 
   /** When it was rented, as far as known. */
-  double rentedAt;
+  double requestedAt;
 
   /** We rented it, or the list showed it booting: its first report tells how long that took. */
   boolean booting;
@@ -44,7 +44,7 @@
    */
   double sessionSeen = Double.NEGATIVE_INFINITY;
 
-  /** The controller that its last report came to: the owner itself, or one that passed it on. */
+  /** The controller that its last report came to: the leader itself, or one that passed it on. */
   String via = "";
 
   /** That report was answered and not a copy, so its worker stays there if it hears us. */
@@ -115,7 +115,7 @@
   Machine(String name, double now) {
     this.name = name;
     this.knownSince = now;
-    this.rentedAt = now;
+    this.requestedAt = now;
     this.idleSince = now;
   }
 
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -18,7 +18,7 @@
    */
   private static final int MOST_DROPPED = 20_000;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final FleetPlanner planner;
   private final HeartbeatMonitor heartbeats;
   private final WorkerCommands commands;
@@ -27,11 +27,11 @@
   private final Set<String> gone = new LinkedHashSet<>();
 
   MachineEvents(
-      ClusterState world,
+      ClusterState cluster,
       FleetPlanner planner,
       HeartbeatMonitor heartbeats,
       WorkerCommands commands) {
-    this.world = world;
+    this.cluster = cluster;
     this.planner = planner;
     this.heartbeats = heartbeats;
     this.commands = commands;
@@ -42,28 +42,28 @@
     for (MachineType t : types) {
       byName.put(t.name(), t);
     }
-    world.types = byName;
-    for (Machine m : world.machines.values()) {
+    cluster.types = byName;
+    for (Machine m : cluster.machines.values()) {
       if (m.type != null) {
-        world.locate(m, m.type, m.zone, m.spot);
+        cluster.locate(m, m.type, m.zone, m.spot);
       }
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   void onList(List<Scheduler.Listed> list, double now) {
     for (Scheduler.Listed l : list) {
-      Machine m = world.machines.get(l.name());
+      Machine m = cluster.machines.get(l.name());
       if (m == null) {
         if (heartbeats.dropped.contains(l.name())) {
           continue; // The list lags: it was deleted a moment ago.
         }
-        m = world.machine(l.name(), now);
-        m.rentedAt = now - l.ageS();
+        m = cluster.machine(l.name(), now);
+        m.requestedAt = now - l.ageS();
       }
       if (!m.reported) {
         m.booting |= l.stage().equals("booting");
-        world.locate(m, l.type(), l.zone(), l.spot());
+        cluster.locate(m, l.type(), l.zone(), l.spot());
         m.address = l.address();
       }
       if (l.stage().equals("failed") && !m.failed) {
@@ -71,19 +71,19 @@
         heartbeats.machineGone(m, "the cloud lists it as failed", now);
       }
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /** The cloud answered scale-out request {@code id}. */
   void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
     planner.onScaleOutAnswered(id, names, noCapacity, now);
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
-  void onGivenBack(List<String> names, double now) {
+  void onScaledIn(List<String> names, double now) {
     for (String n : names) {
-      Machine m = world.machines.get(n);
+      Machine m = cluster.machines.get(n);
       if (m == null || !m.returning) {
         continue;
       }
@@ -94,16 +94,16 @@
       }
       gone.add(n);
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /** Forgets given-back machines once no claim on them is left. */
   void forgetMachines(double now) {
     gone.removeIf(
         n -> {
-          Machine m = world.machines.get(n);
+          Machine m = cluster.machines.get(n);
           if (m != null && m.claims.isEmpty()) {
-            world.machines.remove(n);
+            cluster.machines.remove(n);
           }
           return m == null || m.claims.isEmpty();
         });
@@ -111,16 +111,16 @@
 
   /** What operators keep off machines, as the settings have it now. */
   void onCordons(Set<String> cordoned, Set<String> drained, double now) {
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       boolean drain = drained.contains(m.name);
       boolean starts = drain && !m.operatorDrain;
       m.operatorDrain = drain;
       m.cordoned = drain || cordoned.contains(m.name);
       if (starts) {
-        world.note("machine " + m.name + " is drained by its operators");
+        cluster.note("machine " + m.name + " is drained by its operators");
         commands.drainClaims(m, now);
       }
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -21,7 +21,7 @@
   private static final double MUST_BEGIN_S = 150;
 
   private static final double PAUSE = NO_ROOM_PAUSE_S;
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final RandomGenerator random;
   private final PlacementRules rules;
   private final QuotaGate quota;
@@ -29,14 +29,14 @@
   private final CommitReservations reservations;
   private final Preemption preemption;
 
-  PlacementRound(ClusterState world, RandomGenerator random) {
-    this.world = world;
+  PlacementRound(ClusterState cluster, RandomGenerator random) {
+    this.cluster = cluster;
     this.random = random;
-    this.rules = new PlacementRules(world);
-    this.quota = new QuotaGate(world);
-    this.order = new QueueOrder(world);
-    this.reservations = new CommitReservations(world);
-    this.preemption = new Preemption(world, rules, quota);
+    this.rules = new PlacementRules(cluster);
+    this.quota = new QuotaGate(cluster);
+    this.order = new QueueOrder(cluster);
+    this.reservations = new CommitReservations(cluster);
+    this.preemption = new Preemption(cluster, rules, quota);
   }
 
   /** What the last fleet plan found of the jobs that wait. */
@@ -57,12 +57,12 @@
       return claims;
     }
     List<Machine> usable = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
-      if (world.usable(m, now)) {
+    for (Machine m : cluster.machines.values()) {
+      if (cluster.usable(m, now)) {
         usable.add(m);
       }
     }
-    world.looked += world.machines.size();
+    cluster.looked += cluster.machines.size();
     waiting.sort(null);
     quota.keepLimits(now);
     reservations.reserve(waiting, now);
@@ -89,8 +89,8 @@
   private List<QueueOrder.Entry> waiting(double now) {
     order.beginRound(now);
     List<QueueOrder.Entry> waiting = new ArrayList<>();
-    for (Job j : world.jobs.values()) {
-      if (j.waiting() && !(j.noRoomAt == world.roomVersion && now - j.noRoomSince < PAUSE)) {
+    for (Job j : cluster.jobs.values()) {
+      if (j.waiting() && !(j.noRoomAt == cluster.roomVersion && now - j.noRoomSince < PAUSE)) {
         waiting.add(order.entry(j, now));
       }
     }
@@ -118,7 +118,8 @@
           continue; // Placed by the first pass, wherever there was room.
         }
         boolean may = left > 0 || service;
-        int most = Math.min(k.job.spec.sliceCap(), reservations.unreserved(k.job, usable, claims));
+        int most =
+            Math.min(k.job.spec.batchCapacity(), reservations.unreserved(k.job, usable, claims));
         left -= may ? place(k.job, usable, roomy, warmOnly && !service, most, claims, now) : 0;
         if (!may) {
           k.job.waitReason = "changes of the state service are used up for the moment";
@@ -158,7 +159,7 @@
   /** The wait reason of a job of which no task may be placed in this round, or null. */
   private String noneThisRound(Job j, int most, double now) {
     if (most <= 0) {
-      j.noRoomAt = world.roomVersion;
+      j.noRoomAt = cluster.roomVersion;
       j.noRoomSince = now;
       return "room is kept for work above it";
     }
@@ -197,16 +198,16 @@
     CandidateMachines fit = null;
     int placed = 0;
     int changed = 0;
-    Job.Slice last = null;
+    Job.TaskBatch last = null;
     for (int t = j.open.nextSetBit(0); t >= 0; t = j.open.nextSetBit(t + 1)) {
-      Job.Slice slice = j.slices.get(j.spec.sliceOf(t));
-      if (slice != null && (slice.inFlight || slice.fullUntil > now)) {
+      Job.TaskBatch taskBatch = j.taskBatches.get(j.spec.batchOf(t));
+      if (taskBatch != null && (taskBatch.inFlight || taskBatch.fullUntil > now)) {
         j.waitReason =
-            slice.inFlight
+            taskBatch.inFlight
                 ? "a change of its slice is being committed"
                 : "its record is as large as the state service allows";
-        // Skip to the next slice.
-        t = (j.spec.sliceOf(t) + 1) * j.spec.sliceCap() - 1;
+        // Skip to the next task batch.
+        t = (j.spec.batchOf(t) + 1) * j.spec.batchCapacity() - 1;
         continue;
       }
       if (!quota.limitAllows(j)) {
@@ -214,7 +215,7 @@
         return changed;
       }
       if (fit == null) {
-        fit = new CandidateMachines(world, random, rules, j, roomy, warmOnly);
+        fit = new CandidateMachines(cluster, random, rules, j, roomy, warmOnly);
       }
       Machine m = fit.pick();
       if (m != null && !m.warm(j.spec.image()) && fit.warmRoomCanBeMade(usable, now)) {
@@ -225,10 +226,10 @@
         noRoom(j, usable, warmOnly, now);
         return changed;
       }
-      Job.Slice s = j.slice(j.spec.sliceOf(t));
+      Job.TaskBatch s = j.taskBatch(j.spec.batchOf(t));
       int attempt = s.record.attempt(t - s.base) + 1;
       Claim c = new Claim(j, t, attempt, m.name, m.session, now);
-      world.add(c, now);
+      cluster.add(c, now);
       claims.add(c);
       changed += s == last ? 0 : 1;
       last = s;
@@ -249,7 +250,7 @@
       return;
     }
     j.waitReason = usable.isEmpty() ? "no machine reports" : "no room on an allowed machine";
-    j.noRoomAt = world.roomVersion;
+    j.noRoomAt = cluster.roomVersion;
     j.noRoomSince = now;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -8,10 +8,10 @@
  * at once.
  */
 final class PlacementRules {
-  private final ClusterState world;
+  private final ClusterState cluster;
 
-  PlacementRules(ClusterState world) {
-    this.world = world;
+  PlacementRules(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** The static part of what a job allows. */
@@ -29,12 +29,12 @@
    * and on a small fleet no other may be left.
    */
   private boolean avoided(Job j, Machine m) {
-    return j.failedOn.contains(m.name) && j.failedOn.size() * 2 < world.machines.size();
+    return j.failedOn.contains(m.name) && j.failedOn.size() * 2 < cluster.machines.size();
   }
 
   /** Tasks that may be claimed at once of a job that may be at fault: a look costs little. */
   int mostTried(Job j) {
-    return j.suspect ? 1 : j.unsure ? world.policy.tuning().attemptCap() : Integer.MAX_VALUE;
+    return j.suspect ? 1 : j.unsure ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
   }
 
   /** True if the job's tasks must stay in one zone or be spread over zones. */
@@ -67,13 +67,13 @@
    * stands on a machine that has the image.
    */
   boolean warmRoom(Job j, List<Machine> usable, double now) {
-    Double wait = world.policy.waits().get(j.spec.jobClass());
+    Double wait = cluster.policy.waits().get(j.spec.jobClass());
     if (wait == null || now - j.waitingSince > wait) {
       return false;
     }
-    world.looked += usable.size();
+    cluster.looked += usable.size();
     for (Machine m : usable) {
-      MachineType t = world.types.get(m.type);
+      MachineType t = cluster.types.get(m.type);
       if (m.warm(j.spec.image())
           && t != null
           && t.fetchGbPerS() > 0
--- a/src/main/java/graderelay/core/Policy.java
+++ b/src/main/java/graderelay/core/Policy.java
@@ -6,18 +6,18 @@
 /**
  * What the platform and the operators prescribe to the core.
  *
- * @param deputies the other controllers by zone, if there are several
- * @param grantS seconds that a deputy's grant lasts
+ * @param delegates the other controllers by zone, if there are several
+ * @param grantS seconds that a lease delegate's grant lasts
  * @param valueBytes the largest value that the state service takes at present
- * @param changesPerS changes of the state service that the owner may make
- * @param directPerS orders that the owner may send straight to workers
+ * @param changesPerS changes of the state service that the leader may make
+ * @param directPerS orders that the leader may send straight to workers
  * @param waits for each class with a wanted waiting time, the shortest
  * @param waitSteps all of them, ascending
  * @param finishes for each class with a wanted time to the end of its jobs, the shortest
  */
 public record Policy(
     List<Team> teams,
-    Map<String, String> deputies,
+    Map<String, String> delegates,
     double grantS,
     double reportS,
     double leaseS,
@@ -33,7 +33,7 @@
 
   /** Settings that operators may change at any time. */
   public record Tuning(
-      int sliceCap,
+      int batchCapacity,
       int sampleSize,
       int attemptCap,
       double idleS,
@@ -71,7 +71,7 @@
   private Policy with(List<Team> itsTeams, Tuning t, int bytes, double changes) {
     return new Policy(
         itsTeams,
-        deputies,
+        delegates,
         grantS,
         reportS,
         leaseS,
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -24,12 +24,12 @@
     double pause = EMPTY_POOL_PAUSE_S;
   }
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final BootTimes boots;
   private final Map<InstancePool, PoolBackoff> backoffs = new HashMap<>();
 
-  PoolChooser(ClusterState world, BootTimes boots) {
-    this.world = world;
+  PoolChooser(ClusterState cluster, BootTimes boots) {
+    this.cluster = cluster;
     this.boots = boots;
   }
 
@@ -47,7 +47,7 @@
 
   /** True if machines of the pool can take tasks of the spec. */
   boolean suits(JobSpec s, InstancePool p) {
-    MachineType t = world.types.get(p.type());
+    MachineType t = cluster.types.get(p.type());
     return t != null
         && s.fits(t)
         && (s.zone() == null || s.zone().equals(p.zone()))
@@ -64,7 +64,7 @@
   InstancePool cheapest(JobSpec s, int left, ZoneRoom zones, boolean spotOnly, double now) {
     InstancePool best = null;
     double bestPrice = Double.MAX_VALUE;
-    for (MachineType t : world.types.values()) {
+    for (MachineType t : cluster.types.values()) {
       int slots =
           Math.min(
               left,
@@ -96,12 +96,12 @@
     return suits(s, p)
         && (zones == null || zones.left(p.zone()) != 0)
         && !(spotOnly && !p.spot() && spotExists(t))
-        && !(p.spot() && !world.policy.tuning().spotAllowed())
+        && !(p.spot() && !cluster.policy.tuning().spotAllowed())
         && !(b != null && now < b.until);
   }
 
   /** A type without a spot price can't be waited for. */
   private boolean spotExists(MachineType t) {
-    return t.spotPrice() > 0 && world.policy.tuning().spotAllowed();
+    return t.spotPrice() > 0 && cluster.policy.tuning().spotAllowed();
   }
 }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -35,7 +35,7 @@
   /** Share of the fleet that work of lower priority may have without being stopped for arrays. */
   private static final double SPARED_SHARE = 0.1;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final PlacementRules rules;
   private final QuotaGate quota;
 
@@ -74,8 +74,8 @@
   /** What it would take to make room on one machine: the claims to stop, and the loss. */
   private record Offer(Machine machine, List<Claim> victims, double cost) {}
 
-  Preemption(ClusterState world, PlacementRules rules, QuotaGate quota) {
-    this.world = world;
+  Preemption(ClusterState cluster, PlacementRules rules, QuotaGate quota) {
+    this.cluster = cluster;
     this.rules = rules;
     this.quota = quota;
   }
@@ -90,7 +90,7 @@
     littleBelow.clear();
     fruitless.clear();
     stopping.clear();
-    for (Claim c : world.stopping) {
+    for (Claim c : cluster.stopping) {
       stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
     }
     for (QueueOrder.Entry k : waiting) {
@@ -103,13 +103,13 @@
 
   private void makeRoom(Job j, List<Machine> usable, double now) {
     // What only waits for a change of its record may find room already.
-    int open = j.open.cardinality() - CommitReservations.blocked(world, j);
+    int open = j.open.cardinality() - CommitReservations.blocked(cluster, j);
     int wanted = Math.min(open, rules.mostTried(j) - j.claims.size()) - j.preempting;
-    boolean guaranteed = world.withinGuarantee(j.spec.team(), j.need);
-    if (wanted <= 0 || !(guaranteed || world.byPriority.hasBelow(j.priority()))) {
+    boolean guaranteed = cluster.withinGuarantee(j.spec.team(), j.need);
+    if (wanted <= 0 || !(guaranteed || cluster.byPriority.hasBelow(j.priority()))) {
       return;
     }
-    if (world.admission.isStopped(j.spec.team()) || !quota.limitAllows(j)) {
+    if (cluster.admission.isStopped(j.spec.team()) || !quota.limitAllows(j)) {
       return;
     }
     if (!guaranteed && atLeisure.contains(j)) {
@@ -133,10 +133,10 @@
     PriorityQueue<Offer> offers = null;
     while (wanted-- > 0) {
       promised = promised.plus(j.need);
-      if (!world.withinLimit(j.spec.team(), promised)) {
+      if (!cluster.withinLimit(j.spec.team(), promised)) {
         return;
       }
-      boolean still = guaranteed && world.withinGuarantee(j.spec.team(), promised);
+      boolean still = guaranteed && cluster.withinGuarantee(j.spec.team(), promised);
       if (offers == null || still != within) {
         within = still;
         offers = offers(j, usable, within, now);
@@ -183,18 +183,18 @@
       all += m.room.cpus();
     }
     double below = 0;
-    for (Job o : world.jobs.values()) {
+    for (Job o : cluster.jobs.values()) {
       if (priority.beats(o.priority())) {
         below += o.claims.size() * o.spec.cpus();
       }
     }
-    world.looked += usable.size();
+    cluster.looked += usable.size();
     return below <= all * SPARED_SHARE;
   }
 
   private PriorityQueue<Offer> offers(Job j, List<Machine> usable, boolean within, double now) {
     PriorityQueue<Offer> offers = new PriorityQueue<>(Comparator.comparingDouble(Offer::cost));
-    world.looked += usable.size();
+    cluster.looked += usable.size();
     for (Machine m : usable) {
       boolean any = within ? !m.claims.isEmpty() : m.byPriority.hasBelow(j.priority());
       if (any && rules.allowed(j, m) && PlacementRules.zoneAllowed(j, m.zone)) {
@@ -221,11 +221,11 @@
 
   private void stop(List<Claim> victims, Job j, double now) {
     boolean first = true;
-    Double wait = world.policy.waits().get(j.spec.jobClass());
+    Double wait = cluster.policy.waits().get(j.spec.jobClass());
     for (Claim c : victims) {
       boolean hurry =
           j.priority().beats(c.priority) && wait != null && wait < c.job.spec.saveS() + HURRY_S;
-      world.askStop(c, now);
+      cluster.askStop(c, now);
       stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
       c.hardStop = hurry;
       if (first) {
@@ -233,7 +233,7 @@
         j.preempting++;
         first = false;
       }
-      world.note(
+      cluster.note(
           "preempt "
               + c.taskId()
               + " attempt "
@@ -259,7 +259,7 @@
   private List<Claim> victims(Job j, Machine m, Resources need, boolean within, double now) {
     Resources free = m.free();
     List<Claim> can = new ArrayList<>();
-    world.looked += m.claims.size();
+    cluster.looked += m.claims.size();
     for (Claim c : m.claims.values()) {
       if (c.stopAsked || c.phase == Claim.Phase.SETTLING) {
         // Its room comes back soon, but it is promised to whom it was stopped for, if anybody.
@@ -299,7 +299,7 @@
         within
             && !v.team().equals(j.spec.team())
             && !v.isService()
-            && world.beyondGuarantee(v.team(), gone);
+            && cluster.beyondGuarantee(v.team(), gone);
     return lower || borrowed;
   }
 }
--- a/src/main/java/graderelay/core/QueueOrder.java
+++ b/src/main/java/graderelay/core/QueueOrder.java
@@ -15,7 +15,7 @@
   /** Times its class's longest wanted wait after which a job is no longer passed by others. */
   private static final double PASSED_STEPS = 2;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
 
   /** Jobs that wait for others of their team, see {@link Deadlines}. */
   private Set<Job> stepBack = Set.of();
@@ -23,8 +23,8 @@
   /** What a start of an array that is due is worth at each priority, worked out once a round. */
   private Map<Priority, Double> worthOfDue = Map.of();
 
-  QueueOrder(ClusterState world) {
-    this.world = world;
+  QueueOrder(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** Takes the jobs that step back as of the last fleet plan. */
@@ -59,7 +59,7 @@
       job = j;
       // Neither smaller nor newer jobs, nor other teams, may pass a job for ever.
       patientEnough = !waitingWins(j, now);
-      beyond = !world.withinGuarantee(j.spec.team(), j.need);
+      beyond = !cluster.withinGuarantee(j.spec.team(), j.need);
       share = share(j);
       back = stepBack.contains(j);
       worth = worth(j, now);
@@ -109,7 +109,7 @@
    */
   private double worth(Job j, double now) {
     JobSpec s = j.spec;
-    List<Double> steps = world.policy.waitSteps().getOrDefault(s.jobClass(), List.of());
+    List<Double> steps = cluster.policy.waitSteps().getOrDefault(s.jobClass(), List.of());
     if (!s.isService() && j.hasDue()) {
       return worthOfDue.getOrDefault(j.priority(), 0.0);
     }
@@ -125,7 +125,7 @@
     // Others must not pass it for ever.
     left = waited > last * PASSED_STEPS ? 1 : left;
     double worth = left / (double) s.tasks();
-    Double whole = world.policy.finishes().get(s.jobClass());
+    Double whole = cluster.policy.finishes().get(s.jobClass());
     if (whole != null && waited + s.estimateS() <= whole) {
       worth += 1.0 / Math.max(1, j.open.cardinality());
     }
@@ -140,7 +140,7 @@
   private Map<Priority, Double> worthOfDue(double now) {
     Map<Priority, Integer> jobs = new EnumMap<>(Priority.class);
     Map<Priority, Integer> tasks = new EnumMap<>(Priority.class);
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (j.waiting() && !j.spec.isService() && j.hasDue() && now < j.dueAt()) {
         jobs.merge(j.priority(), 1, Integer::sum);
         tasks.merge(j.priority(), j.open.cardinality(), Integer::sum);
@@ -153,9 +153,9 @@
 
   /** The team's use over its guaranteed CPUs, to a quarter, so that near shares go by age. */
   private double share(Job j) {
-    Team t = world.policy.team(j.spec.team());
+    Team t = cluster.policy.team(j.spec.team());
     double base = t == null || t.cpus() <= 0 ? 1 : t.cpus();
-    return Math.round(4 * world.use(j.spec.team()).cpus() / base) / 4.0;
+    return Math.round(4 * cluster.use(j.spec.team()).cpus() / base) / 4.0;
   }
 
   private static double due(Job j) {
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -9,13 +9,13 @@
  * kept for the first task of the job that goes first below the stored limit, and why not.
  */
 final class QuotaGate {
-  private final ClusterState world;
+  private final ClusterState cluster;
 
   /** By team, the job for whose first task room is kept below the team's stored limit. */
   private final Map<String, Job> limitKept = new HashMap<>();
 
-  QuotaGate(ClusterState world) {
-    this.world = world;
+  QuotaGate(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /**
@@ -25,13 +25,13 @@
    */
   void keepLimits(double now) {
     limitKept.clear();
-    if (!world.admission.enabled()) {
+    if (!cluster.admission.enabled()) {
       return;
     }
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (j.waiting()
           && QueueOrder.waitingWins(j, now)
-          && world.admission.allows(j.spec.team(), j.amount)) {
+          && cluster.admission.allows(j.spec.team(), j.amount)) {
         limitKept.merge(j.spec.team(), j, QuotaGate::goesBefore);
       }
     }
@@ -47,13 +47,13 @@
   boolean limitAllows(Job j) {
     Job kept = limitKept.get(j.spec.team());
     boolean keeps = kept != null && kept != j && !j.priority().beats(kept.priority());
-    return world.withinLimit(j.spec.team(), keeps ? j.need.plus(kept.need) : j.need);
+    return cluster.withinLimit(j.spec.team(), keeps ? j.need.plus(kept.need) : j.need);
   }
 
   /** The wait reason for a job that {@link #limitAllows} refused. */
   String limitReason(Job j) {
     String team = j.spec.team();
-    if (!world.admission.allows(team, j.amount)) {
+    if (!cluster.admission.allows(team, j.amount)) {
       return "a task needs " + j.amount + ", which the stored limits of team " + team + " forbid";
     }
     return "team " + team + " is at its limit";
@@ -61,12 +61,12 @@
 
   /** True if nothing of the job's team may be claimed at the moment; sets its wait reason. */
   boolean obstructed(Job j) {
-    Obstacle obstacle = world.admission.obstacle(j.spec.team());
+    Obstacle obstacle = cluster.admission.obstacle(j.spec.team());
     if (obstacle == null) {
       return false;
     }
     if (obstacle.passing()) {
-      world.admission.wantSettled(j.spec.team());
+      cluster.admission.wantSettled(j.spec.team());
     }
     j.waitReason = obstacle.reason();
     return true;
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -10,37 +10,37 @@
  * the guarantees and limits of the settings count.
  */
 final class QuotaUpdates {
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final StoredRecords records;
 
   /** Guarantees and limits of the settings, which count while none are stored. */
   private final List<Team> settingsTeams;
 
-  QuotaUpdates(ClusterState world, StoredRecords records, List<Team> settingsTeams) {
-    this.world = world;
+  QuotaUpdates(ClusterState cluster, StoredRecords records, List<Team> settingsTeams) {
+    this.cluster = cluster;
     this.records = records;
     this.settingsTeams = settingsTeams;
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the
-   * slices of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be told after the task
+   * batches of the same moment.
    */
   void onQuota(StoredQuota stored) {
-    world.dirty = true;
+    cluster.dirty = true;
     if (stored == null) {
-      if (world.admission.enabled()) {
-        world.admission.disable();
-        world.policy = world.policy.with(settingsTeams);
+      if (cluster.admission.enabled()) {
+        cluster.admission.disable();
+        cluster.policy = cluster.policy.with(settingsTeams);
       }
       return;
     }
-    if (!world.admission.enabled()) {
-      world.admission.enable();
+    if (!cluster.admission.enabled()) {
+      cluster.admission.enable();
       records.trackAll();
     }
-    world.admission.update(stored);
-    world.policy = world.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
+    cluster.admission.update(stored);
+    cluster.policy = cluster.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
     tellDifferences();
   }
 
@@ -58,14 +58,14 @@
   }
 
   void tellDifferences() {
-    for (Difference d : world.admission.takeDifferences()) {
-      world.out.add(new Action.DifferenceFound(d));
+    for (Difference d : cluster.admission.takeDifferences()) {
+      cluster.out.add(new Action.DifferenceFound(d));
     }
   }
 
   /** An operator wants a team's account written anew from its committed claims. */
   void replaceAccount(String team) {
-    world.admission.replaceAccount(team);
-    world.dirty = true;
+    cluster.admission.replaceAccount(team);
+    cluster.dirty = true;
   }
 }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -56,14 +56,14 @@
     }
   }
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final BootTimes boots;
   private final double startedAt;
   private final List<Double> replacedAt = new ArrayList<>();
   private SilentMachines lastSilence = new SilentMachines(Double.NEGATIVE_INFINITY);
 
-  ScaleInPlanner(ClusterState world, BootTimes boots, double startedAt) {
-    this.world = world;
+  ScaleInPlanner(ClusterState cluster, BootTimes boots, double startedAt) {
+    this.cluster = cluster;
     this.boots = boots;
     this.startedAt = startedAt;
   }
@@ -71,7 +71,7 @@
   /** Asks the cloud to take back the machines that should go, except those that are needed. */
   void scaleIn(Set<Machine> needed, double now) {
     List<String> back = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       if (back.size() >= MOST_RETURNED) {
         break;
       }
@@ -87,11 +87,11 @@
         m.returning = true;
         m.returnAskedAt = now;
         back.add(m.name);
-        world.note("give back " + m.name + ": " + why.text);
+        cluster.note("give back " + m.name + ": " + why.text);
       }
     }
     if (!back.isEmpty()) {
-      world.out.add(new Action.GiveBack(back));
+      cluster.out.add(new Action.ScaleIn(back));
     }
   }
 
@@ -105,13 +105,13 @@
     double heard = Math.max(m.deafSince != null ? m.deafSince : m.lastReport, startedAt);
     if (m.leaseOver
         || m.failedPokes < DEAD_POKES
-        || now - heard < world.policy.reportS() * DEAD_REPORTS
+        || now - heard < cluster.policy.reportS() * DEAD_REPORTS
         || m.claims.values().stream().noneMatch(c -> c.job.spec.isService())) {
       return false;
     }
     replacedAt.removeIf(t -> now - t > REPLACE_MEMORY_S);
     SilentMachines silence = silence(now);
-    if (silence.mostOf(m.zone) && world.deputies.mayKeep(m.zone, now)) {
+    if (silence.mostOf(m.zone) && cluster.delegates.mayKeep(m.zone, now)) {
       return false; // The zone is cut off, and its lease delegate keeps its services up.
     }
     return silence.silent + replacedAt.size() <= Math.max(1, silence.up * ALONE_SHARE);
@@ -122,13 +122,13 @@
       return lastSilence;
     }
     SilentMachines counted = new SilentMachines(now);
-    for (Machine o : world.machines.values()) {
+    for (Machine o : cluster.machines.values()) {
       if (!o.leaseOver && !o.spot && (o.reported || !o.claims.isEmpty())) {
         // Not only those that were asked already: of hundreds, the first ones are asked first.
         boolean quiet =
             o.failedPokes > 0
                 || now - Math.max(o.lastReport, startedAt)
-                    > world.policy.reportS() * WorkerCommands.POKE_REPORTS;
+                    > cluster.policy.reportS() * WorkerCommands.POKE_REPORTS;
         counted.count(o.zone, quiet);
       }
     }
@@ -150,7 +150,7 @@
     }
     if (m.leaseOver) {
       double silent = now - m.lastReport;
-      return silent > world.policy.leaseS() + SILENT_KEEP_S ? Reason.SILENT_TOO_LONG : null;
+      return silent > cluster.policy.leaseS() + SILENT_KEEP_S ? Reason.SILENT_TOO_LONG : null;
     }
     if (!m.claims.isEmpty() || (m.last != null && !m.last.tasks().isEmpty())) {
       return null;
@@ -159,12 +159,12 @@
   }
 
   private boolean neverCameUp(Machine m, double now) {
-    MachineType t = m.type == null ? null : world.types.get(m.type);
+    MachineType t = m.type == null ? null : cluster.types.get(m.type);
     if (t == null || !m.claims.isEmpty()) {
       return false;
     }
     double limit = boots.limit(m.type);
-    return now - m.rentedAt > limit && now - m.knownSince > limit / 2;
+    return now - m.requestedAt > limit && now - m.knownSince > limit / 2;
   }
 
   /** Why a reported machine without work should be scaled in, or null. */
@@ -184,7 +184,7 @@
     if (m.closing) {
       return Reason.CONSOLIDATED;
     }
-    double idle = world.policy.tuning().idleS();
+    double idle = cluster.policy.tuning().idleS();
     return now - m.idleSince > idle && now - m.knownSince > idle ? Reason.IDLE : null;
   }
 }
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -14,12 +14,12 @@
  */
 final class ScaleOutPlanner {
   /** Machines in one rental request, a batch; a limit of the protocol. */
-  private static final int MOST_HIRED = 50;
+  private static final int MOST_SCALED_OUT = 50;
 
   /** A scale-out request that the cloud has not answered yet. */
   private record PendingRequest(InstancePool pool, int count, double since) {}
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final BootTimes boots;
   private final Deadlines deadlines;
   private final Map<Long, PendingRequest> pending = new HashMap<>();
@@ -29,11 +29,11 @@
   /** On-demand CPUs that may still be requested for work that could wait for spot machines. */
   private double onDemandCpusLeft;
 
-  ScaleOutPlanner(ClusterState world, BootTimes boots, Deadlines deadlines) {
-    this.world = world;
+  ScaleOutPlanner(ClusterState cluster, BootTimes boots, Deadlines deadlines) {
+    this.cluster = cluster;
     this.boots = boots;
     this.deadlines = deadlines;
-    this.pools = new PoolChooser(world, boots);
+    this.pools = new PoolChooser(cluster, boots);
   }
 
   /**
@@ -55,10 +55,10 @@
     }
     InstancePool p = request.pool();
     for (String n : names) {
-      Machine m = world.machine(n, now);
+      Machine m = cluster.machine(n, now);
       if (!m.reported) {
-        world.locate(m, p.type(), p.zone(), p.spot());
-        m.rentedAt = request.since();
+        cluster.locate(m, p.type(), p.zone(), p.spot());
+        m.requestedAt = request.since();
         m.booting = true;
       }
     }
@@ -67,7 +67,7 @@
   /** The bins of a plan: machines that may take work, and those that requests will bring. */
   List<PackingBin> bins(double now) {
     List<PackingBin> bins = new ArrayList<>();
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       if (mayTakeWork(m, now)) {
         PackingBin b = new PackingBin(m, new InstancePool(m.type, m.zone, m.spot), m.free());
         for (Claim c : m.claims.values()) {
@@ -80,7 +80,7 @@
     }
     for (PendingRequest r : pending.values()) {
       for (int i = 0; i < r.count(); i++) {
-        bins.add(new PackingBin(null, r.pool(), Resources.of(world.types.get(r.pool().type()))));
+        bins.add(new PackingBin(null, r.pool(), Resources.of(cluster.types.get(r.pool().type()))));
       }
     }
     return bins;
@@ -100,7 +100,7 @@
   double cpusForArrays(List<PackingBin> bins) {
     double sum = 0;
     for (PackingBin b : bins) {
-      MachineType t = world.types.get(b.pool.type());
+      MachineType t = cluster.types.get(b.pool.type());
       if (t == null || (b.machine != null && b.machine.closing)) {
         continue;
       }
@@ -127,7 +127,7 @@
     Map<String, Double> teamLeft = new HashMap<>();
     // Services first: they can't use spot machines, and arrays make room for them.
     List<Job> waiting = new ArrayList<>();
-    for (Job j : world.jobs.values()) {
+    for (Job j : cluster.jobs.values()) {
       if (j.waiting() && !j.suspect) {
         waiting.add(j);
       }
@@ -154,13 +154,13 @@
   void request(Map<InstancePool, Integer> wanted, double now) {
     for (var e : wanted.entrySet()) {
       InstancePool p = e.getKey();
-      int n = boots.allowed(p.type(), Math.min(MOST_HIRED, e.getValue()), now);
+      int n = boots.allowed(p.type(), Math.min(MOST_SCALED_OUT, e.getValue()), now);
       if (n == 0) {
         continue;
       }
       long id = nextRequestId++;
       pending.put(id, new PendingRequest(p, n, now));
-      world.out.add(new Action.Hire(id, p.type(), p.zone(), p.spot(), n));
+      cluster.out.add(new Action.ScaleOut(id, p.type(), p.zone(), p.spot(), n));
     }
   }
 
@@ -186,12 +186,12 @@
    */
   private int withinLimit(Job j, Map<String, Double> teamLeft) {
     JobSpec s = j.spec;
-    Team t = world.policy.team(s.team());
+    Team t = cluster.policy.team(s.team());
     int open = j.open.cardinality();
     if (t == null || t.cpusMax() <= 0 || s.cpus() <= 0) {
       return open;
     }
-    double left = teamLeft.computeIfAbsent(s.team(), world::cpusLeft);
+    double left = teamLeft.computeIfAbsent(s.team(), cluster::cpusLeft);
     int n = (int) Math.max(0, Math.min(open, (left + Resources.SLACK) / s.cpus()));
     teamLeft.put(s.team(), left - n * s.cpus());
     return n;
@@ -218,9 +218,9 @@
         return;
       }
       if (patient) {
-        onDemandCpusLeft -= world.types.get(p.type()).cpus();
+        onDemandCpusLeft -= cluster.types.get(p.type()).cpus();
       }
-      Resources room = Resources.of(world.types.get(p.type()));
+      Resources room = Resources.of(cluster.types.get(p.type()));
       int k = Math.min(left, Math.min(SchedulerLimits.MOST_ON_MACHINE, room.times(need)));
       if (zones != null) {
         k = Math.min(k, zones.left(p.zone()));
@@ -230,7 +230,7 @@
       requested.places -= k;
       bins.add(requested);
       left -= k;
-      if (wanted.merge(p, 1, Integer::sum) >= MOST_HIRED) {
+      if (wanted.merge(p, 1, Integer::sum) >= MOST_SCALED_OUT) {
         return;
       }
     }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -11,7 +11,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the owner of the fleet decides. Events come in with the time, actions go out; nothing here
+ * What the leader of the fleet decides. Events come in with the time, actions go out; nothing here
  * waits, reads a clock or touches a socket. The parts share one {@link ClusterState}: {@link
  * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
  * the transactions that change them, {@link HeartbeatMonitor} what is proven gone, {@link
@@ -38,7 +38,7 @@
     UNKNOWN
   }
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
   private final CompareAndSwapWriter writer;
@@ -57,28 +57,28 @@
    * @param process tells this leader's process from all others
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
-    this.world = new ClusterState(policy, process + "-" + term);
-    PlacementRound placement = new PlacementRound(world, random);
-    this.planner = new FleetPlanner(world, now);
-    world.term = term;
-    world.firstTerm = term;
-    world.tookOver = now;
-    world.deputies =
-        new LeaseDelegates(policy.deputies(), term, policy.grantS(), policy.leaseS(), now);
-    world.dependencies = new Dependencies(world, planner::estimate);
-    this.records = new StoredRecords(world);
-    TransactionsInFlight inFlight = new TransactionsInFlight(world);
-    this.writer = new CompareAndSwapWriter(world, records, inFlight);
-    this.answers = new CompareAndSwapAnswers(world, records, inFlight);
-    this.commands = new WorkerCommands(world, records);
-    this.heartbeats = new HeartbeatMonitor(world, records, commands, planner);
-    this.jobEvents = new JobRecordEvents(world, planner, records, commands);
-    this.quota = new QuotaUpdates(world, records, policy.teams());
-    this.machineEvents = new MachineEvents(world, planner, heartbeats, commands);
-    this.views = new AdminViews(world);
+    this.cluster = new ClusterState(policy, process + "-" + term);
+    PlacementRound placement = new PlacementRound(cluster, random);
+    this.planner = new FleetPlanner(cluster, now);
+    cluster.term = term;
+    cluster.firstTerm = term;
+    cluster.tookOver = now;
+    cluster.delegates =
+        new LeaseDelegates(policy.delegates(), term, policy.grantS(), policy.leaseS(), now);
+    cluster.dependencies = new Dependencies(cluster, planner::estimate);
+    this.records = new StoredRecords(cluster);
+    TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
+    this.writer = new CompareAndSwapWriter(cluster, records, inFlight);
+    this.answers = new CompareAndSwapAnswers(cluster, records, inFlight);
+    this.commands = new WorkerCommands(cluster, records);
+    this.heartbeats = new HeartbeatMonitor(cluster, records, commands, planner);
+    this.jobEvents = new JobRecordEvents(cluster, planner, records, commands);
+    this.quota = new QuotaUpdates(cluster, records, policy.teams());
+    this.machineEvents = new MachineEvents(cluster, planner, heartbeats, commands);
+    this.views = new AdminViews(cluster);
     this.rounds =
         new SchedulingRounds(
-            world, placement, planner, writer, commands, heartbeats, machineEvents, quota);
+            cluster, placement, planner, writer, commands, heartbeats, machineEvents, quota);
     answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
   }
 
@@ -86,21 +86,21 @@
 
   /** The first load is over: what comes from now on is new. */
   public void loaded(double now) {
-    world.loading = false;
-    world.dirty = true;
-    world.note(
+    cluster.loading = false;
+    cluster.dirty = true;
+    cluster.note(
         "took over with term "
-            + world.term
+            + cluster.term
             + ": "
-            + world.jobs.size()
+            + cluster.jobs.size()
             + " jobs, "
-            + world.machines.values().stream().mapToInt(m -> m.claims.size()).sum()
+            + cluster.machines.values().stream().mapToInt(m -> m.claims.size()).sum()
             + " claims");
   }
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
-  public void onJob(JobSpec spec, boolean stop, long mark, double submittedAt, double now) {
-    jobEvents.onJob(spec, stop, mark, submittedAt, now);
+  public void onJob(JobSpec spec, boolean stop, long revision, double submittedAt, double now) {
+    jobEvents.onJob(spec, stop, revision, submittedAt, now);
   }
 
   /**
@@ -118,7 +118,7 @@
 
   /** The state service allows less than at our start. */
   public void onLimits(int valueBytes, double changesPerS) {
-    world.policy = world.policy.within(valueBytes, changesPerS);
+    cluster.policy = cluster.policy.within(valueBytes, changesPerS);
   }
 
   /**
@@ -134,21 +134,21 @@
     quota.replaceAccount(team);
   }
 
-  /** What an earlier owner kept of the demand. */
+  /** What an earlier leader kept of the demand. */
   public void onDemand(List<Action.Demand> classes, double now) {
     classes.forEach(d -> planner.onDemand(d, now));
   }
 
-  /** What an earlier owner kept of the images on machines; to be told before the task batches. */
+  /** What an earlier leader kept of the images on machines; to be told before the task batches. */
   public void onImages(Map<String, List<String>> machines) {
-    world.knownImages.putAll(machines);
+    cluster.knownImages.putAll(machines);
   }
 
   /** In how many records the images of each thousand machines are kept from now on. */
   public void onImageParts(int perThousand) {
-    if (perThousand != world.imagePartsPerThousand) {
-      world.imagePartsPerThousand = perThousand;
-      world.imageParts(0);
+    if (perThousand != cluster.imagePartsPerThousand) {
+      cluster.imagePartsPerThousand = perThousand;
+      cluster.imageParts(0);
     }
   }
 
@@ -195,17 +195,20 @@
     heartbeats.onSent(cmd, how, report, now);
   }
 
-  // ---------------------------------------------------------------- deputies
+  // ---------------------------------------------------------------- lease delegates
 
-  /** Another controller asks to be our deputy in its zone; false if it is none of ours. */
-  public boolean onDeputy(
+  /** Another controller asks to be our lease delegate in its zone; false if it is none of ours. */
+  public boolean onDelegate(
       String member, String self, long n, long of, double echo, double aloneS, double now) {
-    return world.deputies.ask(new LeaseDelegates.Ask(member, self, n, of, echo, aloneS), now);
+    return cluster.delegates.ask(new LeaseDelegates.Ask(member, self, n, of, echo, aloneS), now);
   }
 
-  /** A deputy that doesn't reach us has given back what it was granted up to its question. */
-  public void onDeputyFree(String member, String self, long n, long of, double aloneS, double now) {
-    world.deputies.free(member, self, n, of, aloneS, now);
+  /**
+   * A lease delegate that doesn't reach us has given back what it was granted up to its question.
+   */
+  public void onDelegateReleased(
+      String member, String self, long n, long of, double aloneS, double now) {
+    cluster.delegates.free(member, self, n, of, aloneS, now);
   }
 
   // ---------------------------------------------------------------- the cloud
@@ -236,25 +239,25 @@
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
-  public void onGivenBack(List<String> names, double now) {
-    machineEvents.onGivenBack(names, now);
+  public void onScaledIn(List<String> names, double now) {
+    machineEvents.onScaledIn(names, now);
   }
 
   // ---------------------------------------------------------------- transactions
 
-  /** A task batch record came from the store at revision {@code mark}. */
-  public void onSlice(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
-    records.onTaskBatch(key, record, mark, now);
+  /** A task batch record came from the store at revision {@code revision}. */
+  public void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long revision, double now) {
+    records.onTaskBatch(key, record, revision, now);
   }
 
   /** A task batch record was removed from the store. */
-  public void onSliceGone(TaskBatchKey key) {
+  public void onTaskBatchGone(TaskBatchKey key) {
     records.onTaskBatchGone(key);
   }
 
-  /** The answer to compare-and-swap transaction {@code id}; {@code mark} is its revision. */
-  public void onWrite(long id, Outcome outcome, long mark, double now) {
-    answers.onWrite(id, outcome, mark, now);
+  /** The answer to compare-and-swap transaction {@code id}; {@code revision} is its revision. */
+  public void onWrite(long id, Outcome outcome, long revision, double now) {
+    answers.onWrite(id, outcome, revision, now);
   }
 
   // ---------------------------------------------------------------- time
@@ -271,13 +274,13 @@
 
   /** This leader's term: its fencing token. */
   public long term() {
-    return world.term;
+    return cluster.term;
   }
 
   /** The operators changed the tuning of the settings. */
   public void onTuning(Policy.Tuning tuning) {
-    world.policy = world.policy.with(tuning);
-    world.dirty = true;
+    cluster.policy = cluster.policy.with(tuning);
+    cluster.dirty = true;
   }
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
@@ -287,8 +290,8 @@
 
   /** Takes the actions decided since the last call. */
   public List<Action> take() {
-    List<Action> actions = new ArrayList<>(world.out);
-    world.out.clear();
+    List<Action> actions = new ArrayList<>(cluster.out);
+    cluster.out.clear();
     return actions;
   }
 
@@ -313,7 +316,7 @@
 
   /** What each team uses, judged on claims. */
   public Map<String, Resources> teamUse() {
-    return Map.copyOf(world.teamUse);
+    return Map.copyOf(cluster.teamUse);
   }
 
   /**
@@ -326,7 +329,7 @@
 
   /** What the claims of a team take while limits are not stored. */
   public Amount teamClaims(String team) {
-    return world.use(team).amount();
+    return cluster.use(team).amount();
   }
 
   /** How a team stands; for the administration API. */
@@ -346,7 +349,7 @@
 
   /** Machines and claims that rounds have looked at so far. */
   public long looked() {
-    return world.looked;
+    return cluster.looked;
   }
 
   /** Heartbeats dropped because newer ones had come before. */
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -16,7 +16,7 @@
   /** Seconds between comparisons of the accounts with the committed claims. */
   private static final double ACCOUNT_CHECK_EVERY_S = 1;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final PlacementRound placement;
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
@@ -30,7 +30,7 @@
   private double lastPlan = Double.NEGATIVE_INFINITY;
 
   SchedulingRounds(
-      ClusterState world,
+      ClusterState cluster,
       PlacementRound placement,
       FleetPlanner planner,
       CompareAndSwapWriter writer,
@@ -38,7 +38,7 @@
       HeartbeatMonitor heartbeats,
       MachineEvents machineEvents,
       QuotaUpdates quota) {
-    this.world = world;
+    this.cluster = cluster;
     this.placement = placement;
     this.planner = planner;
     this.writer = writer;
@@ -53,17 +53,17 @@
     heartbeats.leases(now);
     commands.pokes(now);
     commands.doubts(now);
-    for (Job j : world.stopped) {
+    for (Job j : cluster.stopped) {
       commands.kill(j.claims.values(), now);
     }
     askForEnds(now);
     planIfDue(now);
     if (now - lastAccountCheck >= ACCOUNT_CHECK_EVERY_S) {
       lastAccountCheck = now;
-      world.admission.check();
+      cluster.admission.check();
     }
     if (now - lastRound >= ROUND_AT_LEAST_EVERY_S) {
-      world.dirty = true;
+      cluster.dirty = true;
     }
     step(now);
     quota.tellDifferences();
@@ -71,17 +71,17 @@
 
   /** Asks the store for the final records of DAG dependencies whose end is not known yet. */
   private void askForEnds(double now) {
-    List<String> find = world.dependencies.toFind(now);
+    List<String> find = cluster.dependencies.toFind(now);
     if (!find.isEmpty()) {
-      world.out.add(new Action.FindEnds(find));
+      cluster.out.add(new Action.FindEnds(find));
     }
   }
 
   /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placement. */
   private void planIfDue(double now) {
-    if (now - lastPlan >= PLAN_EVERY_S && !world.loading) {
+    if (now - lastPlan >= PLAN_EVERY_S && !cluster.loading) {
       lastPlan = now;
-      world.dependencies.look(now);
+      cluster.dependencies.look(now);
       planner.plan(now);
       placement.planned(planner.steppingBack(), planner.atLeisure());
     }
@@ -90,17 +90,17 @@
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   double step(double now) {
     commands.launchCommitted(now);
-    if (!world.dirty || world.loading) {
+    if (!cluster.dirty || cluster.loading) {
       return ROUND_AT_LEAST_EVERY_S;
     }
     double wait = lastRound + SchedulerLimits.ROUND_EVERY_S - now;
     if (wait > 0) {
       return wait;
     }
-    world.dirty = false;
+    cluster.dirty = false;
     lastRound = now;
     machineEvents.forgetMachines(now);
-    boolean pause = world.policy.tuning().claimsPaused() || commands.raising();
+    boolean pause = cluster.policy.tuning().claimsPaused() || commands.raising();
     List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
     commands.killPreempted(now);
     writer.write(claims, now);
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -15,7 +15,7 @@
  * has committed. {@link CompareAndSwapWriter} writes what changes.
  */
 final class StoredRecords {
-  private final ClusterState world;
+  private final ClusterState cluster;
 
   /** Task batch records seen without their job, with their revision: to be dropped. */
   final Map<TaskBatchKey, Long> orphans = new LinkedHashMap<>();
@@ -26,31 +26,31 @@
   /** Claims that committed since the last launch pass. */
   final List<Claim> committed = new ArrayList<>();
 
-  StoredRecords(ClusterState world) {
-    this.world = world;
+  StoredRecords(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
-  /** A task batch record came from the store, at revision {@code mark}. */
-  void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long mark, double now) {
-    Job j = world.jobs.get(key.job());
+  /** A task batch record came from the store, at revision {@code revision}. */
+  void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long revision, double now) {
+    Job j = cluster.jobs.get(key.job());
     if (j == null) {
-      orphans.put(key, mark);
+      orphans.put(key, revision);
       return;
     }
-    if (record.size() != j.spec.sliceSize(key.index())) {
+    if (record.size() != j.spec.batchSize(key.index())) {
       return;
     }
-    Job.Slice s = j.slice(key.index());
-    if (mark <= s.mark) {
+    Job.TaskBatch s = j.taskBatch(key.index());
+    if (revision <= s.revision) {
       return;
     }
-    track(j, s.key, record, mark);
+    track(j, s.key, record, revision);
     if (s.inFlight) {
       s.stash = record;
-      s.stashMark = mark;
+      s.stashRevision = revision;
       return;
     }
-    adopt(j, s, record, mark, now);
+    adopt(j, s, record, revision, now);
   }
 
   /** A task batch record was removed from the store. */
@@ -64,9 +64,9 @@
   }
 
   /** Takes a record that somebody else wrote, or that a write of ours with no answer made. */
-  void adopt(Job j, Job.Slice s, TaskBatchRecord r, long mark, double now) {
+  void adopt(Job j, Job.TaskBatch s, TaskBatchRecord r, long revision, double now) {
     s.record = r;
-    s.mark = mark;
+    s.revision = revision;
     for (int i = 0; i < r.size(); i++) {
       int task = s.base + i;
       Claim c = j.claims.get(task);
@@ -82,14 +82,14 @@
       }
       if (c != null) {
         settle.remove(c);
-        world.remove(c, now);
+        cluster.remove(c, now);
       }
       if (m != null) {
         Claim a = new Claim(j, task, r.attempt(i), m, r.session(i), now);
         a.phase = Claim.Phase.HELD;
-        a.fromPast = world.loading;
-        world.add(a, now);
-        if (!world.loading) {
+        a.fromPast = cluster.loading;
+        cluster.add(a, now);
+        if (!cluster.loading) {
           // Written by a transaction of ours whose answer was lost, so it was never launched. Its
           // place may have been given to others meanwhile: it must not be launched now.
           end(a, false, now);
@@ -100,15 +100,15 @@
         j.open.set(task);
       }
     }
-    world.maybeOver.add(j);
+    cluster.maybeOver.add(j);
     j.doneCount = 0;
-    for (Job.Slice each : j.slices.values()) {
+    for (Job.TaskBatch each : j.taskBatches.values()) {
       j.doneCount += each.record.doneCount();
     }
-    if (world.loading) {
+    if (cluster.loading) {
       j.unsure = j.doneCount == 0 && j.claims.isEmpty() && triedOften(j);
     }
-    world.dirty = true;
+    cluster.dirty = true;
   }
 
   /**
@@ -116,9 +116,9 @@
    * suspect.
    */
   private boolean triedOften(Job j) {
-    for (Job.Slice s : j.slices.values()) {
+    for (Job.TaskBatch s : j.taskBatches.values()) {
       for (int i = 0; i < s.record.size(); i++) {
-        if (s.record.attempt(i) < world.policy.tuning().attemptCap()) {
+        if (s.record.attempt(i) < cluster.policy.tuning().attemptCap()) {
           return false;
         }
       }
@@ -130,14 +130,14 @@
   void forget(Job j, double now) {
     for (Claim c : new ArrayList<>(j.claims.values())) {
       settle.remove(c);
-      world.remove(c, now);
+      cluster.remove(c, now);
     }
-    world.jobs.remove(j.spec.id());
-    world.admission.committed().removeJob(j.spec.id());
-    world.dependencies.gone(j);
-    world.stopped.remove(j);
-    world.maybeOver.remove(j);
-    world.dirty = true;
+    cluster.jobs.remove(j.spec.id());
+    cluster.admission.committed().removeJob(j.spec.id());
+    cluster.dependencies.gone(j);
+    cluster.stopped.remove(j);
+    cluster.maybeOver.remove(j);
+    cluster.dirty = true;
   }
 
   /** The claim is proven gone, or was never launched. */
@@ -148,30 +148,30 @@
     c.phase = Claim.Phase.SETTLING;
     c.done = isDone;
     settle.add(c);
-    world.maybeOver.add(c.job);
-    world.dirty = true;
+    cluster.maybeOver.add(c.job);
+    cluster.dirty = true;
   }
 
   /** Counts what a task batch's committed claims take, where stored limits are switched on. */
-  void track(Job j, TaskBatchKey key, TaskBatchRecord r, long mark) {
-    if (world.admission.enabled()) {
+  void track(Job j, TaskBatchKey key, TaskBatchRecord r, long revision) {
+    if (cluster.admission.enabled()) {
       Amount use = j.amount.times(r.claimedCount());
-      world.admission.committed().put(j.spec.id(), key.index(), j.spec.team(), mark, use);
+      cluster.admission.committed().put(j.spec.id(), key.index(), j.spec.team(), revision, use);
     }
   }
 
   /** Stored limits are switched on: counts all claims that are known. */
   void trackAll() {
-    for (Job j : world.jobs.values()) {
-      for (Job.Slice s : j.slices.values()) {
-        boolean newer = s.stash != null && s.stashMark > s.mark;
-        if (newer || s.mark > 0) {
-          track(j, s.key, newer ? s.stash : s.record, newer ? s.stashMark : s.mark);
+    for (Job j : cluster.jobs.values()) {
+      for (Job.TaskBatch s : j.taskBatches.values()) {
+        boolean newer = s.stash != null && s.stashRevision > s.revision;
+        if (newer || s.revision > 0) {
+          track(j, s.key, newer ? s.stash : s.record, newer ? s.stashRevision : s.revision);
         }
       }
       for (Claim c : j.claims.values()) {
         if (c.phase == Claim.Phase.CLAIMING) {
-          world.admission.placed(j.spec.team(), j.amount);
+          cluster.admission.placed(j.spec.team(), j.amount);
         }
       }
     }
--- a/src/main/java/graderelay/core/TaskBatchChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -10,13 +10,17 @@
  * @param settled the claims that it ends
  */
 record TaskBatchChange(
-    Job job, Job.Slice slice, TaskBatchRecord record, List<Claim> claimed, List<Claim> settled) {
+    Job job,
+    Job.TaskBatch taskBatch,
+    TaskBatchRecord record,
+    List<Claim> claimed,
+    List<Claim> settled) {
   /** Bytes of the stored form at most. */
   int bytes() {
-    return record.size() * TaskBatchRecord.SLICE_BYTES_PER_TASK;
+    return record.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK;
   }
 
   Action.TaskBatchPut put() {
-    return new Action.TaskBatchPut(slice.key, slice.mark, record, job.mark);
+    return new Action.TaskBatchPut(taskBatch.key, taskBatch.revision, record, job.revision);
   }
 }
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The stored record of one task batch: up to a batch cap (the settings' slice cap) of tasks of one
- * job array. It is the truth about which attempt of which task is claimed on which machine and
+ * The stored record of one task batch: up to a batch cap (the settings' task batch cap) of tasks of
+ * one job array. It is the truth about which attempt of which task is claimed on which machine and
  * incarnation (session). Immutable: a change makes a copy.
  */
 public final class TaskBatchRecord {
-  /** Bytes that one task takes in a slice record at most, machine name included. */
-  public static final int SLICE_BYTES_PER_TASK = 32;
+  /** Bytes that one task takes in a task batch record at most, machine name included. */
+  public static final int BATCH_BYTES_PER_TASK = 32;
 
   private final int[] attempts;
   private final String[] machines;
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -15,7 +15,7 @@
  * that has committed.
  */
 final class TransactionPacker {
-  /** Bytes of slice records in one transaction; the protocol allows 64 KiB in all. */
+  /** Bytes of task batch records in one transaction; the protocol allows 64 KiB in all. */
   private static final int TXN_BYTES = 40 * 1024;
 
   /**
@@ -81,11 +81,11 @@
   }
 
   private boolean fits(TaskBatchChange change, boolean newTeam, boolean raise) {
-    int slicesThen = changes.size() + 1;
+    int taskBatchesThen = changes.size() + 1;
     int teamsThen = teams.size() + (newTeam ? 1 : 0);
     int raisesThen = raises.size() + (raise ? 1 : 0);
-    int conditions = CONDITIONS_EACH * (slicesThen + teamsThen) + OTHER_CONDITIONS;
-    return slicesThen + raisesThen <= mostChanges
+    int conditions = CONDITIONS_EACH * (taskBatchesThen + teamsThen) + OTHER_CONDITIONS;
+    return taskBatchesThen + raisesThen <= mostChanges
         && (teamsThen == 0 || conditions <= mostChanges * SchedulerLimits.CONDITIONS_PER_OP)
         && bytes + change.bytes() <= TXN_BYTES;
   }
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -16,7 +16,7 @@
   /** Changes that may be under way in any case: a round trip must not leave the rate unused. */
   private static final int LEAST_CHANGES_OUT = 4;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
 
   /** What a transaction under way contains. */
   record Sending(
@@ -31,8 +31,8 @@
   /** Changes in transactions that have not been answered. */
   private int changesOut;
 
-  TransactionsInFlight(ClusterState world) {
-    this.world = world;
+  TransactionsInFlight(ClusterState cluster) {
+    this.cluster = cluster;
   }
 
   /** The id of the next transaction. */
@@ -53,14 +53,14 @@
   void emit(Action.Write w, Map<TaskBatchKey, List<Claim>> c, Map<TaskBatchKey, List<Claim>> s) {
     sending.put(w.id(), new Sending(w, c, s));
     changesOut += changes(w);
-    world.out.add(w);
+    cluster.out.add(w);
   }
 
   private static int changes(Action.Write w) {
-    int n = w.slices().size() + w.drops().size();
+    int n = w.taskBatches().size() + w.drops().size();
     n += (int) w.accounts().stream().filter(AccountChange::writes).count();
     for (Action.JobEnd e : w.ends()) {
-      n += 2 + e.slices().size();
+      n += 2 + e.taskBatches().size();
     }
     return n;
   }
@@ -70,7 +70,7 @@
    * later and is more urgent would stand behind it.
    */
   int mostChangesOut() {
-    return Math.max(LEAST_CHANGES_OUT, (int) (world.policy.changesPerS() * CHANGES_OUT_S));
+    return Math.max(LEAST_CHANGES_OUT, (int) (cluster.policy.changesPerS() * CHANGES_OUT_S));
   }
 
   /** Records that a round may change beside what is under way. */
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -39,14 +39,14 @@
   /** Seconds between such questions to one machine. */
   private static final double POKE_EVERY_S = 1.2;
 
-  private final ClusterState world;
+  private final ClusterState cluster;
   private final StoredRecords records;
 
-  WorkerCommands(ClusterState world, StoredRecords records) {
-    this.world = world;
+  WorkerCommands(ClusterState cluster, StoredRecords records) {
+    this.cluster = cluster;
     this.records = records;
-    this.directFilled = world.tookOver;
-    this.directTokens = world.policy.directPerS();
+    this.directFilled = cluster.tookOver;
+    this.directTokens = cluster.policy.directPerS();
   }
 
   /** A body may have 64 KiB: what goes beyond one's share follows with the reports' responses. */
@@ -64,7 +64,7 @@
 
   /** Orders for the response to the report that was just taken. */
   List<WorkerCommand> ordersFor(Heartbeat r, double now) {
-    Machine m = world.machines.get(r.machine());
+    Machine m = cluster.machines.get(r.machine());
     List<WorkerCommand> orders = new ArrayList<>();
     if (m == null || m.session != r.session() || m.seq != r.seq()) {
       return orders;
@@ -92,7 +92,7 @@
         if (c.launch == Claim.Launch.NONE) {
           c.launch = Claim.Launch.IN_RESPONSE;
           c.launchSeq = r.seq();
-          c.launchTerm = world.term;
+          c.launchTerm = cluster.term;
           c.launchAt = now;
         }
       }
@@ -142,7 +142,7 @@
   void drainClaims(Machine m, double now) {
     for (Claim c : new ArrayList<>(m.claims.values())) {
       if (!c.stopAsked && c.phase != Claim.Phase.SETTLING) {
-        world.askStop(c, now);
+        cluster.askStop(c, now);
       }
       if (c.neverLaunched()) {
         records.end(c, false, now);
@@ -155,13 +155,13 @@
   void kill(Collection<Claim> claims, double now) {
     Map<Machine, List<WorkerCommand>> byMachine = new LinkedHashMap<>();
     for (Claim c : claims) {
-      Machine m = world.machines.get(c.machine);
+      Machine m = cluster.machines.get(c.machine);
       if (c.phase != Claim.Phase.HELD
           || m == null
           || m.address == null
           || c.session != m.session
           || c.stage == Heartbeat.Stage.EXITED
-          || now - m.lastReport > world.policy.reportS() * SILENT_REPORTS) {
+          || now - m.lastReport > cluster.policy.reportS() * SILENT_REPORTS) {
         continue;
       }
       WorkerCommand.Kill k = killOf(c, now);
@@ -179,15 +179,16 @@
   private void send(Map<Machine, List<WorkerCommand>> byMachine) {
     byMachine.forEach(
         (m, orders) ->
-            world.out.add(new Action.Command(m.name, m.address, m.session, world.term, orders)));
+            cluster.out.add(
+                new Action.Command(m.name, m.address, m.session, cluster.term, orders)));
   }
 
   void killPreempted(double now) {
-    if (world.stopping.isEmpty()) {
+    if (cluster.stopping.isEmpty()) {
       return;
     }
     List<Claim> asked = new ArrayList<>();
-    for (Claim c : world.stopping) {
+    for (Claim c : cluster.stopping) {
       if (c.phase == Claim.Phase.HELD && !c.job.stop) {
         asked.add(c);
       }
@@ -205,7 +206,7 @@
     // Services first, should there be too many for now: users wait for them most.
     records.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
     for (Claim c : records.committed) {
-      Machine m = world.machines.get(c.machine);
+      Machine m = cluster.machines.get(c.machine);
       if (c.phase != Claim.Phase.HELD || m == null || m.claims.get(c.taskId()) != c) {
         continue;
       }
@@ -215,12 +216,12 @@
       }
       boolean near =
           m.address != null
-              && now - m.lastReport <= world.policy.reportS() * SILENT_REPORTS
+              && now - m.lastReport <= cluster.policy.reportS() * SILENT_REPORTS
               && !m.leaseOver;
       boolean go = near && launchable(m, c) && c.launch == Claim.Launch.NONE;
       double reserve = c.job.spec.isService() ? 0 : DIRECT_FOR_SERVICES;
       if (go && room(byMachine.get(m)) && (byMachine.containsKey(m) || direct(now, reserve))) {
-        world.note(
+        cluster.note(
             "start "
                 + c.taskId()
                 + " attempt "
@@ -228,11 +229,11 @@
                 + " on "
                 + m.name
                 + " with term "
-                + world.term
+                + cluster.term
                 + (m.warm(c.job.spec.image()) ? "" : ", image to be fetched"));
-        world.out.add(new Action.Seen("started", now - c.job.waitingSince));
+        cluster.out.add(new Action.Seen("started", now - c.job.waitingSince));
         c.launch = Claim.Launch.DIRECT;
-        c.launchTerm = world.term;
+        c.launchTerm = cluster.term;
         c.launchAt = now;
         byMachine
             .computeIfAbsent(m, x -> new ArrayList<>())
@@ -248,7 +249,7 @@
    * beyond the rate the orders go with the responses to reports, which come in any case.
    */
   private boolean direct(double now, double reserve) {
-    double rate = world.policy.directPerS();
+    double rate = cluster.policy.directPerS();
     directTokens = Math.min(rate, directTokens + (now - directFilled) * rate);
     directFilled = now;
     if (directTokens < 1 + reserve * rate) {
@@ -266,7 +267,7 @@
   void pokes(double now) {
     // Those with services first: their replicas are down until we know.
     for (boolean services : new boolean[] {true, false}) {
-      for (Machine m : world.machines.values()) {
+      for (Machine m : cluster.machines.values()) {
         if (m.services.cpus() > 0 == services) {
           poke(m, now);
         }
@@ -277,9 +278,9 @@
   private void poke(Machine m, double now) {
     // Most report by themselves within an interval of the takeover.
     boolean unheard =
-        !m.reported && !m.claims.isEmpty() && now - world.tookOver > world.policy.reportS() / 2;
+        !m.reported && !m.claims.isEmpty() && now - cluster.tookOver > cluster.policy.reportS() / 2;
     boolean deaf = m.deafSince != null;
-    boolean silent = m.reported && now - m.lastReport > world.policy.reportS() * POKE_REPORTS;
+    boolean silent = m.reported && now - m.lastReport > cluster.policy.reportS() * POKE_REPORTS;
     double reserve = m.services.cpus() > 0 ? DIRECT_FOR_SERVICES : DIRECT_FOR_ORDERS;
     if (m.address == null
         || m.leaseOver
@@ -294,7 +295,7 @@
       session = Math.max(session, c.session);
     }
     m.lastPoke = now;
-    world.out.add(new Action.Command(m.name, m.address, session, world.term, List.of()));
+    cluster.out.add(new Action.Command(m.name, m.address, session, cluster.term, List.of()));
   }
 
   /** Fences launches of unknown fate that stand in the way of an end, by a new term. */
@@ -302,18 +303,18 @@
     if (raising || now - lastRaise < RAISE_PAUSE_S) {
       return;
     }
-    for (Machine m : world.machines.values()) {
+    for (Machine m : cluster.machines.values()) {
       for (Claim c : m.claims.values()) {
         boolean blocked = c.job.stop || c.stopAsked;
         if (c.phase == Claim.Phase.HELD
             && c.launch == Claim.Launch.DOUBTFUL
             && blocked
             && now - c.launchAt > DOUBT_S
-            && c.launchTerm == world.term) {
+            && c.launchTerm == cluster.term) {
           raising = true;
           lastRaise = now;
-          world.note("raising the term: a launch of " + c.taskId() + " is of unknown fate");
-          world.out.add(new Action.RaiseTerm());
+          cluster.note("raising the term: a launch of " + c.taskId() + " is of unknown fate");
+          cluster.out.add(new Action.RaiseTerm());
           return;
         }
       }
@@ -323,8 +324,8 @@
   /** The term was raised, or could not be. */
   void onTerm(long newTerm, double now) {
     raising = false;
-    if (newTerm > world.term) {
-      world.term = newTerm;
+    if (newTerm > cluster.term) {
+      cluster.term = newTerm;
       lastRaise = now;
     }
   }
--- a/src/main/java/graderelay/net/Query.java
+++ b/src/main/java/graderelay/net/Query.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What stands behind a path's question mark. */
+/** What stands behind a path's question revision. */
 public final class Query {
   private Query() {}
 
--- a/src/main/java/graderelay/net/TokenBucket.java
+++ b/src/main/java/graderelay/net/TokenBucket.java
@@ -6,8 +6,8 @@
 
 /**
  * Tokens for calls to a service with a limited rate. Calls wait by urgency, of which a small share
- * is kept for each less urgent use; the owner's renewals never wait at all, and when too many wait,
- * the least urgent is refused at once.
+ * is kept for each less urgent use; the leader's renewals never wait at all, and when too many
+ * wait, the least urgent is refused at once.
  */
 public final class TokenBucket {
   /**
@@ -17,8 +17,8 @@
   private static final int MOST_WAITING_CALLS = 512;
 
   /**
-   * Share of what more urgent calls take that a less urgent use gets while it waits: a quarter of
-   * an owner's changes is what a swarm of submissions needs of it at the users' rates.
+   * Share of what more urgent calls take that a less urgent use gets while it waits: a quarter of a
+   * leader's changes is what a swarm of submissions needs of it at the users' rates.
    */
   private static final double PASSED_SHARE = 0.3;
 
@@ -159,7 +159,7 @@
 
   /**
    * The queue to serve next: the most urgent, unless a less urgent one has been passed for so long
-   * that a share is owed to it. Claims and ends batch what waits, so an owner with much to write
+   * that a share is owed to it. Claims and ends batch what waits, so a leader with much to write
    * would always have some, and its submissions would starve.
    */
   private int next() {
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -12,7 +12,7 @@
 /** The client of the other controllers (the peers): one POST of CBOR to {@link #PATH} each. */
 public final class PeerClient {
   /** Seconds to wait for another controller. */
-  private static final double MESH_TIMEOUT_S = 1.0;
+  private static final double PEER_TIMEOUT_S = 1.0;
 
   /** The one path that messages between controllers go to; a wire name, so it stays. */
   public static final String PATH = "/mesh";
@@ -68,6 +68,6 @@
 
   /** How long to wait for a peer's answer, in seconds. */
   public double timeoutS() {
-    return MESH_TIMEOUT_S;
+    return PEER_TIMEOUT_S;
   }
 }
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -41,8 +41,8 @@
   private static final int MOST_HEDGES_OUT = 64;
 
   /**
-   * Seconds for which a submission that the owner has handed on may stay with a peer before the
-   * owner takes it up after all: a few usual answers of the state service.
+   * Seconds for which a submission that the leader has handed on may stay with a peer before the
+   * leader takes it up after all: a few usual answers of the state service.
    */
   private static final double HANDED_ON_S = 0.15;
 
@@ -74,7 +74,7 @@
    *
    * @param stuck whether the state service lets this node wait
    * @param awayForAll whether peers say that they are no better off
-   * @param hears whether a member has answered this owner a moment ago
+   * @param hears whether a member has answered this leader a moment ago
    */
   public RequestHedger(
       Loop loop,
--- a/src/main/java/graderelay/quota/AdmissionControl.java
+++ b/src/main/java/graderelay/quota/AdmissionControl.java
@@ -12,8 +12,8 @@
  *
  * <p>So at every commit the claims of a team take no more than its account, and that no more than
  * the limit under which it was decided, whoever claims: the holder of a version knows every claim
- * that has committed before it, since it has read the slices as of the write that made the version,
- * and every claim since is its own.
+ * that has committed before it, since it has read the task batches as of the write that made the
+ * version, and every claim since is its own.
  */
 public final class AdmissionControl {
   private static final String NOT_STORED = "no limits are stored for team ";
@@ -65,7 +65,10 @@
     enabled = true;
   }
 
-  /** Takes the records as they were read; the slices of the same moment have been taken before. */
+  /**
+   * Takes the records as they were read; the task batches of the same moment have been taken
+   * before.
+   */
   public void update(StoredQuota stored) {
     limits = stored.limits();
     seeded = stored.seeded();
@@ -280,7 +283,10 @@
     return change;
   }
 
-  /** The changes have committed together; the slices of the same transaction were taken before. */
+  /**
+   * The changes have committed together; the task batches of the same transaction were taken
+   * before.
+   */
   public void committed(List<AccountChange> changes, long revision) {
     if (enabled) {
       changes.stream()
--- a/src/main/java/graderelay/quota/CommittedUse.java
+++ b/src/main/java/graderelay/quota/CommittedUse.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * What the committed claims of each team take, summed over the stored slices as they are known. Of
- * each slice the newest version counts, whether it came by a read or by a write of one's own.
+ * What the committed claims of each team take, summed over the stored task batches as they are
+ * known. Of each task batch the newest version counts, whether it came by a read or by a write of
+ * one's own.
  */
 public final class CommittedUse {
-  private record SliceUse(Amount use, long revision) {}
+  private record BatchUse(Amount use, long revision) {}
 
   private static final class JobUse {
     final String team;
-    final Map<Integer, SliceUse> slices = new HashMap<>();
+    final Map<Integer, BatchUse> taskBatches = new HashMap<>();
 
     JobUse(String team) {
       this.team = team;
@@ -28,15 +29,16 @@
   }
 
   /**
-   * A slice was stored with claims that take so much; an older version than known is passed over.
+   * A task batch was stored with claims that take so much; an older version than known is passed
+   * over.
    */
-  public void put(String job, int slice, String team, long revision, Amount use) {
+  public void put(String job, int taskBatch, String team, long revision, Amount use) {
     JobUse j = jobs.computeIfAbsent(job, x -> new JobUse(team));
-    SliceUse old = j.slices.get(slice);
+    BatchUse old = j.taskBatches.get(taskBatch);
     if (old != null && old.revision() >= revision) {
       return;
     }
-    j.slices.put(slice, new SliceUse(use, revision));
+    j.taskBatches.put(taskBatch, new BatchUse(use, revision));
     add(team, old == null ? use : use.minus(old.use()));
   }
 
@@ -44,7 +46,7 @@
   public void removeJob(String job) {
     JobUse j = jobs.remove(job);
     if (j != null) {
-      j.slices.values().forEach(s -> add(j.team, Amount.NONE.minus(s.use())));
+      j.taskBatches.values().forEach(s -> add(j.team, Amount.NONE.minus(s.use())));
     }
   }
 
--- a/src/main/java/graderelay/quota/TeamAccount.java
+++ b/src/main/java/graderelay/quota/TeamAccount.java
@@ -8,8 +8,8 @@
  *
  * <p>Before the leader relies on an account it fences it: a conditional write gives the record a
  * new version, on which nothing that others have on the way is conditioned. Once the leader has
- * read the slices as of that write, it knows every claim that will ever have committed under the
- * versions before, and the account counts as settled.
+ * read the task batches as of that write, it knows every claim that will ever have committed under
+ * the versions before, and the account counts as settled.
  */
 final class TeamAccount {
   private Account stored = Account.ABSENT;
@@ -65,7 +65,7 @@
     wanted = true;
   }
 
-  /** Everything up to this revision has been read, slices included. */
+  /** Everything up to this revision has been read, task batches included. */
   void readUpTo(long revision) {
     if (fencedAt > 0 && revision >= fencedAt) {
       settled = true;
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -89,7 +89,7 @@
     this.gate = new FeatureGate(options.supported());
     this.settings = s;
     this.random = random;
-    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostSliceTasks(s));
+    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostBatchTasks(s));
     this.metrics = new Metrics(loop);
     this.state =
         new StateClient(
@@ -107,7 +107,7 @@
         new LeaderOffice(
             loop,
             cache,
-            this::owner,
+            this::leader,
             this::term,
             this::speaks,
             cancellations,
@@ -122,14 +122,14 @@
             state,
             cache,
             s.member(),
-            s.meshAddress(),
+            s.peerAddress(),
             s.holdS(),
             peerClient,
             cancellations,
             random::nextDouble,
             office);
     this.cloud = new CloudClient(loop, transport, s.cloudAddress(), s.cloudRps());
-    this.machineTypes = new MachineTypePoller(loop, cloud, this::owner, this::onTypes);
+    this.machineTypes = new MachineTypePoller(loop, cloud, this::leader, this::onTypes);
     this.workers = new WorkerClient(transport);
     TeamLimits limits = new TeamLimits(cache.quota(), s.teams());
     this.quotaMonitor = new QuotaMonitor(limits, this::core);
@@ -142,7 +142,7 @@
             s,
             limits,
             this::machineTypes,
-            () -> operators.current().sliceCap());
+            () -> operators.current().batchCapacity());
     this.leaseDelegate =
         new LeaseDelegate(
             loop, peerClient, leadership, cache, state, cancellations, s, random.nextLong());
@@ -165,7 +165,7 @@
             cache,
             peerClient,
             operators.defaults(),
-            SchedulerPolicy.mostSliceTasks(s),
+            SchedulerPolicy.mostBatchTasks(s),
             this::core,
             this::ready);
     this.requestHedger =
@@ -175,7 +175,7 @@
         new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
     FeaturesApi featuresApi =
         new FeaturesApi(
-            s.member(), cache, features.coordinator(), leadership::owner, admin::atLeader);
+            s.member(), cache, features.coordinator(), leadership::leader, admin::atLeader);
     QuotaApi quotaApi =
         new QuotaApi(
             loop,
@@ -209,7 +209,7 @@
 
   /** A leader knows which peers answer; a follower finds out by asking. */
   private boolean mayAnswer(String peer) {
-    return !leadership.owner() || leadership.hears(peer);
+    return !leadership.leader() || leadership.hears(peer);
   }
 
   /** The duty of a term that starts now, with the records and settings as they are now. */
@@ -305,8 +305,8 @@
   }
 
   /** True while this node is the leader. */
-  public boolean owner() {
-    return leadership.owner();
+  public boolean leader() {
+    return leadership.leader();
   }
 
   private long term() {
@@ -336,7 +336,7 @@
    * once, it can write one or two without waiting, and its peers' shares lie idle meanwhile.
    */
   private boolean submissionsWaitHere() {
-    return leadership.owner()
+    return leadership.leader()
         ? state.changeTokens().waiting() > 0
         : state.changeTokens().wouldWait(1);
   }
@@ -364,13 +364,13 @@
     }
 
     @Override
-    public void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
-      office.ifLeading(t -> t.onSlice(key, s));
+    public void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
+      office.ifLeading(t -> t.onTaskBatch(key, s));
     }
 
     @Override
-    public void onSliceGone(TaskBatchKey key) {
-      office.ifLeading(t -> t.onSliceGone(key));
+    public void onTaskBatchGone(TaskBatchKey key) {
+      office.ifLeading(t -> t.onTaskBatchGone(key));
     }
 
     @Override
@@ -379,7 +379,7 @@
     }
 
     @Override
-    public void onOwner() {
+    public void onLeader() {
       features.look();
       leadership.consider();
     }
@@ -391,7 +391,7 @@
     }
 
     @Override
-    public void onDeputyFree(String member, JsonNode record) {
+    public void onDelegateReleased(String member, JsonNode record) {
       office.ifLeading(t -> t.onLeaseDelegateFreed(member, record));
     }
 
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -79,7 +79,7 @@
   }
 
   private StateClient.Txn asLeader() {
-    return new StateClient.Txn().when(cache.election().leaderKey(), leadership.ownerMark());
+    return new StateClient.Txn().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
   private void commit(StateClient.Txn txn, Consumer<Outcome> done) {
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -110,10 +110,10 @@
         write(w);
       } else if (a instanceof Action.Command c) {
         command(c);
-      } else if (a instanceof Action.Hire h) {
+      } else if (a instanceof Action.ScaleOut h) {
         rent(h);
-      } else if (a instanceof Action.GiveBack g) {
-        giveBack(g);
+      } else if (a instanceof Action.ScaleIn g) {
+        scaleIn(g);
       } else if (a instanceof Action.FindEnds f) {
         findFinalStates(f);
       } else if (a instanceof Action.KeepDemand k) {
@@ -153,30 +153,30 @@
   /** One compare-and-swap transaction, conditioned on the leader record and every revision. */
   private void write(Action.Write w) {
     StateClient.Txn txn =
-        new StateClient.Txn().when(cache.election().leaderKey(), leadership.ownerMark());
+        new StateClient.Txn().when(cache.election().leaderKey(), leadership.leaderRevision());
     Set<String> jobs = new HashSet<>();
-    for (Action.TaskBatchPut p : w.slices()) {
-      String key = StateCodec.sliceKey(p.key());
-      txn.when(key, p.mark()).put(key, StateCodec.slice(p.record()));
+    for (Action.TaskBatchPut p : w.taskBatches()) {
+      String key = StateCodec.taskBatchKey(p.key());
+      txn.when(key, p.revision()).put(key, StateCodec.taskBatch(p.record()));
       String job = StateCodec.jobKey(p.key().job());
       if (jobs.add(job)) {
-        txn.when(job, p.jobMark());
+        txn.when(job, p.jobRevision());
       }
     }
     for (Action.JobEnd e : w.ends()) {
       String key = StateCodec.jobKey(e.job());
-      txn.when(key, e.jobMark()).drop(key);
+      txn.when(key, e.jobRevision()).drop(key);
       txn.put(StateCodec.endKey(e.job()), StateCodec.end(e.cancelled(), e.tasks(), loop.wallMs()));
-      e.slices().forEach(d -> dropSlice(txn, d));
+      e.taskBatches().forEach(d -> dropTaskBatch(txn, d));
     }
-    w.drops().forEach(d -> dropSlice(txn, d));
+    w.drops().forEach(d -> dropTaskBatch(txn, d));
     w.accounts().forEach(c -> addAccount(txn, c));
     state.commit(txn, Use.CLAIM, r -> written(w.id(), r));
   }
 
-  private static void dropSlice(StateClient.Txn txn, Action.TaskBatchDrop d) {
-    String key = StateCodec.sliceKey(d.key());
-    txn.when(key, d.mark()).drop(key);
+  private static void dropTaskBatch(StateClient.Txn txn, Action.TaskBatchDrop d) {
+    String key = StateCodec.taskBatchKey(d.key());
+    txn.when(key, d.revision()).drop(key);
   }
 
   private static void addAccount(StateClient.Txn txn, AccountChange c) {
@@ -201,7 +201,7 @@
       term.stepSoon();
     } else if (r.how() == How.NOT_EXECUTED) {
       core.onLimits(
-          state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.ownersChanges());
+          state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.leadersChanges());
       loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
     } else {
       LOG.info("transaction {}: {} {}", id, r.how(), r.body() == null ? "" : r.body());
@@ -256,7 +256,7 @@
 
   // ---------------------------------------------------------------- cloud
 
-  private void rent(Action.Hire h) {
+  private void rent(Action.ScaleOut h) {
     boolean first = firstTerm == 1;
     // An earlier leader may have rented what we would rent now; the list shows it only later.
     if (!first && (!listed || loop.now() < startedAt + listLagS)) {
@@ -266,7 +266,7 @@
     String name = "hire-" + firstTerm + "-" + h.id();
     LOG.info(
         "hire {} {} in {}{} as {}", h.count(), h.type(), h.zone(), h.spot() ? ", spot" : "", name);
-    cloud.hire(
+    cloud.scaleOut(
         name,
         h.type(),
         h.zone(),
@@ -282,12 +282,12 @@
         });
   }
 
-  private void giveBack(Action.GiveBack g) {
-    cloud.giveBack(
+  private void scaleIn(Action.ScaleIn g) {
+    cloud.scaleIn(
         g.machines(),
         ok -> {
           if (ok && !term.isClosed()) {
-            core.onGivenBack(g.machines(), loop.now());
+            core.onScaledIn(g.machines(), loop.now());
             term.stepSoon();
           }
         });
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -133,7 +133,7 @@
   private void put(String key, ObjectNode value) {
     state.commit(
         new StateClient.Txn()
-            .when(cache.election().leaderKey(), leadership.ownerMark())
+            .when(cache.election().leaderKey(), leadership.leaderRevision())
             .put(key, value),
         Use.SUBMISSION,
         r -> {});
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -111,10 +111,11 @@
       onJob(e);
     }
     for (Cache.Entry e : cache.jobs().values()) {
-      e.slices.forEach(
-          (i, s) -> core.onSlice(new TaskBatchKey(e.spec.id(), i), s.record(), s.mark(), now));
+      e.taskBatches.forEach(
+          (i, s) ->
+              core.onTaskBatch(new TaskBatchKey(e.spec.id(), i), s.record(), s.revision(), now));
     }
-    cache.looseSlices().forEach((k, s) -> core.onSlice(k, s.record(), s.mark(), now));
+    cache.looseBatches().forEach((k, s) -> core.onTaskBatch(k, s.record(), s.revision(), now));
     JsonNode demand = hints.demand();
     if (demand != null) {
       core.onDemand(StateCodec.demand(demand, loop.wallMs()), now);
@@ -139,7 +140,7 @@
 
   void onJob(Cache.Entry e) {
     double at = loop.now() - (loop.wallMs() - e.spec.submittedMs()) / 1000.0;
-    core.onJob(e.spec, e.stop, e.mark, Math.min(at, loop.now()), loop.now());
+    core.onJob(e.spec, e.stop, e.revision, Math.min(at, loop.now()), loop.now());
     stepSoon();
   }
 
@@ -161,13 +162,13 @@
     stepSoon();
   }
 
-  void onSlice(TaskBatchKey key, Cache.SliceEntry s) {
-    core.onSlice(key, s.record(), s.mark(), loop.now());
+  void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
+    core.onTaskBatch(key, s.record(), s.revision(), loop.now());
     stepSoon();
   }
 
-  void onSliceGone(TaskBatchKey key) {
-    core.onSliceGone(key);
+  void onTaskBatchGone(TaskBatchKey key) {
+    core.onTaskBatchGone(key);
   }
 
   /** The term was raised with a change of the feature level, which may change the hints' form. */
@@ -177,7 +178,9 @@
     stepSoon();
   }
 
-  /** Stored limits or accounts have changed; the slices of the same moment were told before. */
+  /**
+   * Stored limits or accounts have changed; the task batches of the same moment were told before.
+   */
   void onQuota() {
     boolean on = cache.features().gate().enabled(Feature.STORED_LIMITS);
     core.onQuota(on ? cache.quota().asOf(cache.revisionSeen()) : null);
@@ -231,14 +234,14 @@
   PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation d) {
     double now = loop.now();
     boolean known =
-        core.onDeputy(
+        core.onDelegate(
             d.member(), d.process(), d.number(), d.grantedBy(), d.echo(), d.aloneS(), now);
     return known ? new PeerAnswer.Grant(leadership.term(), firstTerm, now) : null;
   }
 
   /** A lease delegate's record was released. */
   void onLeaseDelegateFreed(String member, JsonNode n) {
-    core.onDeputyFree(
+    core.onDelegateReleased(
         member,
         n.path("self").asText(),
         n.path("n").asLong(),
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -12,7 +12,7 @@
  * {@link #TYPES_EVERY_S} on the leader and five times as seldom on a follower.
  */
 final class MachineTypePoller {
-  /** Seconds between reads of the machine types by the owner: spot prices move slowly. */
+  /** Seconds between reads of the machine types by the leader: spot prices move slowly. */
   private static final double TYPES_EVERY_S = 60;
 
   private final Loop loop;
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -20,14 +20,14 @@
   static Policy of(Settings settings, StateClient state, OperatorSettings operators) {
     return new Policy(
         settings.teams(),
-        settings.deputies(),
+        settings.delegates(),
         settings.grantS(),
         settings.reportS(),
         settings.leaseS(),
         settings.listLagS(),
         settings.least().txnOps(),
         (int) ((state.smaller() ? settings.least() : settings.now()).valueKb() * 1024),
-        state.ownersChanges(),
+        state.leadersChanges(),
         settings.cpuShare() * DIRECT_PER_CORE_S,
         settings.waits(),
         settings.waitSteps(),
@@ -35,9 +35,9 @@
         operators.tuning());
   }
 
-  /** The most tasks in one slice record, at least one. */
-  static int mostSliceTasks(Settings s) {
+  /** The most tasks in one task batch record, at least one. */
+  static int mostBatchTasks(Settings s) {
     // New records fit what the state service will allow as well.
-    return Math.max(1, (int) (s.least().valueKb() * 1024 / TaskBatchRecord.SLICE_BYTES_PER_TASK));
+    return Math.max(1, (int) (s.least().valueKb() * 1024 / TaskBatchRecord.BATCH_BYTES_PER_TASK));
   }
 }
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -10,19 +10,19 @@
  */
 final class StoredOperatorSettings {
   private final OperatorSettings defaults;
-  private final int mostSliceTasks;
+  private final int mostBatchTasks;
   private OperatorSettings current;
 
   /**
    * Starts from the defaults; the log's level is {@code LOG_LEVEL} of the environment if it names a
    * known one, else info.
    *
-   * @param mostSliceTasks the most tasks in one slice record
+   * @param mostBatchTasks the most tasks in one task batch record
    */
-  StoredOperatorSettings(int mostSliceTasks) {
+  StoredOperatorSettings(int mostBatchTasks) {
     String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(mostSliceTasks, Logs.known(level) ? level : "info");
-    this.mostSliceTasks = mostSliceTasks;
+    this.defaults = OperatorSettings.defaults(mostBatchTasks, Logs.known(level) ? level : "info");
+    this.mostBatchTasks = mostBatchTasks;
     this.current = defaults;
   }
 
@@ -37,7 +37,7 @@
   /** Reads the stored record anew, sets the log's level if it changed, and returns the result. */
   OperatorSettings reload(JsonNode stored) {
     String before = current.logLevel();
-    current = OperatorSettings.stored(stored, defaults, mostSliceTasks);
+    current = OperatorSettings.stored(stored, defaults, mostBatchTasks);
     if (!current.logLevel().equals(before)) {
       Logs.level(current.logLevel());
     }
