--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -45,16 +45,16 @@
   public static final class Entry {
     public final JobSpec spec;
     public boolean stop;
-    public long mark;
-    public final TreeMap<Integer, SliceEntry> slices = new TreeMap<>();
+    public long revision;
+    public final TreeMap<Integer, TaskBatchEntry> taskBatches = new TreeMap<>();
 
     Entry(JobSpec spec) {
       this.spec = spec;
     }
   }
 
-  /** A stored slice. */
-  public record SliceEntry(TaskBatchRecord record, long mark) {}
+  /** A stored task batch. */
+  public record TaskBatchEntry(TaskBatchRecord record, long revision) {}
 
   /** A final state. */
   public record End(boolean cancelled, int tasks, long atMs) {}
@@ -65,27 +65,27 @@
 
     void onJobGone(String id);
 
-    void onSlice(TaskBatchKey key, SliceEntry e);
+    void onTaskBatch(TaskBatchKey key, TaskBatchEntry e);
 
-    void onSliceGone(TaskBatchKey key);
+    void onTaskBatchGone(TaskBatchKey key);
 
     void onEnd(String id, End e);
 
-    void onOwner();
+    void onLeader();
 
     void onSettings();
 
     /** Stored limits or accounts have changed, or whether they count. */
     void onQuota();
 
-    void onDeputyFree(String member, JsonNode record);
+    void onDelegateReleased(String member, JsonNode record);
   }
 
   private final Loop loop;
   private final StateClient state;
   private final Listener listener;
   private final Map<String, Entry> jobs = new HashMap<>();
-  private final Map<TaskBatchKey, SliceEntry> loose = new HashMap<>();
+  private final Map<TaskBatchKey, TaskBatchEntry> loose = new HashMap<>();
 
   /** Live jobs whose cancellation is recorded. */
   private final Set<String> stopped = new HashSet<>();
@@ -107,8 +107,8 @@
   /** Stored limits or accounts have changed in the batch at hand. */
   private boolean quotaChanged;
 
-  /** Something that {@link Listener#onOwner} tells of has changed in the batch at hand. */
-  private boolean ownerChanged;
+  /** Something that {@link Listener#onLeader} tells of has changed in the batch at hand. */
+  private boolean leaderChanged;
 
   /** Everything that had committed before this time has been seen. */
   private double sureAt = Double.NEGATIVE_INFINITY;
@@ -120,14 +120,14 @@
   private final Map<String, JsonNode> images = new HashMap<>();
   private final Map<String, JsonNode> compactHints = new HashMap<>();
   private JsonNode settings;
-  private long settingsMark;
+  private long settingsRevision;
   private long revision;
   private boolean loaded;
 
   /** The records were read whole once. */
   private boolean watched;
 
-  /** The owner record and the term were read. */
+  /** The leader record and the term were read. */
   private boolean headKnown;
 
   private boolean closed;
@@ -185,8 +185,8 @@
     return jobs;
   }
 
-  /** Slices whose job's record is gone. */
-  public Map<TaskBatchKey, SliceEntry> looseSlices() {
+  /** Task batches whose job's record is gone. */
+  public Map<TaskBatchKey, TaskBatchEntry> looseBatches() {
     return loose;
   }
 
@@ -200,11 +200,11 @@
   }
 
   /** Who leads, or null. */
-  public StateCodec.Owner owner() {
+  public StateCodec.LeaderRecord leader() {
     return election.leader();
   }
 
-  public long ownerMark() {
+  public long leaderRevision() {
     return election.leaderRevision();
   }
 
@@ -222,7 +222,7 @@
     return sureAt;
   }
 
-  /** Every job, slice and cancellation that had committed before this time is in the copy. */
+  /** Every job, task batch and cancellation that had committed before this time is in the copy. */
   public double knownUntil() {
     return knownUntil;
   }
@@ -232,17 +232,17 @@
     return stopped;
   }
 
-  /** What the last owner kept of the demand, or null. */
+  /** What the last leader kept of the demand, or null. */
   public JsonNode demand() {
     return demand;
   }
 
-  /** What the last owner kept of the images on machines, by record. */
+  /** What the last leader kept of the images on machines, by record. */
   public Map<String, JsonNode> images() {
     return images;
   }
 
-  /** What the last owner kept of either in the compact form, by key. */
+  /** What the last leader kept of either in the compact form, by key. */
   public Map<String, JsonNode> compactHints() {
     return compactHints;
   }
@@ -251,8 +251,8 @@
     return settings;
   }
 
-  public long settingsMark() {
-    return settingsMark;
+  public long settingsRevision() {
+    return settingsRevision;
   }
 
   /** The revision up to which every change has been seen. */
@@ -276,14 +276,14 @@
     loading = true;
     List<List<JsonNode>> got = new ArrayList<>();
     String[] prefixes = {
-      StateCodec.OWNER,
+      StateCodec.LEADER,
       StateCodec.BARS,
       StateCodec.TERM,
       StateCodec.SETTINGS,
       StateCodec.DEMAND,
       StateCodec.IMAGES,
       StateCodec.JOBS,
-      StateCodec.SLICES
+      StateCodec.TASK_BATCHES
     };
     loadNext(prefixes, 0, got);
   }
@@ -340,8 +340,8 @@
     lists.forEach(this::putAll);
     features.read();
     headKnown = true;
-    ownerChanged = false;
-    listener.onOwner();
+    leaderChanged = false;
+    listener.onLeader();
   }
 
   private void putAll(List<JsonNode> pages) {
@@ -375,7 +375,7 @@
             if (first) {
               LOG.info("loaded {} jobs at revision {}", jobs.size(), revision);
             }
-            listener.onOwner();
+            listener.onLeader();
             listener.onSettings();
             listener.onQuota();
             watch(++generation);
@@ -471,54 +471,55 @@
   private void apply(JsonNode body) {
     long upTo = body.path("ledger").asLong();
     for (JsonNode e : body.path("news")) {
-      long mark = e.path("mark").asLong();
-      if (mark <= revision) {
+      long changedAt = e.path("mark").asLong();
+      if (changedAt <= revision) {
         continue; // Seen already, through the other read.
       }
       if (e.has("put")) {
-        put(e.get("put").asText(), e.path("data"), mark);
+        put(e.get("put").asText(), e.path("data"), changedAt);
       } else if (e.has("drop")) {
-        drop(e.get("drop").asText(), mark);
+        drop(e.get("drop").asText(), changedAt);
       }
     }
     revision = Math.max(revision, upTo);
     // A change of the leader's record may come with one of the level that says where it stands.
-    if (ownerChanged && loaded) {
-      ownerChanged = false;
+    if (leaderChanged && loaded) {
+      leaderChanged = false;
       quotaChanged = true; // The level says whether stored limits count.
-      listener.onOwner();
+      listener.onLeader();
     }
-    // Only now: the slices of the same transactions are to be taken before the accounts.
+    // Only now: the task batches of the same transactions are to be taken before the accounts.
     if (quotaChanged && loaded) {
       quotaChanged = false;
       listener.onQuota();
     }
   }
 
-  private void put(String key, JsonNode value, long mark) {
+  private void put(String key, JsonNode value, long revision) {
     if (key.startsWith(StateCodec.JOBS)) {
-      putJob(key.substring(StateCodec.JOBS.length()), value, mark);
-    } else if (key.startsWith(StateCodec.SLICES)) {
-      putSlice(StateCodec.sliceOf(key), new SliceEntry(StateCodec.slice(value), mark));
+      putJob(key.substring(StateCodec.JOBS.length()), value, revision);
+    } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
+      putTaskBatch(
+          StateCodec.batchOf(key), new TaskBatchEntry(StateCodec.taskBatch(value), revision));
     } else if (key.startsWith(StateCodec.ENDS)) {
       String id = key.substring(StateCodec.ENDS.length());
       ends.put(id, endOf(value));
       listener.onEnd(id, ends.get(id));
-    } else if (quota.put(key, value, mark)) {
+    } else if (quota.put(key, value, revision)) {
       quotaChanged = true;
-    } else if (features.put(key, value, mark) || election.put(key, value, mark)) {
-      ownerChanged = true;
+    } else if (features.put(key, value, revision) || election.put(key, value, revision)) {
+      leaderChanged = true;
     } else if (key.equals(StateCodec.DEMAND)) {
       demand = value;
     } else if (key.startsWith(StateCodec.IMAGES)) {
       images.put(key, value);
     } else if (key.startsWith(FeatureCodec.HINTS)) {
       compactHints.put(key, value);
-    } else if (key.startsWith(StateCodec.DEPUTIES)) {
-      listener.onDeputyFree(key.substring(StateCodec.DEPUTIES.length()), value);
-    } else if (key.equals(StateCodec.SETTINGS) && mark > settingsMark) {
+    } else if (key.startsWith(StateCodec.LEASE_DELEGATES)) {
+      listener.onDelegateReleased(key.substring(StateCodec.LEASE_DELEGATES.length()), value);
+    } else if (key.equals(StateCodec.SETTINGS) && revision > settingsRevision) {
       settings = value;
-      settingsMark = mark;
+      settingsRevision = revision;
       told(listener::onSettings);
     }
   }
@@ -536,9 +537,9 @@
         value.path("at").asLong());
   }
 
-  private void putJob(String id, JsonNode value, long mark) {
+  private void putJob(String id, JsonNode value, long revision) {
     Entry e = jobs.get(id);
-    if (e != null && mark <= e.mark) {
+    if (e != null && revision <= e.revision) {
       return;
     }
     if (e == null) {
@@ -546,11 +547,11 @@
       jobs.put(id, e);
       for (TaskBatchKey k : new ArrayList<>(loose.keySet())) {
         if (k.job().equals(id)) {
-          e.slices.put(k.index(), loose.remove(k));
+          e.taskBatches.put(k.index(), loose.remove(k));
         }
       }
     }
-    e.mark = mark;
+    e.revision = revision;
     e.stop = StateCodec.stopOf(value);
     if (e.stop) {
       stopped.add(id);
@@ -558,39 +559,39 @@
     listener.onJob(e);
   }
 
-  private void putSlice(TaskBatchKey key, SliceEntry s) {
+  private void putTaskBatch(TaskBatchKey key, TaskBatchEntry s) {
     Entry e = jobs.get(key.job());
-    SliceEntry old = e == null ? loose.get(key) : e.slices.get(key.index());
-    if (old != null && s.mark() <= old.mark()) {
+    TaskBatchEntry old = e == null ? loose.get(key) : e.taskBatches.get(key.index());
+    if (old != null && s.revision() <= old.revision()) {
       return;
     }
     if (e == null) {
       loose.put(key, s);
     } else {
-      e.slices.put(key.index(), s);
+      e.taskBatches.put(key.index(), s);
     }
-    listener.onSlice(key, s);
+    listener.onTaskBatch(key, s);
   }
 
-  private void drop(String key, long mark) {
+  private void drop(String key, long revision) {
     if (key.startsWith(StateCodec.JOBS)) {
-      removeJob(key.substring(StateCodec.JOBS.length()), mark);
-    } else if (key.startsWith(StateCodec.SLICES)) {
-      TaskBatchKey k = StateCodec.sliceOf(key);
+      removeJob(key.substring(StateCodec.JOBS.length()), revision);
+    } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
+      TaskBatchKey k = StateCodec.batchOf(key);
       Entry e = jobs.get(k.job());
-      SliceEntry s = e == null ? loose.get(k) : e.slices.get(k.index());
-      if (s != null && s.mark() < mark) {
+      TaskBatchEntry s = e == null ? loose.get(k) : e.taskBatches.get(k.index());
+      if (s != null && s.revision() < revision) {
         if (e == null) {
           loose.remove(k);
         } else {
-          e.slices.remove(k.index());
+          e.taskBatches.remove(k.index());
         }
-        listener.onSliceGone(k);
+        listener.onTaskBatchGone(k);
       }
-    } else if (quota.drop(key, mark)) {
+    } else if (quota.drop(key, revision)) {
       quotaChanged = true;
-    } else if (features.drop(key, mark) || election.drop(key, mark)) {
-      ownerChanged = true;
+    } else if (features.drop(key, revision) || election.drop(key, revision)) {
+      leaderChanged = true;
     } else if (key.startsWith(StateCodec.IMAGES)) {
       images.remove(key);
     } else if (key.equals(StateCodec.DEMAND)) {
@@ -600,14 +601,14 @@
     }
   }
 
-  private void removeJob(String id, long mark) {
+  private void removeJob(String id, long revision) {
     Entry e = jobs.get(id);
-    if (e == null || e.mark >= mark) {
+    if (e == null || e.revision >= revision) {
       return;
     }
     jobs.remove(id);
     stopped.remove(id);
-    e.slices.forEach((i, s) -> loose.put(new TaskBatchKey(id, i), s));
+    e.taskBatches.forEach((i, s) -> loose.put(new TaskBatchKey(id, i), s));
     listener.onJobGone(id);
   }
 }
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -12,7 +12,7 @@
 /**
  * Whether a job is cancelled with one that it needs. Derived from the records of the needed jobs
  * alone, so that every controller says so as soon as the one conditional write on the cancelled job
- * has committed, however far the owner is with the ends of those that need it.
+ * has committed, however far the leader is with the ends of those that need it.
  */
 public final class CancellationResolver {
   /** What the records say. */
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -130,7 +130,7 @@
     return kills;
   }
 
-  /** The same in front of what the owner orders, of which the stopped tasks' part is left out. */
+  /** The same in front of what the leader orders, of which the stopped tasks' part is left out. */
   public List<WorkerCommand> withKills(Heartbeat r, List<WorkerCommand> orders) {
     List<WorkerCommand> all = kills(r);
     if (all.isEmpty()) {
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -16,7 +16,7 @@
   private static final class Layout {
     final String leaderKey;
     final String suspensionPrefix;
-    StateCodec.Owner leader;
+    StateCodec.LeaderRecord leader;
     long leaderRevision;
     final Map<String, StateCodec.Bar> suspensions = new HashMap<>();
 
@@ -28,7 +28,7 @@
     boolean put(String key, JsonNode value, long revision) {
       if (key.equals(leaderKey)) {
         if (revision > leaderRevision) {
-          leader = StateCodec.owner(value);
+          leader = StateCodec.leader(value);
           leaderRevision = revision;
         }
         return true;
@@ -63,7 +63,7 @@
   }
 
   private final FeatureRecords features;
-  private final Layout open = new Layout(StateCodec.OWNER, StateCodec.BARS);
+  private final Layout open = new Layout(StateCodec.LEADER, StateCodec.BARS);
   private final Layout sealed = new Layout(FeatureCodec.LEADER, FeatureCodec.SUSPENSIONS);
   private long term;
   private long termRevision;
@@ -88,7 +88,7 @@
   }
 
   /** Who leads, or null. */
-  public StateCodec.Owner leader() {
+  public StateCodec.LeaderRecord leader() {
     return layout().leader;
   }
 
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Wins, keeps and loses the fleet. The owner record hangs on a hold of ours; the term is a counter
+ * Wins, keeps and loses the fleet. The leader record hangs on a hold of ours; the term is a counter
  * that stays. We count the hold from the moment its renewal was sent, so that we stop before the
  * state service lets anybody else in.
  */
@@ -25,14 +25,14 @@
   /** Share of the hold between renewals, so that two may be lost. */
   private static final double RENEW_OF_HOLD = 0.25;
 
-  /** Seconds before the hold's own end at which the owner counts it as over. */
+  /** Seconds before the hold's own end at which the leader counts it as over. */
   private static final double HOLD_MARGIN_S = 0.25;
 
   /** Seconds of pause before a node tries again to take over, with as much again at random. */
   private static final double TAKEOVER_RETRY_S = 0.15;
 
   /**
-   * Seconds for which a peer promises not to take over, while the owner can't renew its hold. A
+   * Seconds for which a peer promises not to take over, while the leader can't renew its hold. A
    * restarted node waits as long, since it may have forgotten a promise.
    */
   private static final double PROMISE_S = 0.6;
@@ -42,7 +42,7 @@
 
   /**
    * Seconds for which a peer promises not to take over while leases are kept alive without an
-   * owner. A restarted node waits as long before it takes over, so it is short.
+   * leader. A restarted node waits as long before it takes over, so it is short.
    */
   private static final double KEEP_S = 0.6;
 
@@ -50,7 +50,7 @@
   private static final double KEEP_EVERY_S = 0.2;
 
   /**
-   * Seconds for which an owner counts on a silent peer's bar after it last read the records, and
+   * Seconds for which a leader counts on a silent peer's bar after it last read the records, and
    * for which that peer waits on its way out of it. Longer than outages of the state service that
    * were met, and no longer than users can wait should all others be gone.
    */
@@ -98,9 +98,9 @@
   private final DoubleSupplier random;
   private final double holdS;
 
-  private boolean owner;
+  private boolean leader;
   private long term;
-  private long ownerMark;
+  private long leaderRevision;
   private long hold;
   private double heldUntil;
   private boolean trying;
@@ -108,7 +108,7 @@
   private Loop.Timer renewal;
   private boolean raising;
 
-  /** This node has promised, or may have, not to act as the owner before this time. */
+  /** This node has promised, or may have, not to act as the leader before this time. */
   private double notBefore;
 
   /** When renewals began to fail, or NaN. */
@@ -133,7 +133,7 @@
 
   private double lastAway = Double.NEGATIVE_INFINITY;
 
-  private final PeerClient mesh;
+  private final PeerClient peerClient;
   private final Cancellations cancellations;
 
   /** Tells this process from earlier ones of the same member. */
@@ -151,7 +151,7 @@
       String member,
       String address,
       double holdS,
-      PeerClient mesh,
+      PeerClient peerClient,
       Cancellations cancellations,
       DoubleSupplier random,
       Listener listener) {
@@ -163,9 +163,9 @@
     this.address = address;
     this.random = random;
     this.self = Long.toHexString(Double.doubleToRawLongBits(random.getAsDouble()));
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.cancellations = cancellations;
-    this.supervisor = new PeerSupervisor(loop, state, cache, mesh, member, new LeaderView());
+    this.supervisor = new PeerSupervisor(loop, state, cache, peerClient, member, new LeaderView());
     cancellations.mutePeers(p -> loop.now() < supervisor.suspendedUntil(p));
     this.holdS = holdS;
     // An earlier process of this member may have made a promise just before it ended.
@@ -177,7 +177,7 @@
   private final class LeaderView implements PeerSupervisor.Leader {
     @Override
     public boolean leads() {
-      return owner && !closed;
+      return leader && !closed;
     }
 
     @Override
@@ -187,7 +187,7 @@
 
     @Override
     public long revision() {
-      return ownerMark;
+      return leaderRevision;
     }
 
     @Override
@@ -203,7 +203,7 @@
 
   /** The leader tells us our share of the changes. */
   public void takeShare(long itsTerm, double changesPerS) {
-    if (!owner && !closed && itsTerm >= cache.term()) {
+    if (!leader && !closed && itsTerm >= cache.term()) {
       state.borrow(changesPerS);
     }
   }
@@ -213,8 +213,8 @@
     return self;
   }
 
-  public boolean owner() {
-    return owner;
+  public boolean leader() {
+    return leader;
   }
 
   /**
@@ -222,7 +222,7 @@
    * promised not to take over meanwhile, since nobody else could.
    */
   public boolean entitled() {
-    return owner && mayLead() && (loop.now() < heldUntil || loop.now() < promisedUntil());
+    return leader && mayLead() && (loop.now() < heldUntil || loop.now() < promisedUntil());
   }
 
   /** True if this program supports the cluster's feature level. */
@@ -237,17 +237,17 @@
   /** The end of the first promise to end, if every peer has made one. */
   private double earliest(Map<String, Double> promises) {
     double until = Double.POSITIVE_INFINITY;
-    for (Settings.Peer p : mesh.peers()) {
+    for (Settings.Peer p : peerClient.peers()) {
       double promise = promises.getOrDefault(p.member(), Double.NEGATIVE_INFINITY);
       until = Math.min(until, Math.max(promise, supervisor.suspendedUntil(p.member())));
     }
-    return mesh.peers().isEmpty() ? Double.NEGATIVE_INFINITY : until;
+    return peerClient.peers().isEmpty() ? Double.NEGATIVE_INFINITY : until;
   }
 
   // ---------------------------------------------------------------- our own suspension
 
   /**
-   * Leaves our own bar, which the last owner put up while it did not hear us. It may count on the
+   * Leaves our own bar, which the last leader put up while it did not hear us. It may count on the
    * bar for a while after its last look, so the way out takes that long; another process of ours
    * has to begin anew.
    *
@@ -264,7 +264,7 @@
       if (wait <= 0) {
         return true;
       }
-      // Looked at again soon: the owner may lift the bar meanwhile.
+      // Looked at again soon: the leader may lift the bar meanwhile.
       later(Math.min(wait, BAR_LOOK_S), this::consider);
       return false;
     }
@@ -274,7 +274,7 @@
     state.commit(
         new StateClient.Txn()
             .when(cache.election().leaderKey(), 0)
-            .when(key, b.mark())
+            .when(key, b.revision())
             .put(key, StateCodec.bar(self)),
         Use.RENEWAL,
         r -> {
@@ -286,7 +286,7 @@
 
   /** A peer that can't renew its hold asks us not to take over. */
   public boolean promise(String asker, long itsTerm, double seconds) {
-    if (owner || closed || cache.term() > itsTerm) {
+    if (leader || closed || cache.term() > itsTerm) {
       return false;
     }
     notBefore = Math.max(notBefore, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
@@ -294,9 +294,9 @@
     return true;
   }
 
-  /** A peer has stopped acting as the owner and leaves us its hold to end. */
+  /** A peer has stopped acting as the leader and leaves us its hold to end. */
   public void takeHandover(String from, long itsTerm, long itsHold) {
-    if (owner || closed || itsTerm < Math.max(promisedTerm, cache.term())) {
+    if (leader || closed || itsTerm < Math.max(promisedTerm, cache.term())) {
       return;
     }
     LOG.info("{} hands the fleet over", from);
@@ -306,22 +306,22 @@
 
   /** Asks every peer for its promise, as long as renewals fail. */
   private void askPeers() {
-    if (!owner || closed || (Double.isNaN(failingSince) && !cancellations.ageing())) {
+    if (!leader || closed || (Double.isNaN(failingSince) && !cancellations.ageing())) {
       asking = false;
       return;
     }
     asking = true;
     double sentAt = loop.now();
     long of = term;
-    for (Settings.Peer p : mesh.peers()) {
-      mesh.send(
+    for (Settings.Peer p : peerClient.peers()) {
+      peerClient.send(
           p.address(),
           new PeerRequest.Pledge(member, of, PROMISE_S),
           PeerCodec::pledged,
-          mesh.timeoutS(),
+          peerClient.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
-            if (answer == null || !owner || term != of) {
+            if (answer == null || !leader || term != of) {
               return;
             }
             if (answer.granted()) {
@@ -346,11 +346,11 @@
     long of = term;
     lose("only this node can't reach the state service; leaving the fleet to " + p.member());
     standBack(PROMISE_S);
-    mesh.send(
+    peerClient.send(
         p.address(),
         new PeerRequest.Handover(member, of, old),
         PeerCodec::received,
-        mesh.timeoutS(),
+        peerClient.timeoutS(),
         answer -> {});
   }
 
@@ -358,8 +358,8 @@
     return term;
   }
 
-  public long ownerMark() {
-    return ownerMark;
+  public long leaderRevision() {
+    return leaderRevision;
   }
 
   public void close() {
@@ -369,7 +369,7 @@
     }
   }
 
-  /** Called whenever the owner record changed, and once at the start. */
+  /** Called whenever the leader record changed, and once at the start. */
   public void consider() {
     if (closed || !cache.headKnown()) {
       return;
@@ -378,11 +378,11 @@
       resign(cache.features().gate().closedBecause());
       return;
     }
-    StateCodec.Owner o = cache.owner();
-    if (owner) {
-      if (o == null && cache.revisionSeen() > ownerMark && !raising) {
+    StateCodec.LeaderRecord o = cache.leader();
+    if (leader) {
+      if (o == null && cache.revisionSeen() > leaderRevision && !raising) {
         lose("the owner record is gone");
-      } else if (o != null && cache.ownerMark() > ownerMark && !raising) {
+      } else if (o != null && cache.leaderRevision() > leaderRevision && !raising) {
         lose(o.member() + " owns the fleet with term " + o.term());
       }
       return;
@@ -402,8 +402,8 @@
             trying = false;
             long old = r.done() ? r.body().path("permit").asLong() : 0;
             boolean mine =
-                r.done() && StateCodec.owner(r.body().path("data")).member().equals(member);
-            if (mine && !owner && old > 0) {
+                r.done() && StateCodec.leader(r.body().path("data")).member().equals(member);
+            if (mine && !leader && old > 0) {
               LOG.info("ending the hold of this member's earlier process");
               state.endHold(old, x -> again());
             } else {
@@ -419,7 +419,7 @@
         s,
         () -> {
           trying = false;
-          if (!closed && !owner) {
+          if (!closed && !leader) {
             r.run();
           }
         });
@@ -442,10 +442,11 @@
   /**
    * True if this node may keep workers' leases alive although nobody owns the fleet: it can't reach
    * the state service, and every other controller has just promised not to take over. So there is
-   * no owner and none can come meanwhile, and what runs is only kept from dying: no order is given.
+   * no leader and none can come meanwhile, and what runs is only kept from dying: no order is
+   * given.
    */
   public boolean keeping() {
-    return !owner
+    return !leader
         && !cache.features().gate().isShut()
         && stateAway()
         && loop.now() < earliest(keepPromised);
@@ -483,23 +484,23 @@
   /** A worker asks for us while nobody owns the fleet: sees whether its lease can be kept alive. */
   public void wantKeep() {
     lastWant = loop.now();
-    if (!askingKeep && !owner && stateAway()) {
+    if (!askingKeep && !leader && stateAway()) {
       askKeep();
     }
   }
 
   private void askKeep() {
-    askingKeep = !closed && !owner && stateAway() && loop.now() - lastWant < KEEP_WANTED_S;
+    askingKeep = !closed && !leader && stateAway() && loop.now() - lastWant < KEEP_WANTED_S;
     if (!askingKeep) {
       return;
     }
     double sentAt = loop.now();
-    for (Settings.Peer p : mesh.peers()) {
-      mesh.send(
+    for (Settings.Peer p : peerClient.peers()) {
+      peerClient.send(
           p.address(),
           new PeerRequest.KeepPledge(member, KEEP_S),
           PeerCodec::pledged,
-          mesh.timeoutS(),
+          peerClient.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
             if (answer != null && answer.granted()) {
@@ -515,7 +516,7 @@
    * A peer wants to keep leases alive; refused if we own the fleet or could take over ourselves.
    */
   public boolean promiseKeep(double seconds) {
-    if (owner || closed || state.reached()) {
+    if (leader || closed || state.reached()) {
       return false;
     }
     keepBefore = Math.max(keepBefore, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
@@ -523,10 +524,10 @@
   }
 
   private void take() {
-    // If the last owner was an earlier process of ours, nobody else can rely on a promise. The
+    // If the last leader was an earlier process of ours, nobody else can rely on a promise. The
     // transaction is conditioned on the term record that says so.
     boolean ours = member.equals(cache.election().termMember());
-    if (cache.owner() != null || !mayLead()) {
+    if (cache.leader() != null || !mayLead()) {
       return;
     }
     double barred = barredUntil(ours) - loop.now();
@@ -553,7 +554,7 @@
 
   private void takeWith(long newHold, double sentAt, boolean ours) {
     long newTerm = cache.term() + 1;
-    StateCodec.Owner me = new StateCodec.Owner(member, newTerm, address);
+    StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
     StateCodec.Bar bar = cache.bar(member);
     if (bar != null && !bar.leaving().equals(self)) {
       trying = false;
@@ -565,9 +566,9 @@
         new StateClient.Txn()
             .when(cache.election().leaderKey(), 0)
             .when(StateCodec.TERM, cache.election().termRevision())
-            .when(cache.election().suspensionKey(member), bar == null ? 0 : bar.mark())
+            .when(cache.election().suspensionKey(member), bar == null ? 0 : bar.revision())
             .put(StateCodec.TERM, StateCodec.term(newTerm, member))
-            .put(cache.election().leaderKey(), StateCodec.owner(me), newHold);
+            .put(cache.election().leaderKey(), StateCodec.leader(me), newHold);
     if (bar != null) {
       txn.drop(cache.election().suspensionKey(member));
     }
@@ -599,7 +600,7 @@
         Use.RENEWAL,
         r -> {
           if (r.done()) {
-            StateCodec.Owner o = StateCodec.owner(r.body().path("data"));
+            StateCodec.LeaderRecord o = StateCodec.leader(r.body().path("data"));
             if (o.member().equals(member)
                 && o.term() == newTerm
                 && r.body().path("permit").asLong() == newHold) {
@@ -618,7 +619,7 @@
         });
   }
 
-  private void won(long newTerm, long mark, long newHold, double sentAt, boolean ours) {
+  private void won(long newTerm, long revision, long newHold, double sentAt, boolean ours) {
     trying = false;
     if (loop.now() < barredUntil(ours)) {
       // Promised meanwhile: the peer may still speak for the controllers.
@@ -626,10 +627,10 @@
       again();
       return;
     }
-    owner = true;
+    leader = true;
     state.owns(true);
     term = newTerm;
-    ownerMark = mark;
+    leaderRevision = revision;
     hold = newHold;
     counted(sentAt);
     LOG.info("{} owns the fleet with term {}", member, term);
@@ -647,7 +648,7 @@
   }
 
   private void renew() {
-    if (!owner || closed) {
+    if (!leader || closed) {
       return;
     }
     double sentAt = loop.now();
@@ -656,7 +657,7 @@
         of,
         holdS * RENEW_OF_HOLD * 2,
         r -> {
-          if (!owner || hold != of) {
+          if (!leader || hold != of) {
             return;
           }
           if (r.done()) {
@@ -686,13 +687,13 @@
     }
     raising = true;
     long newTerm = term + 1;
-    StateCodec.Owner me = new StateCodec.Owner(member, newTerm, address);
+    StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
     StateClient.Txn txn =
         new StateClient.Txn()
-            .when(cache.election().leaderKey(), ownerMark)
+            .when(cache.election().leaderKey(), leaderRevision)
             .when(StateCodec.TERM, cache.election().termRevision())
             .put(StateCodec.TERM, StateCodec.term(newTerm, member))
-            .put(cache.election().leaderKey(), StateCodec.owner(me), hold);
+            .put(cache.election().leaderKey(), StateCodec.leader(me), hold);
     state.commit(
         txn,
         Use.RENEWAL,
@@ -706,10 +707,10 @@
     raising = false;
     if (r.done()) {
       term = newTerm;
-      ownerMark = r.revision();
+      leaderRevision = r.revision();
       LOG.info("raised the term to {}", term);
     } else if (r.how() == StateClient.How.UNKNOWN) {
-      // Whether it committed decides under which mark we may write: rather start over.
+      // Whether it committed decides under which revision we may write: rather start over.
       resign("a raise of the term had no answer");
     } else {
       cache.catchUp(ok -> consider());
@@ -730,9 +731,9 @@
     }
     raising = true;
     long newTerm = term + 1;
-    StateCodec.Owner me = new StateCodec.Owner(member, newTerm, address);
+    StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
     StateClient.Txn txn =
-        change.transaction(cache.features(), cache.election(), me, ownerMark, hold);
+        change.transaction(cache.features(), cache.election(), me, leaderRevision, hold);
     state.commit(
         txn,
         Use.RENEWAL,
@@ -748,7 +749,7 @@
 
   /** Gives the fleet up at once and lets the record go. */
   public void resign(String why) {
-    if (!owner) {
+    if (!leader) {
       return;
     }
     long old = hold;
@@ -757,7 +758,7 @@
   }
 
   private void lose(String why) {
-    owner = false;
+    leader = false;
     state.owns(false);
     heldUntil = Double.NEGATIVE_INFINITY;
     promised.clear();
@@ -772,13 +773,13 @@
 
   /** Looks at our own entitlement; to be called now and then. */
   public void tick() {
-    if (!owner && stateAway()) {
+    if (!leader && stateAway()) {
       wantKeep(); // Before a worker asks: it may have few seconds left, and tries a node each.
     }
-    if (owner && !entitled()) {
+    if (leader && !entitled()) {
       lose("the hold could not be renewed in time");
     }
-    if (owner && !asking && cancellations.ageing()) {
+    if (leader && !asking && cancellations.ageing()) {
       askPeers();
     }
   }
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -47,7 +47,7 @@
   StateClient.Txn transaction(
       FeatureRecords features,
       ElectionRecords election,
-      StateCodec.Owner leader,
+      StateCodec.LeaderRecord leader,
       long leaderRevision,
       long sessionLease) {
     StateClient.Txn txn =
@@ -58,20 +58,21 @@
             .put(StateCodec.TERM, StateCodec.term(leader.term(), leader.member()));
     unchanged.forEach(m -> txn.when(FeatureCodec.memberKey(m.name()), m.revision()));
     if (unseals(features)) {
-      txn.put(StateCodec.OWNER, StateCodec.owner(leader), sessionLease).drop(FeatureCodec.LEADER);
+      txn.put(StateCodec.LEADER, StateCodec.leader(leader), sessionLease).drop(FeatureCodec.LEADER);
     } else if (features.sealed() || !to.has(Feature.SEALED_ELECTION)) {
-      txn.put(election.leaderKey(), StateCodec.owner(leader), sessionLease);
+      txn.put(election.leaderKey(), StateCodec.leader(leader), sessionLease);
     } else {
       seal(txn, leader, sessionLease);
     }
     return txn;
   }
 
-  private void seal(StateClient.Txn txn, StateCodec.Owner leader, long sessionLease) {
-    txn.put(FeatureCodec.LEADER, StateCodec.owner(leader), sessionLease);
+  private void seal(StateClient.Txn txn, StateCodec.LeaderRecord leader, long sessionLease) {
+    txn.put(FeatureCodec.LEADER, StateCodec.leader(leader), sessionLease);
     // On no lease: it stays, and nobody who needs it gone wins an election any more.
-    StateCodec.Owner nobody = new StateCodec.Owner(FeatureCodec.SEALED_OWNER, leader.term(), "");
-    txn.put(StateCodec.OWNER, StateCodec.owner(nobody));
+    StateCodec.LeaderRecord nobody =
+        new StateCodec.LeaderRecord(FeatureCodec.SEALED_LEADER, leader.term(), "");
+    txn.put(StateCodec.LEADER, StateCodec.leader(nobody));
     int left = mostChanges - LEAST_CHANGES;
     for (String member : members.subList(0, Math.min(left, members.size()))) {
       txn.put(StateCodec.barKey(member), StateCodec.bar(""));
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -22,7 +22,7 @@
  * it is suspended by a record that its own election is conditioned on.
  */
 final class PeerSupervisor {
-  /** Seconds between an owner's questions to its peers. */
+  /** Seconds between a leader's questions to its peers. */
   private static final double LOOK_AFTER_EVERY_S = 1;
 
   private static final Logger LOG = LoggerFactory.getLogger("owner");
@@ -47,7 +47,7 @@
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final PeerClient mesh;
+  private final PeerClient peerClient;
   private final String member;
   private final Leader leader;
   private final WriteCapacityLending lending;
@@ -61,11 +61,16 @@
   private boolean changing;
 
   PeerSupervisor(
-      Loop loop, StateClient state, Cache cache, PeerClient mesh, String member, Leader leader) {
+      Loop loop,
+      StateClient state,
+      Cache cache,
+      PeerClient peerClient,
+      String member,
+      Leader leader) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.member = member;
     this.leader = leader;
     this.lending = new WriteCapacityLending(state);
@@ -115,12 +120,12 @@
       return;
     }
     long term = leader.term();
-    for (Settings.Peer p : mesh.peers()) {
-      mesh.send(
+    for (Settings.Peer p : peerClient.peers()) {
+      peerClient.send(
           p.address(),
           new PeerRequest.Share(member, term, lending.shareOf(p.member())),
           PeerCodec::wanted,
-          mesh.timeoutS(),
+          peerClient.timeoutS(),
           wanted -> {
             if (wanted != null) {
               lastHeard.put(p.member(), loop.now());
@@ -146,11 +151,11 @@
     StateClient.Txn txn =
         new StateClient.Txn()
             .when(cache.election().leaderKey(), leader.revision())
-            .when(key, present == null ? 0 : present.mark());
+            .when(key, present == null ? 0 : present.revision());
     if (present != null && hears(peer)) {
       lifting.add(peer); // Not counted on from now, whenever the record goes.
       txn.drop(key);
-    } else if (suspends && suspendedBut(peer) < mesh.peers().size() / 2) {
+    } else if (suspends && suspendedBut(peer) < peerClient.peers().size() / 2) {
       LOG.info("{} is silent: barred from taking over", peer);
       txn.put(key, StateCodec.bar(""));
     } else {
@@ -171,7 +176,7 @@
   /** Never more than half of the peers: with the leader gone as well, somebody must take over. */
   private int suspendedBut(String peer) {
     int n = 0;
-    for (Settings.Peer p : mesh.peers()) {
+    for (Settings.Peer p : peerClient.peers()) {
       n += !p.member().equals(peer) && cache.bar(p.member()) != null ? 1 : 0;
     }
     return n;
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -27,25 +27,25 @@
   /** Seconds since its last answer for which a node says that it reaches the state service. */
   static final double REACHES_S = 1.3;
 
-  /** Share of the deployment's request rate that the owner gives itself. */
-  private static final double OWNER_REQUESTS = 0.42;
+  /** Share of the deployment's request rate that the leader gives itself. */
+  private static final double LEADER_REQUESTS = 0.42;
 
   /** Share of the request rate that the others have together; the rest is for renewals. */
   private static final double OTHERS_REQUESTS = 0.5;
 
-  /** Share of the deployment's change rate that the owner gives itself. */
-  private static final double OWNER_CHANGES = 0.7;
+  /** Share of the deployment's change rate that the leader gives itself. */
+  private static final double LEADER_CHANGES = 0.7;
 
   /** Share of the change rate that the others have together. */
   private static final double OTHERS_CHANGES = 0.3;
 
   /**
    * Requests in whose time at a node's own rate one catch-up read and one watch may go: a quarter
-   * each, so that half is left for what users ask and the owner writes.
+   * each, so that half is left for what users ask and the leader writes.
    */
   private static final double READ_EVERY_REQUESTS = 4;
 
-  /** Seconds for which a peer may use what the owner has lent it: a few of its messages. */
+  /** Seconds for which a peer may use what the leader has lent it: a few of its messages. */
   private static final double LENT_S = 3.5;
 
   /** Seconds to wait for an ordinary answer: usually 10 ms, at times a few hundred. */
@@ -88,8 +88,8 @@
     private final ArrayNode conditions = Json.array();
     private final ArrayNode changes = Json.array();
 
-    public Txn when(String key, long mark) {
-      conditions.addObject().put("key", key).put("mark", mark);
+    public Txn when(String key, long revision) {
+      conditions.addObject().put("key", key).put("mark", revision);
       return this;
     }
 
@@ -135,7 +135,7 @@
   private String fenceKey;
   private LongSupplier fenceRevision;
   private BooleanSupplier mayChange = () -> true;
-  private boolean owner;
+  private boolean leader;
   private double taken;
   private double borrowedUntil;
 
@@ -166,7 +166,7 @@
     return changesPerS * OTHERS_CHANGES / others;
   }
 
-  /** Changes a second of a node that does not own the fleet, unless the owner lends it more. */
+  /** Changes a second of a node that does not own the fleet, unless the leader lends it more. */
   double usualShare() {
     return othersChanges();
   }
@@ -177,21 +177,21 @@
   }
 
   /**
-   * The owner's share is lower by what it lends to the others: what they accept must not wait while
-   * it writes ends, many of which go in one change if they wait.
+   * The leader's share is lower by what it lends to the others: what they accept must not wait
+   * while it writes ends, many of which go in one change if they wait.
    */
   void lend(double lent) {
-    changes.rate(ownersChanges() - lent);
+    changes.rate(leadersChanges() - lent);
   }
 
-  /** The owner lets us make so many changes a second for the moment. */
+  /** The leader lets us make so many changes a second for the moment. */
   void borrow(double rate) {
     changes.rate(Math.max(othersChanges(), rate));
     borrowedUntil = loop.now() + LENT_S;
     loop.after(
         LENT_S,
         () -> {
-          if (!owner && loop.now() >= borrowedUntil) {
+          if (!leader && loop.now() >= borrowedUntil) {
             changes.rate(othersChanges());
           }
         });
@@ -205,15 +205,15 @@
   }
 
   /** Changes a second that this node may make while it owns the fleet. */
-  public double ownersChanges() {
-    return changesPerS * OWNER_CHANGES;
+  public double leadersChanges() {
+    return changesPerS * LEADER_CHANGES;
   }
 
-  /** The owner has the larger share: claims must not starve behind what the others read. */
-  public void owns(boolean owner) {
-    this.owner = owner;
-    requests.rate(owner ? rps * OWNER_REQUESTS : othersRequests());
-    changes.rate(owner ? ownersChanges() : othersChanges());
+  /** The leader has the larger share: claims must not starve behind what the others read. */
+  public void owns(boolean leader) {
+    this.leader = leader;
+    requests.rate(leader ? rps * LEADER_REQUESTS : othersRequests());
+    changes.rate(leader ? leadersChanges() : othersChanges());
   }
 
   /** Seconds that should lie between reads of one kind, so that they fit this node's share. */
@@ -401,7 +401,7 @@
   private void slowDown() {
     if (leastChangesPerS < changesPerS) {
       changesPerS = leastChangesPerS;
-      changes.rate(owner ? ownersChanges() : othersChanges());
+      changes.rate(leader ? leadersChanges() : othersChanges());
     }
   }
 
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -17,7 +17,7 @@
   /** Share of what a peer could write that it keeps for the next second when it needs less. */
   private static final double SHARE_KEPT = 0.85;
 
-  /** Share of its own changes that an owner lends at most: claims and ends must go on. */
+  /** Share of its own changes that a leader lends at most: claims and ends must go on. */
   private static final double MOST_LENT = 0.35;
 
   private final StateClient state;
@@ -49,7 +49,7 @@
     for (double s : shares.values()) {
       lent += s - usual;
     }
-    double mostLent = state.ownersChanges() * MOST_LENT;
+    double mostLent = state.leadersChanges() * MOST_LENT;
     if (lent > mostLent) {
       double scale = mostLent / lent;
       shares.replaceAll((p, s) -> usual + (s - usual) * scale);
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -51,7 +51,8 @@
     return n.path("truncated").asBoolean(false);
   }
 
-  public static ObjectNode hire(String name, String type, String zone, boolean spot, int count) {
+  public static ObjectNode scaleOut(
+      String name, String type, String zone, boolean spot, int count) {
     return Json.object()
         .put("hire", name)
         .put("rig", type)
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -25,7 +25,7 @@
   /** What each controller has published of itself. */
   public static final String MEMBERS = "g/term/feature/member/";
 
-  /** Who leads, in place of {@link StateCodec#OWNER}, once elections are sealed. */
+  /** Who leads, in place of {@link StateCodec#LEADER}, once elections are sealed. */
   public static final String LEADER = "g/term/feature/leader";
 
   /** Suspended controllers, in place of {@link StateCodec#BARS}, once elections are sealed. */
@@ -40,8 +40,8 @@
   /** The recent demand, in its compact form. */
   public static final String DEMAND_HINT = "g/hints/demand";
 
-  /** Stands in {@link StateCodec#OWNER} once elections are sealed; no controller is called so. */
-  public static final String SEALED_OWNER = "sealed:feature-levels";
+  /** Stands in {@link StateCodec#LEADER} once elections are sealed; no controller is called so. */
+  public static final String SEALED_LEADER = "sealed:feature-levels";
 
   private static final int LONGEST_TEXT = 128;
 
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -35,7 +35,7 @@
   static final String CHECKPOINT_SAVE_S = "save";
   static final String DEADLINE_S = "deadline";
   static final String SUBMITTED_MS = "at";
-  static final String SLICE_CAP = "cap";
+  static final String BATCH_CAPACITY = "cap";
   static final String DEPENDENCIES = "needs";
   static final String STOP_REQUESTED = "stop";
 
@@ -60,7 +60,7 @@
     if (s.deadlineS() != null) {
       n.put(DEADLINE_S, s.deadlineS());
     }
-    n.put(SUBMITTED_MS, s.submittedMs()).put(SLICE_CAP, s.sliceCap());
+    n.put(SUBMITTED_MS, s.submittedMs()).put(BATCH_CAPACITY, s.batchCapacity());
     if (!s.needs().isEmpty()) {
       s.needs().forEach(n.putArray(DEPENDENCIES)::add);
     }
@@ -104,7 +104,7 @@
         n.path(CHECKPOINT_SAVE_S).asDouble(),
         n.has(DEADLINE_S) ? n.get(DEADLINE_S).asDouble() : null,
         n.path(SUBMITTED_MS).asLong(),
-        Math.max(1, n.path(SLICE_CAP).asInt(1)),
+        Math.max(1, n.path(BATCH_CAPACITY).asInt(1)),
         dependencies(n.path(DEPENDENCIES)));
   }
 
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -12,8 +12,8 @@
 
 /**
  * The records of stored limits and accounts, and their keys. They stand below {@link
- * StateCodec#TERM}, which is listed before the slices: an account that was read is never newer than
- * the slices that were read with it.
+ * StateCodec#TERM}, which is listed before the task batches: an account that was read is never
+ * newer than the task batches that were read with it.
  */
 public final class QuotaCodec {
   /** Everything about stored limits. */
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -11,16 +11,16 @@
 
 /**
  * The records that controllers keep in the consensus-backed key-value store ("state service"), and
- * their keys. Election records and final states are coded here; jobs, task batches ("slices") and
- * hints for the next leader by {@link JobRecordCodec}, {@link SliceRecordCodec} and {@link
+ * their keys. Election records and final states are coded here; jobs, task batches ("task batches")
+ * and hints for the next leader by {@link JobRecordCodec}, {@link TaskBatchRecordCodec} and {@link
  * LeaderHintCodec}.
  */
 public final class StateCodec {
   /** Everything that one watch should follow. */
   public static final String ROOT = "g/";
 
-  /** Who leads, until elections are sealed: {@link Owner}. */
-  public static final String OWNER = "g/owner";
+  /** Who leads, until elections are sealed: {@link LeaderRecord}. */
+  public static final String LEADER = "g/owner";
 
   /** The counter of terms and who won the last one. */
   public static final String TERM = "g/term";
@@ -34,14 +34,14 @@
   /** The jobs' records, by id. */
   public static final String JOBS = "g/job/";
 
-  /** The task batches ("slices") of jobs, by job and index. */
-  public static final String SLICES = "g/slice/";
+  /** The task batches ("task batches") of jobs, by job and index. */
+  public static final String TASK_BATCHES = "g/slice/";
 
   /** Which images machines hold, in parts; a hint for the next leader. */
   public static final String IMAGES = "g/images/";
 
-  /** Grants that lease delegates ("deputies") have given back. */
-  public static final String DEPUTIES = "g/deputy/";
+  /** Grants that lease delegates ("lease delegates") have given back. */
+  public static final String LEASE_DELEGATES = "g/deputy/";
 
   /** Controllers that the leader has suspended ("bars"): they may not take over for the time. */
   public static final String BARS = "g/bar/";
@@ -51,7 +51,7 @@
 
   private static final String MEMBER = "member";
   private static final String TERM_NUMBER = "term";
-  private static final String MESH_ADDRESS = "mesh";
+  private static final String PEER_ADDRESS = "mesh";
   private static final String LEAVING_INCARNATION = "leaving";
   private static final String DELEGATE_INCARNATION = "self";
   private static final String RETURNED_UP_TO = "n";
@@ -73,35 +73,35 @@
     return ENDS + id;
   }
 
-  /** The key of a slice's record. */
-  public static String sliceKey(TaskBatchKey k) {
-    return SLICES + k.job() + "/" + k.index();
+  /** The key of a task batch's record. */
+  public static String taskBatchKey(TaskBatchKey k) {
+    return TASK_BATCHES + k.job() + "/" + k.index();
   }
 
-  /** The slice that a key below {@link #SLICES} names. */
-  public static TaskBatchKey sliceOf(String key) {
+  /** The task batch that a key below {@link #TASK_BATCHES} names. */
+  public static TaskBatchKey batchOf(String key) {
     int slash = key.lastIndexOf('/');
     return new TaskBatchKey(
-        key.substring(SLICES.length(), slash), Integer.parseInt(key.substring(slash + 1)));
+        key.substring(TASK_BATCHES.length(), slash), Integer.parseInt(key.substring(slash + 1)));
   }
 
   // ---------------------------------------------------------------- election records
 
   /** Who leads the fleet: the leader's name, its term (the fencing token) and mesh address. */
-  public record Owner(String member, long term, String address) {}
+  public record LeaderRecord(String member, long term, String address) {}
 
   /** The leader's record. */
-  public static ObjectNode owner(Owner o) {
+  public static ObjectNode leader(LeaderRecord o) {
     return Json.object()
         .put(MEMBER, o.member())
         .put(TERM_NUMBER, o.term())
-        .put(MESH_ADDRESS, o.address());
+        .put(PEER_ADDRESS, o.address());
   }
 
   /** The leader from its record. */
-  public static Owner owner(JsonNode n) {
-    return new Owner(
-        n.path(MEMBER).asText(), n.path(TERM_NUMBER).asLong(), n.path(MESH_ADDRESS).asText());
+  public static LeaderRecord leader(JsonNode n) {
+    return new LeaderRecord(
+        n.path(MEMBER).asText(), n.path(TERM_NUMBER).asLong(), n.path(PEER_ADDRESS).asText());
   }
 
   /**
@@ -109,9 +109,9 @@
    *
    * @param leaving the incarnation of it that is about to leave the suspension, or empty while it
    *     stands
-   * @param mark the revision of the record
+   * @param revision the revision of the record
    */
-  public record Bar(String leaving, long mark) {}
+  public record Bar(String leaving, long revision) {}
 
   /** The key of the suspension of controller {@code member}. */
   public static String barKey(String member) {
@@ -167,19 +167,20 @@
     return JobRecordCodec.read(id, n);
   }
 
-  // ---------------------------------------------------------------- slices
+  // ---------------------------------------------------------------- task batches
 
   /**
-   * A slice: attempts, the machines with their incarnations, and for each task the place in that
-   * list. A slice that is all done shrinks to its size; a packed one takes a character per task.
+   * A task batch: attempts, the machines with their incarnations, and for each task the place in
+   * that list. A task batch that is all done shrinks to its size; a packed one takes a character
+   * per task.
    */
-  public static ObjectNode slice(TaskBatchRecord r) {
-    return SliceRecordCodec.write(r);
+  public static ObjectNode taskBatch(TaskBatchRecord r) {
+    return TaskBatchRecordCodec.write(r);
   }
 
-  /** A slice from its record, in any of its forms. */
-  public static TaskBatchRecord slice(JsonNode n) {
-    return SliceRecordCodec.read(n);
+  /** A task batch from its record, in any of its forms. */
+  public static TaskBatchRecord taskBatch(JsonNode n) {
+    return TaskBatchRecordCodec.read(n);
   }
 
   // ---------------------------------------------------------------- hints for the next leader
--- a/src/main/java/graderelay/wire/SliceRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -10,12 +10,12 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
- * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
- * holds for every task its attempt and its place: queued, done, or an index into the list of
- * (machine, agent incarnation) pairs that hold claims.
+ * The stored record of a task batch ("task batch", {@code g/taskBatch/JOB/INDEX}) in one of three
+ * forms: all done, as its size alone; plain, as numbers; or packed, as a character for each task.
+ * Each form holds for every task its attempt and its place: queued, done, or an index into the list
+ * of (machine, agent incarnation) pairs that hold claims.
  */
-final class SliceRecordCodec {
+final class TaskBatchRecordCodec {
   static final String ALL_DONE = "done";
   static final String ATTEMPTS = "a";
   static final String CLAIM_HOLDERS = "m";
@@ -26,10 +26,10 @@
   private static final int QUEUED = -1;
   private static final int DONE = -2;
 
-  /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
+  /** Past the quotation revision; some ninety characters of one byte follow, then those of two. */
   private static final char FIRST_CHAR = '#';
 
-  private SliceRecordCodec() {}
+  private TaskBatchRecordCodec() {}
 
   static ObjectNode write(TaskBatchRecord r) {
     if (r.doneCount() == r.size()) {
@@ -38,7 +38,9 @@
     return r.packed() ? packed(r) : plain(r);
   }
 
-  /** The (machine, incarnation) pairs of a slice, each once, in the order of their first claim. */
+  /**
+   * The (machine, incarnation) pairs of a task batch, each once, in the order of their first claim.
+   */
   private static final class ClaimHolders {
     final ArrayNode list = Json.array();
     private final Map<String, Integer> index = new HashMap<>();
@@ -75,9 +77,9 @@
   }
 
   /**
-   * The same in fewer bytes, a character for each task instead of numbers. Only for slices that an
-   * earlier version made too large for the state service's present limits; that version can't read
-   * it.
+   * The same in fewer bytes, a character for each task instead of numbers. Only for task batches
+   * that an earlier version made too large for the state service's present limits; that version
+   * can't read it.
    */
   private static ObjectNode packed(TaskBatchRecord r) {
     ClaimHolders holders = new ClaimHolders();
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -35,7 +35,7 @@
   }
 
   /** Reads a submission, checking every field by the protocol's table. */
-  public static JobSpec submission(JsonNode body, long nowMs, int sliceCap) throws BadRequest {
+  public static JobSpec submission(JsonNode body, long nowMs, int batchCapacity) throws BadRequest {
     Fields f = new Fields(body);
     String id = f.text("ref");
     if (!isId(id)) {
@@ -70,7 +70,7 @@
         f.amount("stack_write_s", true),
         f.amountOrNull("ship_s"),
         nowMs,
-        sliceCap,
+        batchCapacity,
         needs(f.raw(NEEDS), id));
   }
 
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -16,17 +16,20 @@
 import graderelay.wire.StateCodec;
 
 /**
- * Keeps the leases of this zone's workers alive while the zone is cut off from the owner and the
- * state service: what runs there goes on, and nothing is ordered. The owner has granted it for a
+ * Keeps the leases of this zone's workers alive while the zone is cut off from the leader and the
+ * state service: what runs there goes on, and nothing is ordered. The leader has granted it for a
  * while and counts those leases accordingly, see {@code LeaseDelegates}. In a deployment of one
- * zone there is nobody outside to be cut off from, and no deputy.
+ * zone there is nobody outside to be cut off from, and no lease delegate.
  */
 public final class LeaseDelegate {
-  /** Seconds between a deputy's questions to the owner. */
-  private static final double DEPUTY_ASKS_S = 1;
+  /** Seconds between a lease delegate's questions to the leader. */
+  private static final double DELEGATE_ASKS_S = 1;
 
-  /** Seconds without an answer after which a deputy gives its grant back through the records. */
-  private static final double DEPUTY_GIVES_BACK_S = 2;
+  /**
+   * Seconds without an answer after which a lease delegate gives its grant back through the
+   * records.
+   */
+  private static final double DELEGATE_RELEASES_S = 2;
 
   /**
    * Seconds between two looks of a lease delegate after which it takes itself for suspended
@@ -35,7 +38,7 @@
   private static final double SUSPENDED_S = 3;
 
   private final Loop loop;
-  private final PeerClient mesh;
+  private final PeerClient peerClient;
   private final Leadership leadership;
   private final Cache cache;
   private final StateClient state;
@@ -56,7 +59,7 @@
   private double lastContact;
   private double lastAlone;
 
-  /** The grant was given back, and the owner may not know it yet. */
+  /** The grant was given back, and the leader may not know it yet. */
   private boolean givingBack;
 
   private Loop.Timer timer;
@@ -64,7 +67,7 @@
 
   public LeaseDelegate(
       Loop loop,
-      PeerClient mesh,
+      PeerClient peerClient,
       Leadership leadership,
       Cache cache,
       StateClient state,
@@ -72,7 +75,7 @@
       Settings s,
       long nonce) {
     this.loop = loop;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.leadership = leadership;
     this.cache = cache;
     this.state = state;
@@ -80,7 +83,7 @@
     this.member = s.member();
     this.zone = s.zone();
     this.lengthS = s.grantS() * (1 - LeaseTiming.DRIFT);
-    this.needed = !s.deputies().isEmpty() && lengthS > 0;
+    this.needed = !s.delegates().isEmpty() && lengthS > 0;
     this.self = Long.toHexString(nonce);
     // An earlier process of this member may have answered until it ended.
     this.lastAlone = loop.now();
@@ -112,7 +115,7 @@
         now < until
             && !stoodStill
             && !cache.features().gate().isShut()
-            && now > lastContact + LeaseTiming.DEPUTY_ALONE_S * (1 + LeaseTiming.DRIFT)
+            && now > lastContact + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT)
             && state.failingFor() > Leadership.KEEP_AFTER_S
             && zone.equals(r.zone())
             && r.term() <= term
@@ -136,10 +139,10 @@
       until = Double.NEGATIVE_INFINITY;
     }
     lastTick = now;
-    StateCodec.Owner o = cache.owner();
-    String address = o == null ? null : mesh.addressOf(o.member());
+    StateCodec.LeaderRecord o = cache.leader();
+    String address = o == null ? null : peerClient.addressOf(o.member());
     if (leadership.entitled()) {
-      // Should we lose the fleet, the next owner counts as much from its own takeover.
+      // Should we lose the fleet, the next leader counts as much from its own takeover.
       term = leadership.term();
       of = 0;
       until = now + lengthS;
@@ -147,26 +150,26 @@
     } else if (address != null) {
       ask(address, now);
     }
-    boolean lost = now - lastContact > DEPUTY_GIVES_BACK_S && state.reached();
+    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.reached();
     if (lost && of != 0 && until > now) {
-      // Users and workers are better served by the owner, which must not wait for us.
+      // Users and workers are better served by the leader, which must not wait for us.
       until = Double.NEGATIVE_INFINITY;
       voidUpTo = asked;
       givingBack = true;
     }
     if (givingBack && state.reached()) {
-      giveBack(now);
+      scaleIn(now);
     }
-    timer = loop.after(DEPUTY_ASKS_S, this::tick);
+    timer = loop.after(DELEGATE_ASKS_S, this::tick);
   }
 
   private void ask(String address, double sentAt) {
     long n = ++asked;
-    mesh.send(
+    peerClient.send(
         address,
         new PeerRequest.Delegation(member, self, n, of, echo, sentAt - lastAlone),
         PeerCodec::delegated,
-        mesh.timeoutS(),
+        peerClient.timeoutS(),
         answer -> {
           if (answer != null) {
             cancellations.adopt(sentAt, answer.cancellations());
@@ -179,7 +182,7 @@
 
   private void granted(PeerAnswer.Grant grant, double sentAt) {
     long itsTerm = grant.term();
-    if (closed || leadership.owner() || itsTerm < term) {
+    if (closed || leadership.leader() || itsTerm < term) {
       return;
     }
     boolean same = of == grant.grantedBy();
@@ -191,12 +194,12 @@
     givingBack = false;
   }
 
-  private void giveBack(double now) {
+  private void scaleIn(double now) {
     long upTo = voidUpTo;
     state.commit(
         new StateClient.Txn()
             .put(
-                StateCodec.DEPUTIES + member,
+                StateCodec.LEASE_DELEGATES + member,
                 StateCodec.leaseDelegate(self, upTo, of, now - lastAlone)),
         Use.CLAIM,
         r -> {
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -22,21 +22,21 @@
 import java.util.function.Consumer;
 
 /**
- * Takes workers' reports: the owner answers them while it holds the fleet, the others point to it.
- * A worker that comes back after that can't reach the owner; its reports are passed on, so that a
+ * Takes workers' reports: the leader answers them while it holds the fleet, the others point to it.
+ * A worker that comes back after that can't reach the leader; its reports are passed on, so that a
  * cut between the two doesn't cost it its lease.
  */
 public final class WorkerApi {
-  /** Seconds within which a worker that comes back is taken to be unable to reach the owner. */
+  /** Seconds within which a worker that comes back is taken to be unable to reach the leader. */
   private static final double RELAY_MEMORY_S = 12;
 
   /**
-   * Workers remembered as pointed to the owner, some 150 bytes each: all of a fleet of four
+   * Workers remembered as pointed to the leader, some 150 bytes each: all of a fleet of four
    * thousand, with as many again that were replaced a moment ago.
    */
   private static final int MOST_POINTED = 8192;
 
-  /** Seconds after which a worker whose reports are passed on is pointed to the owner again. */
+  /** Seconds after which a worker whose reports are passed on is pointed to the leader again. */
   private static final double RELAY_FOR_S = 25;
 
   private record Pointed(double at, double relayedSince, long session, long seq) {}
@@ -44,7 +44,7 @@
   private final Loop loop;
   private final Leadership leadership;
   private final Cache cache;
-  private final PeerClient mesh;
+  private final PeerClient peerClient;
   private final LeaseDelegate leaseDelegate;
   private final Cancellations cancellations;
   private final String member;
@@ -55,7 +55,7 @@
       Loop loop,
       Leadership leadership,
       Cache cache,
-      PeerClient mesh,
+      PeerClient peerClient,
       LeaseDelegate leaseDelegate,
       Cancellations cancellations,
       String member,
@@ -63,7 +63,7 @@
     this.loop = loop;
     this.leadership = leadership;
     this.cache = cache;
-    this.mesh = mesh;
+    this.peerClient = peerClient;
     this.leaseDelegate = leaseDelegate;
     this.cancellations = cancellations;
     this.member = member;
@@ -77,10 +77,10 @@
       return;
     }
     if (cache.features().gate().isShut()) {
-      elsewhere(e.to(), cache.owner() == null ? null : cache.owner().member());
+      elsewhere(e.to(), cache.leader() == null ? null : cache.leader().member());
       return;
     }
-    if (leadership.owner()) {
+    if (leadership.leader()) {
       answer(r, "", e.to());
       return;
     }
@@ -94,18 +94,18 @@
       return;
     }
     leadership.wantKeep();
-    StateCodec.Owner o = cache.owner();
-    String address = o == null ? null : mesh.addressOf(o.member());
+    StateCodec.LeaderRecord o = cache.leader();
+    String address = o == null ? null : peerClient.addressOf(o.member());
     Pointed p = pointed.remove(r.machine());
     double now = loop.now();
     if (p != null && !r.newerThan(p.session(), p.seq())) {
-      // A copy of the past is no sign that its worker can't reach the owner.
+      // A copy of the past is no sign that its worker can't reach the leader.
       remember(r, p);
       elsewhere(e.to(), o == null ? null : o.member());
       return;
     }
     boolean back = p != null && now - p.at() < RELAY_MEMORY_S;
-    // A worker with the owner's own term was answered by it before: it is here since the owner no
+    // A worker with the leader's own term was answered by it before: it is here since the leader no
     // longer answers, and to point it back would cost it half its lease. That it was pointed there
     // long ago, before it was answered, is no reason to do so again.
     boolean longAgo = p == null || (!back && p.relayedSince() == Double.POSITIVE_INFINITY);
@@ -120,11 +120,11 @@
     }
     double since = p == null ? now : Math.min(now, p.relayedSince());
     remember(r, new Pointed(now, since, r.session(), r.seq()));
-    mesh.send(
+    peerClient.send(
         address,
         new PeerRequest.RelayedReport(member, e.body()),
         PeerCodec::relayed,
-        mesh.timeoutS(),
+        peerClient.timeoutS(),
         relayed -> {
           if (relayed != null && relayed.answer().status() == 200) {
             e.to().accept(relayed.answer());
--- a/src/test/java/graderelay/AdminTest.java
+++ b/src/test/java/graderelay/AdminTest.java
@@ -20,11 +20,11 @@
     return w;
   }
 
-  private static JsonNode put(SimWorld w, int node, String values, Long mark) {
+  private static JsonNode put(SimWorld w, int node, String values, Long revision) {
     ObjectNode n = Json.object();
     n.set("values", Json.read(values.getBytes()));
-    if (mark != null) {
-      n.put("mark", mark);
+    if (revision != null) {
+      n.put("mark", revision);
     }
     return w.answer(node, "PUT", "/admin/settings", Json.write(n));
   }
@@ -45,10 +45,10 @@
   @Test
   void aSettingChangedOnOneNodeHoldsOnAllAndALostRaceIsTold() {
     SimWorld w = world(2);
-    long mark = w.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
-    assertThat(put(w, 0, "{\"idle_s\":7.5}", mark).path("http").asInt()).isEqualTo(200);
+    long revision = w.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
+    assertThat(put(w, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
     w.loop.run(1);
-    JsonNode late = put(w, 1, "{\"idle_s\":9}", mark);
+    JsonNode late = put(w, 1, "{\"idle_s\":9}", revision);
     assertThat(late.path("http").asInt()).isEqualTo(409);
     assertThat(late.path("values").path("idle_s").asDouble()).isEqualTo(7.5);
     JsonNode back = put(w, 2, "{\"idle_s\":null}", null);
@@ -78,10 +78,10 @@
     String machine =
         w.workers.values().stream().filter(x -> !x.running().isEmpty()).findFirst().get().name;
     w.answer(1, "POST", "/admin/machines/" + machine + "/drain", null);
-    w.crash(w.owner());
+    w.crash(w.leader());
     w.loop.run(30);
     assertThat(w.workers.get(machine).running()).isEmpty();
-    assertThat(w.stage(w.owner(), j.id)).isEqualTo("running");
+    assertThat(w.stage(w.leader(), j.id)).isEqualTo("running");
     assertThat(w.rules.broken).isEmpty();
   }
 
@@ -99,7 +99,7 @@
       JsonNode team = w.answer(i, "GET", "/admin/teams", null).path("teams").path(0);
       assertThat(team.path("cpus_used").asDouble()).isBetween(4.0, SimWorld.LIMIT);
       assertThat(w.answer(i, "GET", "/admin/status", null).path("owner").asText())
-          .isEqualTo("m-" + w.owner());
+          .isEqualTo("m-" + w.leader());
     }
   }
 
@@ -109,7 +109,7 @@
     w.submit(0, w.job("j-000004", 2, 1, 2, true));
     w.loop.run(20);
     String[] text = {""};
-    w.nodes[w.owner()].handle(
+    w.nodes[w.leader()].handle(
         new graderelay.net.Exchange(
             "GET",
             "/metrics",
--- a/src/test/java/graderelay/BadDependenciesTest.java
+++ b/src/test/java/graderelay/BadDependenciesTest.java
@@ -46,7 +46,7 @@
 
     /** Brings a controller into that state and returns which it is. */
     int bring(Asked how) {
-      int leader = world.owner();
+      int leader = world.leader();
       int follower = (leader + 1) % world.size;
       switch (how) {
         case JUST_STARTED -> {
--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/CancellationInOutageTest.java
@@ -47,16 +47,16 @@
       int size, String zones, double cancelAfter, double outageAfter, double length) {
     SimWorld w = zoned(301, size, zones);
     Rules.Known[] jobs = running(w, 3);
-    int owner = w.owner();
-    refuse(w, owner, size > 1);
+    int leader = w.leader();
+    refuse(w, leader, size > 1);
     w.loop.run(cancelAfter);
     for (Rules.Known j : jobs) {
-      w.cancel(other(w, owner), j);
+      w.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter - cancelAfter);
     w.state.outage(true);
     w.loop.run(14 - outageAfter);
-    refuse(w, owner, false);
+    refuse(w, leader, false);
     w.loop.run(length);
     w.state.outage(false);
     w.loop.run(30);
@@ -68,9 +68,9 @@
   void theTasksOfAJobCancelledAtAnotherControllerAreStoppedWithinTheOutage(int size, String zones) {
     SimWorld w = zoned(302, size, zones);
     Rules.Known[] jobs = running(w, 2);
-    int owner = w.owner();
-    refuse(w, owner, true);
-    w.cancel(other(w, owner), jobs[0]);
+    int leader = w.leader();
+    refuse(w, leader, true);
+    w.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     w.state.outage(true);
     w.loop.run(0.5);
@@ -83,7 +83,7 @@
     assertThat(runner(w, jobs[1].id + "/1")).isNotNull();
     assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
     w.state.outage(false);
-    refuse(w, owner, false);
+    refuse(w, leader, false);
     w.loop.run(20);
     assertThat(w.stage(0, jobs[0].id)).isEqualTo("cancelled");
     assertThat(w.stage(0, jobs[1].id)).isEqualTo("running");
@@ -96,19 +96,19 @@
       String zones, double endsAfter, double backAfter) {
     SimWorld w = zoned(303, 3, zones);
     Rules.Known[] jobs = running(w, 2);
-    int owner = w.owner();
-    int gateway = other(w, owner);
-    refuse(w, (owner + 2) % 3, true); // So that the third does not read of it either.
+    int leader = w.leader();
+    int gateway = other(w, leader);
+    refuse(w, (leader + 2) % 3, true); // So that the third does not read of it either.
     w.loop.run(3);
-    refuse(w, owner, true);
-    // The owner and the gateway don't hear each other, so that it can't be told beforehand.
-    w.net.cut("c" + owner, "c" + gateway);
+    refuse(w, leader, true);
+    // The leader and the gateway don't hear each other, so that it can't be told beforehand.
+    w.net.cut("c" + leader, "c" + gateway);
     w.cancel(gateway, jobs[0]);
     w.loop.run(endsAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.state.outage(true);
     w.crash(gateway);
-    w.net.heal("c" + owner, "c" + gateway);
+    w.net.heal("c" + leader, "c" + gateway);
     if (backAfter > 0) {
       w.loop.after(backAfter, () -> w.start(gateway));
     }
@@ -126,21 +126,21 @@
   void aBarredControllerConfirmsNoCancellationThatTheOwnerCannotRead(int size) {
     SimWorld w = oneZone(304, size);
     Rules.Known[] jobs = running(w, 2);
-    int owner = w.owner();
-    int barred = other(w, owner);
-    // It is up and serves users, but the owner does not hear it.
-    w.net.cut("c" + owner, "c" + barred);
+    int leader = w.leader();
+    int barred = other(w, leader);
+    // It is up and serves users, but the leader does not hear it.
+    w.net.cut("c" + leader, "c" + barred);
     w.loop.run(Leadership.BAR_AFTER_S + 3);
     for (int i = 0; i < size; i++) {
-      refuse(w, i, i != owner && i != barred);
+      refuse(w, i, i != leader && i != barred);
     }
     w.loop.run(3);
-    refuse(w, owner, true);
+    refuse(w, leader, true);
     int told =
         w.answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null).path("http").asInt();
     assertThat(told).isEqualTo(503);
-    w.loop.run(Leadership.BAR_S - 8); // The owner counts on the bar meanwhile.
-    assertThat(w.owner()).isEqualTo(owner);
+    w.loop.run(Leadership.BAR_S - 8); // The leader counts on the bar meanwhile.
+    assertThat(w.leader()).isEqualTo(leader);
     assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
   }
@@ -149,16 +149,16 @@
   void aBarredControllerDoesNotRepeatWhatOthersHaveCancelled() {
     SimWorld w = oneZone(305, 3);
     Rules.Known[] jobs = running(w, 1);
-    int owner = w.owner();
-    int barred = other(w, owner);
-    w.net.cut("c" + owner, "c" + barred);
+    int leader = w.leader();
+    int barred = other(w, leader);
+    w.net.cut("c" + leader, "c" + barred);
     w.loop.run(Leadership.BAR_AFTER_S + 3);
-    // The third records it, but hears of that as little as the owner does.
-    int third = (owner + 2) % 3;
+    // The third records it, but hears of that as little as the leader does.
+    int third = (leader + 2) % 3;
     w.net.cut("c" + barred, "c" + third);
     w.state.loseAnswer = t -> t.toString().contains("\"stop\":true");
     w.cancel(third, jobs[0]);
-    refuse(w, owner, true);
+    refuse(w, leader, true);
     w.loop.run(0.02);
     refuse(w, third, true);
     w.loop.run(0.5);
@@ -169,23 +169,23 @@
 
   @ParameterizedTest
   @CsvSource({"true, 0.1", "true, 5", "false, 0.1", "false, 5"})
-  void aDeputyKnowsNoMoreThanTheOwnerThatMadeItOne(boolean ownersZone, double outageAfter) {
+  void aDeputyKnowsNoMoreThanTheOwnerThatMadeItOne(boolean leadersZone, double outageAfter) {
     SimWorld w = world(306, 5);
     Rules.Known[] jobs = running(w, 3);
-    int owner = w.owner();
-    // The owner lives on promises already when the zone is cut.
-    refuse(w, owner, true);
+    int leader = w.leader();
+    // The leader lives on promises already when the zone is cut.
+    refuse(w, leader, true);
     for (int i = 0; i < 5; i++) {
-      refuse(w, i, i != other(w, owner));
+      refuse(w, i, i != other(w, leader));
     }
-    w.net.cut("c" + owner, "c" + other(w, owner));
+    w.net.cut("c" + leader, "c" + other(w, leader));
     for (Rules.Known j : jobs) {
-      w.cancel(other(w, owner), j);
+      w.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.state.outage(true);
-    w.net.cutZone((owner % 2 == 0) == ownersZone ? "a" : "b", true);
+    w.net.cutZone((leader % 2 == 0) == leadersZone ? "a" : "b", true);
     w.loop.run(2 * SimWorld.CANCEL_S);
     fine(w);
   }
@@ -194,18 +194,18 @@
   void leasesKeptWithoutAnOwnerEndTheTasksOfACancelledJob() {
     SimWorld w = world(308, 3);
     Rules.Known[] jobs = running(w, 2);
-    int owner = w.owner();
-    refuse(w, owner, true);
-    while (w.owner() == owner) {
+    int leader = w.leader();
+    refuse(w, leader, true);
+    while (w.leader() == leader) {
       w.loop.run(0.001);
     }
-    w.cancel(other(w, owner), jobs[0]);
+    w.cancel(other(w, leader), jobs[0]);
     while (Double.isNaN(jobs[0].cancelAnswered)) {
       w.loop.run(0.001);
     }
     w.state.outage(true); // Handed over, and nobody can take it any more.
     w.loop.run(10);
-    assertThat(w.owner()).isNegative();
+    assertThat(w.leader()).isNegative();
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
     w.loop.run(2 * SimWorld.CANCEL_S);
     assertThat(runner(w, jobs[1].id + "/0")).isNotNull();
@@ -217,17 +217,17 @@
   void aBarThatIsPutUpWhileAStopIsUnderWayMakesItFail() {
     SimWorld w = oneZone(309, 3);
     Rules.Known[] jobs = running(w, 1);
-    int owner = w.owner();
-    int barred = other(w, owner);
-    w.net.cut("c" + owner, "c" + barred);
-    w.net.cut("c" + barred, "c" + (owner + 2) % 3);
+    int leader = w.leader();
+    int barred = other(w, leader);
+    w.net.cut("c" + leader, "c" + barred);
+    w.net.cut("c" + barred, "c" + (leader + 2) % 3);
     w.loop.run(0.5);
     w.state.delayS = 7;
     w.state.delay = t -> t.toString().contains("\"stop\":true");
     w.cancel(barred, jobs[0]);
     w.loop.run(Leadership.BAR_AFTER_S + 2);
     assertThat(w.state.value(StateCodec.barKey("m-" + barred))).isNotNull();
-    refuse(w, owner, true); // It has seen the bar stand, and no stop.
+    refuse(w, leader, true); // It has seen the bar stand, and no stop.
     w.loop.run(4);
     assertThat(w.state.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
     fine(w);
@@ -237,14 +237,14 @@
   void whatAGatewayHasJustCommittedIsInItsWordAlsoIfItHasNotReadItYet() {
     SimWorld w = world(310, 3);
     Rules.Known[] jobs = running(w, 1);
-    int owner = w.owner();
-    refuse(w, owner, true);
+    int leader = w.leader();
+    refuse(w, leader, true);
     w.state.loseAnswer =
         t -> {
           w.state.holdWatches |= t.toString().contains("\"stop\":true");
           return false;
         };
-    w.cancel(other(w, owner), jobs[0]);
+    w.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.state.outage(true);
@@ -260,14 +260,14 @@
     SimWorld w = new SimWorld(315, SimWorld.Shape.of(size).fleet(8, zones));
     w.loop.run(3);
     Rules.Known[] jobs = running(w, 3);
-    int owner = w.owner();
-    int gateway = other(w, owner);
+    int leader = w.leader();
+    int gateway = other(w, leader);
     for (int i = 0; i < size; i++) {
-      refuse(w, i, i != owner && i != gateway);
+      refuse(w, i, i != leader && i != gateway);
     }
     w.loop.run(3);
-    refuse(w, owner, true);
-    w.net.cut("c" + owner, "c" + gateway);
+    refuse(w, leader, true);
+    w.net.cut("c" + leader, "c" + gateway);
     for (Rules.Known j : jobs) {
       w.cancel(gateway, j);
     }
@@ -275,7 +275,7 @@
     assertThat(jobs[2].cancelAnswered).isNotNaN();
     w.state.outage(true);
     w.crash(gateway);
-    w.net.heal("c" + owner, "c" + gateway);
+    w.net.heal("c" + leader, "c" + gateway);
     w.loop.run(1);
     w.start(gateway);
     return w;
@@ -286,7 +286,7 @@
   void aDeputyMadeByAnOwnerThatLivesOnPromisesKnowsNoMoreThanIt(double cutAfter) {
     SimWorld w = withAForgetfulGateway(5, List.of("a", "b"));
     w.loop.run(cutAfter);
-    w.net.cutZone(w.owner() % 2 == 0 ? "b" : "a", true);
+    w.net.cutZone(w.leader() % 2 == 0 ? "b" : "a", true);
     w.loop.run(2 * SimWorld.CANCEL_S);
     fine(w);
   }
@@ -317,13 +317,13 @@
   void anOwnerThatKnowsTooLittleGivesNoAnswerThatRenews() {
     SimWorld w = world(307, 3);
     Rules.Known[] jobs = running(w, 1);
-    int owner = w.owner();
-    int gateway = other(w, owner);
+    int leader = w.leader();
+    int gateway = other(w, leader);
     // The gateway hears nobody; the third promises all that is asked of it.
     w.isolate(gateway, true);
     w.net.heal("c" + gateway, "state");
-    refuse(w, owner, true);
-    refuse(w, (owner + 2) % 3, true);
+    refuse(w, leader, true);
+    refuse(w, (leader + 2) % 3, true);
     w.cancel(gateway, jobs[0]);
     w.loop.run(0.2);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -18,9 +18,9 @@
     return WorldAssertions.world(seed, 3);
   }
 
-  private static boolean writesSlice(JsonNode txn) {
+  private static boolean writesBatch(JsonNode txn) {
     for (JsonNode c : txn.path("then")) {
-      if (c.path("put").asText().startsWith(StateCodec.SLICES)) {
+      if (c.path("put").asText().startsWith(StateCodec.TASK_BATCHES)) {
         return true;
       }
     }
@@ -38,7 +38,7 @@
     }
     assertThat(w.state.value(StateCodec.jobKey(j.id))).isNull();
     assertThat(w.state.value(StateCodec.endKey(j.id))).isNotNull();
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SLICES));
+    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 
@@ -62,7 +62,7 @@
     w.loop.run(15); // A machine is up.
     Rules.Known j = w.job("j-000031", 2, 1, 0, false);
     int[] left = {1};
-    w.state.delay = t -> writesSlice(t) && left[0]-- > 0;
+    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 0.5;
     w.submit(0, j);
     w.loop.run(0.1);
@@ -70,7 +70,7 @@
     w.loop.run(0.1);
     assertThat(w.stage(2, j.id)).isEqualTo("cancelled");
     w.loop.run(3);
-    assertThat(w.state.everWritten).doesNotContain(StateCodec.SLICES + j.id + "/0");
+    assertThat(w.state.everWritten).doesNotContain(StateCodec.TASK_BATCHES + j.id + "/0");
     assertThat(w.rules.starts).isEqualTo(1);
     fine(w);
   }
@@ -80,21 +80,21 @@
     SimWorld w = world(22);
     w.submit(0, w.job("j-000032", 1, 1, 0, false));
     w.loop.run(15);
-    int owner = w.owner();
+    int leader = w.leader();
     Rules.Known j = w.job("j-000033", 2, 1, 5, true);
     int[] left = {1};
-    w.state.delay = t -> writesSlice(t) && left[0]-- > 0;
+    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 20;
-    w.submit((owner + 1) % 3, j);
+    w.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
     }
-    w.crash(owner);
-    // The next owner claims nothing, so that only the owner record stands in the way.
-    w.answer((owner + 1) % 3, "POST", "/admin/claims/pause", null);
+    w.crash(leader);
+    // The next leader claims nothing, so that only the leader record stands in the way.
+    w.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
     w.loop.run(30);
-    assertThat(w.owner()).isNotNegative().isNotEqualTo(owner);
-    assertThat(w.state.value(StateCodec.SLICES + j.id + "/0")).isNull();
+    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
+    assertThat(w.state.value(StateCodec.TASK_BATCHES + j.id + "/0")).isNull();
     fine(w);
   }
 
@@ -117,7 +117,7 @@
     SimWorld w = world(4);
     Rules.Known j = w.job("j-000004", 3, 1, 5, true);
     int[] left = {1};
-    w.state.loseAnswer = t -> writesSlice(t) && left[0]-- > 0;
+    w.state.loseAnswer = t -> writesBatch(t) && left[0]-- > 0;
     w.submit(0, j);
     w.loop.run(40);
     assertThat(left[0]).isLessThan(1);
@@ -131,7 +131,7 @@
     SimWorld w = world(5);
     Rules.Known j = w.job("j-000005", 3, 1, 5, true);
     int[] left = {1};
-    w.state.delay = t -> writesSlice(t) && left[0]-- > 0;
+    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 3;
     w.submit(0, j);
     w.loop.run(40);
@@ -143,18 +143,18 @@
   void aPastOwnersLateWriteFails() {
     SimWorld w = world(6);
     Rules.Known j = w.job("j-000006", 4, 1, 30, true);
-    int owner = w.owner();
+    int leader = w.leader();
     int[] left = {1};
-    w.state.delay = t -> writesSlice(t) && left[0]-- > 0;
+    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 20;
-    w.submit((owner + 1) % 3, j);
+    w.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
     }
-    w.crash(owner);
+    w.crash(leader);
     w.loop.run(70);
-    assertThat(w.owner()).isNotEqualTo(owner);
-    assertThat(w.stage(w.owner(), j.id)).isEqualTo("done");
+    assertThat(w.leader()).isNotEqualTo(leader);
+    assertThat(w.stage(w.leader(), j.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -165,7 +165,7 @@
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     s.step(0.1);
     SchedulerFixture.answerWrites(s, Scheduler.Outcome.UNKNOWN, 0.2);
-    s.onSlice(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
+    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
     s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), 0.25);
     assertThat(s.ordersFor(SchedulerFixture.report("n-1", 1, 2, 1), 0.25)).isEmpty();
     assertThat(SchedulerFixture.launches(s)).isZero();
@@ -196,7 +196,7 @@
     w.submit(0, j);
     w.loop.run(200);
     assertThat(w.stage(1, j.id)).isEqualTo("done");
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SLICES));
+    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 }
--- a/src/test/java/graderelay/ControllerRestartTest.java
+++ b/src/test/java/graderelay/ControllerRestartTest.java
@@ -47,12 +47,12 @@
     w.submit(0, w.job("j-000064", 4, 1, 0, false));
     w.loop.run(20);
     int starts = w.rules.starts;
-    int owner = w.owner();
-    w.isolate(owner, true);
+    int leader = w.leader();
+    w.isolate(leader, true);
     w.loop.run(40);
-    assertThat(w.owner()).isNotNegative().isNotEqualTo(owner);
-    assertThat(w.nodes[owner].owner()).isFalse();
-    w.isolate(owner, false);
+    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
+    assertThat(w.nodes[leader].leader()).isFalse();
+    w.isolate(leader, false);
     w.loop.run(20);
     assertThat(w.rules.starts).isEqualTo(starts);
     fine(w);
@@ -64,26 +64,26 @@
     w.submit(0, w.job("j-000065", 4, 1, 0, false));
     w.loop.run(20);
     int starts = w.rules.starts;
-    int owner = w.owner();
-    w.crash(owner);
+    int leader = w.leader();
+    w.crash(leader);
     w.loop.run(0.2);
-    w.start(owner);
+    w.start(leader);
     for (int i = 0; i < 4; i++) {
-      int k = (owner + 1 + i) % w.size;
+      int k = (leader + 1 + i) % w.size;
       w.loop.run(0.15);
       w.crash(k);
       w.loop.run(0.1);
       w.start(k);
     }
     w.loop.run(30);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     assertThat(w.rules.starts).isEqualTo(starts);
     fine(w);
   }
 
   @Test
   void anOwnerThatStillReadsTheRecordsKeepsLeasesAliveAndOrdersNothing() {
-    // In one zone, since deputies elsewhere use the time that a cancellation leaves.
+    // In one zone, since lease delegates elsewhere use the time that a cancellation leaves.
     SimWorld w = new SimWorld(37, SimWorld.Shape.of(5).fleet(8, List.of("a")));
     w.loop.run(4);
     w.submit(0, w.job("j-000066", 4, 1, 0, false));
@@ -95,11 +95,11 @@
     w.state.refusedList = StateCodec.JOBS;
     w.startAll();
     w.loop.run(9);
-    assertThat(w.owner()).isNotNegative();
-    assertThat(w.nodes[w.owner()].core()).isNull();
+    assertThat(w.leader()).isNotNegative();
+    assertThat(w.nodes[w.leader()].core()).isNull();
     w.state.refusedList = null;
     w.loop.run(20);
-    assertThat(w.nodes[w.owner()].core()).isNotNull();
+    assertThat(w.nodes[w.leader()].core()).isNotNull();
     assertThat(w.rules.starts).isEqualTo(starts);
     fine(w);
   }
--- a/src/test/java/graderelay/DeafMachinesTest.java
+++ b/src/test/java/graderelay/DeafMachinesTest.java
@@ -22,7 +22,7 @@
   private static SimWorld world(long seed, SimWorld.Shape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
--- a/src/test/java/graderelay/DependenciesTest.java
+++ b/src/test/java/graderelay/DependenciesTest.java
@@ -63,12 +63,12 @@
     Rules.Known last = job(w, 3, 1, 2, join, first);
     accept(w, 0, last);
     for (int i = 0; i < 8; i++) {
-      int owner = w.owner();
+      int leader = w.leader();
       switch (trouble) {
         case "crash", "blink" -> {
-          if (owner >= 0) {
-            w.crash(owner);
-            w.loop.after(trouble.equals("crash") ? 4 : 0.2, () -> w.start(owner));
+          if (leader >= 0) {
+            w.crash(leader);
+            w.loop.after(trouble.equals("crash") ? 4 : 0.2, () -> w.start(leader));
           }
         }
         case "lostAnswers" -> w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
@@ -81,15 +81,15 @@
           w.loop.after(4, () -> w.state.outage(false));
         }
         case "isolate" -> {
-          if (owner >= 0) {
-            w.isolate(owner, true);
-            w.loop.after(4, () -> w.isolate(owner, false));
+          if (leader >= 0) {
+            w.isolate(leader, true);
+            w.loop.after(4, () -> w.isolate(leader, false));
           }
         }
         default -> {
-          if (owner >= 0) {
-            w.refused[owner][0] = true;
-            w.loop.after(3, () -> w.refused[owner][0] = false);
+          if (leader >= 0) {
+            w.refused[leader][0] = true;
+            w.loop.after(3, () -> w.refused[leader][0] = false);
           }
         }
       }
@@ -150,7 +150,7 @@
       s.tick(i);
     }
     assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("preempt"));
-    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.Hire);
+    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
     assertThat(s.whyWaiting("j-2")).contains("j-1");
   }
 
@@ -203,7 +203,7 @@
     w.loop.run(1);
     if (!answer.equals("done")) {
       everywhere(
-          w, jobs.subList(which, 4), "cancelled"); // At once, whatever the owner has written.
+          w, jobs.subList(which, 4), "cancelled"); // At once, whatever the leader has written.
     }
     w.loop.run(60);
     everywhere(w, jobs.subList(0, which), "done");
@@ -215,7 +215,7 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aCancellationThatMeetsTheEndEitherWinsForAllOrForNone(boolean ownerEnds) {
+  void aCancellationThatMeetsTheEndEitherWinsForAllOrForNone(boolean leaderEnds) {
     SimWorld w = world(406, 3);
     w.lookClosely();
     List<Rules.Known> jobs = chain(w, 3, 3);
@@ -223,10 +223,10 @@
         j -> {
           if (j == jobs.get(0)) {
             w.cancel(w.random.nextInt(3), j);
-            if (ownerEnds) {
-              int owner = w.owner();
-              w.crash(owner);
-              w.loop.after(0.5, () -> w.start(owner));
+            if (leaderEnds) {
+              int leader = w.leader();
+              w.crash(leader);
+              w.loop.after(0.5, () -> w.start(leader));
             }
           }
         };
--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/DependencyGuardsTest.java
@@ -114,7 +114,10 @@
     assertThat(SchedulerFixture.tasksStarted(scheduler, OTHER)).isEqualTo(passesOthers ? 0 : 4);
   }
 
-  /** Slices of new jobs fit the limits to come in the form that the version in production reads. */
+  /**
+   * Task batches of new jobs fit the limits to come in the form that the version in production
+   * reads.
+   */
   @Test
   void slicesOfNewJobsFitTheLowerLimitsInThePlainForm() {
     SimWorld world =
@@ -125,12 +128,13 @@
     int plain = 0;
     for (int i = 0; i < 200; i++) {
       world.loop.run(0.2);
-      for (var item : world.state.items.tailMap(StateCodec.SLICES).entrySet()) {
-        if (item.getKey().startsWith(StateCodec.SLICES)) {
-          JsonNode slice = item.getValue().value();
-          assertThat(Json.write(slice).length).isLessThanOrEqualTo(RandomDay.LOWER.valueBytes());
-          assertThat(slice.has("a") || slice.has("done")).as("plain").isTrue();
-          plain += slice.has("a") ? 1 : 0;
+      for (var item : world.state.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
+        if (item.getKey().startsWith(StateCodec.TASK_BATCHES)) {
+          JsonNode taskBatch = item.getValue().value();
+          assertThat(Json.write(taskBatch).length)
+              .isLessThanOrEqualTo(RandomDay.LOWER.valueBytes());
+          assertThat(taskBatch.has("a") || taskBatch.has("done")).as("plain").isTrue();
+          plain += taskBatch.has("a") ? 1 : 0;
         }
       }
     }
--- a/src/test/java/graderelay/FailingJobsTest.java
+++ b/src/test/java/graderelay/FailingJobsTest.java
@@ -157,7 +157,7 @@
       s.tick(now);
       SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
     }
-    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.Hire);
+    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
     assertThat(SchedulerFixture.notes(s)).noneMatch(x -> x.startsWith("preempt"));
   }
 
--- a/src/test/java/graderelay/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/FleetOfThousandsTest.java
@@ -52,10 +52,10 @@
     final List<Rules.Known> jobs = replicasOnEveryMachine(w);
     w.loop.run(15);
 
-    int leader = w.owner();
+    int leader = w.leader();
     w.crash(leader);
     double crashedAt = w.loop.now();
-    while (w.owner() < 0 && w.loop.now() < crashedAt + LEASE_S) {
+    while (w.leader() < 0 && w.loop.now() < crashedAt + LEASE_S) {
       w.loop.run(0.1);
     }
     assertThat(w.loop.now() - crashedAt).isLessThan(5);
--- a/src/test/java/graderelay/LargeJobsTest.java
+++ b/src/test/java/graderelay/LargeJobsTest.java
@@ -25,14 +25,14 @@
     SchedulerFixture.commitAll(s, 10, 0.1); // The machine is full before the large one comes.
     s.onJob(SchedulerFixture.array("j-9", 200), false, 5, 0.2, 0.2);
     double now = 0.2;
-    int mark = 10;
+    int revision = 10;
     for (int i = 0; i < 60 && SchedulerFixture.tasksStarted(s, "j-9") == 0; i++) {
       now += 2;
       s.onJob(SchedulerFixture.array("j-s" + i, 1), false, 5, now, now);
       // One task ends, so there is room for one more of somebody.
       SchedulerFixture.work(s, "n-1", 2 + 2 * i, 1, now);
-      SchedulerFixture.commitAll(s, mark += 2, now + 0.6);
-      SchedulerFixture.commitAll(s, mark += 2, now + 0.7);
+      SchedulerFixture.commitAll(s, revision += 2, now + 0.6);
+      SchedulerFixture.commitAll(s, revision += 2, now + 0.7);
     }
     assertThat(SchedulerFixture.tasksStarted(s, "j-9")).isPositive();
     assertThat(now).isBetween(SchedulerLimits.WAITING_WINS_S, 120.0);
@@ -41,7 +41,7 @@
   @Test
   void aReportOfAWrongFormIsRefusedAndChangesNothing() {
     SimWorld w = world(41);
-    int owner = w.owner();
+    int leader = w.leader();
     String good =
         "\"saw\":\"n-9\",\"address\":\"n-9:1\",\"rig\":\"small\",\"yard\":\"a\",\"foreman\":0";
     String[] bad = {
@@ -55,13 +55,13 @@
       "{\"saw\":1," + good.substring(good.indexOf(',') + 1) + ",\"shift\":1,\"tally\":1}"
     };
     for (String b : bad) {
-      assertThat(w.answer(owner, "POST", "/checkin", b.getBytes()).path("http").asInt())
+      assertThat(w.answer(leader, "POST", "/checkin", b.getBytes()).path("http").asInt())
           .as(b)
           .isEqualTo(400);
     }
-    assertThat(w.nodes[owner].core().machines(0)).noneMatch(m -> m.name().equals("n-9"));
+    assertThat(w.nodes[leader].core().machines(0)).noneMatch(m -> m.name().equals("n-9"));
     String right = "{" + good + ",\"shift\":1,\"tally\":1,\"boards\":null,\"recall_s\":null}";
-    assertThat(w.answer(owner, "POST", "/checkin", right.getBytes()).path("http").asInt())
+    assertThat(w.answer(leader, "POST", "/checkin", right.getBytes()).path("http").asInt())
         .isEqualTo(200);
   }
 }
--- a/src/test/java/graderelay/LateMachinesTest.java
+++ b/src/test/java/graderelay/LateMachinesTest.java
@@ -11,10 +11,10 @@
 /** Machines that come up late, never, or at once. */
 class LateMachinesTest {
   /** Machines rented in one plan, answered with new names; returns them. */
-  private static List<String> hired(Scheduler s, double now) {
+  private static List<String> scaledOut(Scheduler s, double now) {
     List<String> names = new ArrayList<>();
     for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.Hire h) {
+      if (a instanceof Action.ScaleOut h) {
         SchedulerFixture.taken(s).remove(a);
         List<String> some = new ArrayList<>();
         for (int i = 0; i < h.count(); i++) {
@@ -27,10 +27,10 @@
     return names;
   }
 
-  private static List<String> givenBack(Scheduler s) {
+  private static List<String> scaledIn(Scheduler s) {
     List<String> names = new ArrayList<>();
     for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.GiveBack g) {
+      if (a instanceof Action.ScaleIn g) {
         names.addAll(g.machines());
       }
     }
@@ -42,7 +42,7 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = hired(s, 1.2);
+    List<String> first = scaledOut(s, 1.2);
     assertThat(first).hasSizeGreaterThanOrEqualTo(6);
     // All but one are up in the usual five seconds, and one never comes.
     long seq = 1;
@@ -54,12 +54,12 @@
       seq++;
       s.tick(now);
       SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
-      more += hired(s, now + 0.2).size();
+      more += scaledOut(s, now + 0.2).size();
     }
     assertThat(more).isEqualTo(1);
-    assertThat(givenBack(s)).isEmpty(); // It may still come.
+    assertThat(scaledIn(s)).isEmpty(); // It may still come.
     s.tick(40);
-    assertThat(givenBack(s)).contains(first.get(0));
+    assertThat(scaledIn(s)).contains(first.get(0));
   }
 
   @Test
@@ -67,13 +67,13 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = hired(s, 1.2);
+    List<String> first = scaledOut(s, 1.2);
     int more = 0;
     for (double now = 2; now < 100; now += 1) {
       s.tick(now); // Twenty times the nominal five seconds.
-      more += hired(s, now + 0.2).size();
+      more += scaledOut(s, now + 0.2).size();
     }
-    assertThat(givenBack(s)).isEmpty();
+    assertThat(scaledIn(s)).isEmpty();
     assertThat(more).isLessThan(first.size());
     for (String m : first) {
       SchedulerFixture.machine(s, m, 1, 1, 100);
@@ -93,7 +93,7 @@
     SchedulerFixture.machine(s, "n-1", 1, 1, 1.3);
     SchedulerFixture.commitAll(s, 10, 1.4);
     assertThat(SchedulerFixture.launches(s)).isEqualTo(4);
-    hired(s, 2); // And what the answer names beside it is known as well.
+    scaledOut(s, 2); // And what the answer names beside it is known as well.
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(4);
   }
 }
--- a/src/test/java/graderelay/LateMessagesTest.java
+++ b/src/test/java/graderelay/LateMessagesTest.java
@@ -62,7 +62,7 @@
   @Test
   void afterATakeoverACopyFromAMachineThatIsGoneMakesItNoTarget() {
     Scheduler s = SchedulerFixture.scheduler(7);
-    s.onReport(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier owner's time.
+    s.onReport(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
@@ -81,17 +81,17 @@
     w.submit(0, service);
     w.submit(1, array);
     w.loop.run(25);
-    w.crash(w.owner());
+    w.crash(w.leader());
     w.loop.run(40);
-    assertThat(w.stage(w.owner(), array.id)).isEqualTo("done");
-    assertThat(w.stage(w.owner(), service.id)).isEqualTo("running");
+    assertThat(w.stage(w.leader(), array.id)).isEqualTo("done");
+    assertThat(w.stage(w.leader(), service.id)).isEqualTo("running");
     fine(w);
   }
 
   @Test
   void aCopyAtAGatewayIsNoSignThatItsWorkerCannotReachTheOwner() {
     SimWorld w = world(40);
-    int gateway = (w.owner() + 1) % w.size;
+    int gateway = (w.leader() + 1) % w.size;
     byte[] report = checkin(5);
     assertThat(w.answer(gateway, "POST", "/checkin", report).path("http").asInt()).isEqualTo(421);
     assertThat(w.answer(gateway, "POST", "/checkin", report).path("http").asInt()).isEqualTo(421);
@@ -124,21 +124,21 @@
     String gone = runner(w, jobs[1].id + "/0");
     w.loop.run(3);
     w.cloud.take(gone);
-    int owner = w.owner();
+    int leader = w.leader();
     if (how.equals("crash")) {
-      w.crash(owner);
+      w.crash(leader);
     } else {
-      refuse(w, owner, true);
+      refuse(w, leader, true);
     }
     double until = w.loop.now() + 20;
-    while ((w.owner() < 0 || w.owner() == owner) && w.loop.now() < until) {
+    while ((w.leader() < 0 || w.leader() == leader) && w.loop.now() < until) {
       w.loop.run(0.01);
     }
     w.net.deliverKept("c0:80", "c1:80", "c2:80");
     w.loop.run(meanwhile);
-    refuse(w, owner, false);
+    refuse(w, leader, false);
     w.loop.run(40);
-    assertThat(w.stage(w.owner(), jobs[0].id)).isEqualTo("cancelled");
+    assertThat(w.stage(w.leader(), jobs[0].id)).isEqualTo("cancelled");
     assertThat(runner(w, jobs[1].id + "/0")).isNotEqualTo(gone);
     fine(w);
   }
@@ -151,22 +151,22 @@
     w.submit(0, array);
     w.loop.run(8);
     w.net.alwaysPooled = true;
-    int owner = w.owner();
+    int leader = w.leader();
     List<String> machines = new ArrayList<>(w.workers.keySet());
     for (String m : machines) {
-      w.net.cut("c" + other(w, owner), m);
-      w.net.cut("c" + (owner + 2) % 3, m);
+      w.net.cut("c" + other(w, leader), m);
+      w.net.cut("c" + (leader + 2) % 3, m);
     }
-    w.crash(owner);
+    w.crash(leader);
     w.loop.run(9);
-    w.cancel(other(w, owner), jobs[0]);
+    w.cancel(other(w, leader), jobs[0]);
     w.loop.run(1);
     for (String m : machines) {
-      w.net.heal("c" + other(w, owner), m);
-      w.net.heal("c" + (owner + 2) % 3, m);
+      w.net.heal("c" + other(w, leader), m);
+      w.net.heal("c" + (leader + 2) % 3, m);
     }
     w.loop.run(80);
-    assertThat(w.stage(other(w, owner), array.id)).isEqualTo("done");
+    assertThat(w.stage(other(w, leader), array.id)).isEqualTo("done");
     fine(w);
   }
 
--- a/src/test/java/graderelay/LaunchFencingTest.java
+++ b/src/test/java/graderelay/LaunchFencingTest.java
@@ -15,7 +15,7 @@
     return WorldAssertions.world(seed, 3);
   }
 
-  /** A direct launch is held by a cut between owner and machine; reports go through a peer. */
+  /** A direct launch is held by a cut between leader and machine; reports go through a peer. */
   private static void heldLaunch(
       double meanwhileAfter,
       double healAfter,
@@ -25,21 +25,21 @@
     w.submit(0, warm);
     w.loop.run(15);
     String machine = runner(w, "j-000040/0");
-    int owner = w.owner();
+    int leader = w.leader();
     Rules.Known j = w.job("j-000041", 1, 1, 300, false);
     w.net.alwaysPooled = true; // The order goes into an open connection and is held there.
-    w.submit((owner + 1) % 3, j);
+    w.submit((leader + 1) % 3, j);
     while (!claimed(w, j)) {
       w.loop.run(0.0005);
     }
-    w.net.cut("c" + owner, machine);
+    w.net.cut("c" + leader, machine);
     w.loop.run(meanwhileAfter);
     do1.accept(w, machine);
     w.loop.run(healAfter - meanwhileAfter);
     w.workers.get(machine).failsEverything = false;
-    w.net.heal("c" + owner, machine);
+    w.net.heal("c" + leader, machine);
     w.loop.run(40);
-    assertThat(w.owner()).isEqualTo(owner);
+    assertThat(w.leader()).isEqualTo(leader);
     assertThat(w.stage(0, j.id)).isEqualTo("running");
     fine(w);
   }
@@ -51,17 +51,17 @@
     w.submit(0, warm);
     w.loop.run(15);
     String machine = runner(w, "j-000009/0");
-    int owner = w.owner();
+    int leader = w.leader();
     Rules.Known j = w.job("j-000010", 2, 1, 0, false);
-    w.submit((owner + 1) % 3, j);
+    w.submit((leader + 1) % 3, j);
     while (!claimed(w, j)) {
       w.loop.run(0.001);
     }
-    w.net.cut("c" + owner, machine);
+    w.net.cut("c" + leader, machine);
     w.loop.run(1);
-    w.cancel((owner + 1) % 3, j);
+    w.cancel((leader + 1) % 3, j);
     w.loop.run(9);
-    w.net.heal("c" + owner, machine);
+    w.net.heal("c" + leader, machine);
     w.loop.run(60);
     assertThat(w.stage(0, j.id)).isEqualTo("cancelled");
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains("j-000010/0"));
@@ -71,7 +71,7 @@
   @Test
   void aTaskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
     heldLaunch(
-        2.5, 16, (w, m) -> w.answer(w.owner(), "POST", "/admin/machines/" + m + "/drain", null));
+        2.5, 16, (w, m) -> w.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
   }
 
   @Test
--- a/src/test/java/graderelay/LeaderChangeTest.java
+++ b/src/test/java/graderelay/LeaderChangeTest.java
@@ -52,23 +52,23 @@
     SimWorld w = world(321, 3);
     w.lookClosely();
     Rules.Known[] jobs = running(w, 3);
-    int owner = w.owner();
+    int leader = w.leader();
     switch (how) {
-      case "crash" -> w.crash(owner);
-      case "handover" -> refuse(w, owner, true);
-      case "isolate" -> w.isolate(owner, true);
+      case "crash" -> w.crash(leader);
+      case "handover" -> refuse(w, leader, true);
+      case "isolate" -> w.isolate(leader, true);
       default -> {
-        w.crash(owner);
-        w.loop.after(0.1, () -> w.start(owner));
+        w.crash(leader);
+        w.loop.after(0.1, () -> w.start(leader));
       }
     }
     w.loop.run(cancelAfter);
     for (int i = 0; i < 3; i++) {
-      w.cancel((owner + 1 + i) % 3, jobs[i]);
+      w.cancel((leader + 1 + i) % 3, jobs[i]);
     }
     w.loop.run(8);
     if (how.equals("isolate")) {
-      w.isolate(owner, false);
+      w.isolate(leader, false);
     }
     w.loop.run(SimWorld.CANCEL_S);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
@@ -86,10 +86,10 @@
         w.state.outage(true);
         w.loop.after(8, () -> w.state.outage(false));
       }
-      int owner = w.owner();
-      if (owner >= 0) {
-        w.crash(owner);
-        w.loop.after(blinks ? 0.2 : 5, () -> w.start(owner));
+      int leader = w.leader();
+      if (leader >= 0) {
+        w.crash(leader);
+        w.loop.after(blinks ? 0.2 : 5, () -> w.start(leader));
       }
     }
     w.loop.run(90);
@@ -101,11 +101,11 @@
     SimWorld w = oneZone(323, 3);
     Rules.Known[] jobs = running(w, 2);
     for (int i = 0; i < 3; i++) {
-      int owner = w.owner();
-      refuse(w, owner, true);
+      int leader = w.leader();
+      refuse(w, leader, true);
       w.loop.run(2.5);
-      assertThat(w.owner()).isNotEqualTo(owner);
-      refuse(w, owner, false);
+      assertThat(w.leader()).isNotEqualTo(leader);
+      refuse(w, leader, false);
       w.loop.run(2);
     }
     w.cancel(0, jobs[0]);
@@ -146,9 +146,9 @@
     w.submit(0, j);
     for (int i = 0; i < 3; i++) {
       w.loop.run(12);
-      int owner = w.owner();
-      w.crash(owner);
-      w.loop.after(0.5 + i * 3, () -> w.start(owner));
+      int leader = w.leader();
+      w.crash(leader);
+      w.loop.after(0.5 + i * 3, () -> w.start(leader));
     }
     w.loop.run(40);
     assertThat(w.rules.starts).isEqualTo(3);
--- a/src/test/java/graderelay/LimitChangeTest.java
+++ b/src/test/java/graderelay/LimitChangeTest.java
@@ -37,7 +37,7 @@
 
   private static String metrics(SimWorld w) {
     String[] text = {""};
-    w.ask(w.owner(), "GET", "/metrics", null, (r, n) -> text[0] = new String(r.body()));
+    w.ask(w.leader(), "GET", "/metrics", null, (r, n) -> text[0] = new String(r.body()));
     w.loop.run(0.5);
     return text[0];
   }
@@ -91,7 +91,7 @@
     QuotaRecorder recorder = new QuotaRecorder(w);
     List<Rules.Known> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
     w.loop.run(12);
-    int leader = w.owner();
+    int leader = w.leader();
     w.crash(leader);
     w.loop.run(1 + seed % 3);
     assertThat(status(set(w, (leader + 1) % 5, "team", "{\"cpus_max\":9.5}"))).isEqualTo(200);
@@ -206,8 +206,8 @@
   @Test
   void noJobIsRefusedForGoodByLimitsThatAreOutOfDate() {
     SimWorld w = stored(551, 3);
-    int behind = (w.owner() + 1) % 3;
-    set(w, w.owner(), "team", "{\"cpus\":1,\"cpus_max\":2}");
+    int behind = (w.leader() + 1) % 3;
+    set(w, w.leader(), "team", "{\"cpus\":1,\"cpus_max\":2}");
     w.loop.run(1);
     Rules.Known job = w.job("j-004010", 1, 3, 5, true);
     JsonNode refused = w.answer(behind, "POST", "/v1/jobs", Json.write(w.body(job)));
@@ -268,15 +268,15 @@
     assertThat(metrics(w))
         .contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1")
         .contains("graderelay_quota_differences{team=\"team\"}");
-    w.crash(w.owner()); // The next leader does not mend it in silence either.
+    w.crash(w.leader()); // The next leader does not mend it in silence either.
     w.loop.run(20);
     assertThat(w.rules.running("team")).isZero();
-    JsonNode done = w.answer(w.owner(), "POST", "/admin/quota/team/recompute", null);
+    JsonNode done = w.answer(w.leader(), "POST", "/admin/quota/team/recompute", null);
     assertThat(status(done)).isEqualTo(200);
     w.loop.run(80);
     jobs.addAll(others);
     for (Rules.Known job : jobs) {
-      assertThat(w.stage(w.owner(), job.id)).as(job.id).isEqualTo("done");
+      assertThat(w.stage(w.leader(), job.id)).as(job.id).isEqualTo("done");
     }
     WorldAssertions.fine(w);
   }
@@ -284,13 +284,13 @@
   @Test
   void aLeaderThatLosesTheLeadWhileItReadsForARecomputeGoesOnAsAFollower() {
     SimWorld w = stored(564, 3);
-    int leader = w.owner();
+    int leader = w.leader();
     w.suspend(leader); // The request is the first thing that it finds when it wakes.
     w.ask(leader, "POST", "/admin/quota/team/recompute", null, (r, n) -> {});
     w.loop.run(9);
     w.resume(leader);
     w.loop.run(5);
-    assertThat(w.owner()).isNotNegative().isNotEqualTo(leader);
+    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
     assertThat(status(w.answer(leader, "GET", "/ready", null))).isEqualTo(200);
     WorldAssertions.fine(w);
   }
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -29,7 +29,7 @@
     return j;
   }
 
-  /** A job as the version before accepted it, with slices that fit the limits of its time. */
+  /** A job as the version before accepted it, with task batches that fit the limits of its time. */
   private static void acceptedBefore(SimWorld w, Rules.Known j) {
     JobSpec spec;
     try {
@@ -56,7 +56,7 @@
     "500, 0.5, 60, true"
   })
   void jobsOfBeforeAreFinishedWhenTheStateServiceAllowsLess(
-      int tasks, double cpus, int machines, boolean ownerEnds) {
+      int tasks, double cpus, int machines, boolean leaderEnds) {
     SimWorld w =
         new SimWorld(
             411,
@@ -72,14 +72,14 @@
     Rules.Known young = w.job("j-000781", 30, 0.5, 6, true);
     w.submit(1, young);
     w.loop.run(4);
-    if (ownerEnds) {
-      w.crash(w.owner());
+    if (leaderEnds) {
+      w.crash(w.leader());
     }
     w.loop.run(150);
-    // Each owner has to find it out; slices of 300 fit as they are.
+    // Each leader has to find it out; task batches of 300 fit as they are.
     assertThat(w.state.tooLarge).isBetween(tasks > 300 ? 1 : 0, 20);
-    assertThat(w.stage(w.owner(), young.id)).isEqualTo("done");
-    assertThat(w.stage(w.owner(), old.id)).isEqualTo("done");
+    assertThat(w.stage(w.leader(), young.id)).isEqualTo("done");
+    assertThat(w.stage(w.leader(), old.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -116,11 +116,11 @@
       sessions[i] = i % 3 == 1 ? 2 : 0;
     }
     TaskBatchRecord r = new TaskBatchRecord(attempts, machines, sessions, done);
-    byte[] plain = Json.write(StateCodec.slice(r));
-    byte[] packed = Json.write(StateCodec.slice(r.packedCopy()));
+    byte[] plain = Json.write(StateCodec.taskBatch(r));
+    byte[] packed = Json.write(StateCodec.taskBatch(r.packedCopy()));
     assertThat(packed.length).isLessThan(2048).isLessThan(plain.length / 2);
-    assertThat(StateCodec.slice(Json.read(packed))).isEqualTo(r);
-    assertThat(StateCodec.slice(Json.read(plain))).isEqualTo(r);
+    assertThat(StateCodec.taskBatch(Json.read(packed))).isEqualTo(r);
+    assertThat(StateCodec.taskBatch(Json.read(plain))).isEqualTo(r);
   }
 
   /** Records as the version before dependencies wrote them. */
@@ -134,16 +134,16 @@
     JsonNode n = Json.read(job.getBytes(StandardCharsets.UTF_8));
     JobSpec s = StateCodec.job("j-1", n);
     assertThat(s.needs()).isEmpty();
-    assertThat(s.sliceCap()).isEqualTo(500);
+    assertThat(s.batchCapacity()).isEqualTo(500);
     assertThat(Json.write(StateCodec.job(s, true))).isEqualTo(job.getBytes(StandardCharsets.UTF_8));
-    JsonNode slice =
+    JsonNode taskBatch =
         Json.read(
             "{\"a\":[1,2,1],\"m\":[[\"n-000001\",3]],\"p\":[0,-1,-2]}"
                 .getBytes(StandardCharsets.UTF_8));
-    TaskBatchRecord r = StateCodec.slice(slice);
+    TaskBatchRecord r = StateCodec.taskBatch(taskBatch);
     assertThat(r.machine(0)).isEqualTo("n-000001");
     assertThat(r.done(2)).isTrue();
-    assertThat(Json.write(StateCodec.slice(r))).isEqualTo(Json.write(slice));
+    assertThat(Json.write(StateCodec.taskBatch(r))).isEqualTo(Json.write(taskBatch));
     assertThat(
             graderelay.state.Cache.endOf(
                 Json.read("{\"end\":\"done\",\"tasks\":3}".getBytes(StandardCharsets.UTF_8))))
--- a/src/test/java/graderelay/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/ManyMachineFailuresTest.java
@@ -64,7 +64,7 @@
     List<String> ended = new ArrayList<>();
     for (Action a : SchedulerFixture.taken(s)) {
       if (a instanceof Action.Write w) {
-        w.slices().forEach(p -> ended.add(p.key().job()));
+        w.taskBatches().forEach(p -> ended.add(p.key().job()));
       }
     }
     assertThat(ended).hasSize(4).contains("j-s6", "j-s7", "j-s8");
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/PreemptionTest.java
@@ -27,10 +27,10 @@
   }
 
   /** Machines rented in one plan, answered with new names; returns them. */
-  private static List<String> hired(Scheduler s, double now) {
+  private static List<String> scaledOut(Scheduler s, double now) {
     List<String> names = new ArrayList<>();
     for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.Hire h) {
+      if (a instanceof Action.ScaleOut h) {
         SchedulerFixture.taken(s).remove(a);
         List<String> some = new ArrayList<>();
         for (int i = 0; i < h.count(); i++) {
@@ -112,7 +112,7 @@
     }
     s.tick(3);
     // And the plan knows it: for what is left it rents as many machines as that takes.
-    assertThat(hired(s, 3.1)).hasSizeGreaterThanOrEqualTo(6);
+    assertThat(scaledOut(s, 3.1)).hasSizeGreaterThanOrEqualTo(6);
   }
 
   @Test
--- a/src/test/java/graderelay/QuotaSteps.java
+++ b/src/test/java/graderelay/QuotaSteps.java
@@ -42,7 +42,7 @@
       w.loop.run(1);
     }
     assertThat(w.state.value(QuotaCodec.SEEDED)).isNotNull();
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
@@ -83,7 +83,7 @@
 
   static boolean isClaim(JsonNode transaction) {
     for (JsonNode change : transaction.path("then")) {
-      if (change.path("put").asText().startsWith(StateCodec.SLICES)) {
+      if (change.path("put").asText().startsWith(StateCodec.TASK_BATCHES)) {
         return true;
       }
     }
@@ -96,7 +96,7 @@
   }
 
   static JsonNode shown(SimWorld w, String team) {
-    JsonNode answer = w.answer(Math.max(0, w.owner()), "GET", "/admin/quota/" + team, null);
+    JsonNode answer = w.answer(Math.max(0, w.leader()), "GET", "/admin/quota/" + team, null);
     return answer.path("teams").path(0);
   }
 
--- a/src/test/java/graderelay/RequestStormTest.java
+++ b/src/test/java/graderelay/RequestStormTest.java
@@ -28,7 +28,7 @@
       w.submit(i % 3, old.get(i));
     }
     w.loop.run(60);
-    int node = (w.owner() + 1) % 3;
+    int node = (w.leader() + 1) % 3;
     w.crash(node);
     w.start(node); // It remembers no final state.
     w.loop.run(5);
@@ -49,14 +49,14 @@
   @Test
   void aSwarmOfSubmissionsIsWrittenOnceEach() {
     SimWorld w = world(82, 3);
-    int owner = w.owner();
+    int leader = w.leader();
     long before = w.state.revision();
     // More than the node may write in two seconds: the rest is told at once to come back.
     int[] status = new int[600];
     for (int i = 0; i < 600; i++) {
       Rules.Known j = w.job(String.format("j-%06d", 820000 + i), 1, 1, 1, false);
       w.ask(
-          (owner + 1) % 3,
+          (leader + 1) % 3,
           "POST",
           "/v1/jobs",
           Json.write(w.body(j)),
--- a/src/test/java/graderelay/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/RollingUpgradeTest.java
@@ -36,7 +36,7 @@
   private static SimWorld production(long seed, int size) {
     SimWorld w = SimWorld.inProduction(seed, SimWorld.Shape.of(size), SimWorld.SAME);
     w.loop.run(4);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
@@ -50,7 +50,7 @@
       w.start(i);
     }
     w.loop.run(4);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
@@ -118,9 +118,9 @@
     w.loop.run(SOAK_S + 3);
     assertThat(level(w)).isEqualTo(LATEST);
     assertThat(w.state.value(FeatureCodec.LEADER)).isNotNull();
-    assertThat(w.state.value(StateCodec.OWNER).path("member").asText())
-        .isEqualTo(FeatureCodec.SEALED_OWNER);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.state.value(StateCodec.LEADER).path("member").asText())
+        .isEqualTo(FeatureCodec.SEALED_LEADER);
+    assertThat(w.leader()).isNotNegative();
     allEnd(w, jobs);
   }
 
@@ -157,7 +157,7 @@
     final List<Rules.Known> jobs = steadyJobs(w, 80);
     upgrade(w, 0, pinned(LATEST));
     upgrade(w, 1, pinned(LATEST));
-    int leader = w.owner();
+    int leader = w.leader();
     w.crash(leader);
     w.loop.run(1);
     w.rollBack(1);
@@ -191,7 +191,7 @@
     w.loop.run(4 * SOAK_S);
     assertThat(w.state.value(FeatureCodec.memberKey("m-0"))).isNotNull();
     assertThat(level(w)).isZero();
-    JsonNode shown = show(w, w.owner() == 0 ? 1 : w.owner());
+    JsonNode shown = show(w, w.leader() == 0 ? 1 : w.leader());
     if (shown.has("waits_for")) {
       assertThat(shown.path("waits_for").toString()).contains("m-0");
     }
@@ -202,7 +202,7 @@
   void aControllerThatReturnsOlderInTheSameMomentMakesTheFinalizationFail() {
     SimWorld w = levelled(206, 3, manual(LATEST));
     w.loop.run(SOAK_S + 3);
-    int leader = w.owner();
+    int leader = w.leader();
     int other = (leader + 1) % 3;
     // The finalization is under way for so long that the other controller comes back in between.
     boolean[] delayed = {false};
@@ -237,12 +237,12 @@
     final List<Rules.Known> jobs = steadyJobs(w, 40);
     w.loop.run(SOAK_S + 3);
     w.state.loseAnswer = t -> t.path("then").toString().contains(FeatureCodec.LEVEL);
-    int before = w.owner();
+    int before = w.leader();
     assertThat(change(w, before, "finalize", LATEST).path("http").asInt()).isEqualTo(503);
     w.state.loseAnswer = t -> false;
     w.loop.run(10);
     assertThat(level(w)).isEqualTo(LATEST);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     assertThat(show(w, before).path("level").asInt()).isEqualTo(LATEST);
     allEnd(w, jobs);
   }
@@ -273,7 +273,7 @@
   void aControllerThatTheStateServiceRefusesAloneKeepsTheLevelDownUntilItIsServedAgain() {
     SimWorld w = new SimWorld(209, SimWorld.Shape.of(3));
     w.loop.run(4);
-    int refused = (w.owner() + 1) % 3;
+    int refused = (w.leader() + 1) % 3;
     for (int i = 0; i < 3; i++) {
       w.replace(i, pinned(LATEST));
       w.crash(i);
@@ -308,7 +308,7 @@
     w.loop.run(1);
     w.startAll();
     w.loop.run(10);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     assertThat(w.left).isEmpty();
     assertThat(w.stage(2, "j-000620")).isEqualTo("running");
     allEnd(w, jobs);
@@ -323,7 +323,7 @@
     SimWorld w = levelled(seed, 3, manual(0));
     w.submit(0, w.job("j-000630", 3, 1, 0, false));
     w.loop.run(15);
-    int old = asLeader ? w.owner() : (w.owner() + 1) % 3;
+    int old = asLeader ? w.leader() : (w.leader() + 1) % 3;
     for (int i = 0; i < 3; i++) {
       if (i != old) {
         upgrade(w, i, manual(LATEST));
@@ -340,14 +340,14 @@
     w.replace(old, manual(LATEST));
     w.start(old);
     w.loop.run(SOAK_S + 4);
-    JsonNode answer = change(w, w.owner(), "finalize", LATEST);
+    JsonNode answer = change(w, w.leader(), "finalize", LATEST);
     assertThat(answer.path("http").asInt()).as(answer.toString()).isEqualTo(200);
     w.loop.run(1);
     final int starts = w.rules.starts;
     w.resumeLost(old);
     w.loop.run(10);
     assertThat(w.left).containsKey("m-" + old);
-    assertThat(w.lostNode(old).owner()).isFalse();
+    assertThat(w.lostNode(old).leader()).isFalse();
     assertThat(w.lostNode(old).speaks()).isFalse();
     assertThat(w.lostNode(old).ready()).isFalse();
     // It may have handed the late submission on to a peer that supports the level.
@@ -359,7 +359,7 @@
   @Test
   void aSuspendedOlderControllerKeepsTheLevelFromRising() {
     SimWorld w = levelled(213, 3, pinned(LATEST));
-    int still = (w.owner() + 1) % 3;
+    int still = (w.leader() + 1) % 3;
     w.suspend(still);
     w.loop.run(3 * SOAK_S);
     assertThat(level(w)).isZero();
@@ -372,7 +372,7 @@
   @Test
   void anOlderProgramRefusesToBecomeReadyAndSaysWhy() {
     SimWorld w = finalized(214, 3);
-    int old = (w.owner() + 1) % 3;
+    int old = (w.leader() + 1) % 3;
     w.replace(old, manual(0));
     w.crash(old);
     w.start(old);
@@ -399,13 +399,13 @@
     w.rollBack(1);
     w.start(1);
     w.loop.run(45); // Longer than a suspended controller waits when all others are gone.
-    assertThat(w.owner()).isEqualTo(-1);
+    assertThat(w.leader()).isEqualTo(-1);
     JsonNode cancelled = w.answer(1, "POST", "/v1/jobs/j-000640/withdraw", null);
     assertThat(cancelled.path("http").asInt()).isEqualTo(503);
     w.start(0);
     w.start(2);
     w.loop.run(40);
-    assertThat(w.owner()).isIn(0, 2);
+    assertThat(w.leader()).isIn(0, 2);
     assertThat(w.rules.starts).isGreaterThanOrEqualTo(starts);
     fine(w);
   }
@@ -420,7 +420,7 @@
     w.loop.run(40);
     assertThat(w.state.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
     final int starts = w.rules.starts;
-    assertThat(change(w, w.owner(), "downgrade", target).path("http").asInt()).isEqualTo(200);
+    assertThat(change(w, w.leader(), "downgrade", target).path("http").asInt()).isEqualTo(200);
     w.loop.run(10);
     assertThat(level(w)).isEqualTo(target);
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
@@ -444,7 +444,7 @@
       w.start(i);
       w.loop.run(5);
     }
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     assertThat(w.stage(0, "j-000650")).isEqualTo("running");
   }
 
@@ -455,7 +455,7 @@
     final List<Rules.Known> jobs = steadyJobs(w, 30);
     w.loop.run(40);
     int[] steps = {0};
-    int leader = w.owner();
+    int leader = w.leader();
     w.state.loseAnswer =
         t -> {
           String changes = t.path("then").toString();
@@ -478,7 +478,7 @@
     w.loop.run(25);
     assertThat(level(w)).as("after step " + step + " of " + steps[0]).isZero();
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     allEnd(w, jobs);
   }
 
@@ -528,7 +528,7 @@
     assertThat(w.left).isEmpty();
     w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", LATEST));
     w.loop.run(10);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     Rules.Known job = w.job("j-000660", 1, 1, 2, true);
     w.submit(0, job);
     w.loop.run(30);
@@ -543,7 +543,7 @@
     w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
     w.startAll();
     w.loop.run(10);
-    assertThat(w.owner()).isEqualTo(-1);
+    assertThat(w.leader()).isEqualTo(-1);
     assertThat(w.left).isEmpty();
     assertThat(w.answer(0, "GET", "/ready", null).path("error").asText()).contains("99");
   }
--- a/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
@@ -31,9 +31,9 @@
     for (int i = 1; i < 4; i++) {
       s.tick(i);
       for (Action a : s.take()) {
-        if (a instanceof Action.Hire h && h.spot()) {
+        if (a instanceof Action.ScaleOut h && h.spot()) {
           s.onScaleOutAnswered(h.id(), null, true, i);
-        } else if (a instanceof Action.Hire h) {
+        } else if (a instanceof Action.ScaleOut h) {
           ordinary += h.count();
         }
       }
--- a/src/test/java/graderelay/ScenarioSteps.java
+++ b/src/test/java/graderelay/ScenarioSteps.java
@@ -20,14 +20,14 @@
     return String.format("n-%06d", i);
   }
 
-  /** A machine that reports, hears the owner and has shown it. */
+  /** A machine that reports, hears the leader and has shown it. */
   static void hearing(Scheduler s, String name, double now) {
     SchedulerFixture.machine(s, name, 1, 1, now);
   }
 
-  /** The first slice of the job is stored: a task of it was claimed. */
+  /** The first task batch of the job is stored: a task of it was claimed. */
   static boolean claimed(SimWorld w, Rules.Known j) {
-    return w.state.value(StateCodec.SLICES + j.id + "/0") != null;
+    return w.state.value(StateCodec.TASK_BATCHES + j.id + "/0") != null;
   }
 
   /** Services that run when the story begins. */
--- a/src/test/java/graderelay/SchedulerFixture.java
+++ b/src/test/java/graderelay/SchedulerFixture.java
@@ -26,14 +26,14 @@
   private static final java.util.WeakHashMap<Scheduler, List<Action>> TAKEN =
       new java.util.WeakHashMap<>();
 
-  /** An owner that has taken its first look. */
+  /** A leader that has taken its first look. */
   static Scheduler scheduler(long term) {
     Scheduler s = takingOver(term);
     s.loaded(0);
     return s;
   }
 
-  /** An owner that is still reading the records. */
+  /** A leader that is still reading the records. */
   static Scheduler takingOver(long term) {
     return takingOver(term, Map.of());
   }
@@ -238,8 +238,8 @@
     }
   }
 
-  /** Runs a round and commits what it writes, at the mark given. */
-  static void commitAll(Scheduler s, long mark, double now) {
+  /** Runs a round and commits what it writes, at the revision given. */
+  static void commitAll(Scheduler s, long revision, double now) {
     s.step(now);
     List<Action> all = taken(s);
     for (Action a : new ArrayList<>(all)) {
@@ -247,7 +247,7 @@
         all.remove(a);
         writes(s);
         WRITES.get(s)[0]++;
-        s.onWrite(w.id(), Scheduler.Outcome.COMMITTED, mark, now);
+        s.onWrite(w.id(), Scheduler.Outcome.COMMITTED, revision, now);
       }
     }
     s.step(now + 0.05);
@@ -319,10 +319,10 @@
     return tasks.toArray(new Heartbeat.Entry[0]);
   }
 
-  /** Changes of slices in transactions that nobody has answered. */
+  /** Changes of task batches in transactions that nobody has answered. */
   static int changesOut(Scheduler s) {
     return taken(s).stream()
-        .mapToInt(a -> a instanceof Action.Write w ? w.slices().size() : 0)
+        .mapToInt(a -> a instanceof Action.Write w ? w.taskBatches().size() : 0)
         .sum();
   }
 
--- a/src/test/java/graderelay/SchedulingCostTest.java
+++ b/src/test/java/graderelay/SchedulingCostTest.java
@@ -109,9 +109,9 @@
     for (int k = 0; k < 12; k++) {
       s.onJob(SchedulerFixture.array("j-" + k, 2), false, 5, 0, 0);
     }
-    int mark = 10;
+    int revision = 10;
     for (int i = 0; i < 12; i++) {
-      SchedulerFixture.commitAll(s, mark++, 0.1 + i * 0.1);
+      SchedulerFixture.commitAll(s, revision++, 0.1 + i * 0.1);
     }
     for (int i = 0; i < 6; i++) {
       SchedulerFixture.work(s, name(i), 2, 2, 3);
@@ -120,7 +120,7 @@
     // Twelve tasks have ended, of many jobs; 0.4 s of ten a second are under way.
     assertThat(SchedulerFixture.changesOut(s)).isBetween(1, 4);
     for (int i = 0; i < 40; i++) {
-      SchedulerFixture.commitAll(s, mark++, 5 + i * 0.1);
+      SchedulerFixture.commitAll(s, revision++, 5 + i * 0.1);
     }
     assertThat(s.teamUse().get("team").cpus()).isGreaterThan(0); // The rest has begun.
   }
@@ -134,7 +134,7 @@
     for (int i = 0; i < w.size; i++) {
       assertThat(w.stage(i, j.id)).isEqualTo("done");
     }
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SLICES));
+    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 }
--- a/src/test/java/graderelay/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/SpreadPlacementTest.java
@@ -23,7 +23,7 @@
   private static SimWorld world(long seed, SimWorld.Shape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
@@ -37,7 +37,7 @@
     s.tick(1);
     List<String> zones = new ArrayList<>();
     for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.Hire h) {
+      if (a instanceof Action.ScaleOut h) {
         zones.add(h.zone());
       }
     }
--- a/src/test/java/graderelay/StateOutageTest.java
+++ b/src/test/java/graderelay/StateOutageTest.java
@@ -34,12 +34,12 @@
     w.loop.run(SimWorld.LEASE_S + w.settings(0).beginnersS() - 3);
     w.state.outage(false);
     w.loop.run(20);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     assertThat(w.rules.starts).isEqualTo(starts);
     fine(w);
   }
 
-  /** The same with a cancellation that the owner had not heard of: nobody remembers it now. */
+  /** The same with a cancellation that the leader had not heard of: nobody remembers it now. */
   @ParameterizedTest
   @CsvSource({"a, 3, 6", "a, 0.1, 6", "a, 0.1, 11", "a, 9, 6", "ab, 0.1, 6", "ab, 3, 0.2"})
   void aCancellationJustBeforeAnOutageIsCarriedOutAlsoIfAllControllersRestartInIt(
@@ -49,8 +49,8 @@
     Rules.Known j = w.job("j-000051", 3, 1, 0, false);
     w.submit(0, j);
     w.loop.run(15);
-    int other = (w.owner() + 1) % 3;
-    w.refused[w.owner()][0] = true;
+    int other = (w.leader() + 1) % 3;
+    w.refused[w.leader()][0] = true;
     w.cancel(other, j);
     w.loop.run(0.05);
     assertThat(j.cancelAnswered).isNotNaN();
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/StoredLimitsInCoreTest.java
@@ -53,7 +53,7 @@
     s.onQuota(stored(Account.ABSENT, 19));
     s.step(1);
     Action.Write fence = writes(s).get(0);
-    assertThat(fence.slices()).isEmpty(); // Nothing is claimed before it.
+    assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before it.
     AccountChange change = fence.accounts().get(0);
     s.onWrite(fence.id(), Scheduler.Outcome.COMMITTED, 20, 1);
     s.onQuota(stored(Account.of(change.use(), change.writer(), 20), 20));
@@ -66,7 +66,7 @@
     s.step(2);
     List<Action.Write> writes = writes(s);
     assertThat(writes).hasSize(1);
-    assertThat(writes.get(0).slices()).hasSize(3);
+    assertThat(writes.get(0).taskBatches()).hasSize(3);
     AccountChange raise = writes.get(0).accounts().get(0);
     assertThat(raise.use()).isEqualTo(LIMIT);
     assertThat(raise.onRevision()).isEqualTo(20);
@@ -77,8 +77,8 @@
   void whatIsSeenOfASliceWhileAChangeOfItIsUnderWayCountsAtOnce() {
     Scheduler s = fenced(1);
     s.step(2);
-    assertThat(writes(s).get(0).slices()).hasSize(1);
-    s.onSlice(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
+    assertThat(writes(s).get(0).taskBatches()).hasSize(1);
+    s.onTaskBatch(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
   }
 
--- a/src/test/java/graderelay/StoredLimitsTest.java
+++ b/src/test/java/graderelay/StoredLimitsTest.java
@@ -50,7 +50,7 @@
     w.loop.run(25); // Machines are up.
     List<Rules.Known> jobs = burst(w, "team", "10", 1000, 0.01, 1, 1);
     w.loop.run(4);
-    int leader = w.owner();
+    int leader = w.leader();
     w.isolate(leader, true);
     w.loop.run(12);
     w.isolate(leader, false);
@@ -71,10 +71,10 @@
     w.state.delayS = lateS;
     w.state.delay = t -> isClaim(t);
     w.loop.run(0.6);
-    w.crash(w.owner());
+    w.crash(w.leader());
     w.state.delay = t -> false;
     w.loop.run(20);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     for (int i = 0; i < 3; i++) {
       if (!w.isUp(i)) {
         w.start(i);
@@ -91,10 +91,10 @@
     QuotaRecorder recorder = new QuotaRecorder(w);
     List<Rules.Known> jobs = burst(w, "team", "12", 80, 0.15, 2, 4);
     w.loop.run(6 + seed % 4 * 0.37);
-    int leader = w.owner();
+    int leader = w.leader();
     w.suspend(leader);
     w.loop.run(9);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     w.resume(leader);
     w.loop.run(90);
     allDone(w, recorder, jobs);
@@ -106,9 +106,9 @@
     QuotaRecorder recorder = new QuotaRecorder(w);
     List<Rules.Known> jobs = burst(w, "team", "13", 80, 0.2, 2, 5);
     w.loop.run(7);
-    endNow(w, w.owner());
+    endNow(w, w.leader());
     w.loop.run(5);
-    endNow(w, w.owner());
+    endNow(w, w.leader());
     w.loop.run(110);
     allDone(w, recorder, jobs);
   }
@@ -127,7 +127,7 @@
       cancelled.add(jobs.get(i));
       w.cancel(i % 3, jobs.get(i));
     }
-    endNow(w, w.owner());
+    endNow(w, w.leader());
     w.loop.run(200);
     jobs.removeAll(cancelled);
     allDone(w, recorder, jobs);
@@ -250,13 +250,13 @@
     w.loop.run(16 + seed % 4 * 0.7);
     w.state.ignoredCondition =
         key ->
-            key.equals(StateCodec.OWNER)
+            key.equals(StateCodec.LEADER)
                 || key.equals(FeatureCodec.LEADER)
                 || key.equals(StateCodec.TERM);
     w.state.delayS = 7 + seed % 3 * 2;
     w.state.delay = t -> isClaim(t);
     w.loop.run(1);
-    w.suspend(w.owner());
+    w.suspend(w.leader());
     w.state.delay = t -> false;
     // The next leader can't claim the same tasks of this zone again, and fills the other one.
     w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(x -> x.hang(20));
--- a/src/test/java/graderelay/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/SubmissionBurstTest.java
@@ -23,9 +23,9 @@
   void aBurstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
     SimWorld w = world(461, 5);
     w.loop.run(10);
-    int follower = (w.owner() + 1) % w.size;
+    int follower = (w.leader() + 1) % w.size;
     if (onePeerIsDown) {
-      w.crash((w.owner() + 2) % w.size);
+      w.crash((w.leader() + 2) % w.size);
     }
     List<Rules.Known> burst = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/SuspendedControllersTest.java
@@ -12,12 +12,12 @@
 
 /** Controllers that are away for long and may not stand for election. */
 class SuspendedControllersTest {
-  /** A service runs, and a controller that is not the owner has been down for a while. */
+  /** A service runs, and a controller that is not the leader has been down for a while. */
   private static SimWorld withOneDown(long seed, int size) {
     SimWorld w = world(seed, size);
-    w.submit(w.owner(), w.job("j-000070", 3, 1, 0, false));
+    w.submit(w.leader(), w.job("j-000070", 3, 1, 0, false));
     w.loop.run(20);
-    w.crash((w.owner() + 1) % size);
+    w.crash((w.leader() + 1) % size);
     w.loop.run(10);
     assertThat(w.rules.starts).isEqualTo(3);
     return w;
@@ -27,14 +27,14 @@
   @ValueSource(ints = {3, 5})
   void anOutageWhileAControllerIsAwayCostsNoLease(int size) {
     SimWorld w = withOneDown(71, size);
-    int owner = w.owner();
+    int leader = w.leader();
     w.state.outage(true);
     w.loop.run(SimWorld.LEASE_S + 10);
     w.state.outage(false);
     w.loop.run(20);
     assertThat(w.rules.starts).isEqualTo(3);
     assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
-    w.start((owner + 1) % size);
+    w.start((leader + 1) % size);
     w.loop.run(10);
     fine(w);
   }
@@ -42,14 +42,14 @@
   @Test
   void aControllerThatIsBackTakesOverAsSoonAsItsBarIsLifted() {
     SimWorld w = withOneDown(72, 3);
-    int owner = w.owner();
-    int back = (owner + 1) % 3;
+    int leader = w.leader();
+    int back = (leader + 1) % 3;
     w.start(back);
     w.loop.run(6);
-    w.crash(owner);
-    w.crash((owner + 2) % 3);
+    w.crash(leader);
+    w.crash((leader + 2) % 3);
     w.loop.run(8);
-    assertThat(w.owner()).isEqualTo(back);
+    assertThat(w.leader()).isEqualTo(back);
     w.loop.run(20);
     assertThat(w.rules.starts).isEqualTo(3);
     fine(w);
@@ -58,20 +58,20 @@
   @Test
   void aBarredControllerThatIsLeftAloneTakesOverOnlyWhenNobodyCanCountOnItsBar() {
     SimWorld w = withOneDown(73, 3);
-    int owner = w.owner();
-    int back = (owner + 1) % 3;
-    w.crash(owner);
-    w.crash((owner + 2) % 3);
+    int leader = w.leader();
+    int back = (leader + 1) % 3;
+    w.crash(leader);
+    w.crash((leader + 2) % 3);
     w.start(back);
     w.loop.run(Leadership.BAR_S - 2);
-    assertThat(w.owner()).isNegative();
+    assertThat(w.leader()).isNegative();
     // Another process of it has nothing to count from, and begins anew.
     w.crash(back);
     w.start(back);
     w.loop.run(Leadership.BAR_S - 2);
-    assertThat(w.owner()).isNegative();
+    assertThat(w.leader()).isNegative();
     w.loop.run(10);
-    assertThat(w.owner()).isEqualTo(back);
+    assertThat(w.leader()).isEqualTo(back);
     w.loop.run(20);
     fine(w);
   }
@@ -79,13 +79,13 @@
   @Test
   void anOwnerThatLosesTheStateServiceStopsBeforeABarredControllerCanTakeOver() {
     SimWorld w = withOneDown(74, 3);
-    int owner = w.owner();
-    int other = (owner + 2) % 3;
-    int back = (owner + 1) % 3;
-    // The owner and the third are refused alone; the barred one comes back and is served.
-    w.refused[owner][0] = true;
+    int leader = w.leader();
+    int other = (leader + 2) % 3;
+    int back = (leader + 1) % 3;
+    // The leader and the third are refused alone; the barred one comes back and is served.
+    w.refused[leader][0] = true;
     w.refused[other][0] = true;
-    w.net.cut("c" + owner, "c" + back);
+    w.net.cut("c" + leader, "c" + back);
     w.net.cut("c" + other, "c" + back);
     w.start(back);
     for (int i = 0; i < 600; i++) {
@@ -96,7 +96,7 @@
       }
       assertThat(speaking).isLessThanOrEqualTo(1);
     }
-    assertThat(w.owner()).isEqualTo(back);
+    assertThat(w.leader()).isEqualTo(back);
     fine(w);
   }
 }
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/TakeoverTest.java
@@ -24,7 +24,7 @@
     w.submit(0, j);
     w.loop.run(15);
     int starts = w.rules.starts;
-    w.crash(w.owner());
+    w.crash(w.leader());
     w.loop.run(30);
     assertThat(w.rules.starts).isEqualTo(starts);
     fine(w);
@@ -37,9 +37,9 @@
     w.submit(0, j);
     w.loop.run(15);
     String machine = runner(w, "j-000008/0");
-    int owner = w.owner();
-    w.crash(owner);
-    w.loop.after(3, () -> w.start(owner));
+    int leader = w.leader();
+    w.crash(leader);
+    w.loop.after(3, () -> w.start(leader));
     w.cutOff(machine);
     assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S, 40.0);
     fine(w);
@@ -64,7 +64,7 @@
 
   @Test
   void aSessionThatOnlyDirectOrdersHaveShownHasItsWholeLease() {
-    // A worker that reaches no controller but is reached by the owner: the owner sees a new
+    // A worker that reaches no controller but is reached by the leader: the leader sees a new
     // session in its answers and launches there, and must wait for that session's own lease.
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0.0);
@@ -86,16 +86,16 @@
     Rules.Known j = w.job("j-000050", 3, 1, 0, false);
     w.submit(0, j);
     w.loop.run(15);
-    int owner = w.owner();
-    w.net.cut("c" + owner, "state");
-    w.net.cut("c" + owner, "c" + (owner + 1) % 3);
-    w.net.cut("c" + owner, "c" + (owner + 2) % 3);
+    int leader = w.leader();
+    w.net.cut("c" + leader, "state");
+    w.net.cut("c" + leader, "c" + (leader + 1) % 3);
+    w.net.cut("c" + leader, "c" + (leader + 2) % 3);
     w.loop.run(4);
-    assertThat(w.nodes[owner].owner()).isFalse();
+    assertThat(w.nodes[leader].leader()).isFalse();
     w.loop.run(36);
-    w.net.heal("c" + owner, "state");
+    w.net.heal("c" + leader, "state");
     w.loop.run(10);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     fine(w);
   }
 
@@ -103,10 +103,11 @@
   void aReportUnderAnOlderTermProvesNothingAboutAnEarlierOwnersClaim() {
     Scheduler s = SchedulerFixture.takingOver(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
-    s.onSlice(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
+    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
     s.loaded(0);
     s.onReport(
-        SchedulerFixture.report("n-1", 1, 5, 1), 1); // The earlier owner's launch may be under way.
+        SchedulerFixture.report("n-1", 1, 5, 1),
+        1); // The earlier leader's launch may be under way.
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     assertThat(SchedulerFixture.writes(s)).isZero();
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -38,14 +38,14 @@
   @ParameterizedTest
   @EnumSource(PeerAnswer.class)
   void leasesOutliveAnOutageOnlyIfPeersGrantIt(PeerAnswer how) {
-    // In one zone there is no deputy, so only what the peers grant keeps the leases.
+    // In one zone there is no lease delegate, so only what the peers grant keeps the leases.
     SimWorld w = new SimWorld(441, SimWorld.Shape.of(3).fleet(8, List.of("a")));
     w.loop.run(3);
     Rules.Known service = w.job("j-000001", 1, 1, 0, false);
     w.submit(0, service);
     w.loop.run(15);
     String machine = WorldAssertions.runner(w, "j-000001/0");
-    int leader = w.owner();
+    int leader = w.leader();
     for (int i = 0; i < w.size; i++) {
       if (i != leader) {
         Exchange.Handler usual = w.nodes[i]::handlePeer;
@@ -103,9 +103,9 @@
           new Exchange("POST", "/mesh", "", Json.writeCbor(later), a -> status[0] = a.status()));
       assertThat(status[0]).isEqualTo(404);
     }
-    int leader = w.owner();
+    int leader = w.leader();
     w.crash(leader);
     w.loop.run(10); // Nobody holds back for a pledge that nobody made.
-    assertThat(w.owner()).isNotNegative().isNotEqualTo(leader);
+    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
   }
 }
--- a/src/test/java/graderelay/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/UnreachableMachinesTest.java
@@ -28,12 +28,12 @@
   void aMachineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
     SimWorld w = world(331, 3);
     Rules.Known[] jobs = running(w, 2);
-    int owner = w.owner();
+    int leader = w.leader();
     w.workers.values().forEach(x -> x.hang(hangS));
-    w.cancel(other(w, owner), jobs[0]);
+    w.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.5);
     if (and.equals("owner")) {
-      w.crash(owner);
+      w.crash(leader);
     }
     w.loop.run(hangS + 15);
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
@@ -47,14 +47,14 @@
     running(w, 1);
     w.net.alwaysPooled = true;
     String machine = w.workers.keySet().iterator().next();
-    int owner = w.owner();
-    w.net.cut("c" + owner, machine);
+    int leader = w.leader();
+    w.net.cut("c" + leader, machine);
     Rules.Known j = w.job("j-000481", 3, 1, 30, true);
-    w.submit(other(w, owner), j);
+    w.submit(other(w, leader), j);
     w.loop.run(1.5);
-    w.cancel(other(w, owner), j);
+    w.cancel(other(w, leader), j);
     w.loop.run(6);
-    w.net.heal("c" + owner, machine);
+    w.net.heal("c" + leader, machine);
     w.loop.run(SimWorld.CANCEL_S);
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(j.id + "/0"));
     fine(w);
@@ -84,12 +84,12 @@
         default -> w.net.mute(x.name, true);
       }
     }
-    int owner = w.owner();
-    w.cancel(other(w, owner), jobs.get(0));
-    w.cancel(other(w, owner), jobs.get(1));
+    int leader = w.leader();
+    w.cancel(other(w, leader), jobs.get(0));
+    w.cancel(other(w, leader), jobs.get(1));
     w.loop.run(0.3);
-    w.crash(owner);
-    w.cancel(other(w, owner), jobs.get(2));
+    w.crash(leader);
+    w.cancel(other(w, leader), jobs.get(2));
     w.loop.run(length);
     for (SimWorker x : some) {
       w.net.deaf(x.name, false);
@@ -98,7 +98,7 @@
         w.net.heal("c" + i, x.name);
       }
     }
-    w.start(owner);
+    w.start(leader);
     w.loop.run(SimWorld.CANCEL_S + 20);
     for (int i = 3; i < 6; i++) {
       assertThat(w.stage(0, jobs.get(i).id)).isEqualTo("running");
@@ -136,7 +136,7 @@
         w.net.deaf(m, true);
       }
     }
-    w.crash(w.owner());
+    w.crash(w.leader());
     w.cancel(w.isUp(0) ? 0 : 1, jobs[0]);
     w.loop.run(length);
     for (String m : names) {
@@ -146,7 +146,7 @@
       }
     }
     w.loop.run(140);
-    assertThat(w.stage(w.owner(), longOne.id)).isEqualTo("done");
+    assertThat(w.stage(w.leader(), longOne.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -159,10 +159,10 @@
     w.state.delay = t -> t.toString().contains("g/slice/");
     List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
     w.loop.run(1 + endsAfter);
-    int owner = w.owner();
-    w.crash(owner);
+    int leader = w.leader();
+    w.crash(leader);
     w.loop.run(3);
-    w.start(owner);
+    w.start(leader);
     w.loop.run(60);
     w.state.delay = t -> false;
     w.loop.run(40);
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/UserAnswersTest.java
@@ -74,16 +74,16 @@
     w.lookClosely();
     List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
     w.loop.run(6);
-    int owner = w.owner();
+    int leader = w.leader();
     switch (trouble) {
-      case "refused" -> refuse(w, other(w, owner), true);
+      case "refused" -> refuse(w, other(w, leader), true);
       case "lostAnswers" -> w.state.loseAnswer = t -> w.random.nextInt(3) == 0;
       case "slowState" -> w.state.slowS = 0.7;
       case "ownerEnds" -> {
-        w.crash(owner);
-        w.loop.after(0.3, () -> w.start(owner));
+        w.crash(leader);
+        w.loop.after(0.3, () -> w.start(leader));
       }
-      case "handover" -> refuse(w, owner, true);
+      case "handover" -> refuse(w, leader, true);
       case "late" -> {
         w.state.delayS = 4;
         w.state.delay = t -> w.random.nextInt(4) == 0;
@@ -104,7 +104,7 @@
   @ParameterizedTest
   @CsvSource({"0, false", "0.002, false", "0.01, false", "0.5, false", "0, true"})
   void aCancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
-      double after, boolean ownerEnds) {
+      double after, boolean leaderEnds) {
     SimWorld w = world(312, 3);
     w.lookClosely();
     List<Rules.Known> jobs = new ArrayList<>();
@@ -121,10 +121,10 @@
                   w.cancel(w.random.nextInt(3), j);
                   w.resubmit(w.random.nextInt(3), j);
                   w.poll(w.random.nextInt(3), j);
-                  if (ownerEnds && w.owner() >= 0) {
-                    int owner = w.owner();
-                    w.crash(owner);
-                    w.loop.after(0.2, () -> w.start(owner));
+                  if (leaderEnds && w.leader() >= 0) {
+                    int leader = w.leader();
+                    w.crash(leader);
+                    w.loop.after(0.2, () -> w.start(leader));
                   }
                 });
     w.loop.run(90);
@@ -152,7 +152,7 @@
     lacks.remove("mem_gb");
     Runnable[] states = {
       () -> {},
-      () -> refuse(w, w.owner(), true),
+      () -> refuse(w, w.leader(), true),
       () -> w.state.outage(true),
       () -> {
         w.crashAll();
--- a/src/test/java/graderelay/WorldAssertions.java
+++ b/src/test/java/graderelay/WorldAssertions.java
@@ -12,7 +12,7 @@
   static SimWorld world(long seed, int size) {
     SimWorld w = SimWorld.of(seed, size);
     w.loop.run(3);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
--- a/src/test/java/graderelay/ZonePartitionTest.java
+++ b/src/test/java/graderelay/ZonePartitionTest.java
@@ -19,7 +19,7 @@
   private static SimWorld world(long seed, SimWorld.Shape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
-    assertThat(w.owner()).isNotNegative();
+    assertThat(w.leader()).isNotNegative();
     return w;
   }
 
@@ -36,9 +36,9 @@
     for (int i = 1; i < 4; i++) {
       s.tick(i);
       for (Action a : s.take()) {
-        if (a instanceof Action.Hire h && h.spot()) {
+        if (a instanceof Action.ScaleOut h && h.spot()) {
           s.onScaleOutAnswered(h.id(), null, true, i);
-        } else if (a instanceof Action.Hire h) {
+        } else if (a instanceof Action.ScaleOut h) {
           ordinary += h.count();
         }
       }
@@ -57,13 +57,13 @@
 
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void whatRunsInAZoneThatIsCutOffGoesOnForLongerThanALease(boolean ownersZone) {
+  void whatRunsInAZoneThatIsCutOffGoesOnForLongerThanALease(boolean leadersZone) {
     SimWorld w = spread(62);
-    int owner = w.owner();
-    String zone = (owner % 2 == 0) == ownersZone ? "a" : "b";
+    int leader = w.leader();
+    String zone = (leader % 2 == 0) == leadersZone ? "a" : "b";
     w.net.cutZone(zone, true);
     w.loop.run(2 * SimWorld.LEASE_S + 2);
-    assertThat(w.owner() == owner).isEqualTo(!ownersZone);
+    assertThat(w.leader() == leader).isEqualTo(!leadersZone);
     w.net.cutZone(zone, false);
     w.loop.run(20);
     assertThat(w.rules.starts).as(w.rules.trace().toString()).isEqualTo(6); // Nothing was lost.
@@ -74,14 +74,14 @@
   @ParameterizedTest
   @CsvSource({"2, 12, true", "2, 12, false", "4, 22, true", "4, 22, false", "6, 30, true"})
   void aJobCancelledWhileItsZoneIsCutOffIsGoneInTime(
-      double reportS, double leaseS, boolean ownersZone) {
+      double reportS, double leaseS, boolean leadersZone) {
     SimWorld w = world(62, SimWorld.Shape.of(5).workers(reportS, leaseS));
     w.submit(0, w.job("j-000110", 6, 1, 0, false, true));
     w.loop.run(30);
     assertThat(w.rules.starts).isEqualTo(6);
-    boolean inA = (w.owner() % 2 == 0) == ownersZone;
+    boolean inA = (w.leader() % 2 == 0) == leadersZone;
     w.net.cutZone(inA ? "a" : "b", true);
-    w.loop.run(0.1); // The zone's deputies can know nothing of it.
+    w.loop.run(0.1); // The zone's lease delegates can know nothing of it.
     w.cancel(inA ? 1 : 0, w.rules.jobs.get("j-000110"));
     w.loop.run(SimWorld.CANCEL_S + 20); // The rules are judged all along.
     w.net.cutZone(inA ? "a" : "b", false);
@@ -106,7 +106,7 @@
         .map(x -> x.name)
         .toList()
         .forEach(w::cutOff);
-    // The owner can't know whether they are dead or keep the task alive.
+    // The leader can't know whether they are dead or keep the task alive.
     double longest = w.settings(0).grantS() + SimWorld.LEASE_S;
     assertThat(secondsToNextStart(w)).isBetween(longest - 3, longest + 15);
     fine(w);
@@ -119,8 +119,8 @@
     w.loop.run(20);
     int starts = w.rules.starts;
     for (int i = 0; i < w.size; i++) {
-      if (i != w.owner()) {
-        w.net.cut("c" + i, "c" + w.owner());
+      if (i != w.leader()) {
+        w.net.cut("c" + i, "c" + w.leader());
       }
     }
     w.loop.run(5);
--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -33,7 +33,7 @@
   private final List<Process> processes = new ArrayList<>();
   private final Process[] controllers;
   private final List<String> addresses = new CopyOnWriteArrayList<>();
-  private final List<String> meshAddresses = new ArrayList<>();
+  private final List<String> peerAddresses = new ArrayList<>();
   private final SimState store;
   private final LoopbackFleet fleet;
   private final String state;
@@ -72,7 +72,7 @@
     cloud = listen(loop, clock, fleet);
     for (int i = 0; i < size; i++) {
       addresses.add(freeAddress());
-      meshAddresses.add(freeAddress());
+      peerAddresses.add(freeAddress());
     }
     for (int i = 0; i < size; i++) {
       start(i, options);
@@ -93,7 +93,7 @@
   /** Starts a controller's process with these options, or with nothing switched on. */
   void start(int controller, String options) throws IOException {
     Path settings = folder.resolve("m-" + controller + ".toml");
-    Files.writeString(settings, settings(controller, meshAddresses, state, cloud));
+    Files.writeString(settings, settings(controller, peerAddresses, state, cloud));
     List<String> arguments = new ArrayList<>(List.of("serve"));
     if (options != null) {
       Path file = folder.resolve("options-" + controller + ".toml");
@@ -119,7 +119,7 @@
   /** From their next start on all know the controller by new addresses. */
   void move(int controller) throws IOException {
     addresses.set(controller, freeAddress());
-    meshAddresses.set(controller, freeAddress());
+    peerAddresses.set(controller, freeAddress());
   }
 
   /** Sends a signal to a process that this deployment has started. */
@@ -184,15 +184,15 @@
     }
   }
 
-  private String settings(int i, List<String> mesh, String state, String cloud) {
+  private String settings(int i, List<String> peerClient, String state, String cloud) {
     StringBuilder s = new StringBuilder();
     s.append("member = \"m-").append(i).append("\"\nzone = \"a\"\n");
     s.append("api_addr = \"").append(addresses.get(i)).append("\"\n");
-    s.append("mesh_addr = \"").append(mesh.get(i)).append("\"\n");
-    for (int k = 0; k < mesh.size(); k++) {
+    s.append("mesh_addr = \"").append(peerClient.get(i)).append("\"\n");
+    for (int k = 0; k < peerClient.size(); k++) {
       if (k != i) {
         s.append("[[peers]]\nmember = \"m-").append(k).append("\"\nzone = \"a\"\n");
-        s.append("address = \"").append(mesh.get(k)).append("\"\n");
+        s.append("address = \"").append(peerClient.get(k)).append("\"\n");
       }
     }
     s.append("[outside]\ncloud = \"").append(cloud).append("\"\n");
--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -35,7 +35,7 @@
   private final HttpClient client;
   private final List<String> controllers;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
-  private final Map<String, ArrayNode> hires = new LinkedHashMap<>();
+  private final Map<String, ArrayNode> scaleOuts = new LinkedHashMap<>();
   private final Map<String, String> runningOn = new LinkedHashMap<>();
   private final Set<String> done = new HashSet<>();
   private final List<String> broken = new ArrayList<>();
@@ -91,7 +91,7 @@
         switch (e.path()) {
           case "/machine_types" -> Json.read(types());
           case "/machines/delete" -> delete(Json.read(e.body()));
-          default -> e.method().equals("GET") ? list() : hire(Json.read(e.body()));
+          default -> e.method().equals("GET") ? list() : scaleOut(Json.read(e.body()));
         };
     if (answer == null) {
       e.to().accept(Answer.json(503, Json.error("no capacity")));
@@ -124,11 +124,11 @@
     return Json.object();
   }
 
-  private JsonNode hire(JsonNode request) {
+  private JsonNode scaleOut(JsonNode request) {
     ArrayNode names =
-        hires.computeIfAbsent(
+        scaleOuts.computeIfAbsent(
             request.path("hire").asText(),
-            hire -> {
+            scaleOut -> {
               ArrayNode rented = Json.array();
               int wanted = request.path("how_many").asInt();
               for (int i = 0; i < wanted && workers.size() < machines; i++) {
@@ -139,7 +139,7 @@
               return rented;
             });
     if (names.isEmpty()) {
-      hires.remove(request.path("hire").asText());
+      scaleOuts.remove(request.path("hire").asText());
       return null;
     }
     ObjectNode n = Json.object();
--- a/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
@@ -34,9 +34,9 @@
     for (int i = 0; i < 3; i++) {
       var status = d.run("status", "--server", d.address(i), "--json");
       if (status.code() == 0) {
-        String owner =
+        String leader =
             Json.read(status.out().getBytes(StandardCharsets.UTF_8)).path("owner").asText();
-        return owner.startsWith("m-") ? Integer.parseInt(owner.substring(2)) : -1;
+        return leader.startsWith("m-") ? Integer.parseInt(leader.substring(2)) : -1;
       }
     }
     return -1;
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -60,21 +60,21 @@
   private static final String TEAM = "team";
   private static final double RELEASE_S = 5;
 
-  private record Slice(Amount use, long revision) {}
+  private record TaskBatch(Amount use, long revision) {}
 
   private record Condition(String key, long revision) {}
 
-  /** {@code account} and {@code slice} are null where the transaction is not about them. */
+  /** {@code account} and {@code taskBatch} are null where the transaction is not about them. */
   private record Transaction(
       int claimer,
       List<Condition> conditions,
       AccountChange account,
-      String slice,
+      String taskBatch,
       Amount use,
       boolean claims) {}
 
   private final Mutation mutation;
-  private final Map<String, Slice> slices = new TreeMap<>();
+  private final Map<String, TaskBatch> taskBatches = new TreeMap<>();
   private final Set<String> releasedEarly = new HashSet<>();
   private final List<Transaction> late = new ArrayList<>();
   private final AdmissionControl[] claimers = new AdmissionControl[2];
@@ -82,7 +82,7 @@
   private LimitRecord limit = limited(4000, 1);
   private boolean tampered;
   private long revision = 1;
-  private int nextSlice;
+  private int nextBatch;
   private int nextClaimer;
   private double now;
 
@@ -103,7 +103,7 @@
   }
 
   Amount claims() {
-    return slices.values().stream().map(Slice::use).reduce(Amount.NONE, Amount::plus);
+    return taskBatches.values().stream().map(TaskBatch::use).reduce(Amount.NONE, Amount::plus);
   }
 
   Account account() {
@@ -152,7 +152,7 @@
   }
 
   private void read(AdmissionControl claimer) {
-    slices.forEach(
+    taskBatches.forEach(
         (id, s) -> {
           if (!releasedEarly.contains(id)) {
             claimer.committed().put(id, 0, TEAM, s.revision(), s.use());
@@ -170,10 +170,10 @@
     } else if (claimer.fits(TEAM, use)) {
       claimer.placed(TEAM, use);
       AccountChange change = claimer.claim(TEAM);
-      String slice = "slice-" + nextSlice++;
+      String taskBatch = "slice-" + nextBatch++;
       List<Condition> conditions = conditions(change);
-      conditions.add(new Condition(slice, 0));
-      send(new Transaction(s.claimer(), conditions, change, slice, use, true), s.fate());
+      conditions.add(new Condition(taskBatch, 0));
+      send(new Transaction(s.claimer(), conditions, change, taskBatch, use, true), s.fate());
     }
   }
 
@@ -188,17 +188,17 @@
   }
 
   private void end(Step.End s) {
-    List<String> standing = new ArrayList<>(slices.keySet());
+    List<String> standing = new ArrayList<>(taskBatches.keySet());
     if (standing.isEmpty()) {
       return;
     }
-    String slice = standing.get(s.pick() % standing.size());
+    String taskBatch = standing.get(s.pick() % standing.size());
     if (mutation == Mutation.RELEASE_BEFORE_THE_END_HAS_COMMITTED) {
-      releasedEarly.add(slice);
-      claimers[s.claimer()].committed().removeJob(slice);
+      releasedEarly.add(taskBatch);
+      claimers[s.claimer()].committed().removeJob(taskBatch);
     }
-    List<Condition> on = List.of(new Condition(slice, slices.get(slice).revision()));
-    send(new Transaction(s.claimer(), on, null, slice, Amount.NONE, false), s.fate());
+    List<Condition> on = List.of(new Condition(taskBatch, taskBatches.get(taskBatch).revision()));
+    send(new Transaction(s.claimer(), on, null, taskBatch, Amount.NONE, false), s.fate());
   }
 
   private void writeAccount(Step.WriteAccount s) {
@@ -218,8 +218,8 @@
     AdmissionControl claimer = claimers[t.claimer()];
     List<AccountChange> changes = t.account() == null ? List.of() : List.of(t.account());
     if (fate == Fate.ANSWERED && commit(t)) {
-      if (t.slice() != null) {
-        claimer.committed().put(t.slice(), 0, TEAM, revision, t.use());
+      if (t.taskBatch() != null) {
+        claimer.committed().put(t.taskBatch(), 0, TEAM, revision, t.use());
       }
       claimer.committed(changes, revision);
       if (mutation == Mutation.NO_READ_AFTER_THE_FENCE) {
@@ -246,7 +246,7 @@
     return switch (key) {
       case "account" -> account.revision();
       case "limit" -> limit.revision();
-      default -> slices.containsKey(key) ? slices.get(key).revision() : 0;
+      default -> taskBatches.containsKey(key) ? taskBatches.get(key).revision() : 0;
     };
   }
 
@@ -261,8 +261,8 @@
       account = Account.of(t.account().use(), t.account().writer(), revision);
       tampered = false;
     }
-    if (t.slice() != null) {
-      slices.put(t.slice(), new Slice(t.use(), revision));
+    if (t.taskBatch() != null) {
+      taskBatches.put(t.taskBatch(), new TaskBatch(t.use(), revision));
     }
     committedClaims += t.claims() ? 1 : 0;
     judge(t.claims());
--- a/src/test/java/graderelay/sim/FaultInjector.java
+++ b/src/test/java/graderelay/sim/FaultInjector.java
@@ -25,7 +25,7 @@
 
   private void apply(Fault f) {
     int controller = f.pick() % world.size;
-    int leader = world.owner() < 0 ? controller : world.owner();
+    int leader = world.leader() < 0 ? controller : world.leader();
     world.rules.log("fault " + f);
     switch (f.kind()) {
       case CONTROLLER_CRASH -> restart(controller, f.length());
@@ -173,8 +173,8 @@
       world.loop.after(
           i * (1 + f.pick() % 9),
           () -> {
-            if (world.owner() >= 0) {
-              restart(world.owner(), 0.2 + f.pick() % 7);
+            if (world.leader() >= 0) {
+              restart(world.leader(), 0.2 + f.pick() % 7);
             }
           });
     }
@@ -220,7 +220,7 @@
 
   /** Copies of reports that were kept come to all controllers once another leads. */
   private void deliverToNext(int before, int tries) {
-    if (world.owner() >= 0 && (world.owner() != before || tries == 0)) {
+    if (world.leader() >= 0 && (world.leader() != before || tries == 0)) {
       String[] all = new String[world.size];
       for (int i = 0; i < world.size; i++) {
         all[i] = "c" + i + ":80";
--- a/src/test/java/graderelay/sim/ProductionVersion.java
+++ b/src/test/java/graderelay/sim/ProductionVersion.java
@@ -15,7 +15,7 @@
 /**
  * Makes a controller behave as the version in production does where the present one differs: it
  * neither reads nor writes the fields that it doesn't know, so that it drops them from every record
- * that it rewrites, and it can't read packed slices. Which fields it knows is what {@code
+ * that it rewrites, and it can't read packed task batches. Which fields it knows is what {@code
  * ProductionFormatsTest} checks against that version's own bytes.
  */
 final class ProductionVersion {
@@ -113,7 +113,7 @@
       record.remove("needs");
     } else if (key.startsWith(StateCodec.ENDS)) {
       record.remove("at");
-    } else if (key.startsWith(StateCodec.SLICES) && !record.has("done") && !record.has("a")) {
+    } else if (key.startsWith(StateCodec.TASK_BATCHES) && !record.has("done") && !record.has("a")) {
       rules.unreadable(key);
     }
   }
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -23,11 +23,11 @@
  * exceeds what is claimed, and no account is below the claims.
  */
 public final class QuotaRecorder {
-  private record SliceClaims(String team, Amount amount) {}
+  private record BatchClaims(String team, Amount amount) {}
 
   private final SimWorld world;
   private final Map<String, JobSpec> jobs = new HashMap<>();
-  private final Map<String, SliceClaims> slices = new HashMap<>();
+  private final Map<String, BatchClaims> taskBatches = new HashMap<>();
   private final Map<String, Amount> claims = new HashMap<>();
   private final Map<String, Double> peaks = new HashMap<>();
 
@@ -71,8 +71,8 @@
       String key = change.has("put") ? change.get("put").asText() : change.get("drop").asText();
       if (key.startsWith(StateCodec.JOBS)) {
         job(key.substring(StateCodec.JOBS.length()), change.get("data"));
-      } else if (key.startsWith(StateCodec.SLICES)) {
-        touched.add(slice(key, change.get("data")));
+      } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
+        touched.add(taskBatch(key, change.get("data")));
       } else if (key.startsWith(QuotaCodec.ACCOUNTS) && change.has("put")) {
         touched.add(QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS));
       }
@@ -87,30 +87,30 @@
       return;
     }
     jobs.remove(id); // Its end has committed, and with it that of all its claims.
-    slices.keySet().stream()
-        .filter(key -> StateCodec.sliceOf(key).job().equals(id))
+    taskBatches.keySet().stream()
+        .filter(key -> StateCodec.batchOf(key).job().equals(id))
         .toList()
         .forEach(this::forget);
   }
 
   private void forget(String key) {
-    SliceClaims old = slices.remove(key);
+    BatchClaims old = taskBatches.remove(key);
     if (old != null) {
       claims.merge(old.team(), Amount.NONE.minus(old.amount()), Amount::plus);
     }
   }
 
-  /** Takes a slice's new record and returns its team, or null. */
-  private String slice(String key, JsonNode value) {
+  /** Takes a task batch's new record and returns its team, or null. */
+  private String taskBatch(String key, JsonNode value) {
     forget(key);
-    TaskBatchKey slice = StateCodec.sliceOf(key);
-    JobSpec job = jobs.get(slice.job());
+    TaskBatchKey taskBatch = StateCodec.batchOf(key);
+    JobSpec job = jobs.get(taskBatch.job());
     if (value == null || job == null) {
       return null;
     }
-    int count = StateCodec.slice(value).claimedCount();
+    int count = StateCodec.taskBatch(value).claimedCount();
     Amount amount = Amount.needed(job.cpus(), job.gpus()).times(count);
-    slices.put(key, new SliceClaims(job.team(), amount));
+    taskBatches.put(key, new BatchClaims(job.team(), amount));
     claims.merge(job.team(), amount, Amount::plus);
     return job.team();
   }
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -27,7 +27,8 @@
 
   /**
    * Refusals for size by which controllers may find out that the limits are lower, on days on which
-   * slices from before do not fit them: some for each controller that leads, and for each slice.
+   * task batches from before do not fit them: some for each controller that leads, and for each
+   * task batch.
    */
   private static final int MOST_TOO_LARGE = 40;
 
@@ -144,7 +145,9 @@
 
   // ---------------------------------------------------------------- users
 
-  /** A job whose slices, as the version in production makes them, don't fit the lower limits. */
+  /**
+   * A job whose task batches, as the version in production makes them, don't fit the lower limits.
+   */
   private void largeJob() {
     SplittableRandom r = new SplittableRandom(random.nextLong());
     Rules.Known job =
@@ -231,7 +234,7 @@
     List<String> broken = new ArrayList<>();
     for (Rules.Known job : mustEnd) {
       if (job.accepted && !job.cancelWanted() && !job.lastStage.equals("done")) {
-        broken.add("never done: " + job.id + ", owner " + world.owner());
+        broken.add("never done: " + job.id + ", owner " + world.leader());
       }
     }
     broken.addAll(unanswered());
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -28,7 +28,7 @@
   private final SimWorld world;
   private final List<Type> types;
   private final List<String> zones;
-  private final Map<String, ArrayNode> hires = new HashMap<>();
+  private final Map<String, ArrayNode> scaleOuts = new HashMap<>();
   private final TreeMap<String, Rented> rented = new TreeMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
   private int next = 1;
@@ -87,7 +87,7 @@
         if (e.method().equals("GET")) {
           page(out, Query.parse(e.query()));
         } else {
-          hire(e, Json.read(e.body()));
+          scaleOut(e, Json.read(e.body()));
           return;
         }
       }
@@ -121,9 +121,9 @@
     out.put("truncated", truncated);
   }
 
-  private void hire(Exchange e, JsonNode n) {
+  private void scaleOut(Exchange e, JsonNode n) {
     String name = n.path("hire").asText();
-    ArrayNode names = hires.get(name);
+    ArrayNode names = scaleOuts.get(name);
     if (names == null) {
       names = Json.array();
       int want = n.path("how_many").asInt();
@@ -135,7 +135,7 @@
         e.to().accept(Answer.json(503, Json.error("no capacity")));
         return;
       }
-      hires.put(name, names);
+      scaleOuts.put(name, names);
     }
     ObjectNode out = Json.object();
     out.set("saws", names);
--- a/src/test/java/graderelay/sim/SimState.java
+++ b/src/test/java/graderelay/sim/SimState.java
@@ -22,9 +22,9 @@
 /** The state service, written from the published protocol. */
 public final class SimState implements Exchange.Handler {
   /** One stored key. */
-  public record Item(JsonNode value, long mark, long hold) {}
+  public record Item(JsonNode value, long revision, long hold) {}
 
-  private record Change(String key, JsonNode value, long mark) {}
+  private record Change(String key, JsonNode value, long revision) {}
 
   private record Watcher(
       String prefix, long after, Exchange e, boolean[] over, boolean[] refused) {}
@@ -236,7 +236,7 @@
   }
 
   private static void show(ObjectNode n, String key, Item i) {
-    n.put("key", key).put("mark", i.mark());
+    n.put("key", key).put("mark", i.revision());
     n.set("data", i.value());
     if (i.hold() > 0) {
       n.put("permit", i.hold());
@@ -300,7 +300,7 @@
       if (ignoredCondition.test(c.path("key").asText())) {
         continue;
       }
-      if ((i == null ? 0 : i.mark()) != c.path("mark").asLong()) {
+      if ((i == null ? 0 : i.revision()) != c.path("mark").asLong()) {
         failed.add(c.path("key").asText());
       }
     }
@@ -366,11 +366,11 @@
     ObjectNode n = Json.object().put("ledger", revision);
     ArrayNode news = n.putArray("news");
     for (Change c : changes) {
-      if (c.mark() > w.after() && c.key().startsWith(w.prefix())) {
+      if (c.revision() > w.after() && c.key().startsWith(w.prefix())) {
         if (c.value() == null) {
-          news.addObject().put("drop", c.key()).put("mark", c.mark());
+          news.addObject().put("drop", c.key()).put("mark", c.revision());
         } else {
-          news.addObject().put("put", c.key()).put("mark", c.mark()).set("data", c.value());
+          news.addObject().put("put", c.key()).put("mark", c.revision()).set("data", c.value());
         }
       }
     }
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -426,9 +426,9 @@
   }
 
   /** The controller that owns the fleet, or -1. */
-  public int owner() {
+  public int leader() {
     for (int i = 0; i < size; i++) {
-      if (!dead[i][0] && nodes[i].owner()) {
+      if (!dead[i][0] && nodes[i].leader()) {
         return i;
       }
     }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -80,9 +80,9 @@
     return StateCodec.job(id, ProductionFormats.record(StateCodec.jobKey(id)));
   }
 
-  private static TaskBatchRecord storedSlice(String job, int index) {
-    return StateCodec.slice(
-        ProductionFormats.record(StateCodec.sliceKey(new TaskBatchKey(job, index))));
+  private static TaskBatchRecord storedBatch(String job, int index) {
+    return StateCodec.taskBatch(
+        ProductionFormats.record(StateCodec.taskBatchKey(new TaskBatchKey(job, index))));
   }
 
   private static Set<String> fields(JsonNode n) {
@@ -136,7 +136,7 @@
 
   @Test
   void storedSlicesAreReadTaskByTask() {
-    TaskBatchRecord largest = storedSlice("j-000001", 0);
+    TaskBatchRecord largest = storedBatch("j-000001", 0);
     assertThat(largest.size()).isEqualTo(500);
     for (int i = 0; i < 500; i++) {
       boolean claimed = i % 5 < 3 && i % 13 > 0;
@@ -146,8 +146,8 @@
           .isEqualTo(claimed ? String.format("n-%06d", 100 + i / 4) : null);
       assertThat(largest.session(i)).isEqualTo(claimed ? 1 + i / 4 % 3 : 0);
     }
-    assertThat(storedSlice("j-000003", 0).claimedCount()).isEqualTo(4);
-    assertThat(storedSlice("j-000001", 1).doneCount()).isEqualTo(500);
+    assertThat(storedBatch("j-000003", 0).claimedCount()).isEqualTo(4);
+    assertThat(storedBatch("j-000001", 1).doneCount()).isEqualTo(500);
   }
 
   @Test
@@ -156,8 +156,8 @@
         .isEqualTo(new Cache.End(false, 60, 0));
     assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000005")))
         .isEqualTo(new Cache.End(true, 6, 0));
-    assertThat(StateCodec.owner(ProductionFormats.record(StateCodec.OWNER)))
-        .isEqualTo(new StateCodec.Owner("m-1", 41, "10.0.0.2:8081"));
+    assertThat(StateCodec.leader(ProductionFormats.record(StateCodec.LEADER)))
+        .isEqualTo(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081"));
     assertThat(StateCodec.images(ProductionFormats.record("g/images/0")))
         .isEqualTo(
             Map.of(
@@ -176,7 +176,8 @@
 
   @Test
   void whatAnOldControllerMayReadIsWrittenByteForByteAsItWouldWriteIt() {
-    assertStoredAs("g/owner", StateCodec.owner(new StateCodec.Owner("m-1", 41, "10.0.0.2:8081")));
+    assertStoredAs(
+        "g/owner", StateCodec.leader(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081")));
     assertStoredAs("g/term", StateCodec.term(41, "m-1"));
     assertStoredAs("g/bar/m-2", StateCodec.bar(""));
     assertStoredAs("g/bar/m-0", StateCodec.bar("3fe0a1"));
@@ -184,9 +185,9 @@
     assertStoredAs("g/job/j-000001", StateCodec.job(storedJob("j-000001"), false));
     assertStoredAs("g/job/j-000002", StateCodec.job(storedJob("j-000002"), false));
     assertStoredAs("g/job/j-000003", StateCodec.job(storedJob("j-000003"), true));
-    assertStoredAs("g/slice/j-000003/0", StateCodec.slice(storedSlice("j-000003", 0)));
-    assertStoredAs("g/slice/j-000001/0", StateCodec.slice(storedSlice("j-000001", 0)));
-    assertStoredAs("g/slice/j-000001/1", StateCodec.slice(storedSlice("j-000001", 1)));
+    assertStoredAs("g/slice/j-000003/0", StateCodec.taskBatch(storedBatch("j-000003", 0)));
+    assertStoredAs("g/slice/j-000001/0", StateCodec.taskBatch(storedBatch("j-000001", 0)));
+    assertStoredAs("g/slice/j-000001/1", StateCodec.taskBatch(storedBatch("j-000001", 1)));
     OperatorSettings defaults = OperatorSettings.defaults(500, "info");
     assertStoredAs(
         "g/settings",
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -29,8 +29,8 @@
 /**
  * Records that the codecs of commit a8224e6 stored are read by the present codecs with every field,
  * see {@code src/test/resources/stored-records-a8224e6/README.md}. Unlike {@link
- * ProductionFormatsTest} it covers the kinds that came after the version in production: packed
- * slices, final states with their time, stored limits and accounts, feature levels, members and
+ * ProductionFormatsTest} it covers the kinds that came after the version in production: packed task
+ * batches, final states with their time, stored limits and accounts, feature levels, members and
  * compact hints.
  */
 class StoredRecordsOfA8224e6Test {
@@ -128,7 +128,7 @@
         List.of());
   }
 
-  private static void assertMixedSlice(TaskBatchRecord read, String name) {
+  private static void assertMixedBatch(TaskBatchRecord read, String name) {
     assertThat(read.size()).as(name).isEqualTo(ATTEMPTS.length);
     for (int i = 0; i < ATTEMPTS.length; i++) {
       assertThat(read.attempt(i)).as(name + " attempt " + i).isEqualTo(ATTEMPTS[i]);
@@ -159,8 +159,8 @@
 
   @Test
   void electionRecordsAreReadWithEveryField() {
-    assertThat(StateCodec.owner(record("owner")))
-        .isEqualTo(new StateCodec.Owner("m-2", 57, "10.0.0.3:8081"));
+    assertThat(StateCodec.leader(record("owner")))
+        .isEqualTo(new StateCodec.LeaderRecord("m-2", 57, "10.0.0.3:8081"));
     JsonNode term = record("term");
     assertThat(term.path("term").asLong()).isEqualTo(57);
     assertThat(term.path("member").asText()).isEqualTo("m-2");
@@ -184,9 +184,9 @@
 
   @Test
   void slicesAreReadTaskByTaskInEachForm() {
-    assertMixedSlice(StateCodec.slice(record("slice-plain")), "plain");
-    assertMixedSlice(StateCodec.slice(record("slice-packed")), "packed");
-    TaskBatchRecord done = StateCodec.slice(record("slice-done"));
+    assertMixedBatch(StateCodec.taskBatch(record("slice-plain")), "plain");
+    assertMixedBatch(StateCodec.taskBatch(record("slice-packed")), "packed");
+    TaskBatchRecord done = StateCodec.taskBatch(record("slice-done"));
     assertThat(done.size()).isEqualTo(500);
     assertThat(done.doneCount()).isEqualTo(500);
     assertThat(done.claimedCount()).isZero();
@@ -242,14 +242,15 @@
     assertThat(keys)
         .containsOnlyKeys(
             "job", "end", "slice", "suspension", "quota-limit", "quota-account", "feature-member");
-    assertThat(StateCodec.sliceOf(keys.get("slice"))).isEqualTo(new TaskBatchKey("j-000007", 3));
+    assertThat(StateCodec.batchOf(keys.get("slice"))).isEqualTo(new TaskBatchKey("j-000007", 3));
     assertThat(QuotaCodec.teamOf(keys.get("quota-limit"), QuotaCodec.LIMITS))
         .isEqualTo("blue team/ä");
     assertThat(QuotaCodec.teamOf(keys.get("quota-account"), QuotaCodec.ACCOUNTS))
         .isEqualTo("blue team/ä");
     assertThat(keys.get("job")).isEqualTo(StateCodec.jobKey("j-000007"));
     assertThat(keys.get("end")).isEqualTo(StateCodec.endKey("j-000007"));
-    assertThat(keys.get("slice")).isEqualTo(StateCodec.sliceKey(new TaskBatchKey("j-000007", 3)));
+    assertThat(keys.get("slice"))
+        .isEqualTo(StateCodec.taskBatchKey(new TaskBatchKey("j-000007", 3)));
     assertThat(keys.get("suspension")).isEqualTo(StateCodec.barKey("m-2"));
     assertThat(keys.get("quota-limit")).isEqualTo(QuotaCodec.limitKey("blue team/ä"));
     assertThat(keys.get("quota-account")).isEqualTo(QuotaCodec.accountKey("blue team/ä"));
