--- a/src/test/java/graderelay/AdminTest.java
+++ b/src/test/java/graderelay/AdminTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aWrongSettingIsRefusedWithItsNameAndRange() {
+  void invalidSettingIsRefusedWithItsNameAndRange() {
     SimWorld w = world(1);
     JsonNode a = put(w, 0, "{\"sample_size\":0}", null);
     assertThat(a.path("http").asInt()).isEqualTo(400);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aSettingChangedOnOneNodeHoldsOnAllAndALostRaceIsTold() {
+  void settingChangedOnOneControllerHoldsOnAllAndLostRaceIsConflict() {
     SimWorld w = world(2);
     long revision = w.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
     assertThat(put(w, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aDrainedMachineIsEmptiedAndStaysSoOverATakeover() {
+  void drainedMachineIsEmptiedAndStaysSoOverFailover() {
     SimWorld w = world(4);
     Rules.Known j = w.job("j-000002", 2, 2, 0, false);
     w.submit(0, j);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void anyNodeTellsWhatOnlyTheOwnerKnows() {
+  void anyControllerAnswersWhatOnlyTheLeaderKnows() {
     SimWorld w = world(5);
     Rules.Known j = w.job("j-000003", 30, 4, 50, true);
     w.submit(0, j);
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void aWrongSettingsFileIsRefusedByFieldAndUnknownFieldsAreIgnored() throws Exception {
+  void invalidSettingsFileIsRefusedByFieldAndUnknownFieldsAreIgnored() throws Exception {
     String good =
         """
         member = "m"
@@ -186,7 +186,7 @@
   }
 
   @Test
-  void aFleetIsListedInPagesAndByStateFromAnyNode() {
+  void fleetIsListedInPagesAndByStateFromAnyController() {
     SimWorld w = world(8);
     w.submit(0, w.job("j-000090", 5, 4, 0, false));
     w.loop.run(15);
--- a/src/test/java/graderelay/BadDependenciesTest.java
+++ b/src/test/java/graderelay/BadDependenciesTest.java
@@ -84,7 +84,7 @@
 
   @ParameterizedTest
   @EnumSource(Asked.class)
-  void aListThatIsMalformedIsRefusedInEveryState(Asked how) {
+  void malformedDependencyListIsRefusedInEveryState(Asked how) {
     Jobs jobs = new Jobs();
     int node = jobs.bring(how);
     assertRefused(jobs.submit(node, jobs.submission("\"j-000601\"")), 400, "list");
@@ -152,7 +152,7 @@
 
   @ParameterizedTest
   @EnumSource(Asked.class)
-  void aRetryOfAnAcceptedSubmissionIsNeverRefused(Asked how) {
+  void retryOfAcceptedSubmissionIsNeverRefused(Asked how) {
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[\"" + jobs.live.id + "\"]");
     assertThat(jobs.submit(0, body).path("http").asInt()).isEqualTo(201);
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void moreNamesThanASubmissionMayHaveAreRefusedWithTheLimit() {
+  void moreDependenciesThanAllowedAreRefusedWithTheLimit() {
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[]");
     for (int i = 0; i <= UserCodec.MOST_NEEDS; i++) {
@@ -185,7 +185,7 @@
 
   /** What is done need not be kept; of what is not over yet, a record holds only so many names. */
   @Test
-  void moreLiveJobsThanARecordHoldsAreRefusedWithTheReason() {
+  void moreLiveDependenciesThanOneRecordHoldsAreRefusedWithReason() {
     SimWorld w = new SimWorld(452, SimWorld.Shape.of(3), RandomDay.LOWER);
     w.loop.run(3);
     w.answer(0, "POST", "/admin/claims/pause", null);
--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/CancellationInOutageTest.java
@@ -43,7 +43,7 @@
     "5, a, 0.1, 0.2, 60", "3, ab, 0, 0.05, 60", "3, a, 1, 1.2, 60", "3, ab, 2, 2.1, 60",
     "3, a, 5, 5.1, 60", "5, ab, 9, 10, 60", "3, ab, 0.8, 10, 90", "1, a, 0, 0.05, 60"
   })
-  void aCancellationThatTheOwnerCouldNotReadIsCarriedOutThroughAnOutageForAll(
+  void cancellationTheLeaderCouldNotReadIsCarriedOutThroughTotalOutage(
       int size, String zones, double cancelAfter, double outageAfter, double length) {
     SimWorld w = zoned(301, size, zones);
     Rules.Known[] jobs = running(w, 3);
@@ -65,7 +65,7 @@
 
   @ParameterizedTest
   @CsvSource({"3, ab", "3, a", "5, ab", "5, a"})
-  void theTasksOfAJobCancelledAtAnotherControllerAreStoppedWithinTheOutage(int size, String zones) {
+  void tasksOfJobCancelledAtAnotherControllerStopWithinTheOutage(int size, String zones) {
     SimWorld w = zoned(302, size, zones);
     Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
@@ -92,12 +92,12 @@
 
   @ParameterizedTest
   @CsvSource({"a, 0.05, -1", "ab, 0.05, -1", "a, 0.05, 2", "ab, 1, 8", "a, 1, 0.2"})
-  void aGatewayThatEndsRightAfterConfirmingTakesItsKnowledgeWithIt(
+  void peerThatEndsRightAfterConfirmingTakesItsKnowledgeWithIt(
       String zones, double endsAfter, double backAfter) {
     SimWorld w = zoned(303, 3, zones);
-    Rules.Known[] jobs = running(w, 2);
+    final Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
-    int gateway = other(w, leader);
+    final int gateway = other(w, leader);
     refuse(w, (leader + 2) % 3, true); // So that the third does not read of it either.
     w.loop.run(3);
     refuse(w, leader, true);
@@ -123,9 +123,9 @@
 
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void aBarredControllerConfirmsNoCancellationThatTheOwnerCannotRead(int size) {
+  void suspendedMemberConfirmsNoCancellationTheLeaderCannotRead(int size) {
     SimWorld w = oneZone(304, size);
-    Rules.Known[] jobs = running(w, 2);
+    final Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
     int barred = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
@@ -146,9 +146,9 @@
   }
 
   @Test
-  void aBarredControllerDoesNotRepeatWhatOthersHaveCancelled() {
+  void suspendedMemberDoesNotRepeatCancellationsOfOthers() {
     SimWorld w = oneZone(305, 3);
-    Rules.Known[] jobs = running(w, 1);
+    final Rules.Known[] jobs = running(w, 1);
     int leader = w.leader();
     int barred = other(w, leader);
     w.net.cut("c" + leader, "c" + barred);
@@ -169,9 +169,9 @@
 
   @ParameterizedTest
   @CsvSource({"true, 0.1", "true, 5", "false, 0.1", "false, 5"})
-  void aDeputyKnowsNoMoreThanTheOwnerThatMadeItOne(boolean leadersZone, double outageAfter) {
+  void leaseDelegateKnowsNoMoreThanItsLeader(boolean leadersZone, double outageAfter) {
     SimWorld w = world(306, 5);
-    Rules.Known[] jobs = running(w, 3);
+    final Rules.Known[] jobs = running(w, 3);
     int leader = w.leader();
     // The leader lives on promises already when the zone is cut.
     refuse(w, leader, true);
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void leasesKeptWithoutAnOwnerEndTheTasksOfACancelledJob() {
+  void leasesKeptWithoutLeaderEndTasksOfCancelledJob() {
     SimWorld w = world(308, 3);
     Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
@@ -214,9 +214,9 @@
   }
 
   @Test
-  void aBarThatIsPutUpWhileAStopIsUnderWayMakesItFail() {
+  void suspensionWrittenDuringCancellationMakesItFail() {
     SimWorld w = oneZone(309, 3);
-    Rules.Known[] jobs = running(w, 1);
+    final Rules.Known[] jobs = running(w, 1);
     int leader = w.leader();
     int barred = other(w, leader);
     w.net.cut("c" + leader, "c" + barred);
@@ -234,7 +234,7 @@
   }
 
   @Test
-  void whatAGatewayHasJustCommittedIsInItsWordAlsoIfItHasNotReadItYet() {
+  void peerPledgeIncludesItsOwnCommitsBeforeItHasReadThem() {
     SimWorld w = world(310, 3);
     Rules.Known[] jobs = running(w, 1);
     int leader = w.leader();
@@ -256,10 +256,10 @@
   /**
    * A gateway confirms, ends, and comes back in the outage: its promise is all that it can give.
    */
-  private static SimWorld withAForgetfulGateway(int size, List<String> zones) {
+  private static SimWorld withForgetfulPeer(int size, List<String> zones) {
     SimWorld w = new SimWorld(315, SimWorld.Shape.of(size).fleet(8, zones));
     w.loop.run(3);
-    Rules.Known[] jobs = running(w, 3);
+    final Rules.Known[] jobs = running(w, 3);
     int leader = w.leader();
     int gateway = other(w, leader);
     for (int i = 0; i < size; i++) {
@@ -283,8 +283,8 @@
 
   @ParameterizedTest
   @ValueSource(doubles = {5, 12, 20})
-  void aDeputyMadeByAnOwnerThatLivesOnPromisesKnowsNoMoreThanIt(double cutAfter) {
-    SimWorld w = withAForgetfulGateway(5, List.of("a", "b"));
+  void leaseDelegateOfLeaderOnElectionPledgesKnowsNoMoreThanIt(double cutAfter) {
+    SimWorld w = withForgetfulPeer(5, List.of("a", "b"));
     w.loop.run(cutAfter);
     w.net.cutZone(w.leader() % 2 == 0 ? "b" : "a", true);
     w.loop.run(2 * SimWorld.CANCEL_S);
@@ -294,7 +294,7 @@
   @ParameterizedTest
   @CsvSource({"7, 11", "12, 8", "22, 11", "22, 6"})
   void processesThatKnowNothingAddNoTimeToWhatTheLastOwnerLeft(double until, double away) {
-    SimWorld w = withAForgetfulGateway(3, ONE_ZONE);
+    SimWorld w = withForgetfulPeer(3, ONE_ZONE);
     w.loop.run(until);
     w.crashAll();
     w.loop.run(away);
@@ -304,7 +304,7 @@
   }
 
   @Test
-  void anOwnerWhoseReadsGetNoAnswerAsksItsPeersAndCostsNoLease() {
+  void leaderWhoseReadsGetNoAnswerAsksItsPeersAndCostsNoLease() {
     SimWorld w = world(316, 3);
     running(w, 1);
     w.state.holdWatches = true;
@@ -314,9 +314,9 @@
   }
 
   @Test
-  void anOwnerThatKnowsTooLittleGivesNoAnswerThatRenews() {
+  void leaderThatKnowsTooLittleGivesNoAnswerThatRenewsLeases() {
     SimWorld w = world(307, 3);
-    Rules.Known[] jobs = running(w, 1);
+    final Rules.Known[] jobs = running(w, 1);
     int leader = w.leader();
     int gateway = other(w, leader);
     // The gateway hears nobody; the third promises all that is asked of it.
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void anArrayRunsToItsEndAndStaysDoneOnEveryNode() {
+  void arrayRunsToItsEndAndStaysDoneOnEveryController() {
     SimWorld w = world(1);
     Rules.Known j = w.job("j-000001", 6, 2, 3, true);
     w.submit(0, j);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aCancelBeforeTheClaimKeepsTheTaskFromStarting() {
+  void cancelBeforeClaimKeepsTheTaskFromStarting() {
     SimWorld w = world(2);
     Rules.Known j = w.job("j-000002", 2, 2, 0, false);
     w.submit(0, j);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aCancelThatCommitsWhileTheClaimIsUnderWayMakesTheClaimFail() {
+  void cancelThatCommitsDuringClaimMakesTheClaimFail() {
     SimWorld w = world(21);
     w.submit(0, w.job("j-000030", 1, 1, 0, false));
     w.loop.run(15); // A machine is up.
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aPastOwnersClaimFailsAlsoWhenNobodyElseTouchedTheRecord() {
+  void formerLeadersClaimFailsEvenWhenNobodyElseTouchedTheRecord() {
     SimWorld w = world(22);
     w.submit(0, w.job("j-000032", 1, 1, 0, false));
     w.loop.run(15);
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void aCancelAfterTheClaimIsAStopRequestThatTheOwnerCarriesOut() {
+  void cancelAfterClaimIsStopRequestThatTheLeaderCarriesOut() {
     SimWorld w = world(3);
     Rules.Known j = w.job("j-000003", 2, 2, 0, false);
     w.submit(0, j);
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aClaimWhoseAnswerIsLostIsNeitherForgottenNorMadeTwice() {
+  void claimWhoseAnswerIsLostIsNeitherForgottenNorMadeTwice() {
     SimWorld w = world(4);
     Rules.Known j = w.job("j-000004", 3, 1, 5, true);
     int[] left = {1};
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void aClaimThatIsAppliedLateIsNotLaunchedBesidesItsRival() {
+  void claimAppliedLateIsNotLaunchedBesidesItsRival() {
     SimWorld w = world(5);
     Rules.Known j = w.job("j-000005", 3, 1, 5, true);
     int[] left = {1};
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void aPastOwnersLateWriteFails() {
+  void formerLeadersLateWriteFails() {
     SimWorld w = world(6);
     Rules.Known j = w.job("j-000006", 4, 1, 30, true);
     int leader = w.leader();
@@ -159,7 +159,7 @@
   }
 
   @Test
-  void aClaimThatTurnsUpLateIsEndedAndNeverLaunched() {
+  void claimThatTurnsUpLateIsEndedAndNeverLaunched() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
@@ -174,7 +174,7 @@
   }
 
   @Test
-  void aTeamsLimitHoldsWhileAMachineIsCutOff() {
+  void teamLimitHoldsWhileOneMachineIsCutOff() {
     SimWorld w = world(11);
     Rules.Known j = w.job("j-000011", 12, 4, 0, false);
     w.submit(0, w.job("j-000012", 5, 4, 30, true));
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void aJobOfMoreSlicesThanATransactionHoldsEnds() {
+  void jobOfMoreTaskBatchesThanOneTransactionHoldsEnds() {
     SimWorld w = world(12);
     Rules.Known j = w.job("j-000014", 7000, 0.01, 1, true);
     w.submit(0, j);
--- a/src/test/java/graderelay/ControllerRestartTest.java
+++ b/src/test/java/graderelay/ControllerRestartTest.java
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void workersOfAnOwnerLeftAloneFindTheNextWithoutLosingTheirLease() {
+  void workersOfIsolatedLeaderFindTheNextWithoutLosingTheirLease() {
     SimWorld w = world(33);
     w.submit(0, w.job("j-000064", 4, 1, 0, false));
     w.loop.run(20);
-    int starts = w.rules.starts;
+    final int starts = w.rules.starts;
     int leader = w.leader();
     w.isolate(leader, true);
     w.loop.run(40);
@@ -59,11 +59,11 @@
   }
 
   @Test
-  void anOwnerBackAtOnceAndAnotherThatBlinksInTheElectionCostNoLease() {
+  void leaderBackAtOnceAndAnotherThatRestartsInTheElectionCostNoLease() {
     SimWorld w = world(34);
     w.submit(0, w.job("j-000065", 4, 1, 0, false));
     w.loop.run(20);
-    int starts = w.rules.starts;
+    final int starts = w.rules.starts;
     int leader = w.leader();
     w.crash(leader);
     w.loop.run(0.2);
@@ -82,13 +82,13 @@
   }
 
   @Test
-  void anOwnerThatStillReadsTheRecordsKeepsLeasesAliveAndOrdersNothing() {
+  void leaderThatStillReadsTheRecordsKeepsLeasesAliveAndCommandsNothing() {
     // In one zone, since lease delegates elsewhere use the time that a cancellation leaves.
     SimWorld w = new SimWorld(37, SimWorld.Shape.of(5).fleet(8, List.of("a")));
     w.loop.run(4);
     w.submit(0, w.job("j-000066", 4, 1, 0, false));
     w.loop.run(20);
-    int starts = w.rules.starts;
+    final int starts = w.rules.starts;
     w.crashAll();
     w.loop.run(5);
     // Reading all takes longer than the leases last; who owned the fleet is known at once.
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void whenTroublesAreOverEveryJobIsAnsweredOnEveryNodeWithinAMoment() {
+  void whenFaultsEndEveryJobIsAnsweredOnEveryControllerAtOnce() {
     SimWorld w = world(35);
     List<Rules.Known> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void theNextOwnerKnowsWhichMachinesHaveAnImage() {
+  void nextLeaderKnowsWhichMachinesHaveAnImage() {
     Scheduler first = SchedulerFixture.scheduler(1);
     hearing(first, "n-1", 0);
     hearing(first, "n-2", 0);
@@ -166,7 +166,7 @@
   }
 
   @Test
-  void onAFullFleetASlotGoesToAnArrayWhoseImageIsThere() {
+  void onFullFleetTheFreeSlotGoesToTheArrayWhoseImageIsPresent() {
     Scheduler s = SchedulerFixture.takingOver(1);
     s.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
     s.loaded(0);
--- a/src/test/java/graderelay/DeafMachinesTest.java
+++ b/src/test/java/graderelay/DeafMachinesTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void aMachineThatHearsNothingGetsNoNewTasksUntilItHasShownThatItDoes() {
+  void deafMachineGetsNoNewTasksUntilItHasShownThatItHears() {
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // A worker that took our answer would have stayed with us.
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aMachineWhoseLeaseEndsAlthoughItWasAnsweredHearsNothing() {
+  void machineWhoseLeaseEndsAlthoughItWasAnsweredIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     SchedulerFixture.machine(s, "n-1", 2, 9, 4);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void aDeafMachinesServicesStartElsewhereAndItIsGivenBack() {
+  void servicesOfDeafMachineStartElsewhereAndItIsScaledIn() {
     SimWorld w = world(31);
     Rules.Known j = w.job("j-000060", 1, 3, 0, false);
     w.submit(0, j);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void aReportThatComesAsLateAsItsIntervalAllowsIsNoSignOfDeafness() {
+  void heartbeatAsLateAsItsIntervalAllowsIsNoSignOfDeafness() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     SchedulerFixture.machine(s, "n-1", 1, 2, 4.4); // Its worker stays with us: it took our answer.
@@ -82,8 +82,7 @@
 
   @ParameterizedTest
   @CsvSource({"2, 12, 3", "2.5, 16, 5", "4, 22, 3", "4, 22, 5", "6, 30, 5"})
-  void atEveryIntervalADeafMachineIsFoundAndNoOtherIsTakenForOne(
-      double reportS, double leaseS, int size) {
+  void atEveryIntervalOnlyDeafMachinesAreFoundDeaf(double reportS, double leaseS, int size) {
     SimWorld w = world(51, SimWorld.Shape.of(size).workers(reportS, leaseS));
     w.submit(0, w.job("j-000100", 2, 2, 0, false));
     w.submit(1, w.job("j-000101", 4, 3, 300, false));
@@ -103,7 +102,7 @@
   }
 
   @Test
-  void aMachineThatDoesNotShowWhatOurAnswerStartedDoesNotHear() {
+  void machineThatDoesNotShowWhatOurAnswerStartedIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0.1, 0.1);
@@ -121,7 +120,7 @@
   }
 
   @Test
-  void aMachineThatStillHasTheOldTermAfterOurAnswerDoesNotHear() {
+  void machineThatStillHasTheOldTermAfterOurAnswerIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
       s.onReport(SchedulerFixture.report("n-1", 1, seq, 6), seq * 4);
@@ -131,7 +130,7 @@
   }
 
   @Test
-  void aWorkerWhoseReportWasLostOnTheWayIsNotTakenForDeaf() {
+  void workerWhoseHeartbeatWasLostIsNotTakenForDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     // Its second report found nobody, so it went on to another controller with the third.
--- a/src/test/java/graderelay/DependenciesTest.java
+++ b/src/test/java/graderelay/DependenciesTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void theStagesOfAChainRunOneAfterTheOther() {
+  void stagesOfChainRunOneAfterTheOther() {
     SimWorld w = world(401, 3);
     List<Rules.Known> jobs = chain(w, 4, 3);
     assertThat(w.stage(1, jobs.get(3).id)).isEqualTo("pending");
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void aReportOfTheLastTaskAloneStartsNothing() {
+  void heartbeatOfTheLastTaskAloneStartsNothing() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void aNewOwnerFindsTheEndsThatItNeverSaw() {
+  void newLeaderFindsTheEndsThatItNeverSaw() {
     SimWorld w = world(403, 3);
     Rules.Known first = job(w, 0, 1, 3);
     Rules.Known slow = job(w, 1, 1, 25);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void aWaitingJobIsNoDemandAndStopsNobody() {
+  void waitingJobIsNoDemandAndPreemptsNobody() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.ranked("j-1", Priority.LOW, 4, null), false, 5, 0, 0);
@@ -192,7 +192,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "1, 1", "2, 2", "0, 6", "1, 13"})
-  void aCancelledJobTakesAllWithItThatNeedIt(int which, double after) {
+  void cancelledJobCancelsAllItsDependents(int which, double after) {
     SimWorld w = world(405, 3);
     w.lookClosely();
     List<Rules.Known> jobs = chain(w, 4, 4);
@@ -215,7 +215,7 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aCancellationThatMeetsTheEndEitherWinsForAllOrForNone(boolean leaderEnds) {
+  void cancellationThatMeetsTheEndWinsForAllOrForNone(boolean leaderEnds) {
     SimWorld w = world(406, 3);
     w.lookClosely();
     List<Rules.Known> jobs = chain(w, 3, 3);
@@ -237,7 +237,7 @@
   }
 
   @Test
-  void aJobThatNamesACancelledOneIsAcceptedAndCancelled() {
+  void jobThatDependsOnCancelledOneIsAcceptedAndCancelled() {
     SimWorld w = world(407, 3);
     Rules.Known first = job(w, 0, 1, 30);
     accept(w, 0, first);
@@ -257,7 +257,7 @@
   }
 
   @Test
-  void aWideFanIsCancelledWithItsRootWhateverIsWritten() {
+  void wideFanIsCancelledWithItsRootWhateverIsWritten() {
     SimWorld w = world(408, 3);
     Rules.Known root = job(w, 0, 1, 300);
     accept(w, 0, root);
--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/DependencyGuardsTest.java
@@ -32,7 +32,7 @@
    * its tasks are gone, which a machine that hangs puts off, and nothing of theirs ever ran.
    */
   @Test
-  void dependentsOfACancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
+  void dependentsOfCancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
@@ -51,7 +51,7 @@
    * changes, and nobody waits for them: work that has just come is claimed before they are written.
    */
   @Test
-  void theEndsOfAWideFanDoNotHoldUpTheClaimsOfOthers() {
+  void endsOfWideFanDoNotHoldUpTheClaimsOfOthers() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
@@ -90,7 +90,7 @@
    */
   @ParameterizedTest
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
-  void aDependentsTimesCountFromWhenItCouldBegin(
+  void timesOfDependentCountFromWhenItCouldBegin(
       boolean takeover, double readyAt, boolean passesOthers) {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
--- a/src/test/java/graderelay/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/DependencySubmissionTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void namesAreCheckedAgainstTheStateServiceOnEveryNode() {
+  void dependenciesAreCheckedAgainstTheStoreOnEveryController() {
     SimWorld w = world(409, 3);
     Rules.Known first = job(w, 0, 1, 2);
     Rules.Known service = w.job("j-000790", 1, 1, 0, false);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void manyNamesWorkAndMoreThanARecordHoldsAreRefused() {
+  void manyDependenciesWorkAndMoreThanOneRecordHoldsAreRefused() {
     SimWorld w = new SimWorld(410, SimWorld.Shape.of(3), new Settings.StateLimits(200, 2, 4));
     w.loop.run(3);
     List<Rules.Known> over = new ArrayList<>();
--- a/src/test/java/graderelay/FailingJobsTest.java
+++ b/src/test/java/graderelay/FailingJobsTest.java
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void anArrayWithAMistakeCostsNoMachineAndIsTriedOneTaskAtATime() {
+  void failingArrayCostsNoMachineAndIsTriedOneTaskAfterTheOther() {
     Scheduler s = fleet(6);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void aMachineThatFailsEverythingIsFoundAmongJobsWithAMistake() {
+  void machineThatFailsEverythingIsFoundAmongFailingJobs() {
     Scheduler s = fleet(6);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void aJobWhoseFirstTriesMetOnlySickMachinesIsSoonTriedInFull() {
+  void jobWhoseFirstTriesMetOnlySickMachinesIsSoonTriedInFull() {
     Scheduler s = fleet(3);
     s.onJob(SchedulerFixture.array("j-1", 12), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void aJobWithAMistakeRentsNoMachinesAndTakesNoRoomFromOthers() {
+  void failingJobScalesNothingOutAndTakesNoRoomFromOthers() {
     Scheduler s = fleet(6);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
@@ -162,11 +162,11 @@
   }
 
   @Test
-  void aJobWithAMistakeIsFoundByTheToolsAndItsCancellationFreesItsRoom() {
+  void failingJobIsFoundByTheToolsAndItsCancellationFreesItsRoom() {
     SimWorld w = world(61, 3);
     Rules.Known broken = w.job("j-000061", 12, 1, 20, false);
     broken.mistake = true;
-    Rules.Known sound = w.job("j-000062", 8, 1, 10, false);
+    final Rules.Known sound = w.job("j-000062", 8, 1, 10, false);
     w.submit(0, broken);
     w.loop.run(25);
     assertThat(w.answer(1, "GET", "/admin/jobs/j-000061", null).path("waits_because").asText())
--- a/src/test/java/graderelay/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/FleetOfThousandsTest.java
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void goesThroughATakeoverAndAZoneCutWithoutLosingATask() {
+  void goesThroughFailoverAndZonePartitionWithoutLosingAnyTask() {
     SimWorld w = fleet();
     w.loop.run(4);
     final List<Rules.Known> jobs = replicasOnEveryMachine(w);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  void thePlanRecordsTheImagesOfAllMachinesAFewRecordsAtATime() {
+  void planRecordsTheImagesOfAllMachinesInSmallGroups() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < MACHINES; i++) {
       hearing(s, name(i), 0);
--- a/src/test/java/graderelay/LargeJobsTest.java
+++ b/src/test/java/graderelay/LargeJobsTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aLargeArrayBeginsAlthoughSmallerOnesKeepComing() {
+  void largeArrayBeginsAlthoughSmallerOnesKeepComing() {
     Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(5.0, 20.0)));
     s.loaded(0);
     hearing(s, "n-1", 0);
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void aReportOfAWrongFormIsRefusedAndChangesNothing() {
+  void malformedHeartbeatIsRefusedAndChangesNothing() {
     SimWorld w = world(41);
     int leader = w.leader();
     String good =
--- a/src/test/java/graderelay/LateMachinesTest.java
+++ b/src/test/java/graderelay/LateMachinesTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void workThatWaitsForAMachineWhichOthersHaveOvertakenGetsAnother() {
+  void workWhoseNewMachineWasTakenByOthersGetsAnother() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void whenAllBootsAreSlowMachinesAreNotRentedAndGivenUpInTurn() {
+  void whenAllBootsAreSlowMachinesAreNotScaledOutAndGivenUpInTurn() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aMachineThatIsUpBeforeItsRentalIsAnsweredGetsWork() {
+  void machineThatIsUpBeforeItsScaleOutIsAnsweredGetsWork() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 4), false, 5, 0.1, 0.1);
     s.tick(1);
--- a/src/test/java/graderelay/LateMessagesTest.java
+++ b/src/test/java/graderelay/LateMessagesTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aCopyOfThePastPutsOffNoLease() {
+  void oldHeartbeatCopyExtendsNoLease() {
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     SchedulerFixture.machine(s, "n-1", 1, 2, 2);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void anAnswerToAReportThatADirectOrderOvertookStillCountsForTheLease() {
+  void answerToHeartbeatOvertakenByDirectCommandStillCountsForTheLease() {
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // The worker's answer to a direct order, sent after its report, comes first.
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void afterATakeoverACopyFromAMachineThatIsGoneMakesItNoTarget() {
+  void afterFailoverHeartbeatCopyFromLostMachineMakesItNoTarget() {
     Scheduler s = SchedulerFixture.scheduler(7);
     s.onReport(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void copiesOfAllReportsForTwoLeasesBreakNothing() {
+  void heartbeatCopiesForTwoLeasesBreakNothing() {
     SimWorld w = world(32);
     w.net.copies = 1;
     w.net.copyDelayS = 2 * SimWorld.LEASE_S;
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void aCopyAtAGatewayIsNoSignThatItsWorkerCannotReachTheOwner() {
+  void copyAtPeerIsNoSignThatItsWorkerCannotReachTheLeader() {
     SimWorld w = world(40);
     int gateway = (w.leader() + 1) % w.size;
     byte[] report = checkin(5);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void copiesOfAMachineThatIsCutOffKeepItsTasksFromNobody() {
+  void heartbeatCopiesOfCutOffMachineKeepItsTasksFromNobody() {
     SimWorld w = world(38);
     w.net.copies = 1;
     w.net.copyDelayS = 2 * SimWorld.LEASE_S;
@@ -118,7 +118,7 @@
   void reportsKeptForTheNextOwnerProveAndRenewNothing(String how, double meanwhile) {
     SimWorld w = world(341, 3);
     Rules.Known[] jobs = running(w, 2);
-    w.net.keepReports();
+    w.net.keepHeartbeats();
     w.loop.run(5);
     w.cancel(0, jobs[0]);
     String gone = runner(w, jobs[1].id + "/0");
@@ -144,9 +144,9 @@
   }
 
   @Test
-  void aReportThatIsHeldUntilANewOwnerHasActedProvesNothing() {
+  void heartbeatHeldUpUntilTheNewLeaderHasActedProvesNothing() {
     SimWorld w = world(342, 3);
-    Rules.Known[] jobs = running(w, 2);
+    final Rules.Known[] jobs = running(w, 2);
     Rules.Known array = w.job("j-000484", 3, 1, 25, false);
     w.submit(0, array);
     w.loop.run(8);
@@ -197,7 +197,7 @@
   void transactionsCarriedOutLateAfterNewerOnesOfTheSameOwnerBreakNothing(long seed) {
     SimWorld w = world(seed, 3);
     w.lookClosely();
-    List<Rules.Known> jobs = arrays(w, 24, 1, 4);
+    final List<Rules.Known> jobs = arrays(w, 24, 1, 4);
     w.state.delay =
         t -> {
           w.state.delayS = 2 + w.random.nextDouble() * 10;
--- a/src/test/java/graderelay/LaunchFencingTest.java
+++ b/src/test/java/graderelay/LaunchFencingTest.java
@@ -24,7 +24,7 @@
     Rules.Known warm = w.job("j-000040", 1, 1, 300, false);
     w.submit(0, warm);
     w.loop.run(15);
-    String machine = runner(w, "j-000040/0");
+    final String machine = runner(w, "j-000040/0");
     int leader = w.leader();
     Rules.Known j = w.job("j-000041", 1, 1, 300, false);
     w.net.alwaysPooled = true; // The order goes into an open connection and is held there.
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aLaunchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
+  void launchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
     SimWorld w = world(9);
     Rules.Known warm = w.job("j-000009", 1, 1, 0, false);
     w.submit(0, warm);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void aTaskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
+  void taskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
     heldLaunch(
         2.5, 16, (w, m) -> w.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
   }
--- a/src/test/java/graderelay/LeaderChangeTest.java
+++ b/src/test/java/graderelay/LeaderChangeTest.java
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void allControllersAreAwayForLongerThanALeaseAndAJobWasCancelledBefore() {
+  void allControllersAreAwayForLongerThanOneLeaseAfterCancellation() {
     SimWorld w = world(324, 3);
     Rules.Known[] jobs = running(w, 2);
     w.cancel(0, jobs[0]);
@@ -139,7 +139,7 @@
   }
 
   @Test
-  void tasksOfOneJobThatEndFarApartAcrossAChangeOfOwnerEndIt() {
+  void tasksThatEndFarApartAcrossLeaderChangeEndTheirJob() {
     SimWorld w = world(325, 3);
     w.cloud.capacity = 1; // One task after the other.
     Rules.Known j = w.job("j-000480", 3, 4, 9, false);
--- a/src/test/java/graderelay/LimitChangeTest.java
+++ b/src/test/java/graderelay/LimitChangeTest.java
@@ -43,9 +43,9 @@
   }
 
   @Test
-  void aLoweredLimitStartsNothingUntilWhatRunsFitsAndARaisedOneTakesEffectAtOnce() {
+  void loweredLimitStartsNothingUntilWhatRunsFitsAndRaisedOneTakesEffectAtOnce() {
     SimWorld w = stored(501, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     burst(w, "team", "30", 100, 0.1, 2, 12);
     w.loop.run(20);
     assertThat(w.rules.running("team")).isEqualTo(SimWorld.LIMIT);
@@ -67,12 +67,12 @@
   }
 
   @Test
-  void aClaimThatWasDecidedUnderTheLimitsOfBeforeFails() {
+  void claimDecidedUnderEarlierLimitsFails() {
     SimWorld w = stored(502, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
     w.loop.run(14);
-    int conflicts = w.state.conflicts;
+    final int conflicts = w.state.conflicts;
     w.state.delayS = 1;
     w.state.delay = t -> isClaim(t);
     w.loop.run(0.8);
@@ -86,10 +86,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {511, 512, 513})
-  void aLimitThatIsChangedDuringATakeoverHoldsForTheNextLeader(long seed) {
+  void limitChangedDuringFailoverHoldsForTheNextLeader(long seed) {
     SimWorld w = stored(seed, 5);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
     w.loop.run(12);
     int leader = w.leader();
     w.crash(leader);
@@ -102,9 +102,9 @@
   }
 
   @Test
-  void ofTwoOperatorsAtOnceOneGetsAConflictWithThePresentVersion() {
+  void ofTwoOperatorsAtOnceOneGetsConflictWithThePresentVersion() {
     SimWorld w = stored(521, 3);
-    long version = shown(w, "team").path("version").asLong();
+    final long version = shown(w, "team").path("version").asLong();
     JsonNode[] answers = new JsonNode[2];
     w.state.delay = t -> t.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
     w.state.delayS = 0.5;
@@ -144,7 +144,7 @@
         "nobody | {\"cpus\":1} | team nobody is not known",
         "%zz | {\"cpus\":1} | not properly encoded"
       })
-  void aWrongChangeIsRefusedWithItsFieldAndChangesNothing(String team, String body, String field) {
+  void invalidChangeIsRefusedWithItsFieldAndChangesNothing(String team, String body, String field) {
     SimWorld w = stored(531, 3);
     JsonNode before = w.state.value(QuotaCodec.limitKey("team"));
     JsonNode answer = set(w, 1, team, body);
@@ -154,14 +154,14 @@
   }
 
   @Test
-  void allMistakesOfAChangeAreToldAtOnce() {
+  void allMistakesOfOneChangeAreReportedAtOnce() {
     SimWorld w = stored(532, 3);
     String error = set(w, 0, "team", "{\"cpus\":-1,\"gpus_max\":0.12345}").path("error").asText();
     assertThat(error).contains("cpus").contains("gpus_max").contains("; ");
   }
 
   @Test
-  void withoutTheStateServiceAChangeIsPutOffAndWithoutTheLevelItIsRefused() {
+  void withoutTheStoreChangesArePutOffAndWithoutTheLevelRefused() {
     SimWorld w = stored(533, 3);
     w.state.outage(true);
     w.loop.run(2);
@@ -174,9 +174,9 @@
   }
 
   @Test
-  void aTeamIsAddedAndRemovedAgainButNotWhileItHasWork() {
+  void teamIsAddedAndRemovedAgainButNotWhileItHasWork() {
     SimWorld w = stored(541, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     String path = "/admin/quota/night+shift";
     byte[] body = "{\"cpus\":2,\"cpus_max\":4}".getBytes();
     Rules.Known job = w.job("j-004001", 2, 2, 15, true);
@@ -227,9 +227,9 @@
   }
 
   @Test
-  void anAcceptedJobThatALoweredLimitNoLongerFitsStaysKnownAndStartsOnceItDoes() {
+  void acceptedJobAboveTheLoweredLimitStaysKnownAndStartsOnceItFits() {
     SimWorld w = stored(552, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     set(w, 0, "team", "{\"cpus\":1,\"cpus_max\":4}");
     Rules.Known first = w.job("j-004020", 1, 4, 30, true);
     w.submit(0, first);
@@ -254,10 +254,10 @@
   // ---------------------------------------------------------------- bad records
 
   @Test
-  void aMalformedAccountStopsItsTeamAloneUntilOperatorsHaveItWrittenAnew() {
+  void malformedAccountStopsItsTeamAloneUntilOperatorsHaveItRecomputed() {
     SimWorld w = stored(561, 3);
-    List<Rules.Known> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
-    List<Rules.Known> others = burst(w, "other", "37", 30, 1, 2, 3);
+    final List<Rules.Known> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
+    final List<Rules.Known> others = burst(w, "other", "37", 30, 1, 2, 3);
     w.loop.run(15);
     w.state.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
     w.loop.run(6);
@@ -282,7 +282,7 @@
   }
 
   @Test
-  void aLeaderThatLosesTheLeadWhileItReadsForARecomputeGoesOnAsAFollower() {
+  void leaderDeposedWhileItReadsForRecomputeGoesOnAsFollower() {
     SimWorld w = stored(564, 3);
     int leader = w.leader();
     w.suspend(leader); // The request is the first thing that it finds when it wakes.
@@ -300,7 +300,7 @@
     SimWorld w = stored(562, 3);
     w.state.overwrite(QuotaCodec.limitKey("team"), Json.array());
     w.loop.run(1);
-    List<Rules.Known> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
+    final List<Rules.Known> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
     List<Rules.Known> others = burst(w, "other", "39", 5, 0.1, 2, 3);
     w.loop.run(40);
     assertThat(w.rules.running("team")).isZero();
@@ -319,7 +319,7 @@
   @Test
   void anAccountThatSomebodyChangesIsToldOfAndPassesNoLimit() {
     SimWorld w = stored(563, 3);
-    List<Rules.Known> jobs = burst(w, "team", "35", 60, 0.2, 2, 4);
+    final List<Rules.Known> jobs = burst(w, "team", "35", 60, 0.2, 2, 4);
     w.loop.run(14);
     overwriteAccount(w, "team", 0);
     w.loop.run(3);
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void aNewVersionsRecordsFitTheLimitsToCome() {
+  void recordsOfNewVersionFitTheLimitsToCome() {
     SimWorld w =
         new SimWorld(
             412,
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aPackedSliceSaysTheSameInFewerBytes() {
+  void packedTaskBatchSaysTheSameInFewerBytes() {
     int n = 500;
     int[] attempts = new int[n];
     String[] machines = new String[n];
--- a/src/test/java/graderelay/ModelTest.java
+++ b/src/test/java/graderelay/ModelTest.java
@@ -29,7 +29,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void noRuleBreaksOnARandomDay(long seed) {
+  void noInvariantBreaksOnAnyRandomDay(long seed) {
     assertKeepsTheRules(seed, RandomDay::play);
   }
 
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/PreemptionTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aLittleLowerWorkIsNotStoppedForArraysButForServicesItIs() {
+  void slightlyLowerWorkIsPreemptedForServicesButNotForArrays() {
     Scheduler s = fullWith(2);
     s.onJob(SchedulerFixture.ranked("j-3", Priority.URGENT, 4, null), false, 7, 0.5, 0.5);
     SchedulerFixture.commitAll(s, 12, 0.6);
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void aMachineGetsNoMoreTasksThanItsReportCanName() {
+  void machineGetsNoMoreTasksThanItsHeartbeatCanName() {
     Scheduler s = fleet(2);
     s.onJob(SchedulerFixture.tiny("j-1", 3000), false, 5, 0.1, 0.1);
     for (int i = 0; i < 20; i++) {
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aLeaseThatEndsJustAsANewOwnerAnswersIsNoSignOfDeafness() {
+  void leaseThatEndsJustAsTheNewLeaderAnswersIsNoSignOfDeafness() {
     Scheduler s = SchedulerFixture.scheduler(7);
     s.onReport(SchedulerFixture.report("n-1", 1, 90, 6), 1);
     s.answered("n-1", 1);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void aGuestsJobBeginsWithinFourMinutesAlthoughWorkAboveItFillsTheFleet() {
+  void guestJobBeginsWithinFourMinutesAlthoughWorkAboveItFillsTheFleet() {
     Scheduler s = fleet(1);
     s.onJob(SchedulerFixture.ranked("j-1", Priority.URGENT, 24, null), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
--- a/src/test/java/graderelay/QueueOrderTest.java
+++ b/src/test/java/graderelay/QueueOrderTest.java
@@ -44,7 +44,7 @@
    * before its class's wanted wait is over, although its deadline is far away.
    */
   @Test
-  void aNeededJobPressesBeforeItsWantedWaitIsOver() {
+  void jobWithDependentsPressesBeforeItsWantedWaitIsOver() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
--- a/src/test/java/graderelay/RequestStormTest.java
+++ b/src/test/java/graderelay/RequestStormTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aStormOfQuestionsAboutUnknownAndOldJobsCostsAFewRequestsAndAllAreAnswered() {
+  void stormOfPollsForUnknownAndOldJobsCostsFewRequestsAndAllAreAnswered() {
     SimWorld w = world(81, 3);
     List<Rules.Known> old = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -32,7 +32,7 @@
     w.crash(node);
     w.start(node); // It remembers no final state.
     w.loop.run(5);
-    int before = w.state.requests;
+    final int before = w.state.requests;
     int[] answered = {0, 0};
     for (int i = 0; i < 400; i++) {
       String id = i < 20 ? old.get(i).id : String.format("j-%06d", 900000 + i);
@@ -47,10 +47,10 @@
   }
 
   @Test
-  void aSwarmOfSubmissionsIsWrittenOnceEach() {
+  void swarmOfSubmissionsIsWrittenOnceEach() {
     SimWorld w = world(82, 3);
     int leader = w.leader();
-    long before = w.state.revision();
+    final long before = w.state.revision();
     // More than the node may write in two seconds: the rest is told at once to come back.
     int[] status = new int[600];
     for (int i = 0; i < 600; i++) {
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aSwarmOfSingleTaskJobsWithAQuarterCancelledIsAnsweredAndServed() {
+  void swarmOfSingleTaskJobsOneQuarterCancelledIsAnsweredAndServed() {
     SimWorld w = world(351, 3);
     w.cloud.capacity = 8;
     List<Rules.Known> jobs = new ArrayList<>();
--- a/src/test/java/graderelay/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/RollingUpgradeTest.java
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void nothingNewIsStoredBeforeFinalizationSoThatARollbackLosesNothing() {
+  void nothingNewIsStoredBeforeFinalizationSoThatRollbackLosesNothing() {
     SimWorld w = production(203, 3);
     final List<Rules.Known> jobs = steadyJobs(w, 80);
     upgrade(w, 0, pinned(LATEST));
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void aMembersRecordLeftByAnEndedProcessCountsForNothing() {
+  void memberRecordLeftByAnEndedProcessCountsForNothing() {
     SimWorld w = production(205, 3);
     for (int i = 0; i < 3; i++) {
       upgrade(w, i, pinned(LATEST));
@@ -199,11 +199,11 @@
   }
 
   @Test
-  void aControllerThatReturnsOlderInTheSameMomentMakesTheFinalizationFail() {
+  void controllerThatReturnsOlderInTheSameMomentMakesTheFinalizationFail() {
     SimWorld w = levelled(206, 3, manual(LATEST));
     w.loop.run(SOAK_S + 3);
     int leader = w.leader();
-    int other = (leader + 1) % 3;
+    final int other = (leader + 1) % 3;
     // The finalization is under way for so long that the other controller comes back in between.
     boolean[] delayed = {false};
     w.state.delay =
@@ -232,7 +232,7 @@
   }
 
   @Test
-  void aFinalizationWhoseAnswerIsLostIsFoundOutFromTheRecords() {
+  void finalizationWhoseAnswerIsLostIsFoundOutFromTheRecords() {
     SimWorld w = levelled(207, 3, manual(LATEST));
     final List<Rules.Known> jobs = steadyJobs(w, 40);
     w.loop.run(SOAK_S + 3);
@@ -248,12 +248,12 @@
   }
 
   @Test
-  void theStateServiceMayBeAwayInTheMiddle() {
+  void storeMayBeAwayInTheMiddle() {
     SimWorld w = levelled(208, 3, pinned(LATEST));
     w.submit(0, w.job("j-000600", 3, 1, 0, false));
     final List<Rules.Known> jobs = steadyJobs(w, 60);
     w.loop.run(SOAK_S - 6); // All are up, but not for long enough yet.
-    int starts = w.rules.starts;
+    final int starts = w.rules.starts;
     w.state.outage(true);
     w.loop.run(8);
     w.state.outage(false);
@@ -270,7 +270,7 @@
   }
 
   @Test
-  void aControllerThatTheStateServiceRefusesAloneKeepsTheLevelDownUntilItIsServedAgain() {
+  void controllerTheStoreRefusesAloneKeepsTheLevelDownUntilServedAgain() {
     SimWorld w = new SimWorld(209, SimWorld.Shape.of(3));
     w.loop.run(4);
     int refused = (w.leader() + 1) % 3;
@@ -318,7 +318,7 @@
 
   @ParameterizedTest
   @CsvSource({"true, 211", "false, 212"})
-  void aSuspendedOlderControllerThatReturnsAfterTheSwitchLeavesAndDoesNoHarm(
+  void suspendedOlderControllerThatReturnsAfterTheSwitchLeavesAndDoesNoHarm(
       boolean asLeader, long seed) {
     SimWorld w = levelled(seed, 3, manual(0));
     w.submit(0, w.job("j-000630", 3, 1, 0, false));
@@ -357,7 +357,7 @@
   }
 
   @Test
-  void aSuspendedOlderControllerKeepsTheLevelFromRising() {
+  void suspendedOlderControllerKeepsTheLevelFromRising() {
     SimWorld w = levelled(213, 3, pinned(LATEST));
     int still = (w.leader() + 1) % 3;
     w.suspend(still);
@@ -389,7 +389,7 @@
   }
 
   @Test
-  void theVersionInProductionNeitherLeadsNorConfirmsACancellationAfterTheSwitch() {
+  void versionInProductionNeitherLeadsNorConfirmsCancellationsAfterTheSwitch() {
     SimWorld w = finalized(215, 3);
     Rules.Known job = w.job("j-000640", 2, 1, 0, false);
     w.submit(0, job);
@@ -414,7 +414,7 @@
 
   @ParameterizedTest
   @CsvSource({"1, 216", "0, 217"})
-  void aDowngradeRemovesTheNewFormsBeforeTheLevelFalls(int target, long seed) {
+  void downgradeRemovesTheNewFormsBeforeTheLevelFalls(int target, long seed) {
     SimWorld w = finalized(seed, 3);
     w.submit(0, w.job("j-000650", 3, 1, 0, false));
     w.loop.run(40);
@@ -450,7 +450,7 @@
 
   @ParameterizedTest
   @CsvSource({"1, 218", "2, 219", "3, 220", "4, 221", "5, 222", "6, 223"})
-  void aDowngradeThatIsInterruptedAfterAnyStepGoesOnUnderTheNextLeader(int step, long seed) {
+  void downgradeInterruptedAfterAnyStepGoesOnUnderTheNextLeader(int step, long seed) {
     SimWorld w = finalized(seed, 3);
     final List<Rules.Known> jobs = steadyJobs(w, 30);
     w.loop.run(40);
@@ -485,7 +485,7 @@
   // ---------------------------------------------------------------- operators
 
   @Test
-  void aHeldLevelRisesOnlyOnceTheHoldIsTakenBack() {
+  void heldLevelRisesOnlyOnceTheHoldIsTakenBack() {
     SimWorld w = levelled(224, 3, pinned(LATEST));
     assertThat(w.answer(0, "POST", "/admin/features/hold", null).path("http").asInt())
         .isEqualTo(200);
@@ -500,7 +500,7 @@
   }
 
   @Test
-  void aFinalizationThatNotAllSupportNamesTheController() {
+  void finalizationThatNotAllSupportNamesTheController() {
     SimWorld w = levelled(225, 3, manual(LATEST));
     upgrade(w, 1, manual(1));
     w.loop.run(SOAK_S + 4);
@@ -516,7 +516,7 @@
 
   @ParameterizedTest
   @CsvSource({"'{\"level\":\"two\"}', 226", "'{\"level\":-1}', 227", "'{}', 228"})
-  void aMalformedRecordOfTheLevelStopsEverybodyUntilItIsMended(String record, long seed) {
+  void malformedLevelRecordStopsEverybodyUntilItIsMended(String record, long seed) {
     SimWorld w = finalized(seed, 3);
     w.state.overwrite(FeatureCodec.LEVEL, Json.read(record.getBytes()));
     w.loop.run(15);
@@ -537,7 +537,7 @@
   }
 
   @Test
-  void aLevelFromTheFutureIsRefusedWithAMessage() {
+  void unknownFutureLevelIsRefusedWithMessage() {
     SimWorld w = new SimWorld(229, SimWorld.Shape.of(3));
     w.crashAll();
     w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
--- a/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
@@ -11,7 +11,7 @@
 /** Which machines a scale out requests for work that may wait for its deadline. */
 class ScaleOutForDeadlinesTest {
   @Test
-  void aWantedStartWithinMinutesLeavesWorkWithADeadlinePatient() {
+  void wantedStartWithinMinutesLeavesDeadlineWorkPatient() {
     // It need not start before a machine boots, so ordinary ones are rented only as it presses.
     assertThat(ordinary(150, 400)).isEqualTo(1);
     assertThat(ordinary(10, 400)).isEqualTo(5);
--- a/src/test/java/graderelay/SchedulingCostTest.java
+++ b/src/test/java/graderelay/SchedulingCostTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void whatAReportCostsDoesNotGrowWithTheFleet() {
+  void costOfOneHeartbeatDoesNotGrowWithTheFleet() {
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void jobsThatFoundNoRoomAreNotLookedAtAgainWhileNoneWasGivenBack() {
+  void jobsThatFoundNoRoomAreNotConsideredAgainWhileNoneWasReleased() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 5; i++) {
       hearing(s, name(i), 0);
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void whatARoundCostsGrowsWithTheTasksAndNotWithTheirProductWithTheFleet() {
+  void costOfOneRoundGrowsWithTheTasksAndNotWithTasksTimesFleet() {
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void settlingALargeArrayTakesOneChangeForManyTasks() {
+  void settlingLargeArrayTakesOneChangeForManyTasks() {
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 60;
     for (int i = 0; i < machines; i++) {
@@ -89,7 +89,7 @@
     int tasks = 24; // As many as the team's limit allows at once.
     s.onJob(SchedulerFixture.array("j-1", tasks), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
-    int before = SchedulerFixture.writes(s);
+    final int before = SchedulerFixture.writes(s);
     for (int i = 0; i < machines; i++) {
       SchedulerFixture.work(s, name(i), 2, 4, 1);
     }
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void recordsOfAJobAreGoneWhenItIsDoneAlsoWithFiveControllers() {
+  void recordsOfFinishedJobAreGoneAlsoWithFiveControllers() {
     SimWorld w = world(36);
     Rules.Known j = w.job("j-000080", 9, 2, 3, true);
     w.submit(0, j);
--- a/src/test/java/graderelay/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/SpreadPlacementTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void replicasThatOneZoneMayNotTakeAreRentedForInAnother() {
+  void replicasThatOneZoneMayNotTakeScaleOutInAnother() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0); // In zone a, with room for all of them.
     s.onJob(SchedulerFixture.spread("j-1", 2), false, 5, 0.1, 0.1);
--- a/src/test/java/graderelay/StateOutageTest.java
+++ b/src/test/java/graderelay/StateOutageTest.java
@@ -19,12 +19,12 @@
   }
 
   @Test
-  void whatRunsOutlivesARestartOfAllControllersWithinAnOutageForAsLongAsACancellationAllows() {
+  void runningTasksOutliveRestartOfAllControllersInOutageAsLongAsCancellationAllows() {
     SimWorld w = new SimWorld(25, SimWorld.Shape.of(3).fleet(8, List.of("a")));
     w.loop.run(3);
     w.submit(0, w.job("j-000051", 3, 1, 0, false));
     w.loop.run(15);
-    int starts = w.rules.starts;
+    final int starts = w.rules.starts;
     w.state.outage(true);
     w.loop.run(3);
     w.crashAll();
@@ -42,7 +42,7 @@
   /** The same with a cancellation that the leader had not heard of: nobody remembers it now. */
   @ParameterizedTest
   @CsvSource({"a, 3, 6", "a, 0.1, 6", "a, 0.1, 11", "a, 9, 6", "ab, 0.1, 6", "ab, 3, 0.2"})
-  void aCancellationJustBeforeAnOutageIsCarriedOutAlsoIfAllControllersRestartInIt(
+  void cancellationJustBeforeAnOutageIsCarriedOutThoughAllControllersRestart(
       String zones, double until, double away) {
     SimWorld w = new SimWorld(25, SimWorld.Shape.of(3).fleet(8, List.of(zones.split("(?<=.)"))));
     w.loop.run(3);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void withTheStateServiceAwayUsersAreToldAtOnceAndNothingIsForgotten() {
+  void withTheStoreAwayUsersAreAnsweredAtOnceAndNothingIsForgotten() {
     SimWorld w = world(16);
     Rules.Known j = w.job("j-000018", 2, 1, 4, true);
     w.submit(0, j);
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/StoredLimitsInCoreTest.java
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void claimsOfARoundGoWithOneRaiseOfTheirTeamsAccountAndNoFurtherThanTheLimit() {
+  void claimsOfOneRoundRaiseTheirTeamsAccountOnceAndOnlyToTheLimit() {
     Scheduler s = fenced(5);
     s.step(2);
     List<Action.Write> writes = writes(s);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void whatIsSeenOfASliceWhileAChangeOfItIsUnderWayCountsAtOnce() {
+  void taskBatchChangeSeenWhileAnotherIsUnderWayCountsAtOnce() {
     Scheduler s = fenced(1);
     s.step(2);
     assertThat(writes(s).get(0).taskBatches()).hasSize(1);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void theEndOfAJobGivesItsClaimsBackOnlyOnceItHasCommitted() {
+  void endOfJobReleasesItsClaimsOnlyOnceItHasCommitted() {
     Scheduler s = fenced(1);
     s.step(2);
     s.onWrite(writes(s).get(0).id(), Scheduler.Outcome.COMMITTED, 21, 2);
--- a/src/test/java/graderelay/StoredLimitsTest.java
+++ b/src/test/java/graderelay/StoredLimitsTest.java
@@ -42,13 +42,13 @@
 
   @ParameterizedTest
   @CsvSource({"301, 3", "302, 5"})
-  void aBurstOverAllControllersPassesNoLimitWhileTheLeaderIsCutOff(long seed, int size) {
+  void burstOverAllControllersPassesNoLimitWhileTheLeaderIsCutOff(long seed, int size) {
     SimWorld w = stored(seed, size);
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     w.loop.run(5);
     final List<Rules.Known> others = guaranteed(w, 20);
     w.loop.run(25); // Machines are up.
-    List<Rules.Known> jobs = burst(w, "team", "10", 1000, 0.01, 1, 1);
+    final List<Rules.Known> jobs = burst(w, "team", "10", 1000, 0.01, 1, 1);
     w.loop.run(4);
     int leader = w.leader();
     w.isolate(leader, true);
@@ -63,10 +63,10 @@
 
   @ParameterizedTest
   @CsvSource({"311, 2", "312, 5", "313, 12"})
-  void aClaimThatIsCarriedOutLateFailsOnceTheNextLeaderHasClaimed(long seed, double lateS) {
+  void claimCarriedOutLateFailsOnceTheNextLeaderHasClaimed(long seed, double lateS) {
     SimWorld w = stored(seed, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "11", 60, 0.2, 2, 6);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "11", 60, 0.2, 2, 6);
     w.loop.run(8);
     w.state.delayS = lateS;
     w.state.delay = t -> isClaim(t);
@@ -86,10 +86,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {321, 322, 323, 324})
-  void aSuspendedLeaderThatWakesBesideItsSuccessorAddsNothing(long seed) {
+  void suspendedLeaderThatResumesBesideItsSuccessorAddsNothing(long seed) {
     SimWorld w = stored(seed, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "12", 80, 0.15, 2, 4);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "12", 80, 0.15, 2, 4);
     w.loop.run(6 + seed % 4 * 0.37);
     int leader = w.leader();
     w.suspend(leader);
@@ -101,10 +101,10 @@
   }
 
   @Test
-  void aLeaderThatChangesTwiceInTenSecondsPassesNoLimit() {
+  void leaderThatChangesTwiceInTenSecondsPassesNoLimit() {
     SimWorld w = stored(331, 5);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "13", 80, 0.2, 2, 5);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "13", 80, 0.2, 2, 5);
     w.loop.run(7);
     endNow(w, w.leader());
     w.loop.run(5);
@@ -115,10 +115,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {341, 342, 343})
-  void aTeamAtItsLimitStaysThereWhileMachinesHangJobsAreCancelledAndTheLeaderEnds(long seed) {
+  void teamAtItsLimitStaysThereWhileMachinesHangJobsAreCancelledAndTheLeaderEnds(long seed) {
     SimWorld w = stored(seed, 3);
     QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "14", 70, 0.1, 2, 8);
+    final List<Rules.Known> jobs = burst(w, "team", "14", 70, 0.1, 2, 8);
     w.loop.run(14);
     assertThat(recorder.claims("team").cpus()).isEqualTo(LIMIT);
     w.workers.values().stream().limit(2).forEach(worker -> worker.hang(20));
@@ -134,10 +134,10 @@
   }
 
   @Test
-  void anOutageOfTheStateServicePassesNoLimitAndItsAccountsGoOn() {
+  void outageOfTheStorePassesNoLimitAndItsAccountsGoOn() {
     SimWorld w = stored(351, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "15", 60, 0.2, 2, 5);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "15", 60, 0.2, 2, 5);
     w.loop.run(8);
     w.state.loseAnswer = t -> isClaim(t);
     w.loop.run(0.5);
@@ -152,11 +152,11 @@
   }
 
   @Test
-  void lowerLimitsOfTheStateServiceAreKept() {
+  void lowerLimitsOfTheStoreAreKept() {
     SimWorld w = stored(new SimWorld(361, SimWorld.Shape.of(3), RandomDay.LOWER));
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     final List<Rules.Known> others = guaranteed(w, 10);
-    List<Rules.Known> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
+    final List<Rules.Known> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
     w.loop.run(5);
     w.state.lower(RandomDay.LOWER.valueKb(), RandomDay.LOWER.txnOps());
     w.loop.run(90);
@@ -168,8 +168,8 @@
   @Test
   void anEndOfAllControllersLeavesTheAccountsToTheNextLeader() {
     SimWorld w = stored(371, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "17", 60, 0.1, 2, 6);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "17", 60, 0.1, 2, 6);
     w.loop.run(9);
     w.crashAll();
     w.loop.run(1);
@@ -179,11 +179,11 @@
   }
 
   @Test
-  void anUpgradeToTheLevelAndADowngradeFromItUnderLoadPassNoLimit() {
+  void upgradeToTheLevelAndDowngradeFromItUnderLoadPassNoLimit() {
     SimWorld w = plain(381, 3);
     w.judgeLevels();
-    QuotaRecorder recorder = new QuotaRecorder(w);
-    List<Rules.Known> jobs = burst(w, "team", "18", 200, 0.3, 2, 4);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
+    final List<Rules.Known> jobs = burst(w, "team", "18", 200, 0.3, 2, 4);
     w.loop.run(10);
     for (int i = 0; i < 3; i++) {
       w.replace(i, QuotaSteps.upTo(QuotaSteps.LEVEL));
@@ -205,9 +205,9 @@
   }
 
   @Test
-  void aJobAsLargeAsTheLimitBeginsBesideAStreamOfSmallOnes() {
+  void jobAsLargeAsTheLimitBeginsBesideManySmallOnes() {
     SimWorld w = stored(391, 3);
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     assertThat(QuotaSteps.set(w, 0, "team", "{\"cpus\":2,\"cpus_max\":4}").path("http").asInt())
         .isEqualTo(200);
     burst(w, "team", "19", 120, 2, 1, 5);
@@ -243,7 +243,7 @@
    * ends are carried out late, among those of the next one.
    */
   private static List<String> withoutTheTermsCondition(SimWorld w, long seed) {
-    QuotaRecorder recorder = new QuotaRecorder(w);
+    final QuotaRecorder recorder = new QuotaRecorder(w);
     burst(w, "team", "19", 40, 0.1, 2, 60).forEach(job -> job.guest = true); // It fills the fleet.
     burst(w, "team", "20", 120, 0.1, 2, 4).forEach(job -> job.zone = "a");
     burst(w, "team", "21", 120, 0.1, 2, 4).forEach(job -> job.zone = "b");
@@ -265,7 +265,7 @@
   }
 
   @Test
-  void theLimitStandsByItselfWhereTheStateServiceIgnoresTheTerm() {
+  void limitHoldsByItselfWhereTheStoreIgnoresTheTerm() {
     int above = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
       assertThat(withoutTheTermsCondition(stored(roomy(400 + seed)), seed))
--- a/src/test/java/graderelay/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/SubmissionBurstTest.java
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aBurstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
+  void burstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
     SimWorld w = world(461, 5);
     w.loop.run(10);
     int follower = (w.leader() + 1) % w.size;
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/SuspendedControllersTest.java
@@ -25,9 +25,9 @@
 
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void anOutageWhileAControllerIsAwayCostsNoLease(int size) {
+  void outageWhileOneControllerIsAwayCostsNoLease(int size) {
     SimWorld w = withOneDown(71, size);
-    int leader = w.leader();
+    final int leader = w.leader();
     w.state.outage(true);
     w.loop.run(SimWorld.LEASE_S + 10);
     w.state.outage(false);
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aControllerThatIsBackTakesOverAsSoonAsItsBarIsLifted() {
+  void returningControllerTakesOverAsSoonAsItsSuspensionIsLifted() {
     SimWorld w = withOneDown(72, 3);
     int leader = w.leader();
     int back = (leader + 1) % 3;
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void aBarredControllerThatIsLeftAloneTakesOverOnlyWhenNobodyCanCountOnItsBar() {
+  void lonelySuspendedMemberTakesOverOnlyWhenNobodyCanRelyOnItsSuspension() {
     SimWorld w = withOneDown(73, 3);
     int leader = w.leader();
     int back = (leader + 1) % 3;
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void anOwnerThatLosesTheStateServiceStopsBeforeABarredControllerCanTakeOver() {
+  void leaderThatLosesTheStoreStopsBeforeAnySuspendedMemberCanTakeOver() {
     SimWorld w = withOneDown(74, 3);
     int leader = w.leader();
     int other = (leader + 2) % 3;
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/TakeoverTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void aTakeoverAdoptsWhatRunsAndStartsNothingTwice() {
+  void failoverAdoptsWhatRunsAndStartsNothingTwice() {
     SimWorld w = world(7);
     Rules.Known j = w.job("j-000007", 4, 1, 0, false);
     w.submit(0, j);
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void aMissingTaskIsRequeuedOnlyAfterItsWorkersLease() {
+  void missingTaskIsRequeuedOnlyAfterItsWorkersLease() {
     SimWorld w = world(8);
     Rules.Known j = w.job("j-000008", 1, 4, 300, false);
     w.submit(0, j);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aSilentMachineWithServicesIsGivenBackAndItsReplicasStartElsewhereBeforeItsLease() {
+  void silentMachineWithServicesIsScaledInAndItsReplicasStartElsewhereBeforeItsLeaseEnds() {
     SimWorld w = world(8);
     Rules.Known j = w.job("j-000020", 1, 3, 0, false);
     w.submit(0, w.job("j-000021", 4, 3, 300, false));
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aSessionThatOnlyDirectOrdersHaveShownHasItsWholeLease() {
+  void sessionShownOnlyByDirectCommandsHasItsWholeLease() {
     // A worker that reaches no controller but is reached by the leader: the leader sees a new
     // session in its answers and launches there, and must wait for that session's own lease.
     Scheduler s = SchedulerFixture.scheduler(1);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void anOwnerThatOnlyItsWorkersReachFallsSilentBeforeAnotherMayFollow() {
+  void leaderReachedOnlyByItsWorkersFallsSilentBeforeAnotherMayFollow() {
     SimWorld w = world(24);
     Rules.Known j = w.job("j-000050", 3, 1, 0, false);
     w.submit(0, j);
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void aReportUnderAnOlderTermProvesNothingAboutAnEarlierOwnersClaim() {
+  void heartbeatUnderAnOlderTermProvesNothingAboutAnEarlierLeadersClaim() {
     Scheduler s = SchedulerFixture.takingOver(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -44,7 +44,7 @@
     Rules.Known service = w.job("j-000001", 1, 1, 0, false);
     w.submit(0, service);
     w.loop.run(15);
-    String machine = WorldAssertions.runner(w, "j-000001/0");
+    final String machine = WorldAssertions.runner(w, "j-000001/0");
     int leader = w.leader();
     for (int i = 0; i < w.size; i++) {
       if (i != leader) {
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void aMessageOfAnUnknownKindIsRefusedAndChangesNothing() {
+  void messageOfUnknownKindIsRefusedAndChangesNothing() {
     SimWorld w = world(442, 3);
     int[] status = {0};
     byte[] pledge = PeerCodec.encode(new PeerRequest.Pledge("m-1", 99, 60));
--- a/src/test/java/graderelay/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/UnreachableMachinesTest.java
@@ -25,7 +25,7 @@
 
   @ParameterizedTest
   @CsvSource({"2, cancel", "6, cancel", "11, cancel", "20, cancel", "6, owner", "20, owner"})
-  void aMachineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
+  void machineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
     SimWorld w = world(331, 3);
     Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void anOrderThatIsHeldUpForSecondsStartsNothingOfACancelledJob() {
+  void commandHeldUpForSecondsStartsNothingOfCancelledJob() {
     SimWorld w = world(332, 3);
     running(w, 1);
     w.net.alwaysPooled = true;
@@ -62,7 +62,7 @@
 
   @ParameterizedTest
   @CsvSource({"cut, 6", "cut, 30", "hang, 6", "hang, 30", "deaf, 30", "mute, 30"})
-  void aTeamAtItsLimitStaysWithinItWhileMachinesCannotBeAskedAndTheOwnerChanges(
+  void teamAtItsLimitStaysWithinItWhileMachinesAreUnreachableAndTheLeaderChanges(
       String how, double length) {
     SimWorld w = new SimWorld(333, SimWorld.Shape.of(3).fleet(20, List.of("a", "b")));
     w.cloud.capacity = 20;
@@ -124,7 +124,7 @@
   @CsvSource({"cut, 8", "cut, 25", "deaf, 8", "deaf, 25"})
   void theOwnerEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
     SimWorld w = world(335, 3);
-    Rules.Known[] jobs = running(w, 2);
+    final Rules.Known[] jobs = running(w, 2);
     Rules.Known longOne = w.job("j-000482", 3, 1, 70, false);
     w.submit(0, longOne);
     w.loop.run(10);
@@ -157,7 +157,7 @@
     w.cloud.bootFactor = 0.15;
     w.state.delayS = writeS;
     w.state.delay = t -> t.toString().contains("g/slice/");
-    List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
+    final List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
     w.loop.run(1 + endsAfter);
     int leader = w.leader();
     w.crash(leader);
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/UserAnswersTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aPollAfterAnotherNodeSaidDoneIsNeverOlder() {
+  void pollAfterAnotherControllerSaidDoneIsNeverOlder() {
     SimWorld w = world(13);
     Rules.Known j = w.job("j-000015", 2, 1, 2, true);
     w.submit(0, j);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aRetryOfAnAcceptedJobWhoseTypeVanishedIsStillKnown() {
+  void retryOfAcceptedJobWhoseMachineTypeVanishedIsStillKnown() {
     SimWorld w = world(14);
     Rules.Known j = w.job("j-000016", 1, 1, 2, true);
     w.submit(0, j);
@@ -72,7 +72,7 @@
   void noNodeAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
     SimWorld w = world(311, 3);
     w.lookClosely();
-    List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
+    final List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
     w.loop.run(6);
     int leader = w.leader();
     switch (trouble) {
@@ -103,7 +103,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, false", "0.002, false", "0.01, false", "0.5, false", "0, true"})
-  void aCancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
+  void cancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
       double after, boolean leaderEnds) {
     SimWorld w = world(312, 3);
     w.lookClosely();
@@ -132,11 +132,11 @@
   }
 
   @Test
-  void aTransactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
+  void transactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
     SimWorld w = world(313, 3);
     w.lookClosely();
     w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
-    List<Rules.Known> jobs = arrays(w, 20, 1, 3);
+    final List<Rules.Known> jobs = arrays(w, 20, 1, 3);
     w.loop.run(40);
     w.state.loseAnswer = t -> false;
     w.loop.run(60);
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void whatCannotRunOrLacksAFieldIsRefusedByEveryNodeInEveryState() {
+  void jobsThatCannotRunOrLackFieldsAreRefusedByEveryControllerInEveryState() {
     SimWorld w = world(314, 3);
     running(w, 1);
     byte[] tooBig = Json.write(w.body(w.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
--- a/src/test/java/graderelay/ZonePartitionTest.java
+++ b/src/test/java/graderelay/ZonePartitionTest.java
@@ -57,7 +57,7 @@
 
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void whatRunsInAZoneThatIsCutOffGoesOnForLongerThanALease(boolean leadersZone) {
+  void tasksInCutOffZoneGoOnForLongerThanOneLease(boolean leadersZone) {
     SimWorld w = spread(62);
     int leader = w.leader();
     String zone = (leader % 2 == 0) == leadersZone ? "a" : "b";
@@ -73,7 +73,7 @@
 
   @ParameterizedTest
   @CsvSource({"2, 12, true", "2, 12, false", "4, 22, true", "4, 22, false", "6, 30, true"})
-  void aJobCancelledWhileItsZoneIsCutOffIsGoneInTime(
+  void jobCancelledWhileItsZoneIsCutOffIsGoneInTime(
       double reportS, double leaseS, boolean leadersZone) {
     SimWorld w = world(62, SimWorld.Shape.of(5).workers(reportS, leaseS));
     w.submit(0, w.job("j-000110", 6, 1, 0, false, true));
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void aDeputyThatOnlyTheOwnerCannotReachPutsOffNoLease() {
+  void leaseDelegateThatOnlyTheLeaderCannotReachExtendsNoLease() {
     SimWorld w = world(64, SimWorld.Shape.of(5));
     w.submit(0, w.job("j-000112", 1, 4, 300, false));
     w.loop.run(20);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void overdueWorkOfAClassWithAWantedStartStillRentsMachines() {
+  void overdueWorkOfClassWithWantedStartStillScalesOut() {
     // All that was wanted of it is over, and it still has to run.
     assertThat(ordinary(150, 400, -500)).isEqualTo(2);
   }
--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aChainIsSubmittedWatchedAndCancelledAsAWhole() throws Exception {
+  void chainIsSubmittedWatchedAndCancelledAsOneWhole() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 3)) {
       waitUntilServing(deployment);
       assertThat(submit(deployment, 0, job("j-000001")).out()).contains("j-000001 pending");
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void aControllerThatIsNotThereIsToldSo() throws Exception {
+  void unreachableControllerIsReportedToTheUser() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 0)) {
       Outcome outcome = deployment.run("status", "--server", "127.0.0.1:1");
       assertThat(outcome.code()).isEqualTo(Main.UNREACHABLE);
--- a/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
@@ -50,7 +50,7 @@
       }
       long replaced = System.nanoTime();
       eventually("the level is finalized", () -> level(d) == 2);
-      double seconds = (System.nanoTime() - replaced) / 1e9;
+      final double seconds = (System.nanoTime() - replaced) / 1e9;
       TimeUnit.SECONDS.sleep(2);
       history.stop();
       user.join();
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aStoppedProcessThatGoesOnAfterTheSwitchEndsWithItsCodeAndAMessage() throws Exception {
+  void stoppedProcessThatGoesOnAfterTheSwitchEndsWithItsCodeAndMessage() throws Exception {
     try (LocalDeployment d = new LocalDeployment(folder, 3, MACHINES, OLD)) {
       for (int i = 0; i < 3; i++) {
         int controller = i;
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void badOptionsAreRefusedWithAMessageThatNamesTheField() throws Exception {
+  void badOptionsAreRefusedNamingTheField() throws Exception {
     String[][] bad = {
       {"[features]\nmin_level = 2\nmax_level = 1\n", "features.min_level is 2, above"},
       {"[features]\nmax_level = \"telepathy\"\n", "telepathy is not a feature"},
--- a/src/test/java/graderelay/features/FinalizationTest.java
+++ b/src/test/java/graderelay/features/FinalizationTest.java
@@ -74,7 +74,7 @@
   }
 
   @Property(seed = "20261202", tries = 2000)
-  void aLevelIsFreeOnlyIfEveryPublishedProcessSupportsItAndHasAnsweredForTheSoakTime(
+  void levelIsFreeOnlyIfEveryPublishedProcessSupportsItAndHasAnsweredForTheSoakTime(
       @ForAll("steps") List<Step> steps) {
     MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
     Seen seen = new Seen();
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void allThatPublishAndAnswerForTheSoakTimeMakeALevelFree() {
+  void allThatPublishAndAnswerForTheSoakTimeFreeTheLevel() {
     MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
     Seen seen = new Seen();
     for (String name : CONFIGURED) {
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void aProcessThatIsNotTheOneThatPublishedIsNamed() {
+  void processThatIsNotTheOneThatPublishedIsNamed() {
     MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
     Map<String, Member> published = Map.of("m-0", member("m-0", 2, "a"));
     liveness.heard("m-0", "b", 1);
@@ -138,7 +138,7 @@
   }
 
   @Property(seed = "20261202", tries = 500)
-  void theGateUsesAFeatureOnlyWithinItsRangeAndTheLevel(
+  void gateUsesEachFeatureOnlyWithinItsRangeAndTheLevel(
       @ForAll @net.jqwik.api.constraints.IntRange(max = 3) int max,
       @ForAll @net.jqwik.api.constraints.IntRange(max = 5) int level,
       @ForAll @net.jqwik.api.constraints.IntRange(max = 5) int target) {
--- a/src/test/java/graderelay/quota/AdmissionControlTest.java
+++ b/src/test/java/graderelay/quota/AdmissionControlTest.java
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void aFenceKeepsWhatIsReservedAndIsSentOnlyOnce() {
+  void fenceKeepsWhatIsReservedAndIsSentOnlyOnce() {
     AdmissionControl control = new AdmissionControl("leader", 5);
     control.enable();
     control.update(stored(Account.of(Amount.granted(3, 0), "before", 7), 3, 10));
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void aClaimRaisesTheAccountOnceAndTheNextOnesAreOnlyConditionedOnIt() {
+  void claimRaisesTheAccountOnceAndTheNextOnesAreOnlyConditionedOnIt() {
     AdmissionControl control = settled();
     place(control, 2);
     AccountChange raise = control.claim("team");
@@ -163,7 +163,7 @@
   }
 
   @Test
-  void aReadThatComesBeforeTheAnswerLetsTheTeamGoOn() {
+  void readThatComesBeforeTheAnswerLetsTheTeamGoOn() {
     AdmissionControl control = settled();
     place(control, 1);
     AccountChange first = control.claim("team");
@@ -179,7 +179,7 @@
   }
 
   @Test
-  void aClaimWithoutAnAnswerMayStillCommitSoItsAccountIsFencedAgain() {
+  void claimWithoutAnAnswerMayStillCommitSoItsAccountIsFencedAgain() {
     AdmissionControl control = settled();
     place(control, 1);
     AccountChange raise = control.claim("team");
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void whatReservesTooMuchIsLoweredAfterAWhileAndAboveTheLimitAsWell() {
+  void excessReservationIsLoweredAfterTheDelayAlsoAboveTheLimit() {
     AdmissionControl control = settled();
     place(control, 2);
     AccountChange raise = control.claim("team");
--- a/src/test/java/graderelay/sim/FaultInjector.java
+++ b/src/test/java/graderelay/sim/FaultInjector.java
@@ -70,7 +70,7 @@
         world.loop.after(f.length(), () -> world.net.copies = 0);
       }
       case REPORTS_KEPT_FOR_NEXT_LEADER -> {
-        world.net.keepReports();
+        world.net.keepHeartbeats();
         world.loop.after(f.length(), () -> deliverToNext(leader, DELIVERY_TRIES));
       }
       case SLOW_BOOTS -> boots(2 + f.pick() % 19, 0, f.length());
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -92,7 +92,7 @@
             ? SimWorld.inProduction(seed, shape(seed), limits)
             : new SimWorld(seed, shape(seed), limits);
     world.judgeLevels();
-    QuotaRecorder recorder = new QuotaRecorder(world);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
     RandomDay day = new RandomDay(world, seed, false);
     day.plainJobs = seed % 2 == 0; // That version knows no jobs that need others.
     day.users();
--- a/src/test/java/graderelay/sim/Rules.java
+++ b/src/test/java/graderelay/sim/Rules.java
@@ -255,7 +255,7 @@
       breaks("went_back " + j.id + ": cancelled by nobody");
     }
     boolean over = stage.equals("done") || stage.equals("cancelled");
-    boolean isNew = over ? !j.lastStage.equals(stage) : submission && !j.accepted;
+    final boolean isNew = over ? !j.lastStage.equals(stage) : submission && !j.accepted;
     if (stage.equals("done") || stage.equals("cancelled")) {
       j.lastStage = stage;
     }
--- a/src/test/java/graderelay/sim/SimNet.java
+++ b/src/test/java/graderelay/sim/SimNet.java
@@ -134,7 +134,7 @@
   }
 
   /** From now on a copy of each report is kept. */
-  public void keepReports() {
+  public void keepHeartbeats() {
     kept = new ArrayList<>();
   }
 
--- a/src/test/java/graderelay/wire/FeatureCodecTest.java
+++ b/src/test/java/graderelay/wire/FeatureCodecTest.java
@@ -26,7 +26,7 @@
   }
 
   @Property(seed = "7", tries = 200)
-  void aLevelIsReadAsItWasWritten(
+  void levelIsReadAsItWasWritten(
       @ForAll @IntRange(max = 9) int level, @ForAll @IntRange(max = 9) int target)
       throws MalformedRecord {
     ClusterLevel l = new ClusterLevel(level, Math.min(level, target));
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aMemberIsReadAsItWasWritten() throws MalformedRecord {
+  void memberIsReadAsItWasWritten() throws MalformedRecord {
     Member m = new Member("m-1", "0.1.0", new FeatureRange(0, 2), "abc", 1234, 5);
     assertThat(FeatureCodec.member("m-1", FeatureCodec.member(m), 5)).isEqualTo(m);
   }
@@ -50,7 +50,7 @@
         "{\"min\":0,\"max\":1,\"version\":\"1\",\"incarnation\":\"a\"}|began must be",
         "{}|min must be"
       })
-  void aMalformedMemberIsRefusedByItsField(String record, String message) {
+  void malformedMemberIsRefusedByItsField(String record, String message) {
     assertThatThrownBy(() -> FeatureCodec.member("m-1", json(record), 1))
         .isInstanceOf(MalformedRecord.class)
         .hasMessageContaining(message);
@@ -65,7 +65,7 @@
         "{\"level\":1,\"target\":2}|target",
         "[]|level"
       })
-  void aMalformedLevelIsRefusedByItsField(String record, String field) {
+  void malformedLevelIsRefusedByItsField(String record, String field) {
     assertThatThrownBy(() -> FeatureCodec.level(json(record)))
         .isInstanceOf(MalformedRecord.class)
         .hasMessageContaining(field);
@@ -87,7 +87,7 @@
   }
 
   @Property(seed = "7", tries = 100)
-  void aCompactHintHoldsWhatThePlainOneDoes(@ForAll @IntRange(max = 400) int n)
+  void compactHintHoldsWhatThePlainOneDoes(@ForAll @IntRange(max = 400) int n)
       throws MalformedRecord {
     ObjectNode plain = StateCodec.images(machines(n, n), 60);
     assertThat(StateCodec.images(CompactHints.unpack(CompactHints.pack(plain))))
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void aCompactHintTakesLessThanHalfOfThePlainOneAlsoWhereImagesAreSpreadAtRandom() {
+  void compactHintTakesLessThanHalfOfThePlainOneAlsoForRandomImages() {
     ObjectNode plain = StateCodec.images(machines(0, 250), 60);
     int compact = Json.write(CompactHints.pack(plain)).length;
     assertThat(compact * 2).isLessThan(Json.write(plain).length);
@@ -103,7 +103,7 @@
 
   @ParameterizedTest
   @CsvSource({"{}", "'{\"z\":\"!\"}'", "'{\"z\":\"AAAA\"}'", "'{\"z\":5}'"})
-  void aCompactHintThatIsNoneIsRefused(String record) {
+  void invalidCompactHintIsRefused(String record) {
     assertThatThrownBy(() -> CompactHints.unpack(json(record))).isInstanceOf(MalformedRecord.class);
   }
 }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void storedSlicesAreReadTaskByTask() {
+  void storedTaskBatchesAreReadTaskByTask() {
     TaskBatchRecord largest = storedBatch("j-000001", 0);
     assertThat(largest.size()).isEqualTo(500);
     for (int i = 0; i < 500; i++) {
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void storedEndsOwnersBarsAndHintsAreRead() {
+  void storedEndsLeadersSuspensionsAndHintsAreRead() {
     assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000004")))
         .isEqualTo(new Cache.End(false, 60, 0));
     assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000005")))
