--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -69,6 +69,7 @@
       case EMPTY_ANSWER -> e.to().accept(cbor(Json.object()));
       case NOT_CBOR -> e.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
       case WITHOUT_CANCELLATIONS -> usual.handle(without(e, "cancellations"));
+      default -> throw new AssertionError(how);
     }
   }
 
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/UserAnswersTest.java
@@ -150,16 +150,16 @@
     byte[] tooBig = Json.write(w.body(w.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
     ObjectNode lacks = w.body(w.job("j-000492", 1, 1, 2, true));
     lacks.remove("mem_gb");
-    Runnable[] states = {
-      () -> {},
-      () -> refuse(w, w.leader(), true),
-      () -> w.state.outage(true),
-      () -> {
-        w.crashAll();
-        w.startAll();
-      },
-      () -> w.cloud.noTypes = true
-    };
+    List<Runnable> states =
+        List.of(
+            () -> {},
+            () -> refuse(w, w.leader(), true),
+            () -> w.state.outage(true),
+            () -> {
+              w.crashAll();
+              w.startAll();
+            },
+            () -> w.cloud.noTypes = true);
     for (Runnable state : states) {
       state.run();
       for (int k = 0; k < 4; k++) {
--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -22,7 +22,8 @@
         {"ref":"%s","lot":"batch","crew":"team","cut":"array","urgency":"normal","boards":2,
          "cpus":1.0,"cards":0.0,"mem_gb":1.0,"blade":"i","pull_gb":1.0,"rigs":null,"yard":null,
          "one_zone":false,"apart":false,"borrowed":true,"expected_s":5.0,"stack_s":0.0,
-         "stack_write_s":0.0,"ship_s":null}"""
+         "stack_write_s":0.0,"ship_s":null}\
+        """
             .formatted(id));
     return file;
   }
--- a/src/test/java/graderelay/cli/History.java
+++ b/src/test/java/graderelay/cli/History.java
@@ -132,7 +132,8 @@
         {"ref":"%s","lot":"batch","crew":"team","cut":"array","urgency":"normal","boards":%d,
          "cpus":1.0,"cards":0.0,"mem_gb":1.0,"blade":"i","pull_gb":1.0,"rigs":null,"yard":null,
          "one_zone":false,"apart":false,"borrowed":true,"expected_s":1.0,"stack_s":0.0,
-         "stack_write_s":0.0,"ship_s":null}"""
+         "stack_write_s":0.0,"ship_s":null}\
+        """
             .formatted(id, TASKS);
     long began = System.nanoTime();
     int status = ask("POST", "/v1/jobs", body, job, id);
--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -102,7 +102,7 @@
     }
     arguments.addAll(List.of("--config", settings.toString()));
     controllers[controller] =
-        start("m-" + controller + "-" + processes.size(), arguments.toArray(new String[0]));
+        launch("m-" + controller + "-" + processes.size(), arguments.toArray(new String[0]));
     processes.add(controllers[controller]);
   }
 
@@ -148,7 +148,7 @@
 
   /** Runs a tool of the command line to its end. */
   Outcome run(String... arguments) throws IOException, InterruptedException {
-    Process tool = start("tool", arguments);
+    Process tool = launch("tool", arguments);
     if (!tool.waitFor(END_S, TimeUnit.SECONDS)) {
       tool.destroyForcibly();
     }
@@ -158,7 +158,7 @@
         Files.readString(folder.resolve("tool.err")));
   }
 
-  private Process start(String name, String... arguments) throws IOException {
+  private Process launch(String name, String... arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx64m"));
@@ -197,8 +197,8 @@
     }
     s.append("[outside]\ncloud = \"").append(cloud).append("\"\n");
     s.append("state = \"").append(state).append("\"\n");
-    return s
-        + """
+    String deployment =
+        """
         [deployment]
         size = 3
         zones = ["a"]
@@ -226,6 +226,7 @@
         max_connections = 200
         """
             .formatted(limit);
+    return s + deployment;
   }
 
   @Override
--- a/src/test/java/graderelay/sim/FaultInjector.java
+++ b/src/test/java/graderelay/sim/FaultInjector.java
@@ -12,6 +12,7 @@
 
   private final SimWorld world;
 
+  /** Creates an injector of faults into this world. */
   public FaultInjector(SimWorld world) {
     this.world = world;
   }
@@ -100,6 +101,7 @@
               MACHINES_MUTE,
               MACHINES_HANG ->
           applyToMachines(f, leader);
+      default -> throw new AssertionError(f);
     }
   }
 
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -40,6 +40,7 @@
    */
   public final List<String> brokenWhileStored = new ArrayList<>();
 
+  /** Starts to compare at every commit and every start of this world. */
   public QuotaRecorder(SimWorld world) {
     this.world = world;
     world.state.onCommitted = this::committed;
--- a/src/test/java/graderelay/sim/Rules.java
+++ b/src/test/java/graderelay/sim/Rules.java
@@ -128,6 +128,7 @@
     return running.getOrDefault(team, 0.0);
   }
 
+  /** Adds a line with the virtual time to the trace. */
   public void log(String s) {
     trace.add(String.format("%.3f %s", loop.now(), s));
     if (trace.size() > 60) {
@@ -135,6 +136,7 @@
     }
   }
 
+  /** Returns the last lines of the trace. */
   public List<String> trace() {
     return new ArrayList<>(trace);
   }
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -167,6 +167,7 @@
     }
   }
 
+  /** Returns the names of all machines that are scaled out, in order. */
   public List<String> names() {
     return new ArrayList<>(rented.keySet());
   }
--- a/src/test/java/graderelay/sim/SimLoop.java
+++ b/src/test/java/graderelay/sim/SimLoop.java
@@ -14,20 +14,24 @@
   private long orders;
   private Runnable afterEach = () -> {};
 
+  /** Returns the virtual time, in seconds. */
   public double now() {
     return now;
   }
 
+  /** Runs this after every event from now on. */
   public void afterEach(Runnable r) {
     afterEach = r;
   }
 
+  /** Schedules an event at a virtual time, in seconds; a past time means at once. */
   public Loop.Timer at(double time, Runnable r) {
     boolean[] off = {false};
     events.add(new Event(Math.max(time, now), orders++, r, off));
     return () -> off[0] = true;
   }
 
+  /** Schedules an event after so many seconds. */
   public Loop.Timer after(double s, Runnable r) {
     return at(now + s, r);
   }
--- a/src/test/java/graderelay/sim/SimNet.java
+++ b/src/test/java/graderelay/sim/SimNet.java
@@ -52,16 +52,19 @@
   /** Chance that an answer is lost although the request was carried out. */
   public double loseAnswers;
 
+  /** Creates a network without hosts, whose delays are drawn from {@code random}. */
   public SimNet(SimLoop loop, RandomGenerator random) {
     this.loop = loop;
     this.random = random;
   }
 
+  /** Serves an address of a host with a handler. */
   public void listen(String address, String host, Exchange.Handler h) {
     hosts.put(address, h);
     hostOf.put(address, host);
   }
 
+  /** Stops serving an address: connections to it are refused. */
   public void close(String address) {
     hosts.remove(address);
   }
@@ -104,6 +107,7 @@
     return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
   }
 
+  /** Cuts the connection between two hosts, both ways. */
   public void cut(String a, String b) {
     cuts.add(pair(a, b));
   }
@@ -196,6 +200,7 @@
     }
   }
 
+  /** Returns the transport of a process on {@code host}, which hears nothing once it is dead. */
   public Transport from(String host, boolean[] dead) {
     return (address, method, path, body, timeoutS, done) -> {
       boolean[] over = {false};
--- a/src/test/java/graderelay/sim/SimState.java
+++ b/src/test/java/graderelay/sim/SimState.java
@@ -89,6 +89,7 @@
   /** Every key that was ever put. */
   public final Set<String> everWritten = new HashSet<>();
 
+  /** Creates an empty store that takes at most {@code txnOps} changes in a transaction. */
   public SimState(Loop loop, int txnOps) {
     this.loop = loop;
     this.txnOps = txnOps;
@@ -125,10 +126,12 @@
     return t.path("then").size() <= txnOps && t.path("if").size() <= 4 * txnOps;
   }
 
+  /** Returns the revision of the newest change. */
   public long revision() {
     return revision;
   }
 
+  /** Returns what is stored under a key, or null. */
   public JsonNode value(String key) {
     Item i = items.get(key);
     return i == null ? null : i.value();
--- a/src/test/java/graderelay/sim/SimWorker.java
+++ b/src/test/java/graderelay/sim/SimWorker.java
@@ -86,6 +86,7 @@
     lease();
   }
 
+  /** Returns the address at which the worker takes direct commands. */
   public String address() {
     return name + ":9000";
   }
@@ -322,6 +323,7 @@
     changed();
   }
 
+  /** Returns the tasks that run now, in the order of their launch. */
   public List<String> running() {
     List<String> ids = new ArrayList<>();
     tasks.values().stream().filter(t -> t.stage.equals("running")).forEach(t -> ids.add(t.id));
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -30,6 +30,7 @@
   /** What deployments differ in: controllers, workers' times, zones and machines to be had. */
   public record Shape(
       int size, double reportS, double leaseS, List<String> zones, int machines, double limit) {
+    /** Returns the usual shape with so many controllers. */
     public static Shape of(int size) {
       return new Shape(size, REPORT_S, LEASE_S, List.of("a", "b"), 8, LIMIT);
     }
@@ -84,28 +85,21 @@
   private final String[] apis;
   private final Transport users;
 
+  /** Creates a world of three controllers. */
   public SimWorld(long seed) {
     this(seed, Shape.of(3));
   }
 
-  /** A world with so many controllers. */
-  public static SimWorld of(long seed, int size) {
-    return new SimWorld(seed, Shape.of(size));
-  }
-
+  /** Creates a world whose store limits stay as they are. */
   public SimWorld(long seed, Shape shape) {
     this(seed, shape, SAME);
   }
 
+  /** Creates a world whose store will allow only {@code next} from some moment on. */
   public SimWorld(long seed, Shape shape, Settings.StateLimits next) {
     this(seed, shape, next, false);
   }
 
-  /** A world whose controllers are of the version in production, until they are replaced. */
-  public static SimWorld inProduction(long seed, Shape shape, Settings.StateLimits next) {
-    return new SimWorld(seed, shape, next, true);
-  }
-
   private SimWorld(long seed, Shape shape, Settings.StateLimits next, boolean inProduction) {
     this.next = next;
     this.shape = shape;
@@ -140,6 +134,16 @@
     check();
   }
 
+  /** A world with so many controllers. */
+  public static SimWorld of(long seed, int size) {
+    return new SimWorld(seed, Shape.of(size));
+  }
+
+  /** A world whose controllers are of the version in production, until they are replaced. */
+  public static SimWorld inProduction(long seed, Shape shape, Settings.StateLimits next) {
+    return new SimWorld(seed, shape, next, true);
+  }
+
   private void check() {
     rules.check();
     loop.after(0.5, this::check);
@@ -154,6 +158,7 @@
     return shape.zones().get(node % shape.zones().size());
   }
 
+  /** Returns the settings with which a controller starts now. */
   public Settings settings(int i) {
     List<Settings.Peer> peers = new ArrayList<>();
     for (int k = 0; k < size; k++) {
@@ -234,6 +239,7 @@
     lost.get(i).suspension().resume(loop);
   }
 
+  /** Returns the earlier process of a controller that was taken for ended. */
   public ControllerNode lostNode(int i) {
     return lost.get(i).node();
   }
@@ -278,6 +284,7 @@
     return lost.containsKey(i);
   }
 
+  /** Starts a controller, as a new process. */
   public void start(int i) {
     boolean[] over = {false};
     Suspension still = new Suspension();
@@ -391,6 +398,7 @@
     }
   }
 
+  /** Returns whether the latest process of a controller is up. */
   public boolean isUp(int i) {
     return !dead[i][0];
   }
@@ -437,10 +445,12 @@
 
   // ---------------------------------------------------------------- users
 
+  /** Makes a job known that a user may submit; zero seconds of run time mean a service. */
   public Rules.Known job(String id, int tasks, double cpus, double runS, boolean spot) {
     return job(id, tasks, cpus, runS, spot, false);
   }
 
+  /** Makes a job known whose tasks have to be spread over zones if {@code spread}. */
   public Rules.Known job(
       String id, int tasks, double cpus, double runS, boolean spot, boolean spread) {
     Rules.Known k = new Rules.Known(id, tasks, cpus, runS, spot, spread);
@@ -448,6 +458,7 @@
     return k;
   }
 
+  /** Returns the body of the submission of a job. */
   public ObjectNode body(Rules.Known k) {
     ObjectNode n = Json.object().put("ref", k.id).put("lot", k.runS == 0 ? "web" : "batch");
     n.put("crew", k.crew()).put("cut", k.runS == 0 ? "standing" : "array");
@@ -502,6 +513,7 @@
         });
   }
 
+  /** Asks for the state of a job, once. */
   public void poll(int node, Rules.Known k) {
     String knew = k.knew();
     ask(
@@ -535,6 +547,7 @@
         };
   }
 
+  /** Sends a request as a user and hears of its answer, as JSON. */
   public void ask(
       int node, String method, String path, byte[] body, BiConsumer<Reply, JsonNode> then) {
     users.call(
@@ -561,6 +574,7 @@
     return got[0];
   }
 
+  /** Returns the stage of a job as a controller answers it. */
   public String stage(int node, String id) {
     return answer(node, "GET", "/v1/jobs/" + id, null).path("stage").asText();
   }
