--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/CancellationInOutageTest.java
@@ -1,14 +1,15 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.other;
-import static graderelay.ScenarioSteps.refuse;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.other;
+import static graderelay.sim.ScenarioSteps.refuse;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.state.Leadership;
 import graderelay.wire.StateCodec;
 import java.util.List;
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -1,13 +1,15 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/ControllerRestartTest.java
+++ b/src/test/java/graderelay/ControllerRestartTest.java
@@ -1,13 +1,15 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.hearing;
-import static graderelay.WorldAssertions.fine;
+import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/graderelay/DeafMachinesTest.java
+++ b/src/test/java/graderelay/DeafMachinesTest.java
@@ -1,14 +1,16 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.hearing;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/src/test/java/graderelay/DependenciesTest.java
+++ b/src/test/java/graderelay/DependenciesTest.java
@@ -1,15 +1,16 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.accept;
-import static graderelay.ScenarioSteps.everywhere;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.ScenarioSteps.accept;
+import static graderelay.sim.ScenarioSteps.everywhere;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.JobSpec;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.wire.StateCodec;
--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/DependencyGuardsTest.java
@@ -1,6 +1,6 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -8,6 +8,7 @@
 import graderelay.core.JobSpec;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.RandomDay;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
--- a/src/test/java/graderelay/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/DependencySubmissionTest.java
@@ -1,9 +1,9 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.accept;
-import static graderelay.ScenarioSteps.everywhere;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.ScenarioSteps.accept;
+import static graderelay.sim.ScenarioSteps.everywhere;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/test/java/graderelay/LaunchFencingTest.java
+++ b/src/test/java/graderelay/LaunchFencingTest.java
@@ -1,12 +1,13 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.claimed;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.claimed;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
 /** Direct launches that nobody answered. */
--- a/src/test/java/graderelay/LeaderChangeTest.java
+++ b/src/test/java/graderelay/LeaderChangeTest.java
@@ -1,15 +1,16 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.arrays;
-import static graderelay.ScenarioSteps.refuse;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.arrays;
+import static graderelay.sim.ScenarioSteps.refuse;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/graderelay/LimitChangeTest.java
+++ b/src/test/java/graderelay/LimitChangeTest.java
@@ -18,6 +18,7 @@
 import graderelay.sim.QuotaRecorder;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
 import java.util.List;
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -1,6 +1,6 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/PreemptionTest.java
@@ -5,6 +5,7 @@
 import graderelay.core.Action;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.core.SchedulerLimits;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/graderelay/RequestStormTest.java
+++ b/src/test/java/graderelay/RequestStormTest.java
@@ -1,13 +1,14 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.other;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.other;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/graderelay/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/RollingUpgradeTest.java
@@ -1,6 +1,6 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -8,6 +8,7 @@
 import graderelay.features.FeatureRange;
 import graderelay.features.UpgradePolicy;
 import graderelay.sim.Rules;
+import graderelay.sim.ScenarioSteps;
 import graderelay.sim.SimWorld;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
--- a/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
@@ -4,6 +4,7 @@
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/StateOutageTest.java
+++ b/src/test/java/graderelay/StateOutageTest.java
@@ -1,11 +1,12 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/StoredLimitsInCoreTest.java
@@ -1,14 +1,15 @@
 package graderelay;
 
-import static graderelay.SchedulerFixture.array;
-import static graderelay.SchedulerFixture.claimed;
-import static graderelay.SchedulerFixture.machine;
-import static graderelay.SchedulerFixture.scheduler;
-import static graderelay.SchedulerFixture.taken;
+import static graderelay.core.SchedulerFixture.array;
+import static graderelay.core.SchedulerFixture.claimed;
+import static graderelay.core.SchedulerFixture.machine;
+import static graderelay.core.SchedulerFixture.scheduler;
+import static graderelay.core.SchedulerFixture.taken;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
 import graderelay.quota.Account;
 import graderelay.quota.AccountChange;
--- a/src/test/java/graderelay/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/SubmissionBurstTest.java
@@ -1,7 +1,7 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/TakeoverTest.java
@@ -1,14 +1,16 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
-import static graderelay.WorldAssertions.secondsToNextStart;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
+import static graderelay.sim.WorldAssertions.secondsToNextStart;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
 /** What a new leader adopts, and when it starts a task anew. */
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -1,7 +1,7 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,6 +10,7 @@
 import graderelay.net.Exchange.Answer;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/UserAnswersTest.java
@@ -1,16 +1,17 @@
 package graderelay;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.arrays;
-import static graderelay.ScenarioSteps.other;
-import static graderelay.ScenarioSteps.refuse;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.arrays;
+import static graderelay.sim.ScenarioSteps.other;
+import static graderelay.sim.ScenarioSteps.refuse;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/graderelay/ZonePartitionTest.java
+++ b/src/test/java/graderelay/ZonePartitionTest.java
@@ -1,12 +1,13 @@
 package graderelay;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
-import static graderelay.WorldAssertions.secondsToNextStart;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
+import static graderelay.sim.WorldAssertions.secondsToNextStart;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.SimWorld;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/graderelay/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -1,16 +1,5 @@
-package graderelay;
-
-import graderelay.core.Action;
-import graderelay.core.Heartbeat;
-import graderelay.core.JobSpec;
-import graderelay.core.Kind;
-import graderelay.core.MachineType;
-import graderelay.core.Policy;
-import graderelay.core.Priority;
-import graderelay.core.Scheduler;
-import graderelay.core.TaskBatchRecord;
-import graderelay.core.Team;
-import graderelay.core.WorkerCommand;
+package graderelay.core;
+
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,32 +8,33 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Small words to tell stories of the core alone with. */
-final class SchedulerFixture {
+/** A scheduler without controller or network, and steps that drive it in tests of the core. */
+public final class SchedulerFixture {
   private SchedulerFixture() {}
 
   private static final java.util.WeakHashMap<Scheduler, List<Action>> TAKEN =
       new java.util.WeakHashMap<>();
 
   /** A leader that has taken its first look. */
-  static Scheduler scheduler(long term) {
+  public static Scheduler scheduler(long term) {
     Scheduler s = takingOver(term);
     s.loaded(0);
     return s;
   }
 
   /** A leader that is still reading the records. */
-  static Scheduler takingOver(long term) {
+  public static Scheduler takingOver(long term) {
     return takingOver(term, Map.of());
   }
 
   /** One whose classes of jobs have wanted waiting times. */
-  static Scheduler takingOver(long term, Map<String, List<Double>> waits) {
+  public static Scheduler takingOver(long term, Map<String, List<Double>> waits) {
     return takingOver(term, waits, 300);
   }
 
   /** One that may make only so many changes a second. */
-  static Scheduler takingOver(long term, Map<String, List<Double>> waits, double changesPerS) {
+  public static Scheduler takingOver(
+      long term, Map<String, List<Double>> waits, double changesPerS) {
     Map<String, Double> first = new HashMap<>();
     waits.forEach((c, steps) -> first.put(c, steps.get(0)));
     Policy p =
@@ -69,46 +59,48 @@
   }
 
   /** The record of a job's only task, claimed as its first attempt. */
-  static TaskBatchRecord claimed(String machine, long session) {
+  public static TaskBatchRecord claimed(String machine, long session) {
     return new TaskBatchRecord(
         new int[] {1}, new String[] {machine}, new long[] {session}, new boolean[1]);
   }
 
-  static JobSpec array(String id, int tasks) {
+  /** An array of tasks that share an image. */
+  public static JobSpec array(String id, int tasks) {
     return array(id, tasks, "i");
   }
 
-  static JobSpec array(String id, int tasks, String image) {
+  /** An array of tasks of this image. */
+  public static JobSpec array(String id, int tasks, String image) {
     return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, image, null, false);
   }
 
   /** An array that should be done so long after its submission. */
-  static JobSpec due(String id, int tasks, double deadlineS) {
+  public static JobSpec due(String id, int tasks, double deadlineS) {
     return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, "i", deadlineS, false);
   }
 
   /** An array of another priority, with a deadline or without. */
-  static JobSpec ranked(String id, Priority priority, int tasks, Double deadlineS) {
+  public static JobSpec ranked(String id, Priority priority, int tasks, Double deadlineS) {
     return spec(id, Kind.ARRAY, priority, tasks, "i", deadlineS, false);
   }
 
   /** An array of a team that the settings don't limit, of the lowest priority. */
-  static JobSpec guests(String id, int tasks) {
+  public static JobSpec guests(String id, int tasks) {
     return like(ranked(id, Priority.LOW, tasks, null), "study", "guest", 1);
   }
 
   /** An urgent array of a team that the settings don't limit, with tasks of so many CPUs. */
-  static JobSpec urgentGuests(String id, int tasks, double cpus) {
+  public static JobSpec urgentGuests(String id, int tasks, double cpus) {
     return like(ranked(id, Priority.URGENT, tasks, null), "study", "guest", cpus);
   }
 
   /** An array of tasks of which thousands would fit on one machine. */
-  static JobSpec tiny(String id, int tasks) {
+  public static JobSpec tiny(String id, int tasks) {
     return like(array(id, tasks), "batch", "team", 0.001);
   }
 
   /** An array of tasks each of which takes a whole machine. */
-  static JobSpec wholeMachines(String id, int tasks) {
+  public static JobSpec wholeMachines(String id, int tasks) {
     return like(array(id, tasks), "study", "guest", 4);
   }
 
@@ -140,12 +132,12 @@
         List.of());
   }
 
-  static JobSpec service(String id, int tasks) {
+  public static JobSpec service(String id, int tasks) {
     return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, false);
   }
 
   /** A service of which at most half may be in one zone. */
-  static JobSpec spread(String id, int tasks) {
+  public static JobSpec spread(String id, int tasks) {
     return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, true);
   }
 
@@ -184,25 +176,38 @@
         List.of());
   }
 
-  static Heartbeat report(
+  /** A heartbeat of a machine that shows these tasks. */
+  public static Heartbeat report(
       String machine, long session, long seq, long term, Heartbeat.Entry... tasks) {
     return new Heartbeat(
         machine, machine + ":9000", "small", "a", false, session, seq, term, null, List.of(tasks));
   }
 
   /** A report that is answered. */
-  static void machine(Scheduler s, String name, long session, long seq, double now) {
+  public static void machine(Scheduler s, String name, long session, long seq, double now) {
     s.onReport(report(name, session, seq, s.term()), now);
     s.answered(name, now);
   }
 
-  static List<Action> taken(Scheduler s) {
+  /** The name of the i-th machine. */
+  public static String name(int i) {
+    return String.format("n-%06d", i);
+  }
+
+  /** A machine that has sent a heartbeat, hears the leader and has shown it. */
+  public static void hearing(Scheduler s, String name, double now) {
+    machine(s, name, 1, 1, now);
+  }
+
+  /** Returns all actions that the scheduler has given and no step has answered. */
+  public static List<Action> taken(Scheduler s) {
     List<Action> all = TAKEN.computeIfAbsent(s, k -> new ArrayList<>());
     all.addAll(s.take());
     return all;
   }
 
-  static List<String> notes(Scheduler s) {
+  /** Returns the texts of all notes so far. */
+  public static List<String> notes(Scheduler s) {
     List<String> notes = new ArrayList<>();
     for (Action a : taken(s)) {
       if (a instanceof Action.Note n) {
@@ -216,11 +221,12 @@
       new java.util.WeakHashMap<>();
 
   /** Transactions answered so far by {@link #commitAll}. */
-  static int writes(Scheduler s) {
+  public static int writes(Scheduler s) {
     return WRITES.computeIfAbsent(s, k -> new int[1])[0];
   }
 
-  static long launches(Scheduler s) {
+  /** Returns how many launches the direct commands ask for. */
+  public static long launches(Scheduler s) {
     return taken(s).stream()
         .filter(a -> a instanceof Action.Command)
         .flatMap(a -> ((Action.Command) a).orders().stream())
@@ -229,7 +235,7 @@
   }
 
   /** Answers the transactions that were sent, without a round before. */
-  static void answerWrites(Scheduler s, Scheduler.Outcome how, double now) {
+  public static void answerWrites(Scheduler s, Scheduler.Outcome how, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Write w) {
         TAKEN.get(s).remove(a);
@@ -239,7 +245,7 @@
   }
 
   /** Runs a round and commits what it writes, at the revision given. */
-  static void commitAll(Scheduler s, long revision, double now) {
+  public static void commitAll(Scheduler s, long revision, double now) {
     s.step(now);
     List<Action> all = taken(s);
     for (Action a : new ArrayList<>(all)) {
@@ -254,7 +260,7 @@
   }
 
   /** Answers the latest direct orders with a report that refuses them. */
-  static void answerDirect(Scheduler s, Heartbeat r, double now) {
+  public static void answerDirect(Scheduler s, Heartbeat r, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Command c) {
         TAKEN.get(s).remove(a);
@@ -270,7 +276,7 @@
    * The machine takes what it was told to start, in two reports of which the second shows it; up to
    * so many of its tasks are done by then.
    */
-  static void work(Scheduler s, String machine, long seq, int done, double now) {
+  public static void work(Scheduler s, String machine, long seq, int done, double now) {
     Map<String, Integer> running =
         RUNNING
             .computeIfAbsent(s, k -> new HashMap<>())
@@ -320,18 +326,19 @@
   }
 
   /** Changes of task batches in transactions that nobody has answered. */
-  static int changesOut(Scheduler s) {
+  public static int changesOut(Scheduler s) {
     return taken(s).stream()
         .mapToInt(a -> a instanceof Action.Write w ? w.taskBatches().size() : 0)
         .sum();
   }
 
   /** Starts of a job's tasks that the notes tell of. */
-  static long tasksStarted(Scheduler s, String job) {
+  public static long tasksStarted(Scheduler s, String job) {
     return notes(s).stream().filter(n -> n.startsWith("start " + job + "/")).count();
   }
 
-  static int claimsOf(Scheduler s, String machine) {
+  /** Returns how many claims a machine holds. */
+  public static int claimsOf(Scheduler s, String machine) {
     return s.machines(0).stream()
         .filter(m -> m.name().equals(machine))
         .findFirst()
--- a/src/test/java/graderelay/ScenarioSteps.java
+++ b/src/test/java/graderelay/sim/ScenarioSteps.java
@@ -1,37 +1,24 @@
-package graderelay;
+package graderelay.sim;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Scheduler;
-import graderelay.sim.Rules;
-import graderelay.sim.SimWorld;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Steps that scenarios of several subjects share. */
-final class ScenarioSteps {
+public final class ScenarioSteps {
   private ScenarioSteps() {}
 
-  /** The name of the i-th machine. */
-  static String name(int i) {
-    return String.format("n-%06d", i);
-  }
-
-  /** A machine that reports, hears the leader and has shown it. */
-  static void hearing(Scheduler s, String name, double now) {
-    SchedulerFixture.machine(s, name, 1, 1, now);
-  }
-
   /** The first task batch of the job is stored: a task of it was claimed. */
-  static boolean claimed(SimWorld w, Rules.Known j) {
+  public static boolean claimed(SimWorld w, Rules.Known j) {
     return w.state.value(StateCodec.TASK_BATCHES + j.id + "/0") != null;
   }
 
   /** Services that run when the story begins. */
-  static Rules.Known[] running(SimWorld w, int jobs) {
+  public static Rules.Known[] running(SimWorld w, int jobs) {
     Rules.Known[] all = new Rules.Known[jobs];
     for (int i = 0; i < jobs; i++) {
       all[i] = w.job(String.format("j-0003%02d", i), 2, 1, 0, false);
@@ -42,12 +29,13 @@
     return all;
   }
 
-  static int other(SimWorld w, int node) {
+  /** Returns another controller than this one. */
+  public static int other(SimWorld w, int node) {
     return (node + 1) % w.size;
   }
 
   /** Arrays that come over some seconds, of which every third is cancelled at once. */
-  static List<Rules.Known> arrays(SimWorld w, int n, double everyS, double runS) {
+  public static List<Rules.Known> arrays(SimWorld w, int n, double everyS, double runS) {
     List<Rules.Known> all = new ArrayList<>();
     for (int i = 0; i < n; i++) {
       Rules.Known j = w.job(String.format("j-0004%02d", i), 1 + i % 3, 1, runS, true);
@@ -62,7 +50,7 @@
   }
 
   /** Every job has ended, as its user asked, and every node says so. */
-  static void allOver(SimWorld w, List<Rules.Known> jobs) {
+  public static void allOver(SimWorld w, List<Rules.Known> jobs) {
     for (Rules.Known j : jobs) {
       for (int i = 0; i < w.size; i++) {
         String stage = w.stage(i, j.id);
@@ -72,7 +60,8 @@
     fine(w);
   }
 
-  static byte[] checkin(int seq) {
+  /** Returns the body of a heartbeat of a machine that nobody scaled out. */
+  public static byte[] checkin(int seq) {
     return Json.write(
         Json.object()
             .put("saw", "n-999999")
@@ -85,11 +74,13 @@
             .put("foreman", 0));
   }
 
-  static void refuse(SimWorld w, int node, boolean on) {
+  /** From now on the store refuses requests of this controller alone, or no longer. */
+  public static void refuse(SimWorld w, int node, boolean on) {
     w.refused[node][0] = on;
   }
 
-  static void accept(SimWorld w, int node, Rules.Known j) {
+  /** Submits a job and runs the world until it is accepted, for a minute at most. */
+  public static void accept(SimWorld w, int node, Rules.Known j) {
     w.submit(node, j);
     for (int i = 0; i < 600 && !j.accepted; i++) {
       w.loop.run(0.1);
@@ -97,7 +88,8 @@
     assertThat(j.accepted).isTrue();
   }
 
-  static void everywhere(SimWorld w, List<Rules.Known> jobs, String stage) {
+  /** Every job has this stage at every controller, and no rule was broken. */
+  public static void everywhere(SimWorld w, List<Rules.Known> jobs, String stage) {
     for (Rules.Known j : jobs) {
       for (int i = 0; i < w.size; i++) {
         assertThat(w.stage(i, j.id)).as(j.id).isEqualTo(stage);
--- a/src/test/java/graderelay/WorldAssertions.java
+++ b/src/test/java/graderelay/sim/WorldAssertions.java
@@ -1,15 +1,13 @@
-package graderelay;
+package graderelay.sim;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.SimWorld;
-
-/** Small words that stories of whole controllers share. */
-final class WorldAssertions {
+/** Checks that tests of whole simulated controllers share. */
+public final class WorldAssertions {
   private WorldAssertions() {}
 
-  /** A world of so many controllers, of which one owns the fleet by now. */
-  static SimWorld world(long seed, int size) {
+  /** A world of so many controllers, of which one leads by now. */
+  public static SimWorld world(long seed, int size) {
     SimWorld w = SimWorld.of(seed, size);
     w.loop.run(3);
     assertThat(w.leader()).isNotNegative();
@@ -17,12 +15,12 @@
   }
 
   /** No rule was broken. */
-  static void fine(SimWorld w) {
+  public static void fine(SimWorld w) {
     assertThat(w.rules.broken).isEmpty();
   }
 
   /** The machine that runs a task. */
-  static String runner(SimWorld w, String task) {
+  public static String runner(SimWorld w, String task) {
     return w.workers.values().stream()
         .filter(x -> x.running().contains(task))
         .findFirst()
@@ -31,7 +29,7 @@
   }
 
   /** Seconds until the next start of a task, or a minute if there is none by then. */
-  static double secondsToNextStart(SimWorld w) {
+  public static double secondsToNextStart(SimWorld w) {
     int starts = w.rules.starts;
     double from = w.loop.now();
     while (w.rules.starts == starts && w.loop.now() < from + 60) {
