--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -1,14 +1,9 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.core.Action;
-import graderelay.core.JobSpec;
-import graderelay.core.Priority;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
 import graderelay.sim.RandomDay;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
--- a/src/test/java/graderelay/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -1,14 +1,9 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Heartbeat;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
-import graderelay.core.WorkerCommand;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
--- a/src/test/java/graderelay/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -1,11 +1,8 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.hearing;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
-import graderelay.core.SchedulerLimits;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import java.util.List;
--- a/src/test/java/graderelay/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/core/ManyMachineFailuresTest.java
@@ -1,11 +1,8 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.name;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -1,12 +1,7 @@
-package graderelay;
+package graderelay.core;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Priority;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
-import graderelay.core.SchedulerLimits;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
@@ -1,10 +1,7 @@
-package graderelay;
+package graderelay.core;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -1,12 +1,10 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.hearing;
 import static graderelay.core.SchedulerFixture.name;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.array;
 import static graderelay.core.SchedulerFixture.claimed;
@@ -7,10 +7,6 @@
 import static graderelay.core.SchedulerFixture.taken;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
-import graderelay.core.TaskBatchKey;
 import graderelay.quota.Account;
 import graderelay.quota.AccountChange;
 import graderelay.quota.Amount;
