--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.state;
 
 import static graderelay.sim.ScenarioSteps.other;
 import static graderelay.sim.ScenarioSteps.refuse;
@@ -10,7 +10,6 @@
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
-import graderelay.state.Leadership;
 import graderelay.wire.StateCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.state;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.runner;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a new leader adopts, and when it starts a task anew. */
-class TakeoverTest {
+class FailoverTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
   }
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.state;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A state service that lowers its limits, and records from before. */
-class LowerLimitsTest {
+class LoweredStoreLimitsTest {
   private static Rules.Known job(SimWorld w, int n, int tasks, double runS, Rules.Known... needs) {
     Rules.Known j = w.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
     j.needs = List.of(needs);
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -1,11 +1,10 @@
-package graderelay;
+package graderelay.state;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
-import graderelay.state.Leadership;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
