--- a/src/test/java/graderelay/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/graderelay/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.api;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.world;
--- a/src/test/java/graderelay/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/api/DependencySubmissionTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.api;
 
 import static graderelay.sim.ScenarioSteps.accept;
 import static graderelay.sim.ScenarioSteps.everywhere;
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.api;
 
 import static graderelay.sim.ScenarioSteps.allOver;
 import static graderelay.sim.ScenarioSteps.arrays;
