--- a/src/test/java/graderelay/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.worker;
 
 import static graderelay.core.SchedulerFixture.hearing;
 import static graderelay.sim.ScenarioSteps.allOver;
--- a/src/test/java/graderelay/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.worker;
 
 import static graderelay.sim.ScenarioSteps.allOver;
 import static graderelay.sim.ScenarioSteps.arrays;
--- a/src/test/java/graderelay/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.worker;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.runner;
