--- a/src/test/java/graderelay/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -1,20 +1,18 @@
-package graderelay;
+package graderelay.quota;
 
-import static graderelay.QuotaSteps.account;
-import static graderelay.QuotaSteps.burst;
-import static graderelay.QuotaSteps.isClaim;
-import static graderelay.QuotaSteps.kept;
-import static graderelay.QuotaSteps.overwriteAccount;
-import static graderelay.QuotaSteps.plain;
-import static graderelay.QuotaSteps.set;
-import static graderelay.QuotaSteps.shown;
-import static graderelay.QuotaSteps.stored;
+import static graderelay.quota.QuotaSteps.account;
+import static graderelay.quota.QuotaSteps.burst;
+import static graderelay.quota.QuotaSteps.isClaim;
+import static graderelay.quota.QuotaSteps.kept;
+import static graderelay.quota.QuotaSteps.overwriteAccount;
+import static graderelay.quota.QuotaSteps.plain;
+import static graderelay.quota.QuotaSteps.set;
+import static graderelay.quota.QuotaSteps.shown;
+import static graderelay.quota.QuotaSteps.stored;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.quota.Amount;
-import graderelay.quota.TeamQuota;
 import graderelay.sim.QuotaRecorder;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
--- a/src/test/java/graderelay/QuotaMeasurement.java
+++ b/src/test/java/graderelay/quota/QuotaMeasurement.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.quota;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
--- a/src/test/java/graderelay/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.quota;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/graderelay/StoredLimitsTest.java
+++ b/src/test/java/graderelay/quota/StoredLimitsTest.java
@@ -1,12 +1,12 @@
-package graderelay;
+package graderelay.quota;
 
-import static graderelay.QuotaSteps.allDone;
-import static graderelay.QuotaSteps.beganWithin;
-import static graderelay.QuotaSteps.burst;
-import static graderelay.QuotaSteps.isClaim;
-import static graderelay.QuotaSteps.kept;
-import static graderelay.QuotaSteps.plain;
-import static graderelay.QuotaSteps.stored;
+import static graderelay.quota.QuotaSteps.allDone;
+import static graderelay.quota.QuotaSteps.beganWithin;
+import static graderelay.quota.QuotaSteps.burst;
+import static graderelay.quota.QuotaSteps.isClaim;
+import static graderelay.quota.QuotaSteps.kept;
+import static graderelay.quota.QuotaSteps.plain;
+import static graderelay.quota.QuotaSteps.stored;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.QuotaRecorder;
--- a/tools/measure-quota.sh
+++ b/tools/measure-quota.sh
@@ -7,4 +7,4 @@
 mvn -q -B -ntp org.apache.maven.plugins:maven-dependency-plugin:3.6.1:build-classpath \
   -Dmdep.outputFile=target/test-classpath.txt -Dmdep.includeScope=test
 exec java -Xmx2g -Djava.util.logging.config.file=src/test/resources/logging.properties \
-  -cp "target/test-classes:target/classes:$(cat target/test-classpath.txt)" graderelay.QuotaMeasurement "$@"
+  -cp "target/test-classes:target/classes:$(cat target/test-classpath.txt)" graderelay.quota.QuotaMeasurement "$@"
