--- a/src/test/java/graderelay/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/features/RollingUpgradeTest.java
@@ -1,12 +1,10 @@
-package graderelay;
+package graderelay.features;
 
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.config.Options;
-import graderelay.features.FeatureRange;
-import graderelay.features.UpgradePolicy;
 import graderelay.sim.Rules;
 import graderelay.sim.ScenarioSteps;
 import graderelay.sim.SimWorld;
