--- a/src/test/java/graderelay/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.scenario;
 
 import static graderelay.sim.ScenarioSteps.accept;
 import static graderelay.sim.ScenarioSteps.everywhere;
--- a/src/test/java/graderelay/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.scenario;
 
 import static graderelay.core.SchedulerFixture.hearing;
 import static graderelay.core.SchedulerFixture.name;
--- a/src/test/java/graderelay/ModelTest.java
+++ b/src/test/java/graderelay/scenario/RandomDayTest.java
@@ -1,4 +1,4 @@
-package graderelay;
+package graderelay.scenario;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -16,7 +16,7 @@
  * Random days break no rule, with one version and while it replaces the one in production. A
  * failing day is made as short as possible before it is printed.
  */
-class ModelTest {
+class RandomDayTest {
   private static final long SEEDS = 60;
 
   /** The property {@code seed} plays one day, {@code seeds} says how many. */
