--- a/src/test/java/graderelay/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/api/SubmissionBurstTest.java
@@ -1,7 +1,7 @@
-package graderelay;
+package graderelay.api;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
@@ -20,7 +20,7 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aBurstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
+  void burstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
     SimWorld w = world(461, 5);
     w.loop.run(10);
     int follower = (w.leader() + 1) % w.size;
--- a/src/test/java/graderelay/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -1,16 +1,17 @@
-package graderelay;
+package graderelay.api;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.arrays;
-import static graderelay.ScenarioSteps.other;
-import static graderelay.ScenarioSteps.refuse;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.arrays;
+import static graderelay.sim.ScenarioSteps.other;
+import static graderelay.sim.ScenarioSteps.refuse;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.List;
@@ -30,7 +31,7 @@
   }
 
   @Test
-  void aPollAfterAnotherNodeSaidDoneIsNeverOlder() {
+  void pollAfterAnotherControllerSaidDoneIsNeverOlder() {
     SimWorld w = world(13);
     Rules.Known j = w.job("j-000015", 2, 1, 2, true);
     w.submit(0, j);
@@ -44,7 +45,7 @@
   }
 
   @Test
-  void aRetryOfAnAcceptedJobWhoseTypeVanishedIsStillKnown() {
+  void retryOfAcceptedJobWhoseMachineTypeVanishedIsStillKnown() {
     SimWorld w = world(14);
     Rules.Known j = w.job("j-000016", 1, 1, 2, true);
     w.submit(0, j);
@@ -72,7 +73,7 @@
   void noNodeAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
     SimWorld w = world(311, 3);
     w.lookClosely();
-    List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
+    final List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
     w.loop.run(6);
     int leader = w.leader();
     switch (trouble) {
@@ -103,7 +104,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, false", "0.002, false", "0.01, false", "0.5, false", "0, true"})
-  void aCancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
+  void cancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
       double after, boolean leaderEnds) {
     SimWorld w = world(312, 3);
     w.lookClosely();
@@ -132,11 +133,11 @@
   }
 
   @Test
-  void aTransactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
+  void transactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
     SimWorld w = world(313, 3);
     w.lookClosely();
     w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
-    List<Rules.Known> jobs = arrays(w, 20, 1, 3);
+    final List<Rules.Known> jobs = arrays(w, 20, 1, 3);
     w.loop.run(40);
     w.state.loseAnswer = t -> false;
     w.loop.run(60);
@@ -144,22 +145,22 @@
   }
 
   @Test
-  void whatCannotRunOrLacksAFieldIsRefusedByEveryNodeInEveryState() {
+  void jobsThatCannotRunOrLackFieldsAreRefusedByEveryControllerInEveryState() {
     SimWorld w = world(314, 3);
     running(w, 1);
     byte[] tooBig = Json.write(w.body(w.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
     ObjectNode lacks = w.body(w.job("j-000492", 1, 1, 2, true));
     lacks.remove("mem_gb");
-    Runnable[] states = {
-      () -> {},
-      () -> refuse(w, w.leader(), true),
-      () -> w.state.outage(true),
-      () -> {
-        w.crashAll();
-        w.startAll();
-      },
-      () -> w.cloud.noTypes = true
-    };
+    List<Runnable> states =
+        List.of(
+            () -> {},
+            () -> refuse(w, w.leader(), true),
+            () -> w.state.outage(true),
+            () -> {
+              w.crashAll();
+              w.startAll();
+            },
+            () -> w.cloud.noTypes = true);
     for (Runnable state : states) {
       state.run();
       for (int k = 0; k < 4; k++) {
--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -22,7 +22,8 @@
         {"ref":"%s","lot":"batch","crew":"team","cut":"array","urgency":"normal","boards":2,
          "cpus":1.0,"cards":0.0,"mem_gb":1.0,"blade":"i","pull_gb":1.0,"rigs":null,"yard":null,
          "one_zone":false,"apart":false,"borrowed":true,"expected_s":5.0,"stack_s":0.0,
-         "stack_write_s":0.0,"ship_s":null}"""
+         "stack_write_s":0.0,"ship_s":null}\
+        """
             .formatted(id));
     return file;
   }
@@ -78,7 +79,7 @@
   }
 
   @Test
-  void aChainIsSubmittedWatchedAndCancelledAsAWhole() throws Exception {
+  void chainIsSubmittedWatchedAndCancelledAsOneWhole() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 3)) {
       waitUntilServing(deployment);
       assertThat(submit(deployment, 0, job("j-000001")).out()).contains("j-000001 pending");
@@ -112,7 +113,7 @@
   }
 
   @Test
-  void aControllerThatIsNotThereIsToldSo() throws Exception {
+  void unreachableControllerIsReportedToTheUser() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 0)) {
       Outcome outcome = deployment.run("status", "--server", "127.0.0.1:1");
       assertThat(outcome.code()).isEqualTo(Main.UNREACHABLE);
--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -1,13 +1,9 @@
-package graderelay;
+package graderelay.core;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.core.Action;
-import graderelay.core.JobSpec;
-import graderelay.core.Priority;
-import graderelay.core.Scheduler;
 import graderelay.sim.RandomDay;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
@@ -32,7 +28,7 @@
    * its tasks are gone, which a machine that hangs puts off, and nothing of theirs ever ran.
    */
   @Test
-  void dependentsOfACancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
+  void dependentsOfCancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
@@ -51,7 +47,7 @@
    * changes, and nobody waits for them: work that has just come is claimed before they are written.
    */
   @Test
-  void theEndsOfAWideFanDoNotHoldUpTheClaimsOfOthers() {
+  void endsOfWideFanDoNotHoldUpTheClaimsOfOthers() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
@@ -90,7 +86,7 @@
    */
   @ParameterizedTest
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
-  void aDependentsTimesCountFromWhenItCouldBegin(
+  void timesOfDependentCountFromWhenItCouldBegin(
       boolean takeover, double readyAt, boolean passesOthers) {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
--- a/src/test/java/graderelay/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -1,11 +1,10 @@
-package graderelay;
+package graderelay.core;
 
-import static graderelay.ScenarioSteps.hearing;
+import static graderelay.core.SchedulerFixture.hearing;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerLimits;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -17,7 +16,7 @@
   }
 
   @Test
-  void aLargeArrayBeginsAlthoughSmallerOnesKeepComing() {
+  void largeArrayBeginsAlthoughSmallerOnesKeepComing() {
     Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(5.0, 20.0)));
     s.loaded(0);
     hearing(s, "n-1", 0);
@@ -39,7 +38,7 @@
   }
 
   @Test
-  void aReportOfAWrongFormIsRefusedAndChangesNothing() {
+  void malformedHeartbeatIsRefusedAndChangesNothing() {
     SimWorld w = world(41);
     int leader = w.leader();
     String good =
--- a/src/test/java/graderelay/LateMachinesTest.java
+++ b/src/test/java/graderelay/core/LateMachinesTest.java
@@ -1,9 +1,7 @@
-package graderelay;
+package graderelay.core;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -38,7 +36,7 @@
   }
 
   @Test
-  void workThatWaitsForAMachineWhichOthersHaveOvertakenGetsAnother() {
+  void workWhoseNewMachineWasTakenByOthersGetsAnother() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
@@ -63,7 +61,7 @@
   }
 
   @Test
-  void whenAllBootsAreSlowMachinesAreNotRentedAndGivenUpInTurn() {
+  void whenAllBootsAreSlowMachinesAreNotScaledOutAndGivenUpInTurn() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
@@ -86,7 +84,7 @@
   }
 
   @Test
-  void aMachineThatIsUpBeforeItsRentalIsAnsweredGetsWork() {
+  void machineThatIsUpBeforeItsScaleOutIsAnsweredGetsWork() {
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 4), false, 5, 0.1, 0.1);
     s.tick(1);
--- a/src/test/java/graderelay/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
@@ -1,9 +1,7 @@
-package graderelay;
+package graderelay.core;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -11,7 +9,7 @@
 /** Which machines a scale out requests for work that may wait for its deadline. */
 class ScaleOutForDeadlinesTest {
   @Test
-  void aWantedStartWithinMinutesLeavesWorkWithADeadlinePatient() {
+  void wantedStartWithinMinutesLeavesDeadlineWorkPatient() {
     // It need not start before a machine boots, so ordinary ones are rented only as it presses.
     assertThat(ordinary(150, 400)).isEqualTo(1);
     assertThat(ordinary(10, 400)).isEqualTo(5);
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -1,15 +1,12 @@
-package graderelay;
+package graderelay.core;
 
-import static graderelay.SchedulerFixture.array;
-import static graderelay.SchedulerFixture.claimed;
-import static graderelay.SchedulerFixture.machine;
-import static graderelay.SchedulerFixture.scheduler;
-import static graderelay.SchedulerFixture.taken;
+import static graderelay.core.SchedulerFixture.array;
+import static graderelay.core.SchedulerFixture.claimed;
+import static graderelay.core.SchedulerFixture.machine;
+import static graderelay.core.SchedulerFixture.scheduler;
+import static graderelay.core.SchedulerFixture.taken;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
-import graderelay.core.TaskBatchKey;
 import graderelay.quota.Account;
 import graderelay.quota.AccountChange;
 import graderelay.quota.Amount;
@@ -61,7 +58,7 @@
   }
 
   @Test
-  void claimsOfARoundGoWithOneRaiseOfTheirTeamsAccountAndNoFurtherThanTheLimit() {
+  void claimsOfOneRoundRaiseTheirTeamsAccountOnceAndOnlyToTheLimit() {
     Scheduler s = fenced(5);
     s.step(2);
     List<Action.Write> writes = writes(s);
@@ -74,7 +71,7 @@
   }
 
   @Test
-  void whatIsSeenOfASliceWhileAChangeOfItIsUnderWayCountsAtOnce() {
+  void taskBatchChangeSeenWhileAnotherIsUnderWayCountsAtOnce() {
     Scheduler s = fenced(1);
     s.step(2);
     assertThat(writes(s).get(0).taskBatches()).hasSize(1);
@@ -97,7 +94,7 @@
   }
 
   @Test
-  void theEndOfAJobGivesItsClaimsBackOnlyOnceItHasCommitted() {
+  void endOfJobReleasesItsClaimsOnlyOnceItHasCommitted() {
     Scheduler s = fenced(1);
     s.step(2);
     s.onWrite(writes(s).get(0).id(), Scheduler.Outcome.COMMITTED, 21, 2);
--- a/src/test/java/graderelay/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -1,12 +1,13 @@
-package graderelay;
+package graderelay.scenario;
 
-import static graderelay.ScenarioSteps.hearing;
-import static graderelay.ScenarioSteps.name;
-import static graderelay.WorldAssertions.fine;
+import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.name;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
@@ -46,7 +47,7 @@
   }
 
   @Test
-  void goesThroughATakeoverAndAZoneCutWithoutLosingATask() {
+  void goesThroughFailoverAndZonePartitionWithoutLosingAnyTask() {
     SimWorld w = fleet();
     w.loop.run(4);
     final List<Rules.Known> jobs = replicasOnEveryMachine(w);
@@ -115,7 +116,7 @@
   }
 
   @Test
-  void thePlanRecordsTheImagesOfAllMachinesAFewRecordsAtATime() {
+  void planRecordsTheImagesOfAllMachinesInSmallGroups() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < MACHINES; i++) {
       hearing(s, name(i), 0);
--- a/src/test/java/graderelay/sim/FaultInjector.java
+++ b/src/test/java/graderelay/sim/FaultInjector.java
@@ -12,6 +12,7 @@
 
   private final SimWorld world;
 
+  /** Creates an injector of faults into this world. */
   public FaultInjector(SimWorld world) {
     this.world = world;
   }
@@ -70,7 +71,7 @@
         world.loop.after(f.length(), () -> world.net.copies = 0);
       }
       case REPORTS_KEPT_FOR_NEXT_LEADER -> {
-        world.net.keepReports();
+        world.net.keepHeartbeats();
         world.loop.after(f.length(), () -> deliverToNext(leader, DELIVERY_TRIES));
       }
       case SLOW_BOOTS -> boots(2 + f.pick() % 19, 0, f.length());
@@ -100,6 +101,7 @@
               MACHINES_MUTE,
               MACHINES_HANG ->
           applyToMachines(f, leader);
+      default -> throw new AssertionError(f);
     }
   }
 
--- a/src/test/java/graderelay/sim/Rules.java
+++ b/src/test/java/graderelay/sim/Rules.java
@@ -128,6 +128,7 @@
     return running.getOrDefault(team, 0.0);
   }
 
+  /** Adds a line with the virtual time to the trace. */
   public void log(String s) {
     trace.add(String.format("%.3f %s", loop.now(), s));
     if (trace.size() > 60) {
@@ -135,6 +136,7 @@
     }
   }
 
+  /** Returns the last lines of the trace. */
   public List<String> trace() {
     return new ArrayList<>(trace);
   }
@@ -255,7 +257,7 @@
       breaks("went_back " + j.id + ": cancelled by nobody");
     }
     boolean over = stage.equals("done") || stage.equals("cancelled");
-    boolean isNew = over ? !j.lastStage.equals(stage) : submission && !j.accepted;
+    final boolean isNew = over ? !j.lastStage.equals(stage) : submission && !j.accepted;
     if (stage.equals("done") || stage.equals("cancelled")) {
       j.lastStage = stage;
     }
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -1,24 +1,26 @@
-package graderelay;
+package graderelay.state;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
-import static graderelay.WorldAssertions.secondsToNextStart;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
+import static graderelay.sim.WorldAssertions.secondsToNextStart;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Scheduler;
+import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
 /** What a new leader adopts, and when it starts a task anew. */
-class TakeoverTest {
+class FailoverTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
   }
 
   @Test
-  void aTakeoverAdoptsWhatRunsAndStartsNothingTwice() {
+  void failoverAdoptsWhatRunsAndStartsNothingTwice() {
     SimWorld w = world(7);
     Rules.Known j = w.job("j-000007", 4, 1, 0, false);
     w.submit(0, j);
@@ -31,7 +33,7 @@
   }
 
   @Test
-  void aMissingTaskIsRequeuedOnlyAfterItsWorkersLease() {
+  void missingTaskIsRequeuedOnlyAfterItsWorkersLease() {
     SimWorld w = world(8);
     Rules.Known j = w.job("j-000008", 1, 4, 300, false);
     w.submit(0, j);
@@ -46,7 +48,7 @@
   }
 
   @Test
-  void aSilentMachineWithServicesIsGivenBackAndItsReplicasStartElsewhereBeforeItsLease() {
+  void silentMachineWithServicesIsScaledInAndItsReplicasStartElsewhereBeforeItsLeaseEnds() {
     SimWorld w = world(8);
     Rules.Known j = w.job("j-000020", 1, 3, 0, false);
     w.submit(0, w.job("j-000021", 4, 3, 300, false));
@@ -63,7 +65,7 @@
   }
 
   @Test
-  void aSessionThatOnlyDirectOrdersHaveShownHasItsWholeLease() {
+  void sessionShownOnlyByDirectCommandsHasItsWholeLease() {
     // A worker that reaches no controller but is reached by the leader: the leader sees a new
     // session in its answers and launches there, and must wait for that session's own lease.
     Scheduler s = SchedulerFixture.scheduler(1);
@@ -81,7 +83,7 @@
   }
 
   @Test
-  void anOwnerThatOnlyItsWorkersReachFallsSilentBeforeAnotherMayFollow() {
+  void leaderReachedOnlyByItsWorkersFallsSilentBeforeAnotherMayFollow() {
     SimWorld w = world(24);
     Rules.Known j = w.job("j-000050", 3, 1, 0, false);
     w.submit(0, j);
@@ -100,7 +102,7 @@
   }
 
   @Test
-  void aReportUnderAnOlderTermProvesNothingAboutAnEarlierOwnersClaim() {
+  void heartbeatUnderAnOlderTermProvesNothingAboutAnEarlierLeadersClaim() {
     Scheduler s = SchedulerFixture.takingOver(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
--- a/src/test/java/graderelay/LeaderChangeTest.java
+++ b/src/test/java/graderelay/state/LeaderChangeTest.java
@@ -1,15 +1,16 @@
-package graderelay;
+package graderelay.state;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.arrays;
-import static graderelay.ScenarioSteps.refuse;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.arrays;
+import static graderelay.sim.ScenarioSteps.refuse;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -124,7 +125,7 @@
   }
 
   @Test
-  void allControllersAreAwayForLongerThanALeaseAndAJobWasCancelledBefore() {
+  void allControllersAreAwayForLongerThanOneLeaseAfterCancellation() {
     SimWorld w = world(324, 3);
     Rules.Known[] jobs = running(w, 2);
     w.cancel(0, jobs[0]);
@@ -139,7 +140,7 @@
   }
 
   @Test
-  void tasksOfOneJobThatEndFarApartAcrossAChangeOfOwnerEndIt() {
+  void tasksThatEndFarApartAcrossLeaderChangeEndTheirJob() {
     SimWorld w = world(325, 3);
     w.cloud.capacity = 1; // One task after the other.
     Rules.Known j = w.job("j-000480", 3, 4, 9, false);
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -1,6 +1,6 @@
-package graderelay;
+package graderelay.state;
 
-import static graderelay.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A state service that lowers its limits, and records from before. */
-class LowerLimitsTest {
+class LoweredStoreLimitsTest {
   private static Rules.Known job(SimWorld w, int n, int tasks, double runS, Rules.Known... needs) {
     Rules.Known j = w.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
     j.needs = List.of(needs);
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void aNewVersionsRecordsFitTheLimitsToCome() {
+  void recordsOfNewVersionFitTheLimitsToCome() {
     SimWorld w =
         new SimWorld(
             412,
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void aPackedSliceSaysTheSameInFewerBytes() {
+  void packedTaskBatchSaysTheSameInFewerBytes() {
     int n = 500;
     int[] attempts = new int[n];
     String[] machines = new String[n];
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -1,11 +1,10 @@
-package graderelay;
+package graderelay.state;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
-import graderelay.state.Leadership;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -25,9 +24,9 @@
 
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void anOutageWhileAControllerIsAwayCostsNoLease(int size) {
+  void outageWhileOneControllerIsAwayCostsNoLease(int size) {
     SimWorld w = withOneDown(71, size);
-    int leader = w.leader();
+    final int leader = w.leader();
     w.state.outage(true);
     w.loop.run(SimWorld.LEASE_S + 10);
     w.state.outage(false);
@@ -40,7 +39,7 @@
   }
 
   @Test
-  void aControllerThatIsBackTakesOverAsSoonAsItsBarIsLifted() {
+  void returningControllerTakesOverAsSoonAsItsSuspensionIsLifted() {
     SimWorld w = withOneDown(72, 3);
     int leader = w.leader();
     int back = (leader + 1) % 3;
@@ -56,7 +55,7 @@
   }
 
   @Test
-  void aBarredControllerThatIsLeftAloneTakesOverOnlyWhenNobodyCanCountOnItsBar() {
+  void lonelySuspendedMemberTakesOverOnlyWhenNobodyCanRelyOnItsSuspension() {
     SimWorld w = withOneDown(73, 3);
     int leader = w.leader();
     int back = (leader + 1) % 3;
@@ -77,7 +76,7 @@
   }
 
   @Test
-  void anOwnerThatLosesTheStateServiceStopsBeforeABarredControllerCanTakeOver() {
+  void leaderThatLosesTheStoreStopsBeforeAnySuspendedMemberCanTakeOver() {
     SimWorld w = withOneDown(74, 3);
     int leader = w.leader();
     int other = (leader + 2) % 3;
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -1,7 +1,7 @@
-package graderelay;
+package graderelay.state;
 
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.world;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,6 +10,7 @@
 import graderelay.net.Exchange.Answer;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -44,7 +45,7 @@
     Rules.Known service = w.job("j-000001", 1, 1, 0, false);
     w.submit(0, service);
     w.loop.run(15);
-    String machine = WorldAssertions.runner(w, "j-000001/0");
+    final String machine = WorldAssertions.runner(w, "j-000001/0");
     int leader = w.leader();
     for (int i = 0; i < w.size; i++) {
       if (i != leader) {
@@ -69,6 +70,7 @@
       case EMPTY_ANSWER -> e.to().accept(cbor(Json.object()));
       case NOT_CBOR -> e.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
       case WITHOUT_CANCELLATIONS -> usual.handle(without(e, "cancellations"));
+      default -> throw new AssertionError(how);
     }
   }
 
@@ -93,7 +95,7 @@
   }
 
   @Test
-  void aMessageOfAnUnknownKindIsRefusedAndChangesNothing() {
+  void messageOfUnknownKindIsRefusedAndChangesNothing() {
     SimWorld w = world(442, 3);
     int[] status = {0};
     byte[] pledge = PeerCodec.encode(new PeerRequest.Pledge("m-1", 99, 60));
--- a/src/test/java/graderelay/LaunchFencingTest.java
+++ b/src/test/java/graderelay/worker/LaunchFencingTest.java
@@ -1,12 +1,13 @@
-package graderelay;
+package graderelay.worker;
 
-import static graderelay.ScenarioSteps.claimed;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.claimed;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
 /** Direct launches that nobody answered. */
@@ -24,7 +25,7 @@
     Rules.Known warm = w.job("j-000040", 1, 1, 300, false);
     w.submit(0, warm);
     w.loop.run(15);
-    String machine = runner(w, "j-000040/0");
+    final String machine = runner(w, "j-000040/0");
     int leader = w.leader();
     Rules.Known j = w.job("j-000041", 1, 1, 300, false);
     w.net.alwaysPooled = true; // The order goes into an open connection and is held there.
@@ -45,7 +46,7 @@
   }
 
   @Test
-  void aLaunchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
+  void launchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
     SimWorld w = world(9);
     Rules.Known warm = w.job("j-000009", 1, 1, 0, false);
     w.submit(0, warm);
@@ -69,7 +70,7 @@
   }
 
   @Test
-  void aTaskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
+  void taskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
     heldLaunch(
         2.5, 16, (w, m) -> w.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
   }
--- a/src/test/java/graderelay/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -1,16 +1,17 @@
-package graderelay;
+package graderelay.worker;
 
-import static graderelay.ScenarioSteps.allOver;
-import static graderelay.ScenarioSteps.arrays;
-import static graderelay.ScenarioSteps.other;
-import static graderelay.ScenarioSteps.running;
-import static graderelay.WorldAssertions.fine;
-import static graderelay.WorldAssertions.runner;
+import static graderelay.sim.ScenarioSteps.allOver;
+import static graderelay.sim.ScenarioSteps.arrays;
+import static graderelay.sim.ScenarioSteps.other;
+import static graderelay.sim.ScenarioSteps.running;
+import static graderelay.sim.WorldAssertions.fine;
+import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorker;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldAssertions;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -25,7 +26,7 @@
 
   @ParameterizedTest
   @CsvSource({"2, cancel", "6, cancel", "11, cancel", "20, cancel", "6, owner", "20, owner"})
-  void aMachineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
+  void machineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
     SimWorld w = world(331, 3);
     Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void anOrderThatIsHeldUpForSecondsStartsNothingOfACancelledJob() {
+  void commandHeldUpForSecondsStartsNothingOfCancelledJob() {
     SimWorld w = world(332, 3);
     running(w, 1);
     w.net.alwaysPooled = true;
@@ -62,7 +63,7 @@
 
   @ParameterizedTest
   @CsvSource({"cut, 6", "cut, 30", "hang, 6", "hang, 30", "deaf, 30", "mute, 30"})
-  void aTeamAtItsLimitStaysWithinItWhileMachinesCannotBeAskedAndTheOwnerChanges(
+  void teamAtItsLimitStaysWithinItWhileMachinesAreUnreachableAndTheLeaderChanges(
       String how, double length) {
     SimWorld w = new SimWorld(333, SimWorld.Shape.of(3).fleet(20, List.of("a", "b")));
     w.cloud.capacity = 20;
@@ -124,7 +125,7 @@
   @CsvSource({"cut, 8", "cut, 25", "deaf, 8", "deaf, 25"})
   void theOwnerEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
     SimWorld w = world(335, 3);
-    Rules.Known[] jobs = running(w, 2);
+    final Rules.Known[] jobs = running(w, 2);
     Rules.Known longOne = w.job("j-000482", 3, 1, 70, false);
     w.submit(0, longOne);
     w.loop.run(10);
@@ -157,7 +158,7 @@
     w.cloud.bootFactor = 0.15;
     w.state.delayS = writeS;
     w.state.delay = t -> t.toString().contains("g/slice/");
-    List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
+    final List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
     w.loop.run(1 + endsAfter);
     int leader = w.leader();
     w.crash(leader);
