--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -134,7 +134,7 @@
     peerClient.send(
         address,
         new PeerRequest.AdminRequest(e.method(), e.path(), e.query(), e.body()),
-        PeerCodec::relayed,
+        PeerCodec::decodeRelayed,
         peerClient.timeoutS(),
         relayed -> {
           if (relayed == null) {
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -70,7 +70,7 @@
           if (f == null) {
             p.answer(404, Json.object().put("error", "no such job"));
           } else if (f.live() == null || f.live().stop) {
-            p.answer(200, UserCodec.stage(id, f.stage()));
+            p.answer(200, UserCodec.encodeStage(id, f.stage()));
           } else if (lookup.suspendedByLeader()) {
             p.unavailable("this controller may not cancel before the owner hears it again");
           } else {
@@ -86,7 +86,7 @@
         new StateClient.Txn()
             .when(key, live.revision)
             .when(cache.election().suspensionKey(settings.member()), 0)
-            .put(key, StateCodec.job(live.spec, true));
+            .put(key, StateCodec.encodeJob(live.spec, true));
     state.commit(
         txn,
         Use.CLAIM,
@@ -94,7 +94,7 @@
           if (r.done()) {
             cancellations.committed(id);
             LOG.info("stop request for {} recorded", id);
-            p.answer(200, UserCodec.stage(id, JobState.CANCELLED));
+            p.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
           } else if (r.how() == How.NOT_EXECUTED) {
             lookup.retryOrGiveUp(p, () -> cancel(p, id));
           } else {
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -91,7 +91,8 @@
   void submit(Exchange e) {
     JobSpec spec;
     try {
-      spec = UserCodec.submission(Json.read(e.body()), loop.wallMs(), batchCapacity.getAsInt());
+      spec =
+          UserCodec.decodeSubmission(Json.read(e.body()), loop.wallMs(), batchCapacity.getAsInt());
     } catch (BadRequest b) {
       UserApi.refuse(e, 400, b.getMessage());
       return;
@@ -133,7 +134,7 @@
 
   private void answerFinalState(Exchange e, String id) {
     Cache.End end = cache.end(id);
-    e.to().accept(Answer.json(200, Json.write(UserCodec.stage(id, JobState.stageOf(end)))));
+    e.to().accept(Answer.json(200, Json.write(UserCodec.encodeStage(id, JobState.stageOf(end)))));
   }
 
   /**
@@ -162,8 +163,8 @@
     StateClient.Txn txn =
         new StateClient.Txn()
             .when(key, 0)
-            .when(StateCodec.endKey(spec.id()), 0)
-            .put(key, StateCodec.job(spec, false));
+            .when(StateCodec.finalStateKey(spec.id()), 0)
+            .put(key, StateCodec.encodeJob(spec, false));
     state.commit(
         txn,
         Use.SUBMISSION,
@@ -199,9 +200,9 @@
     boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
     boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
     if (cancelled || (fresh && unknown.isEmpty())) {
-      p.answer(201, UserCodec.stage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
+      p.answer(201, UserCodec.encodeStage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
     } else {
-      lookup.look(p, spec.id(), f -> p.answer(201, UserCodec.stage(spec.id(), f.stage())));
+      lookup.look(p, spec.id(), f -> p.answer(201, UserCodec.encodeStage(spec.id(), f.stage())));
     }
   }
 
@@ -212,7 +213,7 @@
         spec.id(),
         found -> {
           if (found != null) {
-            p.answer(200, UserCodec.stage(spec.id(), found.stage()));
+            p.answer(200, UserCodec.encodeStage(spec.id(), found.stage()));
             return;
           }
           String never = neverRuns(spec);
@@ -269,12 +270,15 @@
       Cache.End end = cache.end(id);
       if (live == null && end == null) {
         refuseUnlessAccepted(
-            p, spec, 422, UserCodec.NEEDS + " names " + id + ", which was never accepted");
+            p, spec, 422, UserCodec.DEPENDENCIES + " names " + id + ", which was never accepted");
         return;
       }
       if (live != null && live.spec.isService()) {
         refuseUnlessAccepted(
-            p, spec, 422, UserCodec.NEEDS + " names " + id + ", a service, which is never done");
+            p,
+            spec,
+            422,
+            UserCodec.DEPENDENCIES + " names " + id + ", a service, which is never done");
         return;
       }
       if (end == null || end.cancelled()) {
@@ -287,15 +291,18 @@
   /** The record has to fit a value, also when the state service's limits have become smaller. */
   private void checkSize(PendingAnswer p, JobSpec spec) {
     int most = settings.least().valueBytes();
-    if (Json.write(StateCodec.job(spec, true)).length <= most) {
+    if (Json.write(StateCodec.encodeJob(spec, true)).length <= most) {
       create(p, spec);
-    } else if (Json.write(StateCodec.job(spec.needing(List.of()), true)).length <= most) {
+    } else if (Json.write(StateCodec.encodeJob(spec.needing(List.of()), true)).length <= most) {
       int open = spec.needs().size();
       refuseUnlessAccepted(
           p,
           spec,
           400,
-          UserCodec.NEEDS + " names " + open + " jobs that are not over, more than a job may");
+          UserCodec.DEPENDENCIES
+              + " names "
+              + open
+              + " jobs that are not over, more than a job may");
     } else {
       refuseUnlessAccepted(p, spec, 400, "rigs names more machine types than a job may");
     }
@@ -308,7 +315,7 @@
         spec.id(),
         found -> {
           if (found != null) {
-            p.answer(200, UserCodec.stage(spec.id(), found.stage()));
+            p.answer(200, UserCodec.encodeStage(spec.id(), found.stage()));
           } else {
             p.answer(status, Json.object().put("error", why));
           }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -66,7 +66,9 @@
   public void handle(Exchange e) {
     boolean message = e.method().equals("POST") && e.path().equals(PeerClient.PATH);
     PeerCodec.Envelope envelope =
-        message ? PeerCodec.envelope(e.body()) : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
+        message
+            ? PeerCodec.decodeEnvelope(e.body())
+            : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
     PeerRequest request = envelope.request();
     int theirs = envelope.featureLevel();
     int ours = features.gate().current().level();
@@ -120,6 +122,6 @@
   }
 
   private static void answer(Exchange e, PeerAnswer answer) {
-    e.to().accept(new Answer(200, PeerCodec.encode(answer), "application/cbor", 0, false));
+    e.to().accept(new Answer(200, PeerCodec.encodeAnswer(answer), "application/cbor", 0, false));
   }
 }
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -218,7 +218,7 @@
   /** The request's content, or null once it has been refused. */
   private QuotaRequests.Change request(Exchange e) {
     try {
-      return QuotaRequests.change(Json.read(e.body()), member);
+      return QuotaRequests.decodeChange(Json.read(e.body()), member);
     } catch (BadRequest b) {
       UserApi.refuse(e, BAD_REQUEST, b.getMessage());
       return null;
@@ -236,7 +236,7 @@
         new StateClient.Txn()
             .when(key, onRevision)
             .when(QuotaCodec.SEEDED, records().seededRevision())
-            .put(key, QuotaCodec.limits(quota, by, loop.wallMs()));
+            .put(key, QuotaCodec.encodeLimits(quota, by, loop.wallMs()));
     state.commit(txn, Use.SUBMISSION, r -> written(e, team, r));
   }
 
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -107,7 +107,7 @@
           if (f == null) {
             p.answer(404, Json.object().put("error", "no such job"));
           } else {
-            p.answer(200, UserCodec.status(id, f.stage(), f.done(), f.running()));
+            p.answer(200, UserCodec.encodeStatus(id, f.stage(), f.done(), f.running()));
           }
         });
   }
--- a/src/main/java/graderelay/cli/Tools.java
+++ b/src/main/java/graderelay/cli/Tools.java
@@ -100,7 +100,9 @@
       return ask(
           "POST",
           "/v1/jobs",
-          job instanceof ObjectNode o && !needs.isEmpty() ? UserCodec.needing(o, needs) : job);
+          job instanceof ObjectNode o && !needs.isEmpty()
+              ? UserCodec.withDependencies(o, needs)
+              : job);
     }
 
     @Override
--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -67,7 +67,9 @@
         "GET",
         "/machine_types",
         null,
-        r -> done.accept(r.body() == null || !r.ok() ? null : CloudCodec.types(r.body())));
+        r ->
+            done.accept(
+                r.body() == null || !r.ok() ? null : CloudCodec.decodeMachineTypes(r.body())));
   }
 
   /** Seconds that should lie between lists, so that most calls are left for other uses. */
@@ -92,9 +94,9 @@
             done.accept(null);
             return;
           }
-          List<Listed> page = CloudCodec.machines(r.body());
+          List<Listed> page = CloudCodec.decodeMachines(r.body());
           got.addAll(page);
-          if (CloudCodec.more(r.body()) && !page.isEmpty()) {
+          if (CloudCodec.decodeTruncated(r.body()) && !page.isEmpty()) {
             page(page.get(page.size() - 1).name(), got, done);
           } else {
             done.accept(got);
@@ -123,10 +125,10 @@
         Use.CLAIM,
         "POST",
         "/machines",
-        CloudCodec.scaleOut(name, type, zone, spot, count),
+        CloudCodec.encodeScaleOut(name, type, zone, spot, count),
         r -> {
           if (r.ok() && r.body() != null) {
-            done.accept(new ScaledOut(CloudCodec.names(r.body()), false));
+            done.accept(new ScaledOut(CloudCodec.decodeMachineNames(r.body()), false));
           } else if (r.status() == 503
               && r.body() != null
               && r.body().path("error").asText().equals("no capacity")) {
@@ -142,7 +144,12 @@
 
   /** Deletes machines; true once the cloud has said that they are gone. */
   public void scaleIn(List<String> names, Consumer<Boolean> done) {
-    call(Use.CLAIM, "POST", "/machines/delete", CloudCodec.names(names), r -> done.accept(r.ok()));
+    call(
+        Use.CLAIM,
+        "POST",
+        "/machines/delete",
+        CloudCodec.encodeMachineNames(names),
+        r -> done.accept(r.ok()));
   }
 
   private record Answer(int status, JsonNode body) {
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -51,7 +51,7 @@
         address,
         "POST",
         PATH,
-        PeerCodec.encode(request, gate.current().level()),
+        PeerCodec.encodeRequest(request, gate.current().level()),
         timeoutS,
         r -> done.accept(r.ok() ? decoder.apply(r.body()) : null));
   }
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -188,7 +188,7 @@
       peerClient.send(
           p.address(),
           new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
-          PeerCodec::relayed,
+          PeerCodec::decodeRelayed,
           timeoutS,
           relayed -> {
             Answer a = relayed == null ? null : relayed.answer();
--- a/src/main/java/graderelay/service/FeatureDuty.java
+++ b/src/main/java/graderelay/service/FeatureDuty.java
@@ -90,7 +90,7 @@
         peerClient.send(
             peerClient.addressOf(member),
             new PeerRequest.Identify(self),
-            PeerCodec::identified,
+            PeerCodec::decodeIdentified,
             peerClient.timeoutS(),
             answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -99,7 +99,7 @@
   public void beginLowering(ClusterLevel to, Consumer<Outcome> done) {
     commit(
         asLeader()
-            .put(FeatureCodec.LEVEL, FeatureCodec.level(to))
+            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
             .put(FeatureCodec.HOLD, Json.object()),
         done);
   }
@@ -116,7 +116,7 @@
 
   private static String prefixOf(Feature feature) {
     return switch (feature) {
-      case SEALED_ELECTION -> StateCodec.BARS;
+      case SEALED_ELECTION -> StateCodec.SUSPENSIONS;
       case COMPACT_HINTS -> FeatureCodec.HINTS;
       case STORED_LIMITS -> QuotaCodec.ROOT;
     };
@@ -167,7 +167,7 @@
     List<Team> now = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
     for (Team t : now) {
       String key = QuotaCodec.limitKey(t.name());
-      txn.when(key, 0).put(key, QuotaCodec.limits(t.quota(), member, clock.getAsLong()));
+      txn.when(key, 0).put(key, QuotaCodec.encodeLimits(t.quota(), member, clock.getAsLong()));
     }
     if (now.size() == missing.size()) {
       txn.when(QuotaCodec.SEEDED, 0).put(QuotaCodec.SEEDED, Json.object());
@@ -181,7 +181,7 @@
     int missing = 0;
     for (String member : members) {
       if (!cache.election().openlySuspended(member) && missing < mostChanges) {
-        txn.put(StateCodec.barKey(member), StateCodec.bar(""));
+        txn.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
         missing++;
       }
     }
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -157,7 +157,7 @@
     Set<String> jobs = new HashSet<>();
     for (Action.TaskBatchPut p : w.taskBatches()) {
       String key = StateCodec.taskBatchKey(p.key());
-      txn.when(key, p.revision()).put(key, StateCodec.taskBatch(p.record()));
+      txn.when(key, p.revision()).put(key, StateCodec.encodeTaskBatch(p.record()));
       String job = StateCodec.jobKey(p.key().job());
       if (jobs.add(job)) {
         txn.when(job, p.jobRevision());
@@ -166,7 +166,9 @@
     for (Action.JobEnd e : w.ends()) {
       String key = StateCodec.jobKey(e.job());
       txn.when(key, e.jobRevision()).drop(key);
-      txn.put(StateCodec.endKey(e.job()), StateCodec.end(e.cancelled(), e.tasks(), loop.wallMs()));
+      txn.put(
+          StateCodec.finalStateKey(e.job()),
+          StateCodec.encodeFinalState(e.cancelled(), e.tasks(), loop.wallMs()));
       e.taskBatches().forEach(d -> dropTaskBatch(txn, d));
     }
     w.drops().forEach(d -> dropTaskBatch(txn, d));
@@ -183,7 +185,7 @@
     String key = QuotaCodec.accountKey(c.team());
     txn.when(key, c.onRevision());
     if (c.writes()) {
-      txn.put(key, QuotaCodec.account(c.use(), c.writer()));
+      txn.put(key, QuotaCodec.encodeAccount(c.use(), c.writer()));
     }
     if (c.dependsOnLimits()) {
       txn.when(QuotaCodec.limitKey(c.team()), c.onLimits());
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -66,14 +66,14 @@
   /** The images on machines in all records, the newer form last. */
   List<Map<String, List<String>>> images() {
     List<Map<String, List<String>>> all = new ArrayList<>();
-    cache.images().values().forEach(n -> all.add(StateCodec.images(n)));
+    cache.images().values().forEach(n -> all.add(StateCodec.decodeImages(n)));
     cache
         .compactHints()
         .forEach(
             (key, n) -> {
               JsonNode plain = key.startsWith(FeatureCodec.IMAGE_HINTS) ? unpacked(key, n) : null;
               if (plain != null) {
-                all.add(StateCodec.images(plain));
+                all.add(StateCodec.decodeImages(plain));
               }
             });
     return all;
@@ -97,17 +97,17 @@
 
   void keepDemand(Action.KeepDemand k, long wallMs) {
     if (compact()) {
-      IntFunction<ObjectNode> within = bytes -> StateCodec.demand(k.classes(), wallMs, bytes);
+      IntFunction<ObjectNode> within = bytes -> StateCodec.encodeDemand(k.classes(), wallMs, bytes);
       put(FeatureCodec.DEMAND_HINT, packed(within));
     } else {
-      put(StateCodec.DEMAND, StateCodec.demand(k.classes(), wallMs, mostBytes));
+      put(StateCodec.DEMAND, StateCodec.encodeDemand(k.classes(), wallMs, mostBytes));
     }
   }
 
   void keepImages(Action.KeepImages k) {
     // By name, since neighbours in that order differ in little.
     Map<String, List<String>> machines = new TreeMap<>(k.machines());
-    IntFunction<ObjectNode> within = bytes -> StateCodec.images(machines, KEPT_IMAGES, bytes);
+    IntFunction<ObjectNode> within = bytes -> StateCodec.encodeImages(machines, KEPT_IMAGES, bytes);
     if (compact()) {
       put(FeatureCodec.IMAGE_HINTS + k.part(), packed(within));
     } else {
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -118,7 +118,7 @@
     cache.looseBatches().forEach((k, s) -> core.onTaskBatch(k, s.record(), s.revision(), now));
     JsonNode demand = hints.demand();
     if (demand != null) {
-      core.onDemand(StateCodec.demand(demand, loop.wallMs()), now);
+      core.onDemand(StateCodec.decodeDemand(demand, loop.wallMs()), now);
     }
     onQuota();
     core.loaded(now);
--- a/src/main/java/graderelay/service/Membership.java
+++ b/src/main/java/graderelay/service/Membership.java
@@ -59,7 +59,7 @@
     sending = true;
     String key = FeatureCodec.memberKey(self.name());
     state.commit(
-        new StateClient.Txn().when(key, revision).put(key, FeatureCodec.member(self)),
+        new StateClient.Txn().when(key, revision).put(key, FeatureCodec.encodeMember(self)),
         Use.SUBMISSION,
         r ->
             cache.catchUp(
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -213,7 +213,7 @@
   }
 
   /** The suspension of a controller, or null. */
-  public StateCodec.Bar bar(String member) {
+  public StateCodec.Suspension bar(String member) {
     return election.suspension(member);
   }
 
@@ -277,7 +277,7 @@
     List<List<JsonNode>> got = new ArrayList<>();
     String[] prefixes = {
       StateCodec.LEADER,
-      StateCodec.BARS,
+      StateCodec.SUSPENSIONS,
       StateCodec.TERM,
       StateCodec.SETTINGS,
       StateCodec.DEMAND,
@@ -500,9 +500,9 @@
       putJob(key.substring(StateCodec.JOBS.length()), value, revision);
     } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
       putTaskBatch(
-          StateCodec.batchOf(key), new TaskBatchEntry(StateCodec.taskBatch(value), revision));
-    } else if (key.startsWith(StateCodec.ENDS)) {
-      String id = key.substring(StateCodec.ENDS.length());
+          StateCodec.batchOf(key), new TaskBatchEntry(StateCodec.decodeTaskBatch(value), revision));
+    } else if (key.startsWith(StateCodec.FINAL_STATES)) {
+      String id = key.substring(StateCodec.FINAL_STATES.length());
       ends.put(id, endOf(value));
       listener.onEnd(id, ends.get(id));
     } else if (quota.put(key, value, revision)) {
@@ -543,7 +543,7 @@
       return;
     }
     if (e == null) {
-      e = new Entry(StateCodec.job(id, value));
+      e = new Entry(StateCodec.decodeJob(id, value));
       jobs.put(id, e);
       for (TaskBatchKey k : new ArrayList<>(loose.keySet())) {
         if (k.job().equals(id)) {
@@ -552,7 +552,7 @@
       }
     }
     e.revision = revision;
-    e.stop = StateCodec.stopOf(value);
+    e.stop = StateCodec.decodeStopRequested(value);
     if (e.stop) {
       stopped.add(id);
     }
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -18,7 +18,7 @@
     final String suspensionPrefix;
     StateCodec.LeaderRecord leader;
     long leaderRevision;
-    final Map<String, StateCodec.Bar> suspensions = new HashMap<>();
+    final Map<String, StateCodec.Suspension> suspensions = new HashMap<>();
 
     Layout(String leaderKey, String suspensionPrefix) {
       this.leaderKey = leaderKey;
@@ -28,7 +28,7 @@
     boolean put(String key, JsonNode value, long revision) {
       if (key.equals(leaderKey)) {
         if (revision > leaderRevision) {
-          leader = StateCodec.leader(value);
+          leader = StateCodec.decodeLeader(value);
           leaderRevision = revision;
         }
         return true;
@@ -36,7 +36,7 @@
       if (key.startsWith(suspensionPrefix)) {
         suspensions.put(
             key.substring(suspensionPrefix.length()),
-            new StateCodec.Bar(value.path("leaving").asText(), revision));
+            new StateCodec.Suspension(value.path("leaving").asText(), revision));
         return true;
       }
       return false;
@@ -63,7 +63,7 @@
   }
 
   private final FeatureRecords features;
-  private final Layout open = new Layout(StateCodec.LEADER, StateCodec.BARS);
+  private final Layout open = new Layout(StateCodec.LEADER, StateCodec.SUSPENSIONS);
   private final Layout sealed = new Layout(FeatureCodec.LEADER, FeatureCodec.SUSPENSIONS);
   private long term;
   private long termRevision;
@@ -97,7 +97,7 @@
   }
 
   /** A controller's suspension, or null. */
-  public StateCodec.Bar suspension(String member) {
+  public StateCodec.Suspension suspension(String member) {
     return layout().suspensions.get(member);
   }
 
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -86,7 +86,7 @@
     }
     levelRevision = revision;
     try {
-      gate.onLevel(FeatureCodec.level(value));
+      gate.onLevel(FeatureCodec.decodeLevel(value));
     } catch (MalformedRecord e) {
       gate.onMalformed(e.getMessage());
     }
@@ -98,7 +98,7 @@
     }
     memberRevisions.put(name, revision);
     try {
-      members.put(name, FeatureCodec.member(name, value, revision));
+      members.put(name, FeatureCodec.decodeMember(name, value, revision));
     } catch (MalformedRecord e) {
       members.remove(name); // It counts as of a version before feature levels.
       LOG.warn("what {} has published can't be read: {}", name, e.getMessage());
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -71,7 +71,7 @@
     while (it.hasNext() && asked.size() < most) {
       var e = it.next();
       asked.put(e.getKey(), e.getValue());
-      txn.when(StateCodec.endKey(e.getKey()), 0);
+      txn.when(StateCodec.finalStateKey(e.getKey()), 0);
       it.remove();
     }
     state.commit(
@@ -95,8 +95,8 @@
     Set<String> there = new HashSet<>();
     for (JsonNode key : failed) {
       // It may also be the fence: then nothing is known, and all are asked again.
-      if (key.asText().startsWith(StateCodec.ENDS)) {
-        there.add(key.asText().substring(StateCodec.ENDS.length()));
+      if (key.asText().startsWith(StateCodec.FINAL_STATES)) {
+        there.add(key.asText().substring(StateCodec.FINAL_STATES.length()));
       }
     }
     Map<String, List<Consumer<Found>>> before = waiting;
@@ -114,7 +114,7 @@
 
   private void read(String id, List<Consumer<Found>> to) {
     state.get(
-        StateCodec.endKey(id),
+        StateCodec.finalStateKey(id),
         Use.READ,
         r -> {
           if (r.done()) {
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -254,7 +254,7 @@
    * @return true if we have left it, or there is none
    */
   private boolean leftBar() {
-    StateCodec.Bar b = cache.bar(member);
+    StateCodec.Suspension b = cache.bar(member);
     if (b == null) {
       return true;
     }
@@ -275,7 +275,7 @@
         new StateClient.Txn()
             .when(cache.election().leaderKey(), 0)
             .when(key, b.revision())
-            .put(key, StateCodec.bar(self)),
+            .put(key, StateCodec.encodeSuspension(self)),
         Use.RENEWAL,
         r -> {
           trying = false;
@@ -317,7 +317,7 @@
       peerClient.send(
           p.address(),
           new PeerRequest.Pledge(member, of, PROMISE_S),
-          PeerCodec::pledged,
+          PeerCodec::decodePledged,
           peerClient.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
@@ -349,7 +349,7 @@
     peerClient.send(
         p.address(),
         new PeerRequest.Handover(member, of, old),
-        PeerCodec::received,
+        PeerCodec::decodeReceived,
         peerClient.timeoutS(),
         answer -> {});
   }
@@ -402,7 +402,7 @@
             trying = false;
             long old = r.done() ? r.body().path("permit").asLong() : 0;
             boolean mine =
-                r.done() && StateCodec.leader(r.body().path("data")).member().equals(member);
+                r.done() && StateCodec.decodeLeader(r.body().path("data")).member().equals(member);
             if (mine && !leader && old > 0) {
               LOG.info("ending the hold of this member's earlier process");
               state.endHold(old, x -> again());
@@ -499,7 +499,7 @@
       peerClient.send(
           p.address(),
           new PeerRequest.KeepPledge(member, KEEP_S),
-          PeerCodec::pledged,
+          PeerCodec::decodePledged,
           peerClient.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
@@ -555,7 +555,7 @@
   private void takeWith(long newHold, double sentAt, boolean ours) {
     long newTerm = cache.term() + 1;
     StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
-    StateCodec.Bar bar = cache.bar(member);
+    StateCodec.Suspension bar = cache.bar(member);
     if (bar != null && !bar.leaving().equals(self)) {
       trying = false;
       state.endHold(newHold, x -> {});
@@ -567,8 +567,8 @@
             .when(cache.election().leaderKey(), 0)
             .when(StateCodec.TERM, cache.election().termRevision())
             .when(cache.election().suspensionKey(member), bar == null ? 0 : bar.revision())
-            .put(StateCodec.TERM, StateCodec.term(newTerm, member))
-            .put(cache.election().leaderKey(), StateCodec.leader(me), newHold);
+            .put(StateCodec.TERM, StateCodec.encodeTerm(newTerm, member))
+            .put(cache.election().leaderKey(), StateCodec.encodeLeader(me), newHold);
     if (bar != null) {
       txn.drop(cache.election().suspensionKey(member));
     }
@@ -600,7 +600,7 @@
         Use.RENEWAL,
         r -> {
           if (r.done()) {
-            StateCodec.LeaderRecord o = StateCodec.leader(r.body().path("data"));
+            StateCodec.LeaderRecord o = StateCodec.decodeLeader(r.body().path("data"));
             if (o.member().equals(member)
                 && o.term() == newTerm
                 && r.body().path("permit").asLong() == newHold) {
@@ -692,8 +692,8 @@
         new StateClient.Txn()
             .when(cache.election().leaderKey(), leaderRevision)
             .when(StateCodec.TERM, cache.election().termRevision())
-            .put(StateCodec.TERM, StateCodec.term(newTerm, member))
-            .put(cache.election().leaderKey(), StateCodec.leader(me), hold);
+            .put(StateCodec.TERM, StateCodec.encodeTerm(newTerm, member))
+            .put(cache.election().leaderKey(), StateCodec.encodeLeader(me), hold);
     state.commit(
         txn,
         Use.RENEWAL,
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -54,13 +54,14 @@
         new StateClient.Txn()
             .when(election.leaderKey(), leaderRevision)
             .when(StateCodec.TERM, election.termRevision())
-            .put(FeatureCodec.LEVEL, FeatureCodec.level(to))
-            .put(StateCodec.TERM, StateCodec.term(leader.term(), leader.member()));
+            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
+            .put(StateCodec.TERM, StateCodec.encodeTerm(leader.term(), leader.member()));
     unchanged.forEach(m -> txn.when(FeatureCodec.memberKey(m.name()), m.revision()));
     if (unseals(features)) {
-      txn.put(StateCodec.LEADER, StateCodec.leader(leader), sessionLease).drop(FeatureCodec.LEADER);
+      txn.put(StateCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease)
+          .drop(FeatureCodec.LEADER);
     } else if (features.sealed() || !to.has(Feature.SEALED_ELECTION)) {
-      txn.put(election.leaderKey(), StateCodec.leader(leader), sessionLease);
+      txn.put(election.leaderKey(), StateCodec.encodeLeader(leader), sessionLease);
     } else {
       seal(txn, leader, sessionLease);
     }
@@ -68,14 +69,14 @@
   }
 
   private void seal(StateClient.Txn txn, StateCodec.LeaderRecord leader, long sessionLease) {
-    txn.put(FeatureCodec.LEADER, StateCodec.leader(leader), sessionLease);
+    txn.put(FeatureCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease);
     // On no lease: it stays, and nobody who needs it gone wins an election any more.
     StateCodec.LeaderRecord nobody =
         new StateCodec.LeaderRecord(FeatureCodec.SEALED_LEADER, leader.term(), "");
-    txn.put(StateCodec.LEADER, StateCodec.leader(nobody));
+    txn.put(StateCodec.LEADER, StateCodec.encodeLeader(nobody));
     int left = mostChanges - LEAST_CHANGES;
     for (String member : members.subList(0, Math.min(left, members.size()))) {
-      txn.put(StateCodec.barKey(member), StateCodec.bar(""));
+      txn.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
     }
   }
 }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -110,7 +110,7 @@
         : Double.NEGATIVE_INFINITY;
   }
 
-  private boolean stands(StateCodec.Bar suspension, String peer) {
+  private boolean stands(StateCodec.Suspension suspension, String peer) {
     return suspension != null && suspension.leaving().isEmpty() && !lifting.contains(peer);
   }
 
@@ -124,7 +124,7 @@
       peerClient.send(
           p.address(),
           new PeerRequest.Share(member, term, lending.shareOf(p.member())),
-          PeerCodec::wanted,
+          PeerCodec::decodeWanted,
           peerClient.timeoutS(),
           wanted -> {
             if (wanted != null) {
@@ -144,7 +144,7 @@
     if (changing || !cache.loaded() || !leader.holdsLease() || early) {
       return;
     }
-    StateCodec.Bar present = cache.bar(peer);
+    StateCodec.Suspension present = cache.bar(peer);
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
     boolean suspends = !stands(present, peer) && silent > Leadership.BAR_AFTER_S;
     String key = cache.election().suspensionKey(peer);
@@ -157,7 +157,7 @@
       txn.drop(key);
     } else if (suspends && suspendedBut(peer) < peerClient.peers().size() / 2) {
       LOG.info("{} is silent: barred from taking over", peer);
-      txn.put(key, StateCodec.bar(""));
+      txn.put(key, StateCodec.encodeSuspension(""));
     } else {
       return;
     }
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -71,7 +71,7 @@
     if (key.startsWith(QuotaCodec.ACCOUNTS)) {
       String team = QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS);
       if (revision > account(team).revision()) {
-        accounts.put(team, QuotaCodec.account(value, revision));
+        accounts.put(team, QuotaCodec.decodeAccount(value, revision));
       }
     } else if (key.startsWith(QuotaCodec.LIMITS)) {
       putLimits(QuotaCodec.teamOf(key, QuotaCodec.LIMITS), value, revision);
@@ -88,7 +88,7 @@
     if (before != null && revision <= before.revision()) {
       return;
     }
-    LimitRecord record = QuotaCodec.limits(value, revision);
+    LimitRecord record = QuotaCodec.decodeLimits(value, revision);
     limits.put(team, record);
     if (record.isReadable()) {
       LOG.info(
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -11,7 +11,7 @@
 public final class CloudCodec {
   private CloudCodec() {}
 
-  public static List<MachineType> types(JsonNode n) {
+  public static List<MachineType> decodeMachineTypes(JsonNode n) {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode t : n.path("rigs")) {
       List<String> zones = new ArrayList<>();
@@ -31,7 +31,7 @@
     return types;
   }
 
-  public static List<Listed> machines(JsonNode n) {
+  public static List<Listed> decodeMachines(JsonNode n) {
     List<Listed> list = new ArrayList<>();
     for (JsonNode m : n.path("saws")) {
       list.add(
@@ -47,11 +47,11 @@
     return list;
   }
 
-  public static boolean more(JsonNode n) {
+  public static boolean decodeTruncated(JsonNode n) {
     return n.path("truncated").asBoolean(false);
   }
 
-  public static ObjectNode scaleOut(
+  public static ObjectNode encodeScaleOut(
       String name, String type, String zone, boolean spot, int count) {
     return Json.object()
         .put("hire", name)
@@ -61,13 +61,13 @@
         .put("how_many", count);
   }
 
-  public static List<String> names(JsonNode n) {
+  public static List<String> decodeMachineNames(JsonNode n) {
     List<String> names = new ArrayList<>();
     n.path("saws").forEach(m -> names.add(m.asText()));
     return names;
   }
 
-  public static ObjectNode names(List<String> names) {
+  public static ObjectNode encodeMachineNames(List<String> names) {
     ObjectNode n = Json.object();
     var a = n.putArray("saws");
     names.forEach(a::add);
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -28,7 +28,9 @@
   /** Who leads, in place of {@link StateCodec#LEADER}, once elections are sealed. */
   public static final String LEADER = "g/term/feature/leader";
 
-  /** Suspended controllers, in place of {@link StateCodec#BARS}, once elections are sealed. */
+  /**
+   * Suspended controllers, in place of {@link StateCodec#SUSPENSIONS}, once elections are sealed.
+   */
   public static final String SUSPENSIONS = "g/term/feature/suspension/";
 
   /** Hints for the next leader in their compact form. */
@@ -47,13 +49,13 @@
 
   private FeatureCodec() {}
 
-  public static ObjectNode level(ClusterLevel l) {
+  public static ObjectNode encodeLevel(ClusterLevel l) {
     ObjectNode n = Json.object().put("level", l.level());
     return l.lowering() ? n.put("target", l.target()) : n;
   }
 
   /** Reads the record; a level that this program does not know is no mistake of the record. */
-  public static ClusterLevel level(JsonNode n) throws MalformedRecord {
+  public static ClusterLevel decodeLevel(JsonNode n) throws MalformedRecord {
     int level = count(n, "level");
     int target = n.has("target") ? count(n, "target") : level;
     if (target > level) {
@@ -66,7 +68,7 @@
     return MEMBERS + member;
   }
 
-  public static ObjectNode member(Member m) {
+  public static ObjectNode encodeMember(Member m) {
     return Json.object()
         .put("version", m.version())
         .put("min", m.range().min())
@@ -75,7 +77,7 @@
         .put("began", m.beganMs());
   }
 
-  public static Member member(String name, JsonNode n, long revision) throws MalformedRecord {
+  public static Member decodeMember(String name, JsonNode n, long revision) throws MalformedRecord {
     int min = count(n, "min");
     int max = count(n, "max");
     if (min > max) {
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -41,7 +41,7 @@
 
   private JobRecordCodec() {}
 
-  static ObjectNode write(JobSpec s, boolean stopRequested) {
+  static ObjectNode encode(JobSpec s, boolean stopRequested) {
     ObjectNode n = Json.object();
     n.put(CLASS, s.jobClass()).put(TEAM, s.team()).put(KIND, s.kind().name());
     n.put(PRIORITY, s.priority().name()).put(TASKS, s.tasks());
@@ -70,11 +70,11 @@
     return n;
   }
 
-  static boolean stopRequested(JsonNode n) {
+  static boolean decodeStopRequested(JsonNode n) {
     return n.path(STOP_REQUESTED).asBoolean(false);
   }
 
-  static JobSpec read(String id, JsonNode n) {
+  static JobSpec decode(String id, JsonNode n) {
     List<String> types = null;
     if (n.has(MACHINE_TYPES)) {
       types = new ArrayList<>();
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -28,12 +28,12 @@
   private LeaderHintCodec() {}
 
   /** Each arrival as [time of day in ms, jobs], from its age in seconds now. */
-  static ObjectNode demand(List<Action.Demand> classes, long nowMs) {
+  static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs) {
     ObjectNode n = Json.object();
     ArrayNode list = n.putArray(CLASSES);
     for (Action.Demand d : classes) {
       ObjectNode c = list.addObject();
-      c.set(LATEST_JOB, JobRecordCodec.write(d.latest().needing(List.of()), false));
+      c.set(LATEST_JOB, JobRecordCodec.encode(d.latest().needing(List.of()), false));
       ArrayNode a = c.putArray(ARRIVALS);
       for (double[] x : d.arrivals()) {
         a.addArray().add(nowMs - (long) (x[0] * 1000)).add((int) x[1]);
@@ -43,9 +43,9 @@
   }
 
   /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
-  static ObjectNode demand(List<Action.Demand> classes, long nowMs, int mostBytes) {
+  static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int mostBytes) {
     int most = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
-    ObjectNode n = demand(classes, nowMs);
+    ObjectNode n = encodeDemand(classes, nowMs);
     while (Json.write(n).length > mostBytes) {
       ArrayNode list = (ArrayNode) n.get(CLASSES);
       most /= 2;
@@ -63,7 +63,7 @@
   }
 
   /** Each arrival as [age in seconds now, at least 0; jobs]. */
-  static List<Action.Demand> demand(JsonNode n, long nowMs) {
+  static List<Action.Demand> decodeDemand(JsonNode n, long nowMs) {
     List<Action.Demand> classes = new ArrayList<>();
     for (JsonNode c : n.path(CLASSES)) {
       List<double[]> arrivals = new ArrayList<>();
@@ -71,13 +71,13 @@
         double age = (nowMs - a.path(0).asLong()) / 1000.0;
         arrivals.add(new double[] {Math.max(0, age), a.path(1).asInt()});
       }
-      classes.add(new Action.Demand(JobRecordCodec.read(NO_JOB, c.path(LATEST_JOB)), arrivals));
+      classes.add(new Action.Demand(JobRecordCodec.decode(NO_JOB, c.path(LATEST_JOB)), arrivals));
     }
     return classes;
   }
 
   /** Each image's name once, at most {@code most} of them, and for each machine a bit mask. */
-  static ObjectNode images(Map<String, List<String>> machines, int most) {
+  static ObjectNode encodeImages(Map<String, List<String>> machines, int most) {
     ObjectNode n = Json.object();
     ArrayNode names = n.putArray(IMAGE_NAMES);
     ObjectNode bits = n.putObject(IMAGES_BY_MACHINE);
@@ -100,17 +100,17 @@
   }
 
   /** The same within so many bytes; it is a hint, so some machines may be left out. */
-  static ObjectNode images(Map<String, List<String>> machines, int most, int mostBytes) {
+  static ObjectNode encodeImages(Map<String, List<String>> machines, int most, int mostBytes) {
     Map<String, List<String>> some = new LinkedHashMap<>(machines);
-    ObjectNode n = images(some, most);
+    ObjectNode n = encodeImages(some, most);
     while (Json.write(n).length > mostBytes && !some.isEmpty()) {
       some.keySet().removeAll(some.keySet().stream().limit(1 + some.size() / 8).toList());
-      n = images(some, most);
+      n = encodeImages(some, most);
     }
     return n;
   }
 
-  static Map<String, List<String>> images(JsonNode n) {
+  static Map<String, List<String>> decodeImages(JsonNode n) {
     Map<String, List<String>> machines = new HashMap<>();
     JsonNode names = n.path(IMAGE_NAMES);
     n.path(IMAGES_BY_MACHINE)
--- a/src/main/java/graderelay/wire/PeerCodec.java
+++ b/src/main/java/graderelay/wire/PeerCodec.java
@@ -35,15 +35,15 @@
   // ---------------------------------------------------------------- requests
 
   /** The bytes of a request in a cluster below the first feature level. */
-  public static byte[] encode(PeerRequest request) {
-    return encode(request, Feature.BASE_LEVEL);
+  public static byte[] encodeRequest(PeerRequest request) {
+    return encodeRequest(request, Feature.BASE_LEVEL);
   }
 
   /**
    * The bytes of a request. A cluster below the first feature level sends just what versions before
    * feature levels do.
    */
-  public static byte[] encode(PeerRequest request, int featureLevel) {
+  public static byte[] encodeRequest(PeerRequest request, int featureLevel) {
     ObjectNode n = tree(request);
     if (featureLevel > Feature.BASE_LEVEL) {
       n.put(LEVEL, featureLevel);
@@ -60,7 +60,7 @@
   public record Envelope(PeerRequest request, int featureLevel) {}
 
   /** Reads a request and its sender's feature level in one pass. */
-  public static Envelope envelope(byte[] bytes) {
+  public static Envelope decodeEnvelope(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     return n == null
         ? new Envelope(null, Feature.BASE_LEVEL)
@@ -99,8 +99,8 @@
   }
 
   /** The request, or null if these bytes are none that this version knows. */
-  public static PeerRequest request(byte[] bytes) {
-    return envelope(bytes).request();
+  public static PeerRequest decodeRequest(byte[] bytes) {
+    return decodeEnvelope(bytes).request();
   }
 
   private static PeerRequest request(JsonNode n) {
@@ -133,7 +133,7 @@
   // ---------------------------------------------------------------- answers
 
   /** The bytes of an answer. */
-  public static byte[] encode(PeerAnswer answer) {
+  public static byte[] encodeAnswer(PeerAnswer answer) {
     return Json.writeCbor(tree(answer));
   }
 
@@ -172,7 +172,7 @@
   }
 
   /** The answer to a request for a pledge, or null if these bytes are none. */
-  public static PeerAnswer.Pledged pledged(byte[] bytes) {
+  public static PeerAnswer.Pledged decodePledged(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     return n == null
         ? null
@@ -181,13 +181,13 @@
   }
 
   /** The answer to the offer of a share, or null if these bytes are none. */
-  public static PeerAnswer.Wanted wanted(byte[] bytes) {
+  public static PeerAnswer.Wanted decodeWanted(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     return n == null ? null : new PeerAnswer.Wanted(n.path("wanted").asDouble());
   }
 
   /** The answer to the question for a process, or null if these bytes are none. */
-  public static PeerAnswer.Identified identified(byte[] bytes) {
+  public static PeerAnswer.Identified decodeIdentified(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     return n == null || !n.path(INCARNATION).isTextual()
         ? null
@@ -195,12 +195,12 @@
   }
 
   /** The answer to a handover, or null if these bytes are none. */
-  public static PeerAnswer.Received received(byte[] bytes) {
+  public static PeerAnswer.Received decodeReceived(byte[] bytes) {
     return Json.readCbor(bytes) == null ? null : new PeerAnswer.Received();
   }
 
   /** The answer to a request for a delegation, or null if these bytes are none. */
-  public static PeerAnswer.Delegated delegated(byte[] bytes) {
+  public static PeerAnswer.Delegated decodeDelegated(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     if (n == null) {
       return null;
@@ -214,7 +214,7 @@
   }
 
   /** What the sender of a request that was passed on is to be told, or null if that is not here. */
-  public static PeerAnswer.Relayed relayed(byte[] bytes) {
+  public static PeerAnswer.Relayed decodeRelayed(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     if (n == null || !n.path("status").isInt()) {
       return null;
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -51,7 +51,7 @@
     return URLDecoder.decode(key.substring(prefix.length()), StandardCharsets.UTF_8);
   }
 
-  public static ObjectNode limits(TeamQuota quota, String changedBy, long nowMs) {
+  public static ObjectNode encodeLimits(TeamQuota quota, String changedBy, long nowMs) {
     return Json.object()
         .put("cpus", quota.guarantee().cpuMillis())
         .put("cpus_max", quota.limit().cpuMillis())
@@ -62,7 +62,7 @@
   }
 
   /** Reads the record; one that can't be read stops its team and nobody else. */
-  public static LimitRecord limits(JsonNode n, long revision) {
+  public static LimitRecord decodeLimits(JsonNode n, long revision) {
     try {
       TeamQuota quota =
           new TeamQuota(
@@ -77,7 +77,7 @@
     }
   }
 
-  public static ObjectNode account(Amount use, String writer) {
+  public static ObjectNode encodeAccount(Amount use, String writer) {
     return Json.object()
         .put("cpus", use.cpuMillis())
         .put("gpus", use.gpuMillis())
@@ -85,7 +85,7 @@
   }
 
   /** Reads the record; one that can't be read stops its team and nobody else. */
-  public static Account account(JsonNode n, long revision) {
+  public static Account decodeAccount(JsonNode n, long revision) {
     try {
       Amount use = new Amount(millis(n, "cpus"), millis(n, "gpus"));
       return Account.of(use, n.path("writer").asText(), revision);
--- a/src/main/java/graderelay/wire/QuotaRequests.java
+++ b/src/main/java/graderelay/wire/QuotaRequests.java
@@ -41,7 +41,7 @@
   }
 
   /** Reads a change, as {@code otherwise} if the request does not say who asks for it. */
-  public static Change change(JsonNode body, String otherwise) throws BadRequest {
+  public static Change decodeChange(JsonNode body, String otherwise) throws BadRequest {
     if (body == null || !body.isObject()) {
       throw new BadRequest("the body must be a JSON object");
     }
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -44,10 +44,10 @@
   public static final String LEASE_DELEGATES = "g/deputy/";
 
   /** Controllers that the leader has suspended ("bars"): they may not take over for the time. */
-  public static final String BARS = "g/bar/";
+  public static final String SUSPENSIONS = "g/bar/";
 
   /** Final states; kept for good and never listed. */
-  public static final String ENDS = "g/end/";
+  public static final String FINAL_STATES = "g/end/";
 
   private static final String MEMBER = "member";
   private static final String TERM_NUMBER = "term";
@@ -69,8 +69,8 @@
   }
 
   /** The key of job {@code id}'s final state. */
-  public static String endKey(String id) {
-    return ENDS + id;
+  public static String finalStateKey(String id) {
+    return FINAL_STATES + id;
   }
 
   /** The key of a task batch's record. */
@@ -91,7 +91,7 @@
   public record LeaderRecord(String member, long term, String address) {}
 
   /** The leader's record. */
-  public static ObjectNode leader(LeaderRecord o) {
+  public static ObjectNode encodeLeader(LeaderRecord o) {
     return Json.object()
         .put(MEMBER, o.member())
         .put(TERM_NUMBER, o.term())
@@ -99,7 +99,7 @@
   }
 
   /** The leader from its record. */
-  public static LeaderRecord leader(JsonNode n) {
+  public static LeaderRecord decodeLeader(JsonNode n) {
     return new LeaderRecord(
         n.path(MEMBER).asText(), n.path(TERM_NUMBER).asLong(), n.path(PEER_ADDRESS).asText());
   }
@@ -111,15 +111,15 @@
    *     stands
    * @param revision the revision of the record
    */
-  public record Bar(String leaving, long revision) {}
+  public record Suspension(String leaving, long revision) {}
 
   /** The key of the suspension of controller {@code member}. */
-  public static String barKey(String member) {
-    return BARS + member;
+  public static String suspensionKey(String member) {
+    return SUSPENSIONS + member;
   }
 
   /** A suspension; {@code leaving} is the incarnation about to leave it, or empty. */
-  public static ObjectNode bar(String leaving) {
+  public static ObjectNode encodeSuspension(String leaving) {
     return Json.object().put(LEAVING_INCARNATION, leaving);
   }
 
@@ -127,7 +127,7 @@
    * A lease delegate has given back all grants up to that of its question {@code n} of {@code of};
    * {@code aloneS} is how long it has acted alone, in seconds.
    */
-  public static ObjectNode leaseDelegate(String self, long n, long of, double aloneS) {
+  public static ObjectNode encodeDelegateRelease(String self, long n, long of, double aloneS) {
     return Json.object()
         .put(DELEGATE_INCARNATION, self)
         .put(RETURNED_UP_TO, n)
@@ -136,14 +136,14 @@
   }
 
   /** The counter of terms, and who won the last one. */
-  public static ObjectNode term(long term, String member) {
+  public static ObjectNode encodeTerm(long term, String member) {
     return Json.object().put(TERM_NUMBER, term).put(MEMBER, member);
   }
 
   // ---------------------------------------------------------------- final states
 
   /** The final state of a job, and the time of day at which it was written. */
-  public static ObjectNode end(boolean cancelled, int tasks, long nowMs) {
+  public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long nowMs) {
     return Json.object()
         .put(FINAL_STATE, cancelled ? "cancelled" : "done")
         .put(FINAL_TASKS, tasks)
@@ -153,18 +153,18 @@
   // ---------------------------------------------------------------- jobs
 
   /** A job's record: its terms, and whether its user asked to stop it. */
-  public static ObjectNode job(JobSpec s, boolean stop) {
-    return JobRecordCodec.write(s, stop);
+  public static ObjectNode encodeJob(JobSpec s, boolean stop) {
+    return JobRecordCodec.encode(s, stop);
   }
 
   /** True if the job's user asked to stop it. */
-  public static boolean stopOf(JsonNode n) {
-    return JobRecordCodec.stopRequested(n);
+  public static boolean decodeStopRequested(JsonNode n) {
+    return JobRecordCodec.decodeStopRequested(n);
   }
 
   /** The terms of job {@code id} from its record. */
-  public static JobSpec job(String id, JsonNode n) {
-    return JobRecordCodec.read(id, n);
+  public static JobSpec decodeJob(String id, JsonNode n) {
+    return JobRecordCodec.decode(id, n);
   }
 
   // ---------------------------------------------------------------- task batches
@@ -174,44 +174,45 @@
    * that list. A task batch that is all done shrinks to its size; a packed one takes a character
    * per task.
    */
-  public static ObjectNode taskBatch(TaskBatchRecord r) {
-    return TaskBatchRecordCodec.write(r);
+  public static ObjectNode encodeTaskBatch(TaskBatchRecord r) {
+    return TaskBatchRecordCodec.encode(r);
   }
 
   /** A task batch from its record, in any of its forms. */
-  public static TaskBatchRecord taskBatch(JsonNode n) {
-    return TaskBatchRecordCodec.read(n);
+  public static TaskBatchRecord decodeTaskBatch(JsonNode n) {
+    return TaskBatchRecordCodec.decode(n);
   }
 
   // ---------------------------------------------------------------- hints for the next leader
 
   /** The recent demand, with times of day. */
-  public static ObjectNode demand(List<Action.Demand> classes, long nowMs) {
-    return LeaderHintCodec.demand(classes, nowMs);
+  public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs) {
+    return LeaderHintCodec.encodeDemand(classes, nowMs);
   }
 
   /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
-  public static ObjectNode demand(List<Action.Demand> classes, long nowMs, int mostBytes) {
-    return LeaderHintCodec.demand(classes, nowMs, mostBytes);
+  public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int mostBytes) {
+    return LeaderHintCodec.encodeDemand(classes, nowMs, mostBytes);
   }
 
   /** The recent demand, with the arrivals' ages in seconds at {@code nowMs}. */
-  public static List<Action.Demand> demand(JsonNode n, long nowMs) {
-    return LeaderHintCodec.demand(n, nowMs);
+  public static List<Action.Demand> decodeDemand(JsonNode n, long nowMs) {
+    return LeaderHintCodec.decodeDemand(n, nowMs);
   }
 
   /** Which images machines have: each image's name once, and for each machine its bits. */
-  public static ObjectNode images(Map<String, List<String>> machines, int most) {
-    return LeaderHintCodec.images(machines, most);
+  public static ObjectNode encodeImages(Map<String, List<String>> machines, int most) {
+    return LeaderHintCodec.encodeImages(machines, most);
   }
 
   /** The same within so many bytes; it is a hint, so some machines may be left out. */
-  public static ObjectNode images(Map<String, List<String>> machines, int most, int mostBytes) {
-    return LeaderHintCodec.images(machines, most, mostBytes);
+  public static ObjectNode encodeImages(
+      Map<String, List<String>> machines, int most, int mostBytes) {
+    return LeaderHintCodec.encodeImages(machines, most, mostBytes);
   }
 
   /** The images of each machine. */
-  public static Map<String, List<String>> images(JsonNode n) {
-    return LeaderHintCodec.images(n);
+  public static Map<String, List<String>> decodeImages(JsonNode n) {
+    return LeaderHintCodec.decodeImages(n);
   }
 }
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -31,7 +31,7 @@
 
   private TaskBatchRecordCodec() {}
 
-  static ObjectNode write(TaskBatchRecord r) {
+  static ObjectNode encode(TaskBatchRecord r) {
     if (r.doneCount() == r.size()) {
       return Json.object().put(ALL_DONE, r.size());
     }
@@ -95,7 +95,7 @@
     return n;
   }
 
-  static TaskBatchRecord read(JsonNode n) {
+  static TaskBatchRecord decode(JsonNode n) {
     if (n.has(ALL_DONE)) {
       int size = n.get(ALL_DONE).asInt();
       boolean[] done = new boolean[size];
@@ -106,7 +106,7 @@
     if (n.has(PACKED_ATTEMPTS)) {
       String attempts = n.path(PACKED_ATTEMPTS).asText();
       String places = n.path(PACKED_PLACES).asText();
-      return read(
+      return decode(
           attempts.length(),
           i -> attempts.charAt(i) - FIRST_CHAR,
           i -> places.charAt(i) - FIRST_CHAR + DONE,
@@ -114,11 +114,11 @@
     }
     JsonNode attempts = n.path(ATTEMPTS);
     JsonNode places = n.path(PLACES);
-    return read(
+    return decode(
         attempts.size(), i -> attempts.get(i).asInt(), i -> places.path(i).asInt(QUEUED), holders);
   }
 
-  private static TaskBatchRecord read(
+  private static TaskBatchRecord decode(
       int size, IntUnaryOperator attemptOf, IntUnaryOperator placeOf, JsonNode holders) {
     int[] attempts = new int[size];
     String[] machines = new String[size];
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -15,7 +15,7 @@
 /** What passes between users and controllers. */
 public final class UserCodec {
   /** Jobs that a submission may name; a request has at most 64 KiB. */
-  public static final int MOST_NEEDS = 2000;
+  public static final int MOST_DEPENDENCIES = 2000;
 
   /** Tasks of one job; a limit of the protocol. */
   private static final int MOST_TASKS = 100_000;
@@ -24,7 +24,7 @@
   private static final int MOST_TYPES = 32;
 
   /** The field of a submission that names the jobs it waits for. */
-  public static final String NEEDS = "awaits";
+  public static final String DEPENDENCIES = "awaits";
 
   private static final Pattern ID = Pattern.compile("j-[0-9]{1,20}");
 
@@ -35,7 +35,8 @@
   }
 
   /** Reads a submission, checking every field by the protocol's table. */
-  public static JobSpec submission(JsonNode body, long nowMs, int batchCapacity) throws BadRequest {
+  public static JobSpec decodeSubmission(JsonNode body, long nowMs, int batchCapacity)
+      throws BadRequest {
     Fields f = new Fields(body);
     String id = f.text("ref");
     if (!isId(id)) {
@@ -71,7 +72,7 @@
         f.amountOrNull("ship_s"),
         nowMs,
         batchCapacity,
-        needs(f.raw(NEEDS), id));
+        needs(f.raw(DEPENDENCIES), id));
   }
 
   /** The jobs that this one waits for, each once. */
@@ -80,18 +81,18 @@
       return List.of();
     }
     if (!n.isArray()) {
-      throw new BadRequest(NEEDS + " must be null or a list of job ids");
+      throw new BadRequest(DEPENDENCIES + " must be null or a list of job ids");
     }
-    if (n.size() > MOST_NEEDS) {
-      throw new BadRequest(NEEDS + " has more than " + MOST_NEEDS + " entries");
+    if (n.size() > MOST_DEPENDENCIES) {
+      throw new BadRequest(DEPENDENCIES + " has more than " + MOST_DEPENDENCIES + " entries");
     }
     Set<String> needs = new LinkedHashSet<>();
     for (JsonNode need : n) {
       if (!need.isTextual() || !isId(need.textValue())) {
-        throw new BadRequest(NEEDS + " must hold ids like j-000412");
+        throw new BadRequest(DEPENDENCIES + " must hold ids like j-000412");
       }
       if (need.textValue().equals(id)) {
-        throw new BadRequest(NEEDS + " must not name the job itself");
+        throw new BadRequest(DEPENDENCIES + " must not name the job itself");
       }
       needs.add(need.textValue());
     }
@@ -102,10 +103,10 @@
    * A submission as its user wrote it, with more jobs that it has to wait for. One whose list is no
    * list stays as it is: the controller says what is wrong with it.
    */
-  public static ObjectNode needing(ObjectNode submission, List<String> ids) {
-    JsonNode named = submission.get(NEEDS);
+  public static ObjectNode withDependencies(ObjectNode submission, List<String> ids) {
+    JsonNode named = submission.get(DEPENDENCIES);
     if (named == null || named.isNull()) {
-      named = submission.putArray(NEEDS);
+      named = submission.putArray(DEPENDENCIES);
     }
     if (named instanceof ArrayNode all) {
       ids.forEach(all::add);
@@ -143,11 +144,11 @@
     return List.copyOf(types);
   }
 
-  public static ObjectNode stage(String id, String stage) {
+  public static ObjectNode encodeStage(String id, String stage) {
     return Json.object().put("ref", id).put("stage", stage);
   }
 
-  public static ObjectNode status(String id, String stage, int done, int running) {
-    return stage(id, stage).put("done", done).put("running", running);
+  public static ObjectNode encodeStatus(String id, String stage, int done, int running) {
+    return encodeStage(id, stage).put("done", done).put("running", running);
   }
 }
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -49,7 +49,7 @@
   }
 
   /** Reads a report; null if it is none. */
-  public static Heartbeat report(JsonNode n) {
+  public static Heartbeat decodeHeartbeat(JsonNode n) {
     if (!wellFormed(n)) {
       return null;
     }
@@ -102,19 +102,20 @@
     return a;
   }
 
-  public static ObjectNode response(long term, List<WorkerCommand> orders, int most) {
+  public static ObjectNode encodeHeartbeatResponse(
+      long term, List<WorkerCommand> orders, int most) {
     ObjectNode n = Json.object().put("foreman", term);
     n.set("orders", orders(orders, most));
     return n;
   }
 
-  public static ObjectNode commands(long term, long session, List<WorkerCommand> orders) {
+  public static ObjectNode encodeCommands(long term, long session, List<WorkerCommand> orders) {
     ObjectNode n = Json.object().put("foreman", term).put("shift", session);
     n.set("orders", orders(orders, Integer.MAX_VALUE));
     return n;
   }
 
-  public static ObjectNode elsewhere(String member) {
+  public static ObjectNode encodeRedirect(String member) {
     ObjectNode n = Json.object();
     return member == null ? n : n.put("foreman_at", member);
   }
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -168,7 +168,7 @@
     peerClient.send(
         address,
         new PeerRequest.Delegation(member, self, n, of, echo, sentAt - lastAlone),
-        PeerCodec::delegated,
+        PeerCodec::decodeDelegated,
         peerClient.timeoutS(),
         answer -> {
           if (answer != null) {
@@ -200,7 +200,7 @@
         new StateClient.Txn()
             .put(
                 StateCodec.LEASE_DELEGATES + member,
-                StateCodec.leaseDelegate(self, upTo, of, now - lastAlone)),
+                StateCodec.encodeDelegateRelease(self, upTo, of, now - lastAlone)),
         Use.CLAIM,
         r -> {
           if (r.done() && voidUpTo == upTo) {
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -71,7 +71,7 @@
   }
 
   public void checkin(Exchange e) {
-    Heartbeat r = WorkerCodec.report(Json.read(e.body()));
+    Heartbeat r = WorkerCodec.decodeHeartbeat(Json.read(e.body()));
     if (r == null) {
       e.to().accept(Answer.json(400, Json.error("not a report")));
       return;
@@ -123,7 +123,7 @@
     peerClient.send(
         address,
         new PeerRequest.RelayedReport(member, e.body()),
-        PeerCodec::relayed,
+        PeerCodec::decodeRelayed,
         peerClient.timeoutS(),
         relayed -> {
           if (relayed != null && relayed.answer().status() == 200) {
@@ -143,7 +143,7 @@
 
   /** A report that another controller passes on. */
   public void relayed(String via, byte[] body, Consumer<Answer> to) {
-    Heartbeat r = WorkerCodec.report(Json.read(body));
+    Heartbeat r = WorkerCodec.decodeHeartbeat(Json.read(body));
     if (r == null) {
       to.accept(Answer.json(400, Json.error("not a report")));
     } else {
@@ -163,11 +163,12 @@
 
   /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
   private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> orders) {
-    byte[] body = Json.write(WorkerCodec.response(term, orders, SchedulerLimits.MOST_ORDERS));
+    byte[] body =
+        Json.write(WorkerCodec.encodeHeartbeatResponse(term, orders, SchedulerLimits.MOST_ORDERS));
     to.accept(Answer.json(200, body));
   }
 
   private static void elsewhere(Consumer<Answer> to, String member) {
-    to.accept(Answer.json(421, Json.write(WorkerCodec.elsewhere(member))));
+    to.accept(Answer.json(421, Json.write(WorkerCodec.encodeRedirect(member))));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -25,7 +25,7 @@
   }
 
   public void send(Action.Command c, Done done) {
-    byte[] body = Json.write(WorkerCodec.commands(c.term(), c.session(), c.orders()));
+    byte[] body = Json.write(WorkerCodec.encodeCommands(c.term(), c.session(), c.orders()));
     transport.call(
         c.address(),
         "POST",
@@ -46,6 +46,6 @@
 
   private static Heartbeat report(Reply r) {
     boolean has = r.status() == 200 || r.status() == 409;
-    return has ? WorkerCodec.report(Json.read(r.body())) : null;
+    return has ? WorkerCodec.decodeHeartbeat(Json.read(r.body())) : null;
   }
 }
--- a/src/test/java/graderelay/BadDependenciesTest.java
+++ b/src/test/java/graderelay/BadDependenciesTest.java
@@ -176,10 +176,10 @@
   void moreNamesThanASubmissionMayHaveAreRefusedWithTheLimit() {
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[]");
-    for (int i = 0; i <= UserCodec.MOST_NEEDS; i++) {
+    for (int i = 0; i <= UserCodec.MOST_DEPENDENCIES; i++) {
       body.withArray("awaits").add(jobs.over.id);
     }
-    assertRefused(jobs.submit(1, body), 400, String.valueOf(UserCodec.MOST_NEEDS));
+    assertRefused(jobs.submit(1, body), 400, String.valueOf(UserCodec.MOST_DEPENDENCIES));
     fine(jobs.world);
   }
 
--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/CancellationInOutageTest.java
@@ -226,7 +226,7 @@
     w.state.delay = t -> t.toString().contains("\"stop\":true");
     w.cancel(barred, jobs[0]);
     w.loop.run(Leadership.BAR_AFTER_S + 2);
-    assertThat(w.state.value(StateCodec.barKey("m-" + barred))).isNotNull();
+    assertThat(w.state.value(StateCodec.suspensionKey("m-" + barred))).isNotNull();
     refuse(w, leader, true); // It has seen the bar stand, and no stop.
     w.loop.run(4);
     assertThat(w.state.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -37,7 +37,7 @@
       assertThat(w.stage(i, j.id)).isEqualTo("done");
     }
     assertThat(w.state.value(StateCodec.jobKey(j.id))).isNull();
-    assertThat(w.state.value(StateCodec.endKey(j.id))).isNotNull();
+    assertThat(w.state.value(StateCodec.finalStateKey(j.id))).isNotNull();
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
@@ -108,7 +108,8 @@
     w.cancel(1, j);
     w.loop.run(5);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
-    assertThat(w.state.value(StateCodec.endKey(j.id)).path("end").asText()).isEqualTo("cancelled");
+    assertThat(w.state.value(StateCodec.finalStateKey(j.id)).path("end").asText())
+        .isEqualTo("cancelled");
     fine(w);
   }
 
--- a/src/test/java/graderelay/ControllerRestartTest.java
+++ b/src/test/java/graderelay/ControllerRestartTest.java
@@ -155,7 +155,7 @@
                 .findFirst()
                 .orElseThrow();
     Scheduler next = SchedulerFixture.takingOver(2);
-    next.onImages(StateCodec.images(StateCodec.images(kept.machines(), 60)));
+    next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(kept.machines(), 60)));
     next.loaded(20);
     for (int i = 1; i <= 6; i++) {
       SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
--- a/src/test/java/graderelay/DependenciesTest.java
+++ b/src/test/java/graderelay/DependenciesTest.java
@@ -208,7 +208,7 @@
     w.loop.run(60);
     everywhere(w, jobs.subList(0, which), "done");
     for (Rules.Known j : jobs) {
-      assertThat(w.state.value(StateCodec.endKey(j.id))).isNotNull();
+      assertThat(w.state.value(StateCodec.finalStateKey(j.id))).isNotNull();
     }
     fine(w);
   }
--- a/src/test/java/graderelay/LimitChangeTest.java
+++ b/src/test/java/graderelay/LimitChangeTest.java
@@ -215,7 +215,7 @@
     w.state.holdWatches = true; // What it knows of the limits stays as it is.
     w.loop.run(0.2);
     TeamQuota raised = new TeamQuota(Amount.granted(1, 0), Amount.granted(8, 0));
-    w.state.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.limits(raised, "operator", 1));
+    w.state.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
     int[] answered = {0};
     w.ask(behind, "POST", "/v1/jobs", Json.write(w.body(job)), (r, n) -> answered[0] = r.status());
     w.loop.run(1);
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -34,7 +34,8 @@
     JobSpec spec;
     try {
       spec =
-          UserCodec.submission(w.body(j), (long) (w.loop.now() * 1000) + 1_700_000_000_000L, 500);
+          UserCodec.decodeSubmission(
+              w.body(j), (long) (w.loop.now() * 1000) + 1_700_000_000_000L, 500);
     } catch (BadRequest e) {
       throw new AssertionError(e);
     }
@@ -43,7 +44,7 @@
     txn.putArray("then")
         .addObject()
         .put("put", StateCodec.jobKey(j.id))
-        .set("data", StateCodec.job(spec, false));
+        .set("data", StateCodec.encodeJob(spec, false));
     w.state.handle(new Exchange("POST", "/multi", "", Json.write(txn), a -> {}));
     j.accepted = true;
   }
@@ -116,11 +117,11 @@
       sessions[i] = i % 3 == 1 ? 2 : 0;
     }
     TaskBatchRecord r = new TaskBatchRecord(attempts, machines, sessions, done);
-    byte[] plain = Json.write(StateCodec.taskBatch(r));
-    byte[] packed = Json.write(StateCodec.taskBatch(r.packedCopy()));
+    byte[] plain = Json.write(StateCodec.encodeTaskBatch(r));
+    byte[] packed = Json.write(StateCodec.encodeTaskBatch(r.packedCopy()));
     assertThat(packed.length).isLessThan(2048).isLessThan(plain.length / 2);
-    assertThat(StateCodec.taskBatch(Json.read(packed))).isEqualTo(r);
-    assertThat(StateCodec.taskBatch(Json.read(plain))).isEqualTo(r);
+    assertThat(StateCodec.decodeTaskBatch(Json.read(packed))).isEqualTo(r);
+    assertThat(StateCodec.decodeTaskBatch(Json.read(plain))).isEqualTo(r);
   }
 
   /** Records as the version before dependencies wrote them. */
@@ -132,18 +133,19 @@
             + "\"oneZone\":false,\"spread\":false,\"spot\":true,\"estimate\":4.0,"
             + "\"checkpoint\":0.0,\"save\":0.0,\"at\":1700000000000,\"cap\":500,\"stop\":true}";
     JsonNode n = Json.read(job.getBytes(StandardCharsets.UTF_8));
-    JobSpec s = StateCodec.job("j-1", n);
+    JobSpec s = StateCodec.decodeJob("j-1", n);
     assertThat(s.needs()).isEmpty();
     assertThat(s.batchCapacity()).isEqualTo(500);
-    assertThat(Json.write(StateCodec.job(s, true))).isEqualTo(job.getBytes(StandardCharsets.UTF_8));
+    assertThat(Json.write(StateCodec.encodeJob(s, true)))
+        .isEqualTo(job.getBytes(StandardCharsets.UTF_8));
     JsonNode taskBatch =
         Json.read(
             "{\"a\":[1,2,1],\"m\":[[\"n-000001\",3]],\"p\":[0,-1,-2]}"
                 .getBytes(StandardCharsets.UTF_8));
-    TaskBatchRecord r = StateCodec.taskBatch(taskBatch);
+    TaskBatchRecord r = StateCodec.decodeTaskBatch(taskBatch);
     assertThat(r.machine(0)).isEqualTo("n-000001");
     assertThat(r.done(2)).isTrue();
-    assertThat(Json.write(StateCodec.taskBatch(r))).isEqualTo(Json.write(taskBatch));
+    assertThat(Json.write(StateCodec.encodeTaskBatch(r))).isEqualTo(Json.write(taskBatch));
     assertThat(
             graderelay.state.Cache.endOf(
                 Json.read("{\"end\":\"done\",\"tasks\":3}".getBytes(StandardCharsets.UTF_8))))
--- a/src/test/java/graderelay/QuotaSteps.java
+++ b/src/test/java/graderelay/QuotaSteps.java
@@ -102,7 +102,7 @@
 
   /** What the account of a team says, in CPUs. */
   static double account(SimWorld w, String team) {
-    return QuotaCodec.account(w.state.value(QuotaCodec.accountKey(team)), 1).use().cpus();
+    return QuotaCodec.decodeAccount(w.state.value(QuotaCodec.accountKey(team)), 1).use().cpus();
   }
 
   static void overwriteAccount(SimWorld w, String team, double cpus) {
--- a/src/test/java/graderelay/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/RollingUpgradeTest.java
@@ -429,7 +429,7 @@
     assertThat(w.rules.starts).isEqualTo(starts);
     if (target == 0) {
       assertThat(w.state.value(FeatureCodec.LEADER)).isNull();
-      assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.BARS));
+      assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SUSPENSIONS));
       upgradeToProduction(w);
     }
     fine(w);
@@ -462,7 +462,7 @@
           boolean ofTheDowngrade =
               changes.contains(FeatureCodec.LEVEL)
                   || changes.contains("\"drop\":\"" + FeatureCodec.HINTS)
-                  || changes.contains("\"drop\":\"" + StateCodec.BARS);
+                  || changes.contains("\"drop\":\"" + StateCodec.SUSPENSIONS);
           if (ofTheDowngrade && ++steps[0] == step) {
             w.loop.after(0, () -> w.crash(leader));
             return true;
--- a/src/test/java/graderelay/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/UngrantedPledgesTest.java
@@ -96,7 +96,7 @@
   void aMessageOfAnUnknownKindIsRefusedAndChangesNothing() {
     SimWorld w = world(442, 3);
     int[] status = {0};
-    byte[] pledge = PeerCodec.encode(new PeerRequest.Pledge("m-1", 99, 60));
+    byte[] pledge = PeerCodec.encodeRequest(new PeerRequest.Pledge("m-1", 99, 60));
     ObjectNode later = ((ObjectNode) Json.readCbor(pledge)).put("kind", "pledge");
     for (int i = 0; i < w.size; i++) {
       w.nodes[i].handlePeer(
--- a/src/test/java/graderelay/sim/LevelRules.java
+++ b/src/test/java/graderelay/sim/LevelRules.java
@@ -83,7 +83,7 @@
   }
 
   private static boolean stops(JsonNode change, String key) {
-    return key.startsWith(StateCodec.JOBS) && StateCodec.stopOf(change.path("data"));
+    return key.startsWith(StateCodec.JOBS) && StateCodec.decodeStopRequested(change.path("data"));
   }
 
   private void raised(int from, int to) {
--- a/src/test/java/graderelay/sim/ProductionVersion.java
+++ b/src/test/java/graderelay/sim/ProductionVersion.java
@@ -49,7 +49,7 @@
 
   /** A controller's request as this version understands it. */
   static void peer(Exchange e, Exchange.Handler handler) {
-    if (PeerCodec.request(e.body()) instanceof PeerRequest.Identify) {
+    if (PeerCodec.decodeRequest(e.body()) instanceof PeerRequest.Identify) {
       e.to().accept(Answer.json(404, Json.error("no such message")));
     } else {
       handler.handle(e);
@@ -111,7 +111,7 @@
     }
     if (key.startsWith(StateCodec.JOBS)) {
       record.remove("needs");
-    } else if (key.startsWith(StateCodec.ENDS)) {
+    } else if (key.startsWith(StateCodec.FINAL_STATES)) {
       record.remove("at");
     } else if (key.startsWith(StateCodec.TASK_BATCHES) && !record.has("done") && !record.has("a")) {
       rules.unreadable(key);
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -83,7 +83,7 @@
 
   private void job(String id, JsonNode value) {
     if (value != null) {
-      jobs.put(id, StateCodec.job(id, value));
+      jobs.put(id, StateCodec.decodeJob(id, value));
       return;
     }
     jobs.remove(id); // Its end has committed, and with it that of all its claims.
@@ -108,7 +108,7 @@
     if (value == null || job == null) {
       return null;
     }
-    int count = StateCodec.taskBatch(value).claimedCount();
+    int count = StateCodec.decodeTaskBatch(value).claimedCount();
     Amount amount = Amount.needed(job.cpus(), job.gpus()).times(count);
     taskBatches.put(key, new BatchClaims(job.team(), amount));
     claims.merge(job.team(), amount, Amount::plus);
@@ -122,7 +122,7 @@
       breaks(team + " is given claims of " + now + " with a limit of " + quota.limit());
     }
     JsonNode account = inForce() ? world.state.value(QuotaCodec.accountKey(team)) : null;
-    if (account != null && !QuotaCodec.account(account, 1).use().covers(now)) {
+    if (account != null && !QuotaCodec.decodeAccount(account, 1).use().covers(now)) {
       breaks(team + " has claims of " + now + " and an account of " + account);
     }
   }
@@ -130,7 +130,7 @@
   private TeamQuota quota(String team) {
     JsonNode stored = world.state.value(QuotaCodec.limitKey(team));
     if (stored != null && inForce()) {
-      return QuotaCodec.limits(stored, 1).quota();
+      return QuotaCodec.decodeLimits(stored, 1).quota();
     }
     for (Team t : world.settings(0).teams()) {
       if (t.name().equals(team)) {
--- a/src/test/java/graderelay/wire/FeatureCodecTest.java
+++ b/src/test/java/graderelay/wire/FeatureCodecTest.java
@@ -30,13 +30,13 @@
       @ForAll @IntRange(max = 9) int level, @ForAll @IntRange(max = 9) int target)
       throws MalformedRecord {
     ClusterLevel l = new ClusterLevel(level, Math.min(level, target));
-    assertThat(FeatureCodec.level(FeatureCodec.level(l))).isEqualTo(l);
+    assertThat(FeatureCodec.decodeLevel(FeatureCodec.encodeLevel(l))).isEqualTo(l);
   }
 
   @Test
   void aMemberIsReadAsItWasWritten() throws MalformedRecord {
     Member m = new Member("m-1", "0.1.0", new FeatureRange(0, 2), "abc", 1234, 5);
-    assertThat(FeatureCodec.member("m-1", FeatureCodec.member(m), 5)).isEqualTo(m);
+    assertThat(FeatureCodec.decodeMember("m-1", FeatureCodec.encodeMember(m), 5)).isEqualTo(m);
   }
 
   @ParameterizedTest
@@ -51,7 +51,7 @@
         "{}|min must be"
       })
   void aMalformedMemberIsRefusedByItsField(String record, String message) {
-    assertThatThrownBy(() -> FeatureCodec.member("m-1", json(record), 1))
+    assertThatThrownBy(() -> FeatureCodec.decodeMember("m-1", json(record), 1))
         .isInstanceOf(MalformedRecord.class)
         .hasMessageContaining(message);
   }
@@ -66,7 +66,7 @@
         "[]|level"
       })
   void aMalformedLevelIsRefusedByItsField(String record, String field) {
-    assertThatThrownBy(() -> FeatureCodec.level(json(record)))
+    assertThatThrownBy(() -> FeatureCodec.decodeLevel(json(record)))
         .isInstanceOf(MalformedRecord.class)
         .hasMessageContaining(field);
   }
@@ -89,14 +89,14 @@
   @Property(seed = "7", tries = 100)
   void aCompactHintHoldsWhatThePlainOneDoes(@ForAll @IntRange(max = 400) int n)
       throws MalformedRecord {
-    ObjectNode plain = StateCodec.images(machines(n, n), 60);
-    assertThat(StateCodec.images(CompactHints.unpack(CompactHints.pack(plain))))
-        .isEqualTo(StateCodec.images(plain));
+    ObjectNode plain = StateCodec.encodeImages(machines(n, n), 60);
+    assertThat(StateCodec.decodeImages(CompactHints.unpack(CompactHints.pack(plain))))
+        .isEqualTo(StateCodec.decodeImages(plain));
   }
 
   @Test
   void aCompactHintTakesLessThanHalfOfThePlainOneAlsoWhereImagesAreSpreadAtRandom() {
-    ObjectNode plain = StateCodec.images(machines(0, 250), 60);
+    ObjectNode plain = StateCodec.encodeImages(machines(0, 250), 60);
     int compact = Json.write(CompactHints.pack(plain)).length;
     assertThat(compact * 2).isLessThan(Json.write(plain).length);
   }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -77,11 +77,11 @@
           new PeerAnswer.Relayed(Answer.json(200, BODY)));
 
   private static JobSpec storedJob(String id) {
-    return StateCodec.job(id, ProductionFormats.record(StateCodec.jobKey(id)));
+    return StateCodec.decodeJob(id, ProductionFormats.record(StateCodec.jobKey(id)));
   }
 
   private static TaskBatchRecord storedBatch(String job, int index) {
-    return StateCodec.taskBatch(
+    return StateCodec.decodeTaskBatch(
         ProductionFormats.record(StateCodec.taskBatchKey(new TaskBatchKey(job, index))));
   }
 
@@ -130,8 +130,9 @@
                 List.of()));
     assertThat(storedJob("j-000001").deadlineS()).isNull();
     assertThat(storedJob("j-000001").types()).isNull();
-    assertThat(StateCodec.stopOf(ProductionFormats.record("g/job/j-000003"))).isTrue();
-    assertThat(StateCodec.stopOf(ProductionFormats.record("g/job/j-000001"))).isFalse();
+    assertThat(StateCodec.decodeStopRequested(ProductionFormats.record("g/job/j-000003"))).isTrue();
+    assertThat(StateCodec.decodeStopRequested(ProductionFormats.record("g/job/j-000001")))
+        .isFalse();
   }
 
   @Test
@@ -156,9 +157,9 @@
         .isEqualTo(new Cache.End(false, 60, 0));
     assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000005")))
         .isEqualTo(new Cache.End(true, 6, 0));
-    assertThat(StateCodec.leader(ProductionFormats.record(StateCodec.LEADER)))
+    assertThat(StateCodec.decodeLeader(ProductionFormats.record(StateCodec.LEADER)))
         .isEqualTo(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081"));
-    assertThat(StateCodec.images(ProductionFormats.record("g/images/0")))
+    assertThat(StateCodec.decodeImages(ProductionFormats.record("g/images/0")))
         .isEqualTo(
             Map.of(
                 "n-000100",
@@ -168,7 +169,7 @@
                 "n-000102",
                 List.of()));
     List<Action.Demand> demand =
-        StateCodec.demand(ProductionFormats.record(StateCodec.DEMAND), NOW_MS);
+        StateCodec.decodeDemand(ProductionFormats.record(StateCodec.DEMAND), NOW_MS);
     assertThat(demand).hasSize(1);
     assertThat(demand.get(0).latest().jobClass()).isEqualTo("frame-batch");
     assertThat(demand.get(0).arrivals().get(1)).containsExactly(61.25, 12);
@@ -177,17 +178,18 @@
   @Test
   void whatAnOldControllerMayReadIsWrittenByteForByteAsItWouldWriteIt() {
     assertStoredAs(
-        "g/owner", StateCodec.leader(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081")));
-    assertStoredAs("g/term", StateCodec.term(41, "m-1"));
-    assertStoredAs("g/bar/m-2", StateCodec.bar(""));
-    assertStoredAs("g/bar/m-0", StateCodec.bar("3fe0a1"));
-    assertStoredAs("g/deputy/m-0", StateCodec.leaseDelegate("3fe0a1", 17, 40, 2.5));
-    assertStoredAs("g/job/j-000001", StateCodec.job(storedJob("j-000001"), false));
-    assertStoredAs("g/job/j-000002", StateCodec.job(storedJob("j-000002"), false));
-    assertStoredAs("g/job/j-000003", StateCodec.job(storedJob("j-000003"), true));
-    assertStoredAs("g/slice/j-000003/0", StateCodec.taskBatch(storedBatch("j-000003", 0)));
-    assertStoredAs("g/slice/j-000001/0", StateCodec.taskBatch(storedBatch("j-000001", 0)));
-    assertStoredAs("g/slice/j-000001/1", StateCodec.taskBatch(storedBatch("j-000001", 1)));
+        "g/owner",
+        StateCodec.encodeLeader(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081")));
+    assertStoredAs("g/term", StateCodec.encodeTerm(41, "m-1"));
+    assertStoredAs("g/bar/m-2", StateCodec.encodeSuspension(""));
+    assertStoredAs("g/bar/m-0", StateCodec.encodeSuspension("3fe0a1"));
+    assertStoredAs("g/deputy/m-0", StateCodec.encodeDelegateRelease("3fe0a1", 17, 40, 2.5));
+    assertStoredAs("g/job/j-000001", StateCodec.encodeJob(storedJob("j-000001"), false));
+    assertStoredAs("g/job/j-000002", StateCodec.encodeJob(storedJob("j-000002"), false));
+    assertStoredAs("g/job/j-000003", StateCodec.encodeJob(storedJob("j-000003"), true));
+    assertStoredAs("g/slice/j-000003/0", StateCodec.encodeTaskBatch(storedBatch("j-000003", 0)));
+    assertStoredAs("g/slice/j-000001/0", StateCodec.encodeTaskBatch(storedBatch("j-000001", 0)));
+    assertStoredAs("g/slice/j-000001/1", StateCodec.encodeTaskBatch(storedBatch("j-000001", 1)));
     OperatorSettings defaults = OperatorSettings.defaults(500, "info");
     assertStoredAs(
         "g/settings",
@@ -195,14 +197,15 @@
     List<Action.Demand> demand = new ArrayList<>();
     demand.add(
         new Action.Demand(
-            StateCodec.job("j-000001", ProductionFormats.record("g/demand").at("/classes/0/latest"))
+            StateCodec.decodeJob(
+                    "j-000001", ProductionFormats.record("g/demand").at("/classes/0/latest"))
                 .needing(List.of("j-000009")),
             List.of(new double[] {4.5, 60}, new double[] {61.25, 12})));
-    assertStoredAs("g/demand", StateCodec.demand(demand, NOW_MS, LARGE));
+    assertStoredAs("g/demand", StateCodec.encodeDemand(demand, NOW_MS, LARGE));
     Map<String, List<String>> images =
-        new java.util.TreeMap<>(StateCodec.images(ProductionFormats.record("g/images/0")));
-    assertStoredAs("g/images/0", StateCodec.images(images, 60));
-    StateCodec.images(StateCodec.images(images, 60, LARGE))
+        new java.util.TreeMap<>(StateCodec.decodeImages(ProductionFormats.record("g/images/0")));
+    assertStoredAs("g/images/0", StateCodec.encodeImages(images, 60));
+    StateCodec.decodeImages(StateCodec.encodeImages(images, 60, LARGE))
         .forEach(
             (machine, names) ->
                 assertThat(names).containsExactlyInAnyOrderElementsOf(images.get(machine)));
@@ -212,7 +215,7 @@
   @Test
   void anEndHasOneFieldMoreThanAnOldControllerKnowsAndItsOwnAreAsBefore() {
     JsonNode old = ProductionFormats.record("g/end/j-000004");
-    JsonNode written = StateCodec.end(false, 60, NOW_MS);
+    JsonNode written = StateCodec.encodeFinalState(false, 60, NOW_MS);
     Set<String> added = fields(written);
     added.removeAll(fields(old));
     assertThat(added).containsExactly("at");
@@ -225,12 +228,12 @@
   void messagesAreSentByteForByteAsBefore() {
     REQUESTS.forEach(
         (name, request) ->
-            assertThat(PeerCodec.encode(request))
+            assertThat(PeerCodec.encodeRequest(request))
                 .as(name)
                 .isEqualTo(ProductionFormats.messages().get(name)));
     ANSWERS.forEach(
         (name, answer) ->
-            assertThat(PeerCodec.encode(answer))
+            assertThat(PeerCodec.encodeAnswer(answer))
                 .as(name)
                 .isEqualTo(ProductionFormats.messages().get(name)));
     assertThat(REQUESTS.size() + ANSWERS.size()).isEqualTo(ProductionFormats.messages().size());
@@ -240,7 +243,7 @@
   void messagesOfAnOldControllerAreRead() {
     REQUESTS.forEach(
         (name, request) ->
-            assertThat(PeerCodec.request(ProductionFormats.messages().get(name)))
+            assertThat(PeerCodec.decodeRequest(ProductionFormats.messages().get(name)))
                 .as(name)
                 .usingRecursiveComparison()
                 .isEqualTo(request));
@@ -249,11 +252,11 @@
           byte[] sent = ProductionFormats.messages().get(name);
           PeerAnswer read =
               switch (name.substring(0, name.indexOf(' '))) {
-                case "promise", "keep" -> PeerCodec.pledged(sent);
-                case "share" -> PeerCodec.wanted(sent);
-                case "handover" -> PeerCodec.received(sent);
-                case "deputy" -> PeerCodec.delegated(sent);
-                default -> PeerCodec.relayed(sent);
+                case "promise", "keep" -> PeerCodec.decodePledged(sent);
+                case "share" -> PeerCodec.decodeWanted(sent);
+                case "handover" -> PeerCodec.decodeReceived(sent);
+                case "deputy" -> PeerCodec.decodeDelegated(sent);
+                default -> PeerCodec.decodeRelayed(sent);
               };
           assertThat(read).as(name).usingRecursiveComparison().isEqualTo(answer);
         });
@@ -262,25 +265,26 @@
   @Test
   void anAnswerThatLacksWhatCameLaterGrantsAndVouchesForNothing() {
     byte[] empty = Json.writeCbor(Json.object());
-    assertThat(PeerCodec.pledged(empty))
+    assertThat(PeerCodec.decodePledged(empty))
         .isEqualTo(new PeerAnswer.Pledged(false, false, CancellationKnowledge.NONE));
-    assertThat(PeerCodec.delegated(empty))
+    assertThat(PeerCodec.decodeDelegated(empty))
         .isEqualTo(new PeerAnswer.Delegated(null, CancellationKnowledge.NONE));
-    assertThat(PeerCodec.pledged(Json.writeCbor(Json.object().put("granted", true))))
+    assertThat(PeerCodec.decodePledged(Json.writeCbor(Json.object().put("granted", true))))
         .isEqualTo(new PeerAnswer.Pledged(true, false, CancellationKnowledge.NONE));
-    assertThat(PeerCodec.relayed(empty)).isNull();
+    assertThat(PeerCodec.decodeRelayed(empty)).isNull();
   }
 
   @Test
   void whatIsNoMessageOfThisVersionIsNone() {
-    assertThat(PeerCodec.request(Json.writeCbor(Json.object()))).isNull();
-    assertThat(PeerCodec.request(Json.writeCbor(Json.object().put("kind", "later")))).isNull();
+    assertThat(PeerCodec.decodeRequest(Json.writeCbor(Json.object()))).isNull();
+    assertThat(PeerCodec.decodeRequest(Json.writeCbor(Json.object().put("kind", "later"))))
+        .isNull();
     byte[] notCbor = {(byte) 0xff, 0};
-    assertThat(PeerCodec.request(notCbor)).isNull();
-    assertThat(PeerCodec.pledged(notCbor)).isNull();
-    assertThat(PeerCodec.wanted(notCbor)).isNull();
-    assertThat(PeerCodec.received(notCbor)).isNull();
-    assertThat(PeerCodec.delegated(notCbor)).isNull();
-    assertThat(PeerCodec.relayed(notCbor)).isNull();
+    assertThat(PeerCodec.decodeRequest(notCbor)).isNull();
+    assertThat(PeerCodec.decodePledged(notCbor)).isNull();
+    assertThat(PeerCodec.decodeWanted(notCbor)).isNull();
+    assertThat(PeerCodec.decodeReceived(notCbor)).isNull();
+    assertThat(PeerCodec.decodeDelegated(notCbor)).isNull();
+    assertThat(PeerCodec.decodeRelayed(notCbor)).isNull();
   }
 }
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -159,7 +159,7 @@
 
   @Test
   void electionRecordsAreReadWithEveryField() {
-    assertThat(StateCodec.leader(record("owner")))
+    assertThat(StateCodec.decodeLeader(record("owner")))
         .isEqualTo(new StateCodec.LeaderRecord("m-2", 57, "10.0.0.3:8081"));
     JsonNode term = record("term");
     assertThat(term.path("term").asLong()).isEqualTo(57);
@@ -175,18 +175,19 @@
 
   @Test
   void jobsAreReadWithEveryFieldAndTheirStop() {
-    assertThat(StateCodec.job("j-000007", record("job-full-stopped")))
+    assertThat(StateCodec.decodeJob("j-000007", record("job-full-stopped")))
         .isEqualTo(fullJob("j-000007"));
-    assertThat(StateCodec.stopOf(record("job-full-stopped"))).isTrue();
-    assertThat(StateCodec.job("j-000008", record("job-plain"))).isEqualTo(plainJob("j-000008"));
-    assertThat(StateCodec.stopOf(record("job-plain"))).isFalse();
+    assertThat(StateCodec.decodeStopRequested(record("job-full-stopped"))).isTrue();
+    assertThat(StateCodec.decodeJob("j-000008", record("job-plain")))
+        .isEqualTo(plainJob("j-000008"));
+    assertThat(StateCodec.decodeStopRequested(record("job-plain"))).isFalse();
   }
 
   @Test
   void slicesAreReadTaskByTaskInEachForm() {
-    assertMixedBatch(StateCodec.taskBatch(record("slice-plain")), "plain");
-    assertMixedBatch(StateCodec.taskBatch(record("slice-packed")), "packed");
-    TaskBatchRecord done = StateCodec.taskBatch(record("slice-done"));
+    assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-plain")), "plain");
+    assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-packed")), "packed");
+    TaskBatchRecord done = StateCodec.decodeTaskBatch(record("slice-done"));
     assertThat(done.size()).isEqualTo(500);
     assertThat(done.doneCount()).isEqualTo(500);
     assertThat(done.claimedCount()).isZero();
@@ -204,15 +205,15 @@
 
   @Test
   void hintsForTheNextLeaderAreReadPlainAndCompact() throws MalformedRecord {
-    assertImages(StateCodec.images(record("images")));
-    assertImages(StateCodec.images(CompactHints.unpack(record("hints-images"))));
-    assertDemand(StateCodec.demand(record("demand"), NOW_MS));
-    assertDemand(StateCodec.demand(CompactHints.unpack(record("hints-demand")), NOW_MS));
+    assertImages(StateCodec.decodeImages(record("images")));
+    assertImages(StateCodec.decodeImages(CompactHints.unpack(record("hints-images"))));
+    assertDemand(StateCodec.decodeDemand(record("demand"), NOW_MS));
+    assertDemand(StateCodec.decodeDemand(CompactHints.unpack(record("hints-demand")), NOW_MS));
   }
 
   @Test
   void storedLimitsAndAccountsAreReadWithEveryField() {
-    LimitRecord limits = QuotaCodec.limits(record("quota-limit"), REVISION);
+    LimitRecord limits = QuotaCodec.decodeLimits(record("quota-limit"), REVISION);
     assertThat(limits.isReadable()).isTrue();
     assertThat(limits)
         .isEqualTo(
@@ -221,17 +222,17 @@
                 REVISION,
                 "ops@site",
                 NOW_MS));
-    Account account = QuotaCodec.account(record("quota-account"), REVISION);
+    Account account = QuotaCodec.decodeAccount(record("quota-account"), REVISION);
     assertThat(account.isReadable()).isTrue();
     assertThat(account).isEqualTo(Account.of(new Amount(2_500, 500), "m-2/7c41d9/12", REVISION));
   }
 
   @Test
   void featureLevelsAndMembersAreReadWithEveryField() throws MalformedRecord {
-    assertThat(FeatureCodec.level(record("feature-level"))).isEqualTo(ClusterLevel.of(2));
-    assertThat(FeatureCodec.level(record("feature-level-lowering")))
+    assertThat(FeatureCodec.decodeLevel(record("feature-level"))).isEqualTo(ClusterLevel.of(2));
+    assertThat(FeatureCodec.decodeLevel(record("feature-level-lowering")))
         .isEqualTo(new ClusterLevel(2, 1));
-    assertThat(FeatureCodec.member("m-2", record("feature-member"), REVISION))
+    assertThat(FeatureCodec.decodeMember("m-2", record("feature-member"), REVISION))
         .isEqualTo(
             new Member("m-2", "1.8.0", new FeatureRange(0, 2), "7c41d9", NOW_MS - 5_000, REVISION));
   }
@@ -248,10 +249,10 @@
     assertThat(QuotaCodec.teamOf(keys.get("quota-account"), QuotaCodec.ACCOUNTS))
         .isEqualTo("blue team/ä");
     assertThat(keys.get("job")).isEqualTo(StateCodec.jobKey("j-000007"));
-    assertThat(keys.get("end")).isEqualTo(StateCodec.endKey("j-000007"));
+    assertThat(keys.get("end")).isEqualTo(StateCodec.finalStateKey("j-000007"));
     assertThat(keys.get("slice"))
         .isEqualTo(StateCodec.taskBatchKey(new TaskBatchKey("j-000007", 3)));
-    assertThat(keys.get("suspension")).isEqualTo(StateCodec.barKey("m-2"));
+    assertThat(keys.get("suspension")).isEqualTo(StateCodec.suspensionKey("m-2"));
     assertThat(keys.get("quota-limit")).isEqualTo(QuotaCodec.limitKey("blue team/ä"));
     assertThat(keys.get("quota-account")).isEqualTo(QuotaCodec.accountKey("blue team/ä"));
     assertThat(keys.get("feature-member")).isEqualTo(FeatureCodec.memberKey("m-2"));
