--- /dev/null
+++ b/src/test/java/graderelay/wire/StoreCodecTest.java
@@ -0,0 +1,129 @@
+package graderelay.wire;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import graderelay.wire.StoreCodec.RangeResponse;
+import graderelay.wire.StoreCodec.StoreChange;
+import graderelay.wire.StoreCodec.StoreEntry;
+import graderelay.wire.StoreCodec.WatchResponse;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The key-value store's protocol: its examples are read, and requests have the stated bytes. */
+class StoreCodecTest {
+  private static JsonNode json(String text) {
+    return Json.read(text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private static String text(JsonNode n) {
+    return new String(Json.write(n), StandardCharsets.UTF_8);
+  }
+
+  @Test
+  void anEntryIsReadWithItsRevisionAndSessionLease() {
+    JsonNode answer = json("{\"key\":\"a/b\",\"data\":{\"x\":1},\"mark\":412,\"permit\":7}");
+    assertThat(StoreCodec.decodeEntry(answer))
+        .isEqualTo(new StoreEntry("a/b", json("{\"x\":1}"), 412, 7));
+  }
+
+  @Test
+  void anEntryOnNoSessionLeaseHasTheLeaseZero() {
+    assertThat(StoreCodec.decodeEntry(json("{\"key\":\"a\",\"data\":1,\"mark\":2}")).sessionLease())
+        .isZero();
+  }
+
+  @Test
+  void aPageOfARangeIsReadInItsOrderAndSaysWhereTheNextBegins() {
+    RangeResponse page =
+        StoreCodec.decodeRange(
+            json(
+                "{\"items\":[{\"key\":\"c/8\",\"data\":1,\"mark\":3},"
+                    + "{\"key\":\"c/9\",\"data\":2,\"mark\":1}],"
+                    + "\"truncated\":true,\"ledger\":431}"));
+    assertThat(page.entries())
+        .containsExactly(
+            new StoreEntry("c/8", json("1"), 3, 0), new StoreEntry("c/9", json("2"), 1, 0));
+    assertThat(page.storeRevision()).isEqualTo(431);
+    assertThat(page.nextAfter()).isEqualTo("c/9");
+  }
+
+  @Test
+  void theLastPageAndAnEmptyOneHaveNoNext() {
+    assertThat(StoreCodec.decodeRange(json("{\"items\":[{\"key\":\"c\"}]}")).nextAfter()).isNull();
+    assertThat(StoreCodec.decodeRange(json("{\"items\":[],\"truncated\":true}")).nextAfter())
+        .isNull();
+    assertThat(StoreCodec.decodeRange(json("{}")))
+        .isEqualTo(new RangeResponse(List.of(), false, 0));
+  }
+
+  @Test
+  void aWatchTellsPutsAndDeletesInTheirOrderAndPassesOverOtherChanges() {
+    WatchResponse answer =
+        StoreCodec.decodeWatch(
+            json(
+                "{\"ledger\":433,\"news\":[{\"put\":\"c/9\",\"data\":{\"x\":1},\"mark\":433},"
+                    + "{\"later\":\"c/8\",\"mark\":432},{\"drop\":\"c/d\",\"mark\":432}]}"));
+    assertThat(answer)
+        .isEqualTo(
+            new WatchResponse(
+                433,
+                List.of(
+                    new StoreChange.Put("c/9", json("{\"x\":1}"), 433),
+                    new StoreChange.Delete("c/d", 432))));
+  }
+
+  @Test
+  void aTransactionHasTheBytesOfItsTreeBefore() {
+    TransactionRequest txn =
+        new TransactionRequest()
+            .when("a/b", 0)
+            .when("c", 412)
+            .put("a/b", json("{\"x\":1}"), 7)
+            .put("c", json("2"))
+            .drop("c/d");
+    assertThat(txn.changeCount()).isEqualTo(3);
+    assertThat(text(txn.encode()))
+        .isEqualTo(
+            "{\"if\":[{\"key\":\"a/b\",\"mark\":0},{\"key\":\"c\",\"mark\":412}],"
+                + "\"then\":[{\"put\":\"a/b\",\"data\":{\"x\":1},\"permit\":7},"
+                + "{\"put\":\"c\",\"data\":2},{\"drop\":\"c/d\"}]}");
+  }
+
+  @Test
+  void aTransactionThatOnlyComparesHasNoChanges() {
+    assertThat(text(new TransactionRequest().when("a", 1).encode()))
+        .isEqualTo("{\"if\":[{\"key\":\"a\",\"mark\":1}]}");
+    assertThat(text(new TransactionRequest().encode())).isEqualTo("{\"if\":[]}");
+  }
+
+  @Test
+  void failedConditionsAreReadInTheirOrder() {
+    assertThat(StoreCodec.decodeFailedConditions(json("{\"failed\":[\"b\",\"a\"],\"ledger\":431}")))
+        .containsExactly("b", "a");
+    assertThat(StoreCodec.decodeFailedConditions(json("{\"ledger\":431}"))).isEmpty();
+  }
+
+  @Test
+  void sessionLeasesAreAskedForAndRead() {
+    assertThat(text(StoreCodec.encodeLeaseRequest(5000))).isEqualTo("{\"life_ms\":5000}");
+    assertThat(StoreCodec.decodeSessionLease(json("{\"permit\":7}"))).isEqualTo(7);
+    assertThat(StoreCodec.decodeSessionLease(json("{}"))).isZero();
+  }
+
+  @Test
+  void onlyARefusalForTheLeaseIsTakenForOne() {
+    assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"no such lease\"}"))).isTrue();
+    assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"too large\"}"))).isFalse();
+    assertThat(StoreCodec.decodeLeaseExpired(json("{}"))).isFalse();
+    assertThat(StoreCodec.decodeLeaseExpired(null)).isFalse();
+  }
+
+  @Test
+  void theStoresRevisionIsZeroWhereNoneIsGiven() {
+    assertThat(StoreCodec.decodeStoreRevision(json("{\"ledger\":432}"))).isEqualTo(432);
+    assertThat(StoreCodec.decodeStoreRevision(json("{}"))).isZero();
+    assertThat(StoreCodec.decodeStoreRevision(null)).isZero();
+  }
+}
