--- /dev/null
+++ b/src/main/java/graderelay/wire/ElectionRecordCodec.java
@@ -0,0 +1,82 @@
+package graderelay.wire;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.wire.StateCodec.DelegateRelease;
+import graderelay.wire.StateCodec.LeaderRecord;
+import graderelay.wire.StateCodec.Suspension;
+import graderelay.wire.StateCodec.TermRecord;
+
+/**
+ * The stored records that decide who leads: the leader ("owner", {@code g/owner}), the counter of
+ * terms ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
+ * that lease delegates have given back ("deputies", {@code g/deputy/MEMBER}).
+ */
+final class ElectionRecordCodec {
+  static final String MEMBER = "member";
+  static final String TERM = "term";
+
+  /** Wire name "mesh": the address at which other controllers reach the leader. */
+  static final String PEER_ADDRESS = "mesh";
+
+  /** Wire name "leaving": the incarnation that is about to leave its suspension, or empty. */
+  static final String LEAVING_INCARNATION = "leaving";
+
+  /** Wire name "self": the lease delegate's incarnation. */
+  static final String DELEGATE_INCARNATION = "self";
+
+  /** Wire name "n": the last question whose grant was given back. */
+  static final String RELEASED_UP_TO = "n";
+
+  /** Wire name "of": the term whose grants were given back. */
+  static final String GRANTED_BY = "of";
+
+  /** Wire name "alone": seconds since the lease delegate last answered workers by itself. */
+  static final String ALONE_S = "alone";
+
+  private ElectionRecordCodec() {}
+
+  static ObjectNode encodeLeader(LeaderRecord leader) {
+    return Json.object()
+        .put(MEMBER, leader.member())
+        .put(TERM, leader.term())
+        .put(PEER_ADDRESS, leader.address());
+  }
+
+  static LeaderRecord decodeLeader(JsonNode n) {
+    return new LeaderRecord(
+        n.path(MEMBER).asText(), n.path(TERM).asLong(), n.path(PEER_ADDRESS).asText());
+  }
+
+  static ObjectNode encodeTerm(long term, String member) {
+    return Json.object().put(TERM, term).put(MEMBER, member);
+  }
+
+  static TermRecord decodeTerm(JsonNode n) {
+    return new TermRecord(n.path(TERM).asLong(), n.path(MEMBER).asText());
+  }
+
+  static ObjectNode encodeSuspension(String leaving) {
+    return Json.object().put(LEAVING_INCARNATION, leaving);
+  }
+
+  static Suspension decodeSuspension(JsonNode n, long revision) {
+    return new Suspension(n.path(LEAVING_INCARNATION).asText(), revision);
+  }
+
+  static ObjectNode encodeDelegateRelease(String self, long n, long of, double aloneS) {
+    return Json.object()
+        .put(DELEGATE_INCARNATION, self)
+        .put(RELEASED_UP_TO, n)
+        .put(GRANTED_BY, of)
+        .put(ALONE_S, aloneS);
+  }
+
+  static DelegateRelease decodeDelegateRelease(JsonNode n) {
+    return new DelegateRelease(
+        n.path(DELEGATE_INCARNATION).asText(),
+        n.path(RELEASED_UP_TO).asLong(),
+        n.path(GRANTED_BY).asLong(),
+        n.path(ALONE_S).asDouble());
+  }
+}
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -11,15 +11,16 @@
 
 /**
  * The records that controllers keep in the consensus-backed key-value store ("state service"), and
- * their keys. Election records and final states are coded here; jobs, task batches ("task batches")
- * and hints for the next leader by {@link JobRecordCodec}, {@link TaskBatchRecordCodec} and {@link
- * LeaderHintCodec}.
+ * their keys. This class is the front of the codecs that know each record's fields: {@link
+ * ElectionRecordCodec}, {@link FinalStateCodec}, {@link JobRecordCodec}, {@link
+ * TaskBatchRecordCodec} and {@link LeaderHintCodec}. Records of feature levels and of quotas are
+ * below {@link #TERM} and have {@link FeatureCodec} and {@link QuotaCodec}.
  */
 public final class StateCodec {
   /** Everything that one watch should follow. */
   public static final String ROOT = "g/";
 
-  /** Who leads, until elections are sealed: {@link LeaderRecord}. */
+  /** Who leads ("owner"), until elections are sealed: {@link LeaderRecord}. */
   public static final String LEADER = "g/owner";
 
   /** The counter of terms and who won the last one. */
@@ -34,33 +35,21 @@
   /** The jobs' records, by id. */
   public static final String JOBS = "g/job/";
 
-  /** The task batches ("task batches") of jobs, by job and index. */
+  /** The task batches ("slices") of jobs, by job and index. */
   public static final String TASK_BATCHES = "g/slice/";
 
   /** Which images machines hold, in parts; a hint for the next leader. */
   public static final String IMAGES = "g/images/";
 
-  /** Grants that lease delegates ("lease delegates") have given back. */
+  /** Grants that lease delegates ("deputies") have given back. */
   public static final String LEASE_DELEGATES = "g/deputy/";
 
   /** Controllers that the leader has suspended ("bars"): they may not take over for the time. */
   public static final String SUSPENSIONS = "g/bar/";
 
-  /** Final states; kept for good and never listed. */
+  /** Final states ("ends") of jobs; kept for good and never listed. */
   public static final String FINAL_STATES = "g/end/";
 
-  private static final String MEMBER = "member";
-  private static final String TERM_NUMBER = "term";
-  private static final String PEER_ADDRESS = "mesh";
-  private static final String LEAVING_INCARNATION = "leaving";
-  private static final String DELEGATE_INCARNATION = "self";
-  private static final String RETURNED_UP_TO = "n";
-  private static final String RETURNED_OF = "of";
-  private static final String ALONE_S = "alone";
-  private static final String FINAL_STATE = "end";
-  private static final String FINAL_TASKS = "tasks";
-  private static final String WRITTEN_AT_MS = "at";
-
   private StateCodec() {}
 
   /** The key of job {@code id}'s record. */
@@ -87,25 +76,24 @@
 
   // ---------------------------------------------------------------- election records
 
-  /** Who leads the fleet: the leader's name, its term (the fencing token) and mesh address. */
+  /**
+   * Who leads the cluster.
+   *
+   * @param member the leader's name
+   * @param term the fencing token of its commands
+   * @param address the address at which its peers reach it ("mesh")
+   */
   public record LeaderRecord(String member, long term, String address) {}
 
-  /** The leader's record. */
-  public static ObjectNode encodeLeader(LeaderRecord o) {
-    return Json.object()
-        .put(MEMBER, o.member())
-        .put(TERM_NUMBER, o.term())
-        .put(PEER_ADDRESS, o.address());
-  }
-
-  /** The leader from its record. */
-  public static LeaderRecord decodeLeader(JsonNode n) {
-    return new LeaderRecord(
-        n.path(MEMBER).asText(), n.path(TERM_NUMBER).asLong(), n.path(PEER_ADDRESS).asText());
-  }
+  /**
+   * The last term that was won.
+   *
+   * @param member who won it
+   */
+  public record TermRecord(long term, String member) {}
 
   /**
-   * A suspension ("bar") of a controller that is silent.
+   * A suspension ("bar") of a silent controller from election.
    *
    * @param leaving the incarnation of it that is about to leave the suspension, or empty while it
    *     stands
@@ -113,6 +101,37 @@
    */
   public record Suspension(String leaving, long revision) {}
 
+  /**
+   * A lease delegate ("deputy") has given grants back.
+   *
+   * @param incarnation tells the delegate's process from earlier ones of the same member
+   * @param releasedUpTo the number of its last question whose grant it has given back
+   * @param grantedBy the term whose grants they were
+   * @param aloneS seconds since it last answered workers by itself, or since its process began
+   */
+  public record DelegateRelease(
+      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {}
+
+  /** The leader's record. */
+  public static ObjectNode encodeLeader(LeaderRecord leader) {
+    return ElectionRecordCodec.encodeLeader(leader);
+  }
+
+  /** The leader from its record. */
+  public static LeaderRecord decodeLeader(JsonNode n) {
+    return ElectionRecordCodec.decodeLeader(n);
+  }
+
+  /** The counter of terms, and who won the last one. */
+  public static ObjectNode encodeTerm(long term, String member) {
+    return ElectionRecordCodec.encodeTerm(term, member);
+  }
+
+  /** The last term from its record. */
+  public static TermRecord decodeTerm(JsonNode n) {
+    return ElectionRecordCodec.decodeTerm(n);
+  }
+
   /** The key of the suspension of controller {@code member}. */
   public static String suspensionKey(String member) {
     return SUSPENSIONS + member;
@@ -120,34 +139,47 @@
 
   /** A suspension; {@code leaving} is the incarnation about to leave it, or empty. */
   public static ObjectNode encodeSuspension(String leaving) {
-    return Json.object().put(LEAVING_INCARNATION, leaving);
+    return ElectionRecordCodec.encodeSuspension(leaving);
+  }
+
+  /** A suspension from its record and the record's revision. */
+  public static Suspension decodeSuspension(JsonNode n, long revision) {
+    return ElectionRecordCodec.decodeSuspension(n, revision);
   }
 
   /**
-   * A lease delegate has given back all grants up to that of its question {@code n} of {@code of};
-   * {@code aloneS} is how long it has acted alone, in seconds.
+   * A lease delegate has given back all grants up to that of its question {@code releasedUpTo} by
+   * the term {@code grantedBy}; {@code aloneS} is how long ago it last acted alone, in seconds.
    */
-  public static ObjectNode encodeDelegateRelease(String self, long n, long of, double aloneS) {
-    return Json.object()
-        .put(DELEGATE_INCARNATION, self)
-        .put(RETURNED_UP_TO, n)
-        .put(RETURNED_OF, of)
-        .put(ALONE_S, aloneS);
+  public static ObjectNode encodeDelegateRelease(
+      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
+    return ElectionRecordCodec.encodeDelegateRelease(incarnation, releasedUpTo, grantedBy, aloneS);
   }
 
-  /** The counter of terms, and who won the last one. */
-  public static ObjectNode encodeTerm(long term, String member) {
-    return Json.object().put(TERM_NUMBER, term).put(MEMBER, member);
+  /** What a lease delegate has given back, from its record. */
+  public static DelegateRelease decodeDelegateRelease(JsonNode n) {
+    return ElectionRecordCodec.decodeDelegateRelease(n);
   }
 
   // ---------------------------------------------------------------- final states
 
+  /**
+   * How a job ended.
+   *
+   * @param cancelled true if it was cancelled, false if all its tasks were done
+   * @param tasks how many tasks it had
+   * @param writtenAtMs the time of day of the record in milliseconds, 0 if an old version wrote it
+   */
+  public record FinalState(boolean cancelled, int tasks, long writtenAtMs) {}
+
   /** The final state of a job, and the time of day at which it was written. */
   public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long nowMs) {
-    return Json.object()
-        .put(FINAL_STATE, cancelled ? "cancelled" : "done")
-        .put(FINAL_TASKS, tasks)
-        .put(WRITTEN_AT_MS, nowMs);
+    return FinalStateCodec.encode(cancelled, tasks, nowMs);
+  }
+
+  /** The final state of a job from its record. */
+  public static FinalState decodeFinalState(JsonNode n) {
+    return FinalStateCodec.decode(n);
   }
 
   // ---------------------------------------------------------------- jobs
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -10,10 +10,10 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The stored record of a task batch ("task batch", {@code g/taskBatch/JOB/INDEX}) in one of three
- * forms: all done, as its size alone; plain, as numbers; or packed, as a character for each task.
- * Each form holds for every task its attempt and its place: queued, done, or an index into the list
- * of (machine, agent incarnation) pairs that hold claims.
+ * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
+ * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
+ * holds for every task its attempt and its place: queued, done, or an index into the list of
+ * (machine, agent incarnation) pairs that hold claims.
  */
 final class TaskBatchRecordCodec {
   static final String ALL_DONE = "done";
@@ -26,7 +26,7 @@
   private static final int QUEUED = -1;
   private static final int DONE = -2;
 
-  /** Past the quotation revision; some ninety characters of one byte follow, then those of two. */
+  /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
   private static final char FIRST_CHAR = '#';
 
   private TaskBatchRecordCodec() {}
--- /dev/null
+++ b/src/test/java/graderelay/wire/StateCodecTest.java
@@ -0,0 +1,62 @@
+package graderelay.wire;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import graderelay.wire.StateCodec.DelegateRelease;
+import graderelay.wire.StateCodec.FinalState;
+import graderelay.wire.StateCodec.Suspension;
+import graderelay.wire.StateCodec.TermRecord;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+
+/** Election records and final states have the stated bytes, and are read as they were written. */
+class StateCodecTest {
+  private static JsonNode json(String text) {
+    return Json.read(text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  private static String text(JsonNode n) {
+    return new String(Json.write(n), StandardCharsets.UTF_8);
+  }
+
+  @Test
+  void aTermIsReadAsItWasWritten() {
+    JsonNode written = StateCodec.encodeTerm(41, "m-1");
+    assertThat(text(written)).isEqualTo("{\"term\":41,\"member\":\"m-1\"}");
+    assertThat(StateCodec.decodeTerm(written)).isEqualTo(new TermRecord(41, "m-1"));
+    assertThat(StateCodec.decodeTerm(json("{}"))).isEqualTo(new TermRecord(0, ""));
+  }
+
+  @Test
+  void aSuspensionIsReadAsItWasWritten() {
+    JsonNode written = StateCodec.encodeSuspension("3fe0a1");
+    assertThat(text(written)).isEqualTo("{\"leaving\":\"3fe0a1\"}");
+    assertThat(StateCodec.decodeSuspension(written, 7)).isEqualTo(new Suspension("3fe0a1", 7));
+    assertThat(StateCodec.decodeSuspension(json("{}"), 7)).isEqualTo(new Suspension("", 7));
+  }
+
+  @Test
+  void aDelegatesReleaseIsReadAsItWasWritten() {
+    JsonNode written = StateCodec.encodeDelegateRelease("3fe0a1", 17, 40, 2.5);
+    assertThat(text(written)).isEqualTo("{\"self\":\"3fe0a1\",\"n\":17,\"of\":40,\"alone\":2.5}");
+    assertThat(StateCodec.decodeDelegateRelease(written))
+        .isEqualTo(new DelegateRelease("3fe0a1", 17, 40, 2.5));
+  }
+
+  @Test
+  void aFinalStateIsReadAsItWasWritten() {
+    JsonNode done = StateCodec.encodeFinalState(false, 60, 1234);
+    assertThat(text(done)).isEqualTo("{\"end\":\"done\",\"tasks\":60,\"at\":1234}");
+    assertThat(StateCodec.decodeFinalState(done)).isEqualTo(new FinalState(false, 60, 1234));
+    JsonNode cancelled = StateCodec.encodeFinalState(true, 6, 1235);
+    assertThat(text(cancelled)).isEqualTo("{\"end\":\"cancelled\",\"tasks\":6,\"at\":1235}");
+    assertThat(StateCodec.decodeFinalState(cancelled)).isEqualTo(new FinalState(true, 6, 1235));
+  }
+
+  @Test
+  void aFinalStateOfAnOldVersionHasNoTime() {
+    assertThat(StateCodec.decodeFinalState(json("{\"end\":\"done\",\"tasks\":60}")))
+        .isEqualTo(new FinalState(false, 60, 0));
+  }
+}
