--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -10,10 +10,10 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The stored record of a task batch ("task batch", {@code g/taskBatch/JOB/INDEX}) in one of three
- * forms: all done, as its size alone; plain, as numbers; or packed, as a character for each task.
- * Each form holds for every task its attempt and its place: queued, done, or an index into the list
- * of (machine, agent incarnation) pairs that hold claims.
+ * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
+ * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
+ * holds for every task its attempt and its place: queued, done, or an index into the list of
+ * (machine, agent incarnation) pairs that hold claims.
  */
 final class TaskBatchRecordCodec {
   static final String ALL_DONE = "done";
@@ -26,12 +26,12 @@
   private static final int QUEUED = -1;
   private static final int DONE = -2;
 
-  /** Past the quotation revision; some ninety characters of one byte follow, then those of two. */
+  /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
   private static final char FIRST_CHAR = '#';
 
   private TaskBatchRecordCodec() {}
 
-  static ObjectNode write(TaskBatchRecord r) {
+  static ObjectNode encode(TaskBatchRecord r) {
     if (r.doneCount() == r.size()) {
       return Json.object().put(ALL_DONE, r.size());
     }
@@ -95,7 +95,7 @@
     return n;
   }
 
-  static TaskBatchRecord read(JsonNode n) {
+  static TaskBatchRecord decode(JsonNode n) {
     if (n.has(ALL_DONE)) {
       int size = n.get(ALL_DONE).asInt();
       boolean[] done = new boolean[size];
@@ -106,7 +106,7 @@
     if (n.has(PACKED_ATTEMPTS)) {
       String attempts = n.path(PACKED_ATTEMPTS).asText();
       String places = n.path(PACKED_PLACES).asText();
-      return read(
+      return decode(
           attempts.length(),
           i -> attempts.charAt(i) - FIRST_CHAR,
           i -> places.charAt(i) - FIRST_CHAR + DONE,
@@ -114,11 +114,11 @@
     }
     JsonNode attempts = n.path(ATTEMPTS);
     JsonNode places = n.path(PLACES);
-    return read(
+    return decode(
         attempts.size(), i -> attempts.get(i).asInt(), i -> places.path(i).asInt(QUEUED), holders);
   }
 
-  private static TaskBatchRecord read(
+  private static TaskBatchRecord decode(
       int size, IntUnaryOperator attemptOf, IntUnaryOperator placeOf, JsonNode holders) {
     int[] attempts = new int[size];
     String[] machines = new String[size];
