--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -77,9 +77,9 @@
     // pledge to somebody who knows more than we do is safe: our own election would fail.
     boolean behind = theirs < ours;
     if (request instanceof PeerRequest.Pledge p) {
-      answer(e, pledged(!behind && leadership.promise(p.member(), p.term(), p.seconds())));
+      answer(e, pledged(!behind && leadership.pledge(p.term(), p.seconds())));
     } else if (request instanceof PeerRequest.KeepPledge p) {
-      answer(e, pledged(!behind && leadership.promiseKeep(p.seconds())));
+      answer(e, pledged(!behind && leadership.pledgeLeaderless(p.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(e, new PeerAnswer.Identified(incarnation));
     } else if (actsForTheLeader(request) && theirs != ours) {
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -169,13 +169,14 @@
             this::core,
             this::ready);
     this.requestHedger =
-        new RequestHedger(loop, peerClient, state::stuck, leadership::awayForAll, this::mayAnswer);
+        new RequestHedger(
+            loop, peerClient, state::stuck, leadership::isStoreAwayForAll, this::mayAnswer);
     String incarnation = leadership.process();
     this.features =
         new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
     FeaturesApi featuresApi =
         new FeaturesApi(
-            s.member(), cache, features.coordinator(), leadership::leader, admin::atLeader);
+            s.member(), cache, features.coordinator(), leadership::isLeader, admin::atLeader);
     QuotaApi quotaApi =
         new QuotaApi(
             loop,
@@ -209,7 +210,7 @@
 
   /** A leader knows which peers answer; a follower finds out by asking. */
   private boolean mayAnswer(String peer) {
-    return !leadership.leader() || leadership.hears(peer);
+    return !leadership.isLeader() || leadership.hears(peer);
   }
 
   /** The duty of a term that starts now, with the records and settings as they are now. */
@@ -301,12 +302,12 @@
     // for all, what can be answered is, and the rest is told at once when to come back.
     return here
         || loop.now() - requestHedger.lastHelp() < READY_S
-        || (cache.loaded() && machineTypes() != null && leadership.awayForAll());
+        || (cache.loaded() && machineTypes() != null && leadership.isStoreAwayForAll());
   }
 
   /** True while this node is the leader. */
   public boolean leader() {
-    return leadership.leader();
+    return leadership.isLeader();
   }
 
   private long term() {
@@ -315,7 +316,7 @@
 
   /** True while this node may answer workers for all controllers. */
   public boolean speaks() {
-    return leadership.entitled();
+    return leadership.mayActAsLeader();
   }
 
   /** For tests and questions: the core while this node owns the fleet, else null. */
@@ -336,7 +337,7 @@
    * once, it can write one or two without waiting, and its peers' shares lie idle meanwhile.
    */
   private boolean submissionsWaitHere() {
-    return leadership.leader()
+    return leadership.isLeader()
         ? state.changeTokens().waiting() > 0
         : state.changeTokens().wouldWait(1);
   }
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -59,7 +59,7 @@
 
   @Override
   public boolean leads() {
-    return leadership.entitled() && cache.loaded();
+    return leadership.mayActAsLeader() && cache.loaded();
   }
 
   @Override
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -127,7 +127,7 @@
   }
 
   private void raiseTerm() {
-    leadership.raise(
+    leadership.raiseTerm(
         raised -> {
           if (!term.isClosed()) {
             core.onTerm(raised, loop.now());
@@ -234,7 +234,7 @@
   // ---------------------------------------------------------------- workers
 
   private void command(Action.Command c) {
-    if (!leadership.entitled()) {
+    if (!leadership.mayActAsLeader()) {
       core.onSent(c, Sent.NEVER_LEFT, null, loop.now());
       return;
     }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -31,46 +31,18 @@
   /** Seconds of pause before a node tries again to take over, with as much again at random. */
   private static final double TAKEOVER_RETRY_S = 0.15;
 
-  /**
-   * Seconds for which a peer promises not to take over, while the leader can't renew its hold. A
-   * restarted node waits as long, since it may have forgotten a promise.
-   */
-  private static final double PROMISE_S = 0.6;
-
   /** Seconds between requests for promises. */
   private static final double PROMISE_EVERY_S = 0.2;
 
-  /**
-   * Seconds for which a peer promises not to take over while leases are kept alive without an
-   * leader. A restarted node waits as long before it takes over, so it is short.
-   */
-  private static final double KEEP_S = 0.6;
-
   /** Seconds between requests for such promises. */
   private static final double KEEP_EVERY_S = 0.2;
 
-  /**
-   * Seconds for which a leader counts on a silent peer's bar after it last read the records, and
-   * for which that peer waits on its way out of it. Longer than outages of the state service that
-   * were met, and no longer than users can wait should all others be gone.
-   */
-  public static final double BAR_S = 30;
-
-  /** Seconds of silence after which a peer is barred: a few questions, and less than a restart. */
-  public static final double BAR_AFTER_S = 3.2;
-
   /** Seconds between looks of a barred node whether it may take over. */
   private static final double BAR_LOOK_S = 0.5;
 
   /** Seconds after the end of a promise at which a node tries to take over. */
   private static final double AFTER_BAR_S = 0.005;
 
-  /** Seconds before the end of a promise at which it counts as over. */
-  static final double KEEP_MARGIN_S = 0.05;
-
-  /** Seconds of failing calls after which a node takes the state service for away. */
-  public static final double KEEP_AFTER_S = 0.5;
-
   /** Seconds since a worker last asked for which the promises are kept up. */
   private static final double KEEP_WANTED_S = 10;
 
@@ -169,8 +141,8 @@
     cancellations.mutePeers(p -> loop.now() < supervisor.suspendedUntil(p));
     this.holdS = holdS;
     // An earlier process of this member may have made a promise just before it ended.
-    this.keepBefore = loop.now() + KEEP_S * (1 + LeaseTiming.DRIFT);
-    this.notBefore = loop.now() + PROMISE_S * (1 + LeaseTiming.DRIFT);
+    this.keepBefore = loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.DRIFT);
+    this.notBefore = loop.now() + ElectionTiming.PLEDGE_S * (1 + LeaseTiming.DRIFT);
   }
 
   /** What this leadership shows its supervisor of peers. */
@@ -213,7 +185,7 @@
     return self;
   }
 
-  public boolean leader() {
+  public boolean isLeader() {
     return leader;
   }
 
@@ -221,7 +193,7 @@
    * True if we may still speak for the controllers: the hold lasts, or every other controller has
    * promised not to take over meanwhile, since nobody else could.
    */
-  public boolean entitled() {
+  public boolean mayActAsLeader() {
     return leader && mayLead() && (loop.now() < heldUntil || loop.now() < promisedUntil());
   }
 
@@ -260,7 +232,7 @@
     }
     if (b.leaving().equals(self)) {
       leftAt = Double.isNaN(leftAt) ? loop.now() : leftAt;
-      double wait = leftAt + BAR_S * (1 + LeaseTiming.DRIFT) - loop.now();
+      double wait = leftAt + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.DRIFT) - loop.now();
       if (wait <= 0) {
         return true;
       }
@@ -285,7 +257,7 @@
   }
 
   /** A peer that can't renew its hold asks us not to take over. */
-  public boolean promise(String asker, long itsTerm, double seconds) {
+  public boolean pledge(long itsTerm, double seconds) {
     if (leader || closed || cache.term() > itsTerm) {
       return false;
     }
@@ -316,7 +288,7 @@
     for (Settings.Peer p : peerClient.peers()) {
       peerClient.send(
           p.address(),
-          new PeerRequest.Pledge(member, of, PROMISE_S),
+          new PeerRequest.Pledge(member, of, ElectionTiming.PLEDGE_S),
           PeerCodec::pledged,
           peerClient.timeoutS(),
           answer -> {
@@ -326,7 +298,10 @@
             }
             if (answer.granted()) {
               promised.put(
-                  p.member(), sentAt + PROMISE_S * (1 - LeaseTiming.DRIFT) - KEEP_MARGIN_S);
+                  p.member(),
+                  sentAt
+                      + ElectionTiming.PLEDGE_S * (1 - LeaseTiming.DRIFT)
+                      - ElectionTiming.PLEDGE_MARGIN_S);
             }
             boolean alone =
                 answer.reachesState()
@@ -345,7 +320,7 @@
     long old = hold;
     long of = term;
     lose("only this node can't reach the state service; leaving the fleet to " + p.member());
-    standBack(PROMISE_S);
+    standBack(ElectionTiming.PLEDGE_S);
     peerClient.send(
         p.address(),
         new PeerRequest.Handover(member, of, old),
@@ -445,7 +420,7 @@
    * no leader and none can come meanwhile, and what runs is only kept from dying: no order is
    * given.
    */
-  public boolean keeping() {
+  public boolean holdsLeaderlessPledges() {
     return !leader
         && !cache.features().gate().isShut()
         && stateAway()
@@ -470,7 +445,7 @@
    * users are no better off elsewhere, and a node that calls itself not ready is taken out of the
    * balance for longer than the outage lasts. Alone and without a peer's word it is false.
    */
-  public boolean awayForAll() {
+  public boolean isStoreAwayForAll() {
     double now = loop.now();
     return stateAway()
         && now - lastAway < StateClient.REACHES_S
@@ -478,11 +453,11 @@
   }
 
   private boolean stateAway() {
-    return state.failingFor() > KEEP_AFTER_S;
+    return state.failingFor() > ElectionTiming.STORE_AWAY_AFTER_S;
   }
 
   /** A worker asks for us while nobody owns the fleet: sees whether its lease can be kept alive. */
-  public void wantKeep() {
+  public void seekLeaderlessPledges() {
     lastWant = loop.now();
     if (!askingKeep && !leader && stateAway()) {
       askKeep();
@@ -498,14 +473,17 @@
     for (Settings.Peer p : peerClient.peers()) {
       peerClient.send(
           p.address(),
-          new PeerRequest.KeepPledge(member, KEEP_S),
+          new PeerRequest.KeepPledge(member, ElectionTiming.LEADERLESS_PLEDGE_S),
           PeerCodec::pledged,
           peerClient.timeoutS(),
           answer -> {
             heard(p.member(), sentAt, answer);
             if (answer != null && answer.granted()) {
               keepPromised.put(
-                  p.member(), sentAt + KEEP_S * (1 - LeaseTiming.DRIFT) - KEEP_MARGIN_S);
+                  p.member(),
+                  sentAt
+                      + ElectionTiming.LEADERLESS_PLEDGE_S * (1 - LeaseTiming.DRIFT)
+                      - ElectionTiming.PLEDGE_MARGIN_S);
             }
           });
     }
@@ -515,7 +493,7 @@
   /**
    * A peer wants to keep leases alive; refused if we own the fleet or could take over ourselves.
    */
-  public boolean promiseKeep(double seconds) {
+  public boolean pledgeLeaderless(double seconds) {
     if (leader || closed || state.reached()) {
       return false;
     }
@@ -680,8 +658,8 @@
    * Raises our own term, so that workers refuse what was sent under the old one. Calls back with
    * the new term, or with 0 if it could not be raised.
    */
-  public void raise(Consumer<Long> done) {
-    if (!entitled() || raising) {
+  public void raiseTerm(Consumer<Long> done) {
+    if (!mayActAsLeader() || raising) {
       done.accept(0L);
       return;
     }
@@ -720,7 +698,7 @@
   /** Changes the cluster's feature level, and raises our term with it. */
   public void changeLevel(LevelChange change, Consumer<StateClient.How> done) {
     boolean busy = raising || supervisor.changing() || trying;
-    if (!entitled() || busy || change.mustWait(cache.features(), cache.election())) {
+    if (!mayActAsLeader() || busy || change.mustWait(cache.features(), cache.election())) {
       done.accept(StateClient.How.NOT_EXECUTED);
       return;
     }
@@ -774,9 +752,10 @@
   /** Looks at our own entitlement; to be called now and then. */
   public void tick() {
     if (!leader && stateAway()) {
-      wantKeep(); // Before a worker asks: it may have few seconds left, and tries a node each.
+      // Before a worker asks: it may have few seconds left, and tries each controller in turn.
+      seekLeaderlessPledges();
     }
-    if (leader && !entitled()) {
+    if (leader && !mayActAsLeader()) {
       lose("the hold could not be renewed in time");
     }
     if (leader && !asking && cancellations.ageing()) {
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -106,7 +106,9 @@
    */
   double suspendedUntil(String peer) {
     return leader.leads() && stands(cache.bar(peer), peer) && cache.sureAt() >= wonAt
-        ? cache.sureAt() + Leadership.BAR_S * (1 - LeaseTiming.DRIFT) - Leadership.KEEP_MARGIN_S
+        ? cache.sureAt()
+            + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
+            - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
 
@@ -146,7 +148,7 @@
     }
     StateCodec.Bar present = cache.bar(peer);
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
-    boolean suspends = !stands(present, peer) && silent > Leadership.BAR_AFTER_S;
+    boolean suspends = !stands(present, peer) && silent > ElectionTiming.SUSPEND_AFTER_S;
     String key = cache.election().suspensionKey(peer);
     StateClient.Txn txn =
         new StateClient.Txn()
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -8,6 +8,7 @@
 import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
+import graderelay.state.ElectionTiming;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.wire.PeerAnswer;
@@ -116,7 +117,7 @@
             && !stoodStill
             && !cache.features().gate().isShut()
             && now > lastContact + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT)
-            && state.failingFor() > Leadership.KEEP_AFTER_S
+            && state.failingFor() > ElectionTiming.STORE_AWAY_AFTER_S
             && zone.equals(r.zone())
             && r.term() <= term
             && cancellations.mayRenew();
@@ -141,7 +142,7 @@
     lastTick = now;
     StateCodec.LeaderRecord o = cache.leader();
     String address = o == null ? null : peerClient.addressOf(o.member());
-    if (leadership.entitled()) {
+    if (leadership.mayActAsLeader()) {
       // Should we lose the fleet, the next leader counts as much from its own takeover.
       term = leadership.term();
       of = 0;
@@ -182,7 +183,7 @@
 
   private void granted(PeerAnswer.Grant grant, double sentAt) {
     long itsTerm = grant.term();
-    if (closed || leadership.leader() || itsTerm < term) {
+    if (closed || leadership.isLeader() || itsTerm < term) {
       return;
     }
     boolean same = of == grant.grantedBy();
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -80,11 +80,11 @@
       elsewhere(e.to(), cache.leader() == null ? null : cache.leader().member());
       return;
     }
-    if (leadership.leader()) {
+    if (leadership.isLeader()) {
       answer(r, "", e.to());
       return;
     }
-    if (leadership.keeping() && r.term() > 0 && cancellations.mayRenew()) {
+    if (leadership.holdsLeaderlessPledges() && r.term() > 0 && cancellations.mayRenew()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
       renew(e.to(), r.term(), cancellations.kills(r));
       return;
@@ -93,7 +93,7 @@
       renew(e.to(), leaseDelegate.term(), cancellations.kills(r));
       return;
     }
-    leadership.wantKeep();
+    leadership.seekLeaderlessPledges();
     StateCodec.LeaderRecord o = cache.leader();
     String address = o == null ? null : peerClient.addressOf(o.member());
     Pointed p = pointed.remove(r.machine());
@@ -152,7 +152,7 @@
   }
 
   private void answer(Heartbeat r, String via, Consumer<Answer> to) {
-    boolean may = leadership.entitled() && cancellations.mayRenew();
+    boolean may = leadership.mayActAsLeader() && cancellations.mayRenew();
     List<WorkerCommand> orders = may ? fleet.apply(r, via) : null;
     if (orders == null) {
       elsewhere(to, null);
--- a/src/test/java/graderelay/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/CancellationInOutageTest.java
@@ -9,7 +9,7 @@
 
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
-import graderelay.state.Leadership;
+import graderelay.state.ElectionTiming;
 import graderelay.wire.StateCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -130,7 +130,7 @@
     int barred = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
     w.net.cut("c" + leader, "c" + barred);
-    w.loop.run(Leadership.BAR_AFTER_S + 3);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     for (int i = 0; i < size; i++) {
       refuse(w, i, i != leader && i != barred);
     }
@@ -139,7 +139,7 @@
     int told =
         w.answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null).path("http").asInt();
     assertThat(told).isEqualTo(503);
-    w.loop.run(Leadership.BAR_S - 8); // The leader counts on the bar meanwhile.
+    w.loop.run(ElectionTiming.SUSPENSION_S - 8); // The leader counts on the bar meanwhile.
     assertThat(w.leader()).isEqualTo(leader);
     assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
@@ -152,7 +152,7 @@
     int leader = w.leader();
     int barred = other(w, leader);
     w.net.cut("c" + leader, "c" + barred);
-    w.loop.run(Leadership.BAR_AFTER_S + 3);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     // The third records it, but hears of that as little as the leader does.
     int third = (leader + 2) % 3;
     w.net.cut("c" + barred, "c" + third);
@@ -225,7 +225,7 @@
     w.state.delayS = 7;
     w.state.delay = t -> t.toString().contains("\"stop\":true");
     w.cancel(barred, jobs[0]);
-    w.loop.run(Leadership.BAR_AFTER_S + 2);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
     assertThat(w.state.value(StateCodec.barKey("m-" + barred))).isNotNull();
     refuse(w, leader, true); // It has seen the bar stand, and no stop.
     w.loop.run(4);
--- a/src/test/java/graderelay/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/SuspendedControllersTest.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
-import graderelay.state.Leadership;
+import graderelay.state.ElectionTiming;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -63,12 +63,12 @@
     w.crash(leader);
     w.crash((leader + 2) % 3);
     w.start(back);
-    w.loop.run(Leadership.BAR_S - 2);
+    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
     assertThat(w.leader()).isNegative();
     // Another process of it has nothing to count from, and begins anew.
     w.crash(back);
     w.start(back);
-    w.loop.run(Leadership.BAR_S - 2);
+    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
     assertThat(w.leader()).isNegative();
     w.loop.run(10);
     assertThat(w.leader()).isEqualTo(back);
