--- /dev/null
+++ b/src/main/java/graderelay/state/LeaderTenure.java
@@ -0,0 +1,106 @@
+package graderelay.state;
+
+import graderelay.net.Loop;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The time for which this controller leads: what begins with a won election, and how it ends. */
+final class LeaderTenure {
+  private static final Logger LOG = LoggerFactory.getLogger("owner");
+
+  private final Loop loop;
+  private final StateClient state;
+  private final Cache cache;
+  private final Candidate self;
+  private final LeaderStatus status;
+  private final SessionLeaseRenewal renewal;
+  private final LeaderPledges pledges;
+  private final PeerSupervisor supervisor;
+  private final Leadership.Listener listener;
+  private final Runnable standAgain;
+
+  /**
+   * Begins nothing yet.
+   *
+   * @param standAgain takes part in elections again, once the leadership is lost
+   */
+  LeaderTenure(
+      Loop loop,
+      StateClient state,
+      Cache cache,
+      Candidate self,
+      LeaderStatus status,
+      SessionLeaseRenewal renewal,
+      LeaderPledges pledges,
+      PeerSupervisor supervisor,
+      Leadership.Listener listener,
+      Runnable standAgain) {
+    this.loop = loop;
+    this.state = state;
+    this.cache = cache;
+    this.self = self;
+    this.status = status;
+    this.renewal = renewal;
+    this.pledges = pledges;
+    this.supervisor = supervisor;
+    this.listener = listener;
+    this.standAgain = standAgain;
+  }
+
+  /**
+   * True if this controller may act as the leader: its session lease lasts, or every other
+   * controller has pledged not to stand for election meanwhile, since nobody else could lead.
+   */
+  boolean mayAct() {
+    return status.isLeader()
+        && cache.features().gate().isOpen()
+        && (loop.now() < renewal.heldUntil() || loop.now() < pledges.noPeerStandsUntil());
+  }
+
+  /** This controller has won an election. */
+  void begin(WonElection won) {
+    status.begin(won);
+    state.owns(true);
+    LOG.info("{} is the leader with term {}", self.member(), won.term());
+    renewal.begin(won.leaseSentAt());
+    supervisor.begin();
+    listener.onWon(won.term());
+  }
+
+  /** Ends the leadership if the records show that it is over. */
+  void endIfSuperseded() {
+    long ours = status.recordRevision();
+    if (cache.leader() == null && cache.revisionSeen() > ours) {
+      lose("the leader record is gone");
+    } else if (cache.leader() != null && cache.leaderRevision() > ours) {
+      lose(cache.leader().member() + " is the leader with term " + cache.leader().term());
+    }
+  }
+
+  /** Ends the leadership if this controller may no longer act as the leader. */
+  void endIfExpired() {
+    if (status.isLeader() && !mayAct()) {
+      lose("the session lease could not be renewed in time");
+    }
+  }
+
+  /** Gives the leadership up at once and revokes the session lease, so that the record goes. */
+  void resign(String why) {
+    if (!status.isLeader()) {
+      return;
+    }
+    lose(why);
+    state.endHold(status.sessionLease(), ended -> {});
+  }
+
+  /** Stops leading; the session lease is left to expire, or to others. */
+  void lose(String why) {
+    status.end();
+    state.owns(false);
+    renewal.end();
+    pledges.clear();
+    LOG.info("{} is no longer the leader of term {}: {}", self.member(), status.term(), why);
+    listener.onLost(why);
+    standAgain.run();
+  }
+}
--- /dev/null
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -0,0 +1,124 @@
+package graderelay.state;
+
+import graderelay.core.LeaseTiming;
+import graderelay.net.Loop;
+
+/**
+ * Renews the session lease that this controller's leader record is attached to. The lease is
+ * counted from the moment its creation or renewal was sent, so that this controller stops before
+ * the key-value store lets anybody else win.
+ */
+final class SessionLeaseRenewal {
+  /** Share of the session lease between renewals, so that two may be lost. */
+  private static final double RENEW_AFTER_SHARE = 0.25;
+
+  /** Seconds before the session lease's own end at which the leader counts it as over. */
+  private static final double LEASE_MARGIN_S = 0.25;
+
+  /** Hears how the renewals go. */
+  interface Listener {
+    /** A renewal failed while the one before it did not. */
+    void onRenewalsBeginToFail();
+
+    /** The store no longer knows the session lease. */
+    void onLeaseExpired();
+  }
+
+  private final Loop loop;
+  private final StateClient state;
+  private final LeaderStatus status;
+  private final double leaseS;
+  private final Listener listener;
+  private Loop.Timer renewal;
+  private double heldUntil;
+
+  /** When the first of the renewals was sent that have failed since, or NaN. */
+  private double failingSince = Double.NaN;
+
+  /**
+   * Renews nothing yet.
+   *
+   * @param leaseS length of the session lease, in seconds
+   */
+  SessionLeaseRenewal(
+      Loop loop, StateClient state, LeaderStatus status, double leaseS, Listener listener) {
+    this.loop = loop;
+    this.state = state;
+    this.status = status;
+    this.leaseS = leaseS;
+    this.listener = listener;
+  }
+
+  /** This controller leads from now on, under a lease that was asked for at that time. */
+  void begin(double leaseSentAt) {
+    extendTo(leaseSentAt);
+    renewLater();
+  }
+
+  /** The leadership is over, and the lease with it. */
+  void end() {
+    heldUntil = Double.NEGATIVE_INFINITY;
+    failingSince = Double.NaN;
+    close();
+  }
+
+  /** The process ends: renews no more. */
+  void close() {
+    if (renewal != null) {
+      renewal.cancel();
+    }
+  }
+
+  /** Until when the lease lasts, counted with a margin on this controller's clock. */
+  double heldUntil() {
+    return heldUntil;
+  }
+
+  /** True if the last renewal failed. */
+  boolean isFailing() {
+    return !Double.isNaN(failingSince);
+  }
+
+  /** Seconds for which every renewal has failed, 0 if the last one did not. */
+  double failingForS() {
+    return isFailing() ? loop.now() - failingSince : 0;
+  }
+
+  private void extendTo(double sentAt) {
+    heldUntil = Math.max(heldUntil, sentAt + leaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
+  }
+
+  private void renewLater() {
+    renewal = loop.after(leaseS * RENEW_AFTER_SHARE, this::renew);
+  }
+
+  private void renew() {
+    if (!status.isActiveLeader()) {
+      return;
+    }
+    double sentAt = loop.now();
+    long sessionLease = status.sessionLease();
+    state.extendHold(
+        sessionLease,
+        leaseS * RENEW_AFTER_SHARE * 2,
+        result -> {
+          if (status.isLeader() && status.sessionLease() == sessionLease) {
+            onRenewalResult(result, sentAt);
+          }
+        });
+  }
+
+  private void onRenewalResult(StateClient.Result result, double sentAt) {
+    if (result.done()) {
+      extendTo(sentAt);
+      failingSince = Double.NaN;
+    } else if (result.how() == StateClient.How.ABSENT) {
+      listener.onLeaseExpired();
+      return;
+    } else if (!isFailing()) {
+      failingSince = sentAt;
+      listener.onRenewalsBeginToFail();
+    }
+    renewLater();
+  }
+}
