--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -62,12 +62,12 @@
     w.crash(leader);
     w.crash((leader + 2) % 3);
     w.start(back);
-    w.loop.run(Leadership.BAR_S - 2);
+    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
     assertThat(w.leader()).isNegative();
     // Another process of it has nothing to count from, and begins anew.
     w.crash(back);
     w.start(back);
-    w.loop.run(Leadership.BAR_S - 2);
+    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
     assertThat(w.leader()).isNegative();
     w.loop.run(10);
     assertThat(w.leader()).isEqualTo(back);
