--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -8,7 +8,8 @@
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.StateClient;
-import graderelay.state.StateClient.How;
+import graderelay.state.StoreOutcome;
+import graderelay.state.Transaction;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
@@ -82,8 +83,8 @@
   /** Competes with claims and with the job's end for the job's record. */
   private void writeStopRequest(PendingAnswer p, String id, Cache.Entry live) {
     String key = StateCodec.jobKey(id);
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(key, live.revision)
             .when(cache.election().suspensionKey(settings.member()), 0)
             .put(key, StateCodec.job(live.spec, true));
@@ -91,11 +92,11 @@
         txn,
         Use.CLAIM,
         r -> {
-          if (r.done()) {
+          if (r.succeeded()) {
             cancellations.committed(id);
             LOG.info("stop request for {} recorded", id);
             p.answer(200, UserCodec.stage(id, JobState.CANCELLED));
-          } else if (r.how() == How.NOT_EXECUTED) {
+          } else if (r.outcome() == StoreOutcome.NOT_EXECUTED) {
             lookup.retryOrGiveUp(p, () -> cancel(p, id));
           } else {
             p.retry(() -> cancel(p, id));
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -13,6 +13,7 @@
 import graderelay.state.FinalStateLookup;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
+import graderelay.state.Transaction;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
@@ -159,8 +160,8 @@
       return;
     }
     String key = StateCodec.jobKey(spec.id());
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(key, 0)
             .when(StateCodec.endKey(spec.id()), 0)
             .put(key, StateCodec.job(spec, false));
@@ -168,8 +169,8 @@
         txn,
         Use.SUBMISSION,
         r -> {
-          switch (r.how()) {
-            case DONE -> {
+          switch (r.outcome()) {
+            case SUCCEEDED -> {
               LOG.info(
                   "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
                   spec.id(),
@@ -182,7 +183,7 @@
                   spec.deadlineS());
               created(p, spec);
             }
-            case CONFLICT -> answerIfAccepted(p, spec);
+            case CONDITION_FAILED -> answerIfAccepted(p, spec);
             case NOT_EXECUTED -> lookup.retryOrGiveUp(p, () -> create(p, spec));
             default -> p.retry(() -> create(p, spec));
           }
--- a/src/main/java/graderelay/api/OperatorWrites.java
+++ b/src/main/java/graderelay/api/OperatorWrites.java
@@ -4,8 +4,8 @@
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.state.Cache;
-import graderelay.state.StateClient;
-import graderelay.state.StateClient.How;
+import graderelay.state.StoreOutcome;
+import graderelay.state.StoreResult;
 import graderelay.wire.Json;
 import java.util.function.Supplier;
 
@@ -22,20 +22,16 @@
    * @param conflict what is said if somebody else's write came first
    */
   static void answer(
-      Exchange e,
-      Cache cache,
-      StateClient.Result result,
-      Supplier<ObjectNode> present,
-      String conflict) {
-    if (result.how() == How.NOT_EXECUTED) {
+      Exchange e, Cache cache, StoreResult result, Supplier<ObjectNode> present, String conflict) {
+    if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
       UserApi.unavailable(e, "the state service can't be reached");
       return;
     }
     cache.catchUp(
         ok -> {
-          if (!ok || result.how() == How.UNKNOWN) {
+          if (!ok || result.outcome() == StoreOutcome.UNKNOWN) {
             UserApi.unavailable(e, "it is not known whether the change was made; read it again");
-          } else if (result.done()) {
+          } else if (result.succeeded()) {
             e.to().accept(Answer.json(200, Json.write(present.get())));
           } else {
             ObjectNode n = present.get().put("error", conflict);
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -15,7 +15,9 @@
 import graderelay.state.Cache;
 import graderelay.state.QuotaRecords;
 import graderelay.state.StateClient;
+import graderelay.state.StoreResult;
 import graderelay.state.TeamLimits;
+import graderelay.state.Transaction;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
@@ -232,8 +234,8 @@
       return;
     }
     String key = QuotaCodec.limitKey(team);
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(key, onRevision)
             .when(QuotaCodec.SEEDED, records().seededRevision())
             .put(key, QuotaCodec.limits(quota, by, loop.wallMs()));
@@ -252,13 +254,13 @@
     } else if (account.isReadable() && !account.use().equals(Amount.NONE)) {
       UserApi.unavailable(e, "the account of team " + team + " still counts what has just ended");
     } else {
-      StateClient.Txn txn =
-          new StateClient.Txn()
+      Transaction txn =
+          new Transaction()
               .when(QuotaCodec.limitKey(team), before.revision())
               .when(QuotaCodec.accountKey(team), account.revision())
-              .drop(QuotaCodec.limitKey(team));
+              .delete(QuotaCodec.limitKey(team));
       if (account.revision() > 0) {
-        txn.drop(QuotaCodec.accountKey(team));
+        txn.delete(QuotaCodec.accountKey(team));
       }
       state.commit(txn, Use.SUBMISSION, r -> written(e, team, r));
     }
@@ -277,7 +279,7 @@
     e.to().accept(Answer.json(200, Json.write(Json.object().put("message", message))));
   }
 
-  private void written(Exchange e, String team, StateClient.Result r) {
+  private void written(Exchange e, String team, StoreResult r) {
     String conflict = "somebody else changed the limits of team " + team + " meanwhile";
     OperatorWrites.answer(e, cache, r, () -> present(team), conflict);
   }
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -9,6 +9,7 @@
 import graderelay.net.TokenBucket.Use;
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
@@ -141,8 +142,8 @@
             UserApi.refuse(e, 400, "the settings are too large for the state service");
             return;
           }
-          StateClient.Txn txn =
-              new StateClient.Txn()
+          Transaction txn =
+              new Transaction()
                   .when(StateCodec.SETTINGS, cache.settingsRevision())
                   .put(StateCodec.SETTINGS, next.json());
           state.commit(
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -13,7 +13,8 @@
 import graderelay.state.LevelChange;
 import graderelay.state.QuotaRecords;
 import graderelay.state.StateClient;
-import graderelay.state.StateClient.How;
+import graderelay.state.StoreOutcome;
+import graderelay.state.Transaction;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
@@ -78,19 +79,19 @@
         new LevelChange(to, on, members, mostChanges), how -> done.accept(outcome(how)));
   }
 
-  private StateClient.Txn asLeader() {
-    return new StateClient.Txn().when(cache.election().leaderKey(), leadership.leaderRevision());
+  private Transaction asLeader() {
+    return new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
-  private void commit(StateClient.Txn txn, Consumer<Outcome> done) {
+  private void commit(Transaction txn, Consumer<Outcome> done) {
     // What is decided next is decided on the records as they are then.
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> done.accept(outcome(r.how()))));
+    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> done.accept(outcome(r.outcome()))));
   }
 
-  private static Outcome outcome(How how) {
+  private static Outcome outcome(StoreOutcome how) {
     return switch (how) {
-      case DONE -> Outcome.DONE;
-      case CONFLICT -> Outcome.CONFLICT;
+      case SUCCEEDED -> Outcome.DONE;
+      case CONDITION_FAILED -> Outcome.CONFLICT;
       default -> Outcome.UNANSWERED;
     };
   }
@@ -110,8 +111,8 @@
       done.accept(Outcome.DONE);
       return;
     }
-    StateClient.Txn txn = new StateClient.Txn().when(FeatureCodec.HOLD, records().holdRevision());
-    commit(on ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.drop(FeatureCodec.HOLD), done);
+    Transaction txn = new Transaction().when(FeatureCodec.HOLD, records().holdRevision());
+    commit(on ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.delete(FeatureCodec.HOLD), done);
   }
 
   private static String prefixOf(Feature feature) {
@@ -140,8 +141,8 @@
 
   @Override
   public void remove(List<String> keys, Consumer<Outcome> done) {
-    StateClient.Txn txn = asLeader();
-    keys.subList(0, Math.min(mostChanges, keys.size())).forEach(txn::drop);
+    Transaction txn = asLeader();
+    keys.subList(0, Math.min(mostChanges, keys.size())).forEach(txn::delete);
     commit(txn, done);
   }
 
@@ -163,7 +164,7 @@
     }
     List<Team> missing = new ArrayList<>();
     teams.stream().filter(t -> quota.limits(t.name()) == null).forEach(missing::add);
-    StateClient.Txn txn = asLeader();
+    Transaction txn = asLeader();
     List<Team> now = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
     for (Team t : now) {
       String key = QuotaCodec.limitKey(t.name());
@@ -177,7 +178,7 @@
 
   /** Suspends every member in the layout that only older versions read. */
   private void sealMembers(Consumer<Boolean> done) {
-    StateClient.Txn txn = asLeader();
+    Transaction txn = asLeader();
     int missing = 0;
     for (String member : members) {
       if (!cache.election().openlySuspended(member) && missing < mostChanges) {
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -13,7 +13,9 @@
 import graderelay.state.CancellationResolver;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.state.StateClient.How;
+import graderelay.state.StoreOutcome;
+import graderelay.state.StoreResult;
+import graderelay.state.Transaction;
 import graderelay.wire.QuotaCodec;
 import graderelay.wire.StateCodec;
 import graderelay.worker.WorkerClient;
@@ -152,8 +154,8 @@
 
   /** One compare-and-swap transaction, conditioned on the leader record and every revision. */
   private void write(Action.Write w) {
-    StateClient.Txn txn =
-        new StateClient.Txn().when(cache.election().leaderKey(), leadership.leaderRevision());
+    Transaction txn =
+        new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
     Set<String> jobs = new HashSet<>();
     for (Action.TaskBatchPut p : w.taskBatches()) {
       String key = StateCodec.taskBatchKey(p.key());
@@ -165,7 +167,7 @@
     }
     for (Action.JobEnd e : w.ends()) {
       String key = StateCodec.jobKey(e.job());
-      txn.when(key, e.jobRevision()).drop(key);
+      txn.when(key, e.jobRevision()).delete(key);
       txn.put(StateCodec.endKey(e.job()), StateCodec.end(e.cancelled(), e.tasks(), loop.wallMs()));
       e.taskBatches().forEach(d -> dropTaskBatch(txn, d));
     }
@@ -174,12 +176,12 @@
     state.commit(txn, Use.CLAIM, r -> written(w.id(), r));
   }
 
-  private static void dropTaskBatch(StateClient.Txn txn, Action.TaskBatchDrop d) {
+  private static void dropTaskBatch(Transaction txn, Action.TaskBatchDrop d) {
     String key = StateCodec.taskBatchKey(d.key());
-    txn.when(key, d.revision()).drop(key);
+    txn.when(key, d.revision()).delete(key);
   }
 
-  private static void addAccount(StateClient.Txn txn, AccountChange c) {
+  private static void addAccount(Transaction txn, AccountChange c) {
     String key = QuotaCodec.accountKey(c.team());
     txn.when(key, c.onRevision());
     if (c.writes()) {
@@ -190,23 +192,23 @@
     }
   }
 
-  private void written(long id, StateClient.Result r) {
+  private void written(long id, StoreResult r) {
     if (term.isClosed()) {
       return;
     }
-    metrics.count("graderelay.writes", "outcome", r.how().name().toLowerCase(Locale.ROOT));
-    if (r.done()) {
+    metrics.count("graderelay.writes", "outcome", r.outcome().metricLabel());
+    if (r.succeeded()) {
       core.onWrite(id, Outcome.COMMITTED, r.revision(), loop.now());
       carryOut();
       term.stepSoon();
-    } else if (r.how() == How.NOT_EXECUTED) {
+    } else if (r.outcome() == StoreOutcome.NOT_EXECUTED) {
       core.onLimits(
           state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.leadersChanges());
       loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
     } else {
-      LOG.info("transaction {}: {} {}", id, r.how(), r.body() == null ? "" : r.body());
+      LOG.info("transaction {}: {} {}", id, r.outcome(), r.body() == null ? "" : r.body());
       // The records as they are now come first; the core decides on them.
-      catchUpThenTell(id, r.how() == How.UNKNOWN ? Outcome.UNKNOWN : Outcome.REFUSED);
+      catchUpThenTell(id, r.outcome() == StoreOutcome.UNKNOWN ? Outcome.UNKNOWN : Outcome.REFUSED);
     }
   }
 
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -9,6 +9,7 @@
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.CompactHints;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
@@ -132,7 +133,7 @@
 
   private void put(String key, ObjectNode value) {
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .when(cache.election().leaderKey(), leadership.leaderRevision())
             .put(key, value),
         Use.SUBMISSION,
--- a/src/main/java/graderelay/service/Membership.java
+++ b/src/main/java/graderelay/service/Membership.java
@@ -6,6 +6,7 @@
 import graderelay.state.Cache;
 import graderelay.state.FeatureRecords;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.FeatureCodec;
 import java.util.function.Consumer;
 
@@ -59,7 +60,7 @@
     sending = true;
     String key = FeatureCodec.memberKey(self.name());
     state.commit(
-        new StateClient.Txn().when(key, revision).put(key, FeatureCodec.member(self)),
+        new Transaction().when(key, revision).put(key, FeatureCodec.member(self)),
         Use.SUBMISSION,
         r ->
             cache.catchUp(
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -404,11 +404,11 @@
         WATCH_BLOCK_MS,
         Use.CLAIM,
         r -> {
-          if (r.done()) {
+          if (r.succeeded()) {
             apply(r.body());
             sure(sentAt);
             watch(gen);
-          } else if (r.how() == StateClient.How.ABSENT) {
+          } else if (r.outcome() == StoreOutcome.NOT_FOUND) {
             loaded = false;
             load();
           } else {
@@ -449,15 +449,15 @@
         Use.SUBMISSION,
         r -> {
           catching = false;
-          if (r.done()) {
+          if (r.succeeded()) {
             apply(r.body());
             sure(sentAt);
-          } else if (r.how() == StateClient.How.ABSENT) {
+          } else if (r.outcome() == StoreOutcome.NOT_FOUND) {
             loaded = false;
             load();
           }
           for (Consumer<Boolean> c : served) {
-            c.accept(r.done());
+            c.accept(r.succeeded());
           }
           catchSoon();
         });
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
-import graderelay.state.StateClient.How;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -66,7 +65,7 @@
   private void now() {
     lastLook = loop.now();
     Map<String, List<Consumer<Found>>> asked = new HashMap<>();
-    StateClient.Txn txn = new StateClient.Txn();
+    Transaction txn = new Transaction();
     var it = waiting.entrySet().iterator();
     while (it.hasNext() && asked.size() < most) {
       var e = it.next();
@@ -79,10 +78,10 @@
         Use.READ,
         r -> {
           looking = false;
-          if (r.done()) {
+          if (r.succeeded()) {
             asked.values().forEach(l -> tell(l, Found.ABSENT));
-          } else if (r.how() == How.CONFLICT) {
-            sort(asked, r.body().path("failed"));
+          } else if (r.outcome() == StoreOutcome.CONDITION_FAILED) {
+            sort(asked, r.failedKeys());
           } else {
             asked.values().forEach(l -> tell(l, Found.FAILED));
           }
@@ -117,11 +116,11 @@
         StateCodec.endKey(id),
         Use.READ,
         r -> {
-          if (r.done()) {
-            cache.learnEnd(id, Cache.endOf(r.body().path("data")));
+          if (r.succeeded()) {
+            cache.learnEnd(id, Cache.endOf(r.value()));
             tell(to, Found.KNOWN);
           } else {
-            tell(to, r.how() == How.ABSENT ? Found.ABSENT : Found.FAILED);
+            tell(to, r.outcome() == StoreOutcome.NOT_FOUND ? Found.ABSENT : Found.FAILED);
           }
         });
   }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -272,7 +272,7 @@
     trying = true;
     String key = cache.election().suspensionKey(member);
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .when(cache.election().leaderKey(), 0)
             .when(key, b.revision())
             .put(key, StateCodec.bar(self)),
@@ -301,7 +301,7 @@
     }
     LOG.info("{} hands the fleet over", from);
     notBefore = Double.NEGATIVE_INFINITY;
-    state.endHold(itsHold, x -> cache.catchUp(ok -> consider()));
+    state.revokeSessionLease(itsHold, x -> cache.catchUp(ok -> consider()));
   }
 
   /** Asks every peer for its promise, as long as renewals fail. */
@@ -400,12 +400,11 @@
           Use.RENEWAL,
           r -> {
             trying = false;
-            long old = r.done() ? r.body().path("permit").asLong() : 0;
-            boolean mine =
-                r.done() && StateCodec.leader(r.body().path("data")).member().equals(member);
+            long old = r.succeeded() ? r.sessionLease() : 0;
+            boolean mine = r.succeeded() && StateCodec.leader(r.value()).member().equals(member);
             if (mine && !leader && old > 0) {
               LOG.info("ending the hold of this member's earlier process");
-              state.endHold(old, x -> again());
+              state.revokeSessionLease(old, x -> again());
             } else {
               again();
             }
@@ -540,15 +539,15 @@
     }
     trying = true;
     double sentAt = loop.now();
-    state.createHold(
+    state.createSessionLease(
         (long) (holdS * 1000),
         h -> {
-          if (!h.done()) {
+          if (!h.succeeded()) {
             trying = false;
             again();
             return;
           }
-          takeWith(h.body().path("permit").asLong(), sentAt, ours);
+          takeWith(h.sessionLease(), sentAt, ours);
         });
   }
 
@@ -558,30 +557,30 @@
     StateCodec.Bar bar = cache.bar(member);
     if (bar != null && !bar.leaving().equals(self)) {
       trying = false;
-      state.endHold(newHold, x -> {});
+      state.revokeSessionLease(newHold, x -> {});
       again();
       return;
     }
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(cache.election().leaderKey(), 0)
             .when(StateCodec.TERM, cache.election().termRevision())
             .when(cache.election().suspensionKey(member), bar == null ? 0 : bar.revision())
             .put(StateCodec.TERM, StateCodec.term(newTerm, member))
             .put(cache.election().leaderKey(), StateCodec.leader(me), newHold);
     if (bar != null) {
-      txn.drop(cache.election().suspensionKey(member));
+      txn.delete(cache.election().suspensionKey(member));
     }
     state.commit(
         txn,
         Use.RENEWAL,
         r -> {
-          switch (r.how()) {
-            case DONE -> won(newTerm, r.revision(), newHold, sentAt, ours);
+          switch (r.outcome()) {
+            case SUCCEEDED -> won(newTerm, r.revision(), newHold, sentAt, ours);
             case UNKNOWN -> resolve(newTerm, newHold, sentAt, ours);
             default -> {
               trying = false;
-              state.endHold(newHold, x -> {});
+              state.revokeSessionLease(newHold, x -> {});
               again();
             }
           }
@@ -599,19 +598,17 @@
         cache.election().leaderKey(),
         Use.RENEWAL,
         r -> {
-          if (r.done()) {
-            StateCodec.LeaderRecord o = StateCodec.leader(r.body().path("data"));
-            if (o.member().equals(member)
-                && o.term() == newTerm
-                && r.body().path("permit").asLong() == newHold) {
-              won(newTerm, r.body().path("mark").asLong(), newHold, sentAt, ours);
+          if (r.succeeded()) {
+            StateCodec.LeaderRecord o = StateCodec.leader(r.value());
+            if (o.member().equals(member) && o.term() == newTerm && r.sessionLease() == newHold) {
+              won(newTerm, r.valueRevision(), newHold, sentAt, ours);
               return;
             }
           }
-          if (r.done() || r.how() == StateClient.How.ABSENT) {
+          if (r.succeeded() || r.outcome() == StoreOutcome.NOT_FOUND) {
             trying = false;
             // A late copy of the transaction must fail: its hold ends here.
-            state.endHold(newHold, x -> {});
+            state.revokeSessionLease(newHold, x -> {});
             again();
           } else {
             loop.after(TAKEOVER_RETRY_S, () -> resolve(newTerm, newHold, sentAt, ours));
@@ -623,7 +620,7 @@
     trying = false;
     if (loop.now() < barredUntil(ours)) {
       // Promised meanwhile: the peer may still speak for the controllers.
-      state.endHold(newHold, x -> {});
+      state.revokeSessionLease(newHold, x -> {});
       again();
       return;
     }
@@ -653,17 +650,17 @@
     }
     double sentAt = loop.now();
     long of = hold;
-    state.extendHold(
+    state.renewSessionLease(
         of,
         holdS * RENEW_OF_HOLD * 2,
         r -> {
           if (!leader || hold != of) {
             return;
           }
-          if (r.done()) {
+          if (r.succeeded()) {
             counted(sentAt);
             failingSince = Double.NaN;
-          } else if (r.how() == StateClient.How.ABSENT) {
+          } else if (r.outcome() == StoreOutcome.NOT_FOUND) {
             lose("the hold is over");
             return;
           } else if (Double.isNaN(failingSince)) {
@@ -688,8 +685,8 @@
     raising = true;
     long newTerm = term + 1;
     StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(cache.election().leaderKey(), leaderRevision)
             .when(StateCodec.TERM, cache.election().termRevision())
             .put(StateCodec.TERM, StateCodec.term(newTerm, member))
@@ -699,17 +696,17 @@
         Use.RENEWAL,
         r -> {
           raised(newTerm, r);
-          done.accept(r.done() ? newTerm : 0L);
+          done.accept(r.succeeded() ? newTerm : 0L);
         });
   }
 
-  private void raised(long newTerm, StateClient.Result r) {
+  private void raised(long newTerm, StoreResult r) {
     raising = false;
-    if (r.done()) {
+    if (r.succeeded()) {
       term = newTerm;
       leaderRevision = r.revision();
       LOG.info("raised the term to {}", term);
-    } else if (r.how() == StateClient.How.UNKNOWN) {
+    } else if (r.outcome() == StoreOutcome.UNKNOWN) {
       // Whether it committed decides under which revision we may write: rather start over.
       resign("a raise of the term had no answer");
     } else {
@@ -718,32 +715,32 @@
   }
 
   /** Changes the cluster's feature level, and raises our term with it. */
-  public void changeLevel(LevelChange change, Consumer<StateClient.How> done) {
+  public void changeLevel(LevelChange change, Consumer<StoreOutcome> done) {
     boolean busy = raising || supervisor.changing() || trying;
     if (!entitled() || busy || change.mustWait(cache.features(), cache.election())) {
-      done.accept(StateClient.How.NOT_EXECUTED);
+      done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
     if (!change.fits()) {
       LOG.error("the state service's transactions are too small to change the feature level");
-      done.accept(StateClient.How.NOT_EXECUTED);
+      done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
     raising = true;
     long newTerm = term + 1;
     StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
-    StateClient.Txn txn =
+    Transaction txn =
         change.transaction(cache.features(), cache.election(), me, leaderRevision, hold);
     state.commit(
         txn,
         Use.RENEWAL,
         r -> {
           raised(newTerm, r);
-          if (r.done()) {
+          if (r.succeeded()) {
             // Before that our own transactions would be conditioned on the level of before.
             cache.catchUp(ok -> listener.onTermRaised(newTerm));
           }
-          done.accept(r.how());
+          done.accept(r.outcome());
         });
   }
 
@@ -754,7 +751,7 @@
     }
     long old = hold;
     lose(why);
-    state.endHold(old, x -> {});
+    state.revokeSessionLease(old, x -> {});
   }
 
   private void lose(String why) {
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -44,21 +44,22 @@
    * The transaction, with the leader's record where the new level has it and under a new term: what
    * workers are told under the old one is refused from then on.
    */
-  StateClient.Txn transaction(
+  Transaction transaction(
       FeatureRecords features,
       ElectionRecords election,
       StateCodec.LeaderRecord leader,
       long leaderRevision,
       long sessionLease) {
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(election.leaderKey(), leaderRevision)
             .when(StateCodec.TERM, election.termRevision())
             .put(FeatureCodec.LEVEL, FeatureCodec.level(to))
             .put(StateCodec.TERM, StateCodec.term(leader.term(), leader.member()));
     unchanged.forEach(m -> txn.when(FeatureCodec.memberKey(m.name()), m.revision()));
     if (unseals(features)) {
-      txn.put(StateCodec.LEADER, StateCodec.leader(leader), sessionLease).drop(FeatureCodec.LEADER);
+      txn.put(StateCodec.LEADER, StateCodec.leader(leader), sessionLease)
+          .delete(FeatureCodec.LEADER);
     } else if (features.sealed() || !to.has(Feature.SEALED_ELECTION)) {
       txn.put(election.leaderKey(), StateCodec.leader(leader), sessionLease);
     } else {
@@ -67,7 +68,7 @@
     return txn;
   }
 
-  private void seal(StateClient.Txn txn, StateCodec.LeaderRecord leader, long sessionLease) {
+  private void seal(Transaction txn, StateCodec.LeaderRecord leader, long sessionLease) {
     txn.put(FeatureCodec.LEADER, StateCodec.leader(leader), sessionLease);
     // On no lease: it stays, and nobody who needs it gone wins an election any more.
     StateCodec.LeaderRecord nobody =
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -148,13 +148,13 @@
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
     boolean suspends = !stands(present, peer) && silent > Leadership.BAR_AFTER_S;
     String key = cache.election().suspensionKey(peer);
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(cache.election().leaderKey(), leader.revision())
             .when(key, present == null ? 0 : present.revision());
     if (present != null && hears(peer)) {
       lifting.add(peer); // Not counted on from now, whenever the record goes.
-      txn.drop(key);
+      txn.delete(key);
     } else if (suspends && suspendedBut(peer) < peerClient.peers().size() / 2) {
       LOG.info("{} is silent: barred from taking over", peer);
       txn.put(key, StateCodec.bar(""));
@@ -162,7 +162,8 @@
       return;
     }
     changing = true;
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> changed(peer, suspends && r.done())));
+    state.commit(
+        txn, Use.CLAIM, r -> cache.catchUp(ok -> changed(peer, suspends && r.succeeded())));
   }
 
   private void changed(String peer, boolean suspendedAnew) {
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -1,7 +1,6 @@
 package graderelay.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.SchedulerLimits;
 import graderelay.net.Loop;
@@ -57,60 +56,6 @@
   /** Items in one page of a list, a batch: each may be near the value limit of some 16 KiB. */
   private static final int PAGE_ITEMS = 200;
 
-  /** How a call ended. */
-  public enum How {
-    DONE,
-    /** The key, hold or revision asked for is not there. */
-    ABSENT,
-    /** A condition failed: nothing was changed. */
-    CONFLICT,
-    /** The hold of a put is over: nothing was changed. */
-    NO_HOLD,
-    /** Not executed, and it won't be. */
-    NOT_EXECUTED,
-    /** Executed, or not, or still to be. */
-    UNKNOWN
-  }
-
-  /** An answer; {@code body} is null unless the service gave one. */
-  public record Result(How how, JsonNode body) {
-    public boolean done() {
-      return how == How.DONE;
-    }
-
-    public long revision() {
-      return body == null ? 0 : body.path("ledger").asLong();
-    }
-  }
-
-  /** A transaction in the making. */
-  public static final class Txn {
-    private final ArrayNode conditions = Json.array();
-    private final ArrayNode changes = Json.array();
-
-    public Txn when(String key, long revision) {
-      conditions.addObject().put("key", key).put("mark", revision);
-      return this;
-    }
-
-    public Txn put(String key, JsonNode value) {
-      changes.addObject().put("put", key).set("data", value);
-      return this;
-    }
-
-    public Txn put(String key, JsonNode value, long hold) {
-      ObjectNode c = changes.addObject().put("put", key);
-      c.set("data", value);
-      c.put("permit", hold);
-      return this;
-    }
-
-    public Txn drop(String key) {
-      changes.addObject().put("drop", key);
-      return this;
-    }
-  }
-
   private final Loop loop;
   private final Transport transport;
   private final String address;
@@ -259,7 +204,7 @@
     return outcomes;
   }
 
-  public void get(String key, Use use, Consumer<Result> done) {
+  public void get(String key, Use use, Consumer<StoreResult> done) {
     call(use, "GET", "/store/" + key, null, STATE_TIMEOUT_S, done);
   }
 
@@ -283,7 +228,7 @@
         null,
         STATE_TIMEOUT_S,
         r -> {
-          if (!r.done()) {
+          if (!r.succeeded()) {
             done.accept(null);
             return;
           }
@@ -314,48 +259,51 @@
     return Math.max(1, txnOps * SchedulerLimits.CONDITIONS_PER_OP - 1);
   }
 
-  public void commit(Txn txn, Use use, Consumer<Result> done) {
-    if (!txn.changes.isEmpty() && !mayChange.getAsBoolean()) {
-      done.accept(new Result(How.NOT_EXECUTED, null));
+  public void commit(Transaction transaction, Use use, Consumer<StoreResult> done) {
+    if (!transaction.isReadOnly() && !mayChange.getAsBoolean()) {
+      done.accept(StoreResult.notExecuted());
       return;
     }
     if (fenceKey != null) {
       // Now, and not when there are tokens: this is the level that the transaction was made for.
-      txn.when(fenceKey, fenceRevision.getAsLong());
-    }
-    ObjectNode body = Json.object();
-    body.set("if", txn.conditions);
-    if (!txn.changes.isEmpty()) {
-      body.set("then", txn.changes);
+      transaction.when(fenceKey, fenceRevision.getAsLong());
     }
+    ObjectNode body = transaction.toJson();
     changes.take(
         use,
-        txn.changes.size(),
+        transaction.changeCount(),
         ok -> {
           if (!ok) {
-            done.accept(new Result(How.NOT_EXECUTED, null));
+            done.accept(StoreResult.notExecuted());
           } else {
-            taken += txn.changes.size();
+            taken += transaction.changeCount();
             call(use, "POST", "/multi", body, STATE_TIMEOUT_S, done);
           }
         });
   }
 
-  public void createHold(long lifeMs, Consumer<Result> done) {
+  /**
+   * Creates a session lease; keys that are put under it are deleted when it expires.
+   *
+   * @param lifeMs milliseconds for which it lives after each renewal
+   */
+  public void createSessionLease(long lifeMs, Consumer<StoreResult> done) {
     ObjectNode body = Json.object().put("life_ms", lifeMs);
     call(Use.RENEWAL, "POST", "/holds", body, STATE_TIMEOUT_S, done);
   }
 
-  public void extendHold(long hold, double timeoutS, Consumer<Result> done) {
-    call(Use.RENEWAL, "POST", "/holds/" + hold + "/extend", Json.object(), timeoutS, done);
+  /** Renews a session lease for its whole life. */
+  public void renewSessionLease(long lease, double timeoutS, Consumer<StoreResult> done) {
+    call(Use.RENEWAL, "POST", "/holds/" + lease + "/extend", Json.object(), timeoutS, done);
   }
 
-  public void endHold(long hold, Consumer<Result> done) {
-    call(Use.RENEWAL, "DELETE", "/holds/" + hold, null, STATE_TIMEOUT_S, done);
+  /** Revokes a session lease; the store deletes what was put under it at once. */
+  public void revokeSessionLease(long lease, Consumer<StoreResult> done) {
+    call(Use.RENEWAL, "DELETE", "/holds/" + lease, null, STATE_TIMEOUT_S, done);
   }
 
   /** Changes under a prefix after a revision; with {@code blockMs} 0 it only catches up. */
-  public void watch(String prefix, long after, int blockMs, Use use, Consumer<Result> done) {
+  public void watch(String prefix, long after, int blockMs, Use use, Consumer<StoreResult> done) {
     String path = "/watch?under=" + enc(prefix) + "&after=" + after + "&block_ms=" + blockMs;
     call(use, "GET", path, null, STATE_TIMEOUT_S + blockMs / 1000.0, done);
   }
@@ -365,13 +313,18 @@
   }
 
   private void call(
-      Use use, String method, String path, JsonNode body, double timeoutS, Consumer<Result> done) {
+      Use use,
+      String method,
+      String path,
+      JsonNode body,
+      double timeoutS,
+      Consumer<StoreResult> done) {
     requests.take(
         use,
         1,
         ok -> {
           if (!ok) {
-            done.accept(new Result(How.NOT_EXECUTED, null));
+            done.accept(StoreResult.notExecuted());
             return;
           }
           byte[] bytes = body == null ? null : Json.write(body);
@@ -405,22 +358,26 @@
     }
   }
 
-  private Result result(String method, String path, Reply r) {
+  private StoreResult result(String method, String path, Reply r) {
     JsonNode body = r.status() == 0 ? null : Json.read(r.body());
-    How how =
+    StoreOutcome outcome =
         switch (r.status()) {
-          case 200 -> body == null && !method.equals("DELETE") ? How.UNKNOWN : How.DONE;
-          case 404, 410 -> How.ABSENT;
-          case 409 -> How.CONFLICT;
+          case 200 ->
+              body == null && !method.equals("DELETE")
+                  ? StoreOutcome.UNKNOWN
+                  : StoreOutcome.SUCCEEDED;
+          case 404, 410 -> StoreOutcome.NOT_FOUND;
+          case 409 -> StoreOutcome.CONDITION_FAILED;
           case 400 ->
               body != null && body.path("error").asText().contains("lease")
-                  ? How.NO_HOLD
-                  : How.NOT_EXECUTED;
-          case 429, 503 -> How.NOT_EXECUTED;
-          case 0 -> r.sent() ? How.UNKNOWN : How.NOT_EXECUTED;
+                  ? StoreOutcome.LEASE_EXPIRED
+                  : StoreOutcome.NOT_EXECUTED;
+          case 429, 503 -> StoreOutcome.NOT_EXECUTED;
+          case 0 -> r.sent() ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_EXECUTED;
             // More has changed than one answer may hold: as if the revision were too old.
-          case Reply.TOO_LARGE -> path.startsWith("/watch") ? How.ABSENT : How.UNKNOWN;
-          default -> How.UNKNOWN;
+          case Reply.TOO_LARGE ->
+              path.startsWith("/watch") ? StoreOutcome.NOT_FOUND : StoreOutcome.UNKNOWN;
+          default -> StoreOutcome.UNKNOWN;
         };
     if (r.status() == 429) {
       requests.penalty();
@@ -429,7 +386,7 @@
     if (path.equals("/multi")) {
       // Too many changes at once say nothing of the size that a value may have: the smaller form of
       // a record must not be written before the service has shown that it takes no other.
-      smaller |= r.status() == 400 && how != How.NO_HOLD;
+      smaller |= r.status() == 400 && outcome != StoreOutcome.LEASE_EXPIRED;
       if (smaller || r.status() == 429) {
         slowDown();
       }
@@ -443,6 +400,6 @@
     }
     String what = path.startsWith("/store") ? "read" : path.split("[/?]", 3)[1];
     outcomes.merge(what + " " + (r.status() == 0 ? "none" : r.status()), 1L, Long::sum);
-    return new Result(how, body);
+    return new StoreResult(outcome, body);
   }
 }
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -10,6 +10,7 @@
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -197,13 +198,13 @@
   private void scaleIn(double now) {
     long upTo = voidUpTo;
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .put(
                 StateCodec.LEASE_DELEGATES + member,
                 StateCodec.leaseDelegate(self, upTo, of, now - lastAlone)),
         Use.CLAIM,
         r -> {
-          if (r.done() && voidUpTo == upTo) {
+          if (r.succeeded() && voidUpTo == upTo) {
             givingBack = false;
           }
         });
