--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -9,6 +9,7 @@
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
 import graderelay.state.Cache;
+import graderelay.state.JobEntry;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
 import graderelay.wire.Json;
@@ -66,7 +67,7 @@
     n.put("state_failing_s", state.failingFor());
     int waiting = 0;
     int running = 0;
-    for (Cache.Entry j : cache.jobs().values()) {
+    for (JobEntry j : cache.jobs().values()) {
       boolean claimed =
           j.taskBatches.values().stream().anyMatch(s -> s.record().claimedCount() > 0);
       running += claimed ? 1 : 0;
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -7,6 +7,7 @@
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
+import graderelay.state.JobEntry;
 import graderelay.state.StateClient;
 import graderelay.state.StoreOutcome;
 import graderelay.state.Transaction;
@@ -56,7 +57,7 @@
       UserApi.refuse(e, 404, "no such job");
       return;
     }
-    if (cache.end(id) == null && stateUnreachable.getAsBoolean()) {
+    if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
       UserApi.unavailable(e, "the state service can't be reached");
       return;
     }
@@ -70,7 +71,7 @@
         f -> {
           if (f == null) {
             p.answer(404, Json.object().put("error", "no such job"));
-          } else if (f.live() == null || f.live().stop) {
+          } else if (f.live() == null || f.live().isCancelled()) {
             p.answer(200, UserCodec.stage(id, f.stage()));
           } else if (lookup.suspendedByLeader()) {
             p.unavailable("this controller may not cancel before the owner hears it again");
@@ -81,11 +82,11 @@
   }
 
   /** Competes with claims and with the job's end for the job's record. */
-  private void writeStopRequest(PendingAnswer p, String id, Cache.Entry live) {
+  private void writeStopRequest(PendingAnswer p, String id, JobEntry live) {
     String key = StateCodec.jobKey(id);
     Transaction txn =
         new Transaction()
-            .when(key, live.revision)
+            .when(key, live.revision())
             .when(cache.election().suspensionKey(settings.member()), 0)
             .put(key, StateCodec.job(live.spec, true));
     state.commit(
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -4,6 +4,8 @@
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
+import graderelay.state.JobEntry;
+import graderelay.wire.FinalState;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
@@ -43,7 +45,7 @@
 
   /** Hands {@code then} what is true of job {@code id} now, or null if nobody ever submitted it. */
   void look(PendingAnswer p, String id, Consumer<JobState> then) {
-    Cache.End end = cache.end(id);
+    FinalState end = cache.finalState(id);
     if (end != null) {
       then.accept(JobState.ended(end));
       return;
@@ -54,12 +56,12 @@
             retryOrGiveUp(p, () -> look(p, id, then));
             return;
           }
-          Cache.Entry live = cache.job(id);
-          if (live != null && live.stop && suspendedByLeader()) {
+          JobEntry live = cache.job(id);
+          if (live != null && live.isCancelled() && suspendedByLeader()) {
             p.unavailable("the owner may not know that the job is cancelled; ask again");
             return;
           }
-          if (live != null && !live.stop && !live.spec.needs().isEmpty()) {
+          if (live != null && !live.isCancelled() && !live.spec.needs().isEmpty()) {
             withDependencies(p, live, then);
             return;
           }
@@ -67,7 +69,7 @@
             then.accept(JobState.live(live));
             return;
           }
-          Cache.End seen = cache.end(id);
+          FinalState seen = cache.finalState(id);
           if (seen != null) {
             then.accept(JobState.ended(seen));
             return;
@@ -77,11 +79,11 @@
   }
 
   /** A job may be cancelled with a DAG dependency of it, before anything says so of itself. */
-  private void withDependencies(PendingAnswer p, Cache.Entry e, Consumer<JobState> then) {
+  private void withDependencies(PendingAnswer p, JobEntry e, Consumer<JobState> then) {
     dependencies.decide(
         e,
         v -> {
-          Cache.End end = cache.end(e.spec.id());
+          FinalState end = cache.finalState(e.spec.id());
           if (end != null) {
             then.accept(JobState.ended(end)); // It has ended while we looked.
           } else if (v == CancellationResolver.Verdict.CANCELLED) {
@@ -100,14 +102,14 @@
    * more: so none is confirmed here until the leader has lifted the suspension.
    */
   boolean suspendedByLeader() {
-    return cache.bar(settings.member()) != null;
+    return cache.suspension(settings.member()) != null;
   }
 
   private void lookForFinalState(PendingAnswer p, String id, Consumer<JobState> then) {
     finalStates.look(
         id,
         found -> {
-          Cache.End e = cache.end(id);
+          FinalState e = cache.finalState(id);
           if (e != null) {
             then.accept(JobState.ended(e));
           } else if (found == FinalStateLookup.Found.ABSENT) {
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -1,7 +1,9 @@
 package graderelay.api;
 
 import graderelay.core.TaskBatchRecord;
-import graderelay.state.Cache;
+import graderelay.state.JobEntry;
+import graderelay.state.TaskBatchEntry;
+import graderelay.wire.FinalState;
 
 /**
  * What is true of a job now, as users are told it.
@@ -11,28 +13,28 @@
  * @param running tasks that are claimed on a machine
  * @param live the job's live record, or null if it has ended
  */
-record JobState(String stage, int done, int running, Cache.Entry live) {
+record JobState(String stage, int done, int running, JobEntry live) {
   static final String CANCELLED = "cancelled";
 
   /** The state of a job that has a final state. */
-  static JobState ended(Cache.End e) {
+  static JobState ended(FinalState e) {
     return new JobState(stageOf(e), e.cancelled() ? 0 : e.tasks(), 0, null);
   }
 
   /** The state of a live job, summed over its task batches. */
-  static JobState live(Cache.Entry e) {
+  static JobState live(JobEntry e) {
     int done = 0;
     int claimed = 0;
-    for (Cache.TaskBatchEntry s : e.taskBatches.values()) {
+    for (TaskBatchEntry s : e.taskBatches.values()) {
       TaskBatchRecord r = s.record();
       done += r.doneCount();
       claimed += r.claimedCount();
     }
-    String stage = e.stop ? CANCELLED : claimed > 0 ? "running" : "pending";
-    return new JobState(stage, done, e.stop ? 0 : claimed, e);
+    String stage = e.isCancelled() ? CANCELLED : claimed > 0 ? "running" : "pending";
+    return new JobState(stage, done, e.isCancelled() ? 0 : claimed, e);
   }
 
-  static String stageOf(Cache.End end) {
+  static String stageOf(FinalState end) {
     return end.cancelled() ? CANCELLED : "done";
   }
 }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -11,10 +11,12 @@
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
+import graderelay.state.JobEntry;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
 import graderelay.state.Transaction;
 import graderelay.wire.BadRequest;
+import graderelay.wire.FinalState;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
@@ -97,7 +99,7 @@
       UserApi.refuse(e, 400, b.getMessage());
       return;
     }
-    if (cache.end(spec.id()) != null) {
+    if (cache.finalState(spec.id()) != null) {
       answerFinalState(e, spec.id());
       return;
     }
@@ -133,7 +135,7 @@
   }
 
   private void answerFinalState(Exchange e, String id) {
-    Cache.End end = cache.end(id);
+    FinalState end = cache.finalState(id);
     e.to().accept(Answer.json(200, Json.write(UserCodec.stage(id, JobState.stageOf(end)))));
   }
 
@@ -198,7 +200,7 @@
   private void created(PendingAnswer p, JobSpec spec) {
     Set<String> unknown = new HashSet<>();
     boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
-    boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
+    boolean fresh = loop.now() - cache.completeAsOf() < FRESH_S;
     if (cancelled || (fresh && unknown.isEmpty())) {
       p.answer(201, UserCodec.stage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
     } else {
@@ -252,7 +254,7 @@
   private List<String> unseen(JobSpec spec) {
     List<String> unseen = new ArrayList<>();
     for (String id : spec.needs()) {
-      if (cache.job(id) == null && cache.end(id) == null) {
+      if (cache.job(id) == null && cache.finalState(id) == null) {
         unseen.add(id);
       }
     }
@@ -266,8 +268,8 @@
     }
     List<String> open = new ArrayList<>();
     for (String id : spec.needs()) {
-      Cache.Entry live = cache.job(id);
-      Cache.End end = cache.end(id);
+      JobEntry live = cache.job(id);
+      FinalState end = cache.finalState(id);
       if (live == null && end == null) {
         refuseUnlessAccepted(
             p, spec, 422, UserCodec.NEEDS + " names " + id + ", which was never accepted");
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -7,6 +7,8 @@
 import graderelay.net.Exchange;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
+import graderelay.state.JobEntry;
+import graderelay.state.TaskBatchEntry;
 import graderelay.wire.Json;
 import java.util.HashSet;
 import java.util.Optional;
@@ -27,14 +29,15 @@
     this.scheduler = scheduler;
   }
 
-  private ObjectNode describe(Cache.Entry j) {
+  private ObjectNode describe(JobEntry j) {
     int done = 0;
     int claimed = 0;
-    for (Cache.TaskBatchEntry s : j.taskBatches.values()) {
+    for (TaskBatchEntry s : j.taskBatches.values()) {
       done += s.record().doneCount();
       claimed += s.record().claimedCount();
     }
-    boolean stops = j.stop || CancellationResolver.cancelled(cache, j.spec, new HashSet<>());
+    boolean stops =
+        j.isCancelled() || CancellationResolver.cancelled(cache, j.spec, new HashSet<>());
     String stage = stops ? "stopping" : claimed > 0 ? "running" : "waiting";
     return Json.object()
         .put("id", j.spec.id())
@@ -56,7 +59,7 @@
     ListQuery query = asked.get();
     ArrayNode page = Json.array();
     boolean truncated = false;
-    for (Cache.Entry j : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
+    for (JobEntry j : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
       if (!query.asks("team", j.spec.team()) || !query.asks("class", j.spec.jobClass())) {
         continue;
       }
@@ -74,7 +77,7 @@
 
   /** One live job with why it waits, what it needs, what needs it, and its claims; or 404. */
   void job(Exchange e, String id) {
-    Cache.Entry j = cache.job(id);
+    JobEntry j = cache.job(id);
     if (j == null) {
       UserApi.refuse(e, 404, "no live job " + id);
       return;
@@ -83,7 +86,7 @@
     n.put("waits_because", scheduler.get().whyWaiting(id));
     j.spec.needs().forEach(n.putArray("needs")::add);
     ArrayNode neededBy = n.putArray("needed_by");
-    for (Cache.Entry o : new TreeMap<>(cache.jobs()).values()) {
+    for (JobEntry o : new TreeMap<>(cache.jobs()).values()) {
       if (o.spec.needs().contains(id) && neededBy.size() < ListQuery.MOST_LISTED) {
         neededBy.add(o.spec.id());
       }
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -95,7 +95,7 @@
       refuse(e, 404, "no such job");
       return;
     }
-    if (cache.end(id) == null && stateAway()) {
+    if (cache.finalState(id) == null && stateAway()) {
       unavailable(e, "the state service can't be reached");
       return;
     }
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -1,6 +1,5 @@
 package graderelay.service;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.api.AdminApi;
 import graderelay.api.FeaturesApi;
 import graderelay.api.PeerApi;
@@ -21,9 +20,14 @@
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
+import graderelay.state.JobEntry;
 import graderelay.state.Leadership;
+import graderelay.state.RecordListener;
 import graderelay.state.StateClient;
+import graderelay.state.TaskBatchEntry;
 import graderelay.state.TeamLimits;
+import graderelay.wire.FinalState;
+import graderelay.wire.LeaseDelegateRelease;
 import graderelay.worker.LeaseDelegate;
 import graderelay.worker.WorkerApi;
 import graderelay.worker.WorkerClient;
@@ -352,9 +356,9 @@
 
   // ---------------------------------------------------------------- records
 
-  private final class RecordChanges implements Cache.Listener {
+  private final class RecordChanges implements RecordListener {
     @Override
-    public void onJob(Cache.Entry e) {
+    public void onJob(JobEntry e) {
       office.ifLeading(t -> t.onJob(e));
     }
 
@@ -364,7 +368,7 @@
     }
 
     @Override
-    public void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
+    public void onTaskBatch(TaskBatchKey key, TaskBatchEntry s) {
       office.ifLeading(t -> t.onTaskBatch(key, s));
     }
 
@@ -374,7 +378,7 @@
     }
 
     @Override
-    public void onEnd(String id, Cache.End e) {
+    public void onFinalState(String id, FinalState e) {
       office.ifLeading(t -> t.onEnd(id, e));
     }
 
@@ -391,8 +395,8 @@
     }
 
     @Override
-    public void onDelegateReleased(String member, JsonNode record) {
-      office.ifLeading(t -> t.onLeaseDelegateFreed(member, record));
+    public void onDelegateReleased(String member, LeaseDelegateRelease release) {
+      office.ifLeading(t -> t.onLeaseDelegateFreed(member, release));
     }
 
     @Override
--- a/src/main/java/graderelay/service/FeatureDuty.java
+++ b/src/main/java/graderelay/service/FeatureDuty.java
@@ -125,7 +125,7 @@
 
   /** Looks at the records; to be called after each change of them. */
   void look() {
-    if (!cache.headKnown() || left) {
+    if (!cache.electionLoaded() || left) {
       return;
     }
     String why = gate.closedBecause();
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -143,8 +143,8 @@
         f.jobs(),
         found -> {
           for (String id : f.jobs()) {
-            if (!term.isClosed() && cache.end(id) != null) {
-              term.onEnd(id, cache.end(id));
+            if (!term.isClosed() && cache.finalState(id) != null) {
+              term.onEnd(id, cache.finalState(id));
             }
           }
         });
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -16,8 +16,12 @@
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
+import graderelay.state.JobEntry;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
+import graderelay.state.TaskBatchEntry;
+import graderelay.wire.FinalState;
+import graderelay.wire.LeaseDelegateRelease;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
 import graderelay.wire.StateCodec;
@@ -107,15 +111,17 @@
     double now = loop.now();
     hints.images().forEach(core::onImages);
     core.onImageParts(hints.imagePartsPerThousand());
-    for (Cache.Entry e : cache.jobs().values()) {
+    for (JobEntry e : cache.jobs().values()) {
       onJob(e);
     }
-    for (Cache.Entry e : cache.jobs().values()) {
+    for (JobEntry e : cache.jobs().values()) {
       e.taskBatches.forEach(
           (i, s) ->
               core.onTaskBatch(new TaskBatchKey(e.spec.id(), i), s.record(), s.revision(), now));
     }
-    cache.looseBatches().forEach((k, s) -> core.onTaskBatch(k, s.record(), s.revision(), now));
+    cache
+        .orphanedTaskBatches()
+        .forEach((k, s) -> core.onTaskBatch(k, s.record(), s.revision(), now));
     JsonNode demand = hints.demand();
     if (demand != null) {
       core.onDemand(StateCodec.demand(demand, loop.wallMs()), now);
@@ -138,9 +144,9 @@
 
   // ---------------------------------------------------------------- records
 
-  void onJob(Cache.Entry e) {
+  void onJob(JobEntry e) {
     double at = loop.now() - (loop.wallMs() - e.spec.submittedMs()) / 1000.0;
-    core.onJob(e.spec, e.stop, e.revision, Math.min(at, loop.now()), loop.now());
+    core.onJob(e.spec, e.isCancelled(), e.revision(), Math.min(at, loop.now()), loop.now());
     stepSoon();
   }
 
@@ -150,7 +156,7 @@
   }
 
   /** A job's final state is known. */
-  void onEnd(String id, Cache.End e) {
+  void onEnd(String id, FinalState e) {
     // Records of earlier versions don't say when: then it was just now, for all that is known.
     double at = e.atMs() == 0 ? loop.now() : loop.now() - (loop.wallMs() - e.atMs()) / 1000.0;
     core.onEnd(id, e.cancelled(), at, loop.now());
@@ -162,7 +168,7 @@
     stepSoon();
   }
 
-  void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
+  void onTaskBatch(TaskBatchKey key, TaskBatchEntry s) {
     core.onTaskBatch(key, s.record(), s.revision(), loop.now());
     stepSoon();
   }
@@ -240,13 +246,13 @@
   }
 
   /** A lease delegate's record was released. */
-  void onLeaseDelegateFreed(String member, JsonNode n) {
+  void onLeaseDelegateFreed(String member, LeaseDelegateRelease release) {
     core.onDelegateReleased(
         member,
-        n.path("self").asText(),
-        n.path("n").asLong(),
-        n.path("of").asLong(),
-        n.path("alone").asDouble(),
+        release.incarnation(),
+        release.releasedUpTo(),
+        release.of(),
+        release.aloneS(),
         loop.now());
   }
 
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -1,14 +1,13 @@
 package graderelay.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.core.JobSpec;
 import graderelay.core.TaskBatchKey;
-import graderelay.core.TaskBatchRecord;
 import graderelay.features.Feature;
 import graderelay.features.FeatureGate;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.FeatureCodec;
+import graderelay.wire.FinalState;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -17,7 +16,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,61 +39,21 @@
 
   private static final Logger LOG = LoggerFactory.getLogger("cache");
 
-  /** A live job. */
-  public static final class Entry {
-    public final JobSpec spec;
-    public boolean stop;
-    public long revision;
-    public final TreeMap<Integer, TaskBatchEntry> taskBatches = new TreeMap<>();
-
-    Entry(JobSpec spec) {
-      this.spec = spec;
-    }
-  }
-
-  /** A stored task batch. */
-  public record TaskBatchEntry(TaskBatchRecord record, long revision) {}
-
-  /** A final state. */
-  public record End(boolean cancelled, int tasks, long atMs) {}
-
-  /** Who wants to hear of changes. */
-  public interface Listener {
-    void onJob(Entry e);
-
-    void onJobGone(String id);
-
-    void onTaskBatch(TaskBatchKey key, TaskBatchEntry e);
-
-    void onTaskBatchGone(TaskBatchKey key);
-
-    void onEnd(String id, End e);
-
-    void onLeader();
-
-    void onSettings();
-
-    /** Stored limits or accounts have changed, or whether they count. */
-    void onQuota();
-
-    void onDelegateReleased(String member, JsonNode record);
-  }
-
   private final Loop loop;
   private final StateClient state;
-  private final Listener listener;
-  private final Map<String, Entry> jobs = new HashMap<>();
-  private final Map<TaskBatchKey, TaskBatchEntry> loose = new HashMap<>();
+  private final RecordListener listener;
+  private final Map<String, JobEntry> jobs = new HashMap<>();
+  private final Map<TaskBatchKey, TaskBatchEntry> orphanedTaskBatches = new HashMap<>();
 
   /** Live jobs whose cancellation is recorded. */
-  private final Set<String> stopped = new HashSet<>();
+  private final Set<String> cancelledJobs = new HashSet<>();
 
-  private final Map<String, End> ends =
+  private final Map<String, FinalState> ends =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, FinalState> eldest) {
           return size() > FINAL_STATES;
         }
       };
@@ -107,14 +65,14 @@
   /** Stored limits or accounts have changed in the batch at hand. */
   private boolean quotaChanged;
 
-  /** Something that {@link Listener#onLeader} tells of has changed in the batch at hand. */
+  /** Something that {@link RecordListener#onLeader} tells of has changed in the batch at hand. */
   private boolean leaderChanged;
 
   /** Everything that had committed before this time has been seen. */
-  private double sureAt = Double.NEGATIVE_INFINITY;
+  private double linearizableAt = Double.NEGATIVE_INFINITY;
 
   /** The same for the whole copy: while only its head was read, jobs are missing. */
-  private double knownUntil = Double.NEGATIVE_INFINITY;
+  private double completeAsOf = Double.NEGATIVE_INFINITY;
 
   private JsonNode demand;
   private final Map<String, JsonNode> images = new HashMap<>();
@@ -128,7 +86,7 @@
   private boolean watched;
 
   /** The leader record and the term were read. */
-  private boolean headKnown;
+  private boolean electionLoaded;
 
   private boolean closed;
   private boolean loading;
@@ -143,7 +101,7 @@
    * Makes the copy; every transaction of {@code state} is conditioned on the feature level that it
    * shows.
    */
-  public Cache(Loop loop, StateClient state, FeatureGate gate, Listener listener) {
+  public Cache(Loop loop, StateClient state, FeatureGate gate, RecordListener listener) {
     this.loop = loop;
     this.state = state;
     this.listener = listener;
@@ -173,29 +131,29 @@
   }
 
   /** True once this node knows who owned the fleet and with which term when it began to read. */
-  public boolean headKnown() {
-    return headKnown;
+  public boolean electionLoaded() {
+    return electionLoaded;
   }
 
-  public Entry job(String id) {
+  public JobEntry job(String id) {
     return jobs.get(id);
   }
 
-  public Map<String, Entry> jobs() {
+  public Map<String, JobEntry> jobs() {
     return jobs;
   }
 
   /** Task batches whose job's record is gone. */
-  public Map<TaskBatchKey, TaskBatchEntry> looseBatches() {
-    return loose;
+  public Map<TaskBatchKey, TaskBatchEntry> orphanedTaskBatches() {
+    return orphanedTaskBatches;
   }
 
   /** A final state that this node knows already, or null. */
-  public End end(String id) {
+  public FinalState finalState(String id) {
     return ends.get(id);
   }
 
-  public void learnEnd(String id, End e) {
+  public void rememberFinalState(String id, FinalState e) {
     ends.put(id, e);
   }
 
@@ -213,23 +171,23 @@
   }
 
   /** The suspension of a controller, or null. */
-  public StateCodec.Bar bar(String member) {
+  public StateCodec.Bar suspension(String member) {
     return election.suspension(member);
   }
 
   /** What had committed before this time is in the copy. */
-  public double sureAt() {
-    return sureAt;
+  public double linearizableAt() {
+    return linearizableAt;
   }
 
   /** Every job, task batch and cancellation that had committed before this time is in the copy. */
-  public double knownUntil() {
-    return knownUntil;
+  public double completeAsOf() {
+    return completeAsOf;
   }
 
   /** Live jobs whose cancellation is recorded. */
-  public Set<String> stopped() {
-    return stopped;
+  public Set<String> cancelledJobs() {
+    return cancelledJobs;
   }
 
   /** What the last leader kept of the demand, or null. */
@@ -302,7 +260,7 @@
             loop.after(StateClient.STATE_RETRY_S, this::load);
           } else {
             got.add(pages);
-            if (prefixes[i].equals(StateCodec.TERM) && !headKnown) {
+            if (prefixes[i].equals(StateCodec.TERM) && !electionLoaded) {
               learnHead(got);
             }
             loadNext(prefixes, i + 1, got);
@@ -339,7 +297,7 @@
     revision = lists.get(0).get(0).path("ledger").asLong();
     lists.forEach(this::putAll);
     features.read();
-    headKnown = true;
+    electionLoaded = true;
     leaderChanged = false;
     listener.onLeader();
   }
@@ -357,7 +315,7 @@
     for (String id : new ArrayList<>(jobs.keySet())) {
       removeJob(id, Long.MAX_VALUE);
     }
-    loose.clear();
+    orphanedTaskBatches.clear();
     election.clear(watched);
     features.clear();
     quota.clear();
@@ -371,7 +329,7 @@
             boolean first = !loaded;
             loaded = true;
             watched = true;
-            knownUntil = sureAt;
+            completeAsOf = linearizableAt;
             if (first) {
               LOG.info("loaded {} jobs at revision {}", jobs.size(), revision);
             }
@@ -464,8 +422,8 @@
   }
 
   private void sure(double sentAt) {
-    sureAt = Math.max(sureAt, sentAt);
-    knownUntil = loaded ? sureAt : knownUntil;
+    linearizableAt = Math.max(linearizableAt, sentAt);
+    completeAsOf = loaded ? linearizableAt : completeAsOf;
   }
 
   private void apply(JsonNode body) {
@@ -503,8 +461,8 @@
           StateCodec.batchOf(key), new TaskBatchEntry(StateCodec.taskBatch(value), revision));
     } else if (key.startsWith(StateCodec.ENDS)) {
       String id = key.substring(StateCodec.ENDS.length());
-      ends.put(id, endOf(value));
-      listener.onEnd(id, ends.get(id));
+      ends.put(id, StateCodec.finalState(value));
+      listener.onFinalState(id, ends.get(id));
     } else if (quota.put(key, value, revision)) {
       quotaChanged = true;
     } else if (features.put(key, value, revision) || election.put(key, value, revision)) {
@@ -516,7 +474,9 @@
     } else if (key.startsWith(FeatureCodec.HINTS)) {
       compactHints.put(key, value);
     } else if (key.startsWith(StateCodec.LEASE_DELEGATES)) {
-      listener.onDelegateReleased(key.substring(StateCodec.LEASE_DELEGATES.length()), value);
+      listener.onDelegateReleased(
+          key.substring(StateCodec.LEASE_DELEGATES.length()),
+          StateCodec.leaseDelegateRelease(value));
     } else if (key.equals(StateCodec.SETTINGS) && revision > settingsRevision) {
       settings = value;
       settingsRevision = revision;
@@ -530,43 +490,35 @@
     }
   }
 
-  public static End endOf(JsonNode value) {
-    return new End(
-        value.path("end").asText().equals("cancelled"),
-        value.path("tasks").asInt(),
-        value.path("at").asLong());
-  }
-
   private void putJob(String id, JsonNode value, long revision) {
-    Entry e = jobs.get(id);
-    if (e != null && revision <= e.revision) {
+    JobEntry e = jobs.get(id);
+    if (e != null && revision <= e.revision()) {
       return;
     }
     if (e == null) {
-      e = new Entry(StateCodec.job(id, value));
+      e = new JobEntry(StateCodec.job(id, value));
       jobs.put(id, e);
-      for (TaskBatchKey k : new ArrayList<>(loose.keySet())) {
+      for (TaskBatchKey k : new ArrayList<>(orphanedTaskBatches.keySet())) {
         if (k.job().equals(id)) {
-          e.taskBatches.put(k.index(), loose.remove(k));
+          e.taskBatches.put(k.index(), orphanedTaskBatches.remove(k));
         }
       }
     }
-    e.revision = revision;
-    e.stop = StateCodec.stopOf(value);
-    if (e.stop) {
-      stopped.add(id);
+    e.update(revision, StateCodec.stopOf(value));
+    if (e.isCancelled()) {
+      cancelledJobs.add(id);
     }
     listener.onJob(e);
   }
 
   private void putTaskBatch(TaskBatchKey key, TaskBatchEntry s) {
-    Entry e = jobs.get(key.job());
-    TaskBatchEntry old = e == null ? loose.get(key) : e.taskBatches.get(key.index());
+    JobEntry e = jobs.get(key.job());
+    TaskBatchEntry old = e == null ? orphanedTaskBatches.get(key) : e.taskBatches.get(key.index());
     if (old != null && s.revision() <= old.revision()) {
       return;
     }
     if (e == null) {
-      loose.put(key, s);
+      orphanedTaskBatches.put(key, s);
     } else {
       e.taskBatches.put(key.index(), s);
     }
@@ -578,11 +530,11 @@
       removeJob(key.substring(StateCodec.JOBS.length()), revision);
     } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
       TaskBatchKey k = StateCodec.batchOf(key);
-      Entry e = jobs.get(k.job());
-      TaskBatchEntry s = e == null ? loose.get(k) : e.taskBatches.get(k.index());
+      JobEntry e = jobs.get(k.job());
+      TaskBatchEntry s = e == null ? orphanedTaskBatches.get(k) : e.taskBatches.get(k.index());
       if (s != null && s.revision() < revision) {
         if (e == null) {
-          loose.remove(k);
+          orphanedTaskBatches.remove(k);
         } else {
           e.taskBatches.remove(k.index());
         }
@@ -602,13 +554,13 @@
   }
 
   private void removeJob(String id, long revision) {
-    Entry e = jobs.get(id);
-    if (e == null || e.revision >= revision) {
+    JobEntry e = jobs.get(id);
+    if (e == null || e.revision() >= revision) {
       return;
     }
     jobs.remove(id);
-    stopped.remove(id);
-    e.taskBatches.forEach((i, s) -> loose.put(new TaskBatchKey(id, i), s));
+    cancelledJobs.remove(id);
+    e.taskBatches.forEach((i, s) -> orphanedTaskBatches.put(new TaskBatchKey(id, i), s));
     listener.onJobGone(id);
   }
 }
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -1,6 +1,7 @@
 package graderelay.state;
 
 import graderelay.core.JobSpec;
+import graderelay.wire.FinalState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -41,9 +42,9 @@
         if (!seen.add(id)) {
           continue;
         }
-        Cache.Entry live = cache.job(id);
-        Cache.End end = cache.end(id);
-        if ((live != null && live.stop) || (end != null && end.cancelled())) {
+        JobEntry live = cache.job(id);
+        FinalState end = cache.finalState(id);
+        if ((live != null && live.isCancelled()) || (end != null && end.cancelled())) {
           return true;
         }
         if (end == null && live != null) {
@@ -57,7 +58,7 @@
   }
 
   /** Decides for a job whose record has just been caught up with. */
-  public void decide(Cache.Entry e, Consumer<Verdict> then) {
+  public void decide(JobEntry e, Consumer<Verdict> then) {
     if (e.spec.needs().isEmpty()) {
       then.accept(Verdict.NOT_CANCELLED);
       return;
@@ -73,7 +74,7 @@
     }
   }
 
-  private Verdict after(Cache.Entry e) {
+  private Verdict after(JobEntry e) {
     Set<String> unknown = new HashSet<>();
     boolean is = cancelled(cache, e.spec, unknown);
     return is ? Verdict.CANCELLED : unknown.isEmpty() ? Verdict.NOT_CANCELLED : Verdict.UNDECIDED;
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -6,6 +6,7 @@
 import graderelay.core.LeaseTiming;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
+import graderelay.wire.FinalState;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -83,9 +84,9 @@
   }
 
   private boolean byRecord(String job) {
-    Cache.Entry e = cache.job(job);
-    Cache.End end = cache.end(job);
-    return (e != null && e.stop) || (end != null && end.cancelled());
+    JobEntry e = cache.job(job);
+    FinalState end = cache.finalState(job);
+    return (e != null && e.isCancelled()) || (end != null && end.cancelled());
   }
 
   /** True if the job is known to be cancelled, by its record or by word. */
@@ -95,7 +96,7 @@
 
   /** Up to when we know every cancellation that a user was told of. */
   public double knownUntil() {
-    return Math.max(cache.knownUntil(), knownByWord);
+    return Math.max(cache.completeAsOf(), knownByWord);
   }
 
   /** True if we know all that earlier processes of this controller have told users. */
@@ -151,7 +152,7 @@
   /** What we say of ourselves. */
   public CancellationKnowledge word() {
     prune();
-    Collection<String> jobs = new TreeSet<>(cache.stopped());
+    Collection<String> jobs = new TreeSet<>(cache.cancelledJobs());
     jobs.addAll(heard.keySet());
     if (jobs.size() > MOST_CANCELLATIONS) {
       return CancellationKnowledge.NONE;
@@ -167,7 +168,7 @@
 
   /** What the copy of the records shows by now need not be remembered. */
   private void prune() {
-    heard.values().removeIf(at -> at < cache.knownUntil());
+    heard.values().removeIf(at -> at < cache.completeAsOf());
   }
 
   /** A peer's word, in answer to a question that we sent at {@code sentAt}. */
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -117,7 +117,7 @@
         Use.READ,
         r -> {
           if (r.succeeded()) {
-            cache.learnEnd(id, Cache.endOf(r.value()));
+            cache.rememberFinalState(id, StateCodec.finalState(r.value()));
             tell(to, Found.KNOWN);
           } else {
             tell(to, r.outcome() == StoreOutcome.NOT_FOUND ? Found.ABSENT : Found.FAILED);
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -254,7 +254,7 @@
    * @return true if we have left it, or there is none
    */
   private boolean leftBar() {
-    StateCodec.Bar b = cache.bar(member);
+    StateCodec.Bar b = cache.suspension(member);
     if (b == null) {
       return true;
     }
@@ -371,7 +371,7 @@
 
   /** Called whenever the leader record changed, and once at the start. */
   public void consider() {
-    if (closed || !cache.headKnown()) {
+    if (closed || !cache.electionLoaded()) {
       return;
     }
     if (!mayLead()) {
@@ -554,7 +554,7 @@
   private void takeWith(long newHold, double sentAt, boolean ours) {
     long newTerm = cache.term() + 1;
     StateCodec.LeaderRecord me = new StateCodec.LeaderRecord(member, newTerm, address);
-    StateCodec.Bar bar = cache.bar(member);
+    StateCodec.Bar bar = cache.suspension(member);
     if (bar != null && !bar.leaving().equals(self)) {
       trying = false;
       state.revokeSessionLease(newHold, x -> {});
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -105,8 +105,10 @@
    * to leave it.
    */
   double suspendedUntil(String peer) {
-    return leader.leads() && stands(cache.bar(peer), peer) && cache.sureAt() >= wonAt
-        ? cache.sureAt() + Leadership.BAR_S * (1 - LeaseTiming.DRIFT) - Leadership.KEEP_MARGIN_S
+    return leader.leads() && stands(cache.suspension(peer), peer) && cache.linearizableAt() >= wonAt
+        ? cache.linearizableAt()
+            + Leadership.BAR_S * (1 - LeaseTiming.DRIFT)
+            - Leadership.KEEP_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
 
@@ -144,7 +146,7 @@
     if (changing || !cache.loaded() || !leader.holdsLease() || early) {
       return;
     }
-    StateCodec.Bar present = cache.bar(peer);
+    StateCodec.Bar present = cache.suspension(peer);
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
     boolean suspends = !stands(present, peer) && silent > Leadership.BAR_AFTER_S;
     String key = cache.election().suspensionKey(peer);
@@ -169,7 +171,7 @@
   private void changed(String peer, boolean suspendedAnew) {
     changing = false;
     // A new record's revision also keeps out what was to lift the old one and comes late.
-    if (cache.bar(peer) == null || suspendedAnew) {
+    if (cache.suspension(peer) == null || suspendedAnew) {
       lifting.remove(peer);
     }
   }
@@ -178,7 +180,7 @@
   private int suspendedBut(String peer) {
     int n = 0;
     for (Settings.Peer p : peerClient.peers()) {
-      n += !p.member().equals(peer) && cache.bar(p.member()) != null ? 1 : 0;
+      n += !p.member().equals(peer) && cache.suspension(p.member()) != null ? 1 : 0;
     }
     return n;
   }
--- /dev/null
+++ b/src/main/java/graderelay/state/TaskBatchEntry.java
@@ -0,0 +1,11 @@
+package graderelay.state;
+
+import graderelay.core.TaskBatchRecord;
+
+/**
+ * A task batch in the copy of the records.
+ *
+ * @param record the stored record
+ * @param revision the revision at which it was last changed
+ */
+public record TaskBatchEntry(TaskBatchRecord record, long revision) {}
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -135,6 +135,15 @@
         .put(ALONE_S, aloneS);
   }
 
+  /** What a lease delegate has released, from its record. */
+  public static LeaseDelegateRelease leaseDelegateRelease(JsonNode n) {
+    return new LeaseDelegateRelease(
+        n.path(DELEGATE_INCARNATION).asText(),
+        n.path(RETURNED_UP_TO).asLong(),
+        n.path(RETURNED_OF).asLong(),
+        n.path(ALONE_S).asDouble());
+  }
+
   /** The counter of terms, and who won the last one. */
   public static ObjectNode term(long term, String member) {
     return Json.object().put(TERM_NUMBER, term).put(MEMBER, member);
@@ -150,6 +159,14 @@
         .put(WRITTEN_AT_MS, nowMs);
   }
 
+  /** The final state of a job from its record. */
+  public static FinalState finalState(JsonNode n) {
+    return new FinalState(
+        n.path(FINAL_STATE).asText().equals("cancelled"),
+        n.path(FINAL_TASKS).asInt(),
+        n.path(WRITTEN_AT_MS).asLong());
+  }
+
   // ---------------------------------------------------------------- jobs
 
   /** A job's record: its terms, and whether its user asked to stop it. */
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -12,6 +12,7 @@
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.wire.BadRequest;
+import graderelay.wire.FinalState;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
@@ -145,8 +146,8 @@
     assertThat(r.done(2)).isTrue();
     assertThat(Json.write(StateCodec.taskBatch(r))).isEqualTo(Json.write(taskBatch));
     assertThat(
-            graderelay.state.Cache.endOf(
+            StateCodec.finalState(
                 Json.read("{\"end\":\"done\",\"tasks\":3}".getBytes(StandardCharsets.UTF_8))))
-        .isEqualTo(new graderelay.state.Cache.End(false, 3, 0));
+        .isEqualTo(new FinalState(false, 3, 0));
   }
 }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -12,7 +12,6 @@
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange.Answer;
-import graderelay.state.Cache;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -152,10 +151,10 @@
 
   @Test
   void storedEndsOwnersBarsAndHintsAreRead() {
-    assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000004")))
-        .isEqualTo(new Cache.End(false, 60, 0));
-    assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000005")))
-        .isEqualTo(new Cache.End(true, 6, 0));
+    assertThat(StateCodec.finalState(ProductionFormats.record("g/end/j-000004")))
+        .isEqualTo(new FinalState(false, 60, 0));
+    assertThat(StateCodec.finalState(ProductionFormats.record("g/end/j-000005")))
+        .isEqualTo(new FinalState(true, 6, 0));
     assertThat(StateCodec.leader(ProductionFormats.record(StateCodec.LEADER)))
         .isEqualTo(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081"));
     assertThat(StateCodec.images(ProductionFormats.record("g/images/0")))
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -16,7 +16,6 @@
 import graderelay.quota.Amount;
 import graderelay.quota.LimitRecord;
 import graderelay.quota.TeamQuota;
-import graderelay.state.Cache;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -198,8 +197,10 @@
 
   @Test
   void finalStatesAreReadWithTheirTime() {
-    assertThat(Cache.endOf(record("end-done"))).isEqualTo(new Cache.End(false, 60, NOW_MS));
-    assertThat(Cache.endOf(record("end-cancelled"))).isEqualTo(new Cache.End(true, 6, NOW_MS + 1));
+    assertThat(StateCodec.finalState(record("end-done")))
+        .isEqualTo(new FinalState(false, 60, NOW_MS));
+    assertThat(StateCodec.finalState(record("end-cancelled")))
+        .isEqualTo(new FinalState(true, 6, NOW_MS + 1));
   }
 
   @Test
