--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -64,7 +64,7 @@
         .put("zone", platform.zone())
         .put("ready", ready.getAsBoolean());
     n.put("owner", leader == null ? null : leader.member()).put("term", cache.term());
-    n.put("state_failing_s", state.failingFor());
+    n.put("state_failing_s", state.health().failingForS());
     int waiting = 0;
     int running = 0;
     for (JobEntry j : cache.jobs().values()) {
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -108,7 +108,8 @@
       return;
     }
     double longest = e.relayed() ? HANDED_ON_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
-    boolean tooLate = state.changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
+    boolean tooLate =
+        state.budget().changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
     if (inFlight >= MOST_SUBMISSIONS || tooLate) {
       e.to().accept(Answer.later(429, Json.error("too many submissions at once")));
       return;
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -86,7 +86,7 @@
       e.to().accept(Answer.json(NO_SUCH_MESSAGE, Json.error("of another feature level")));
     } else if (request instanceof PeerRequest.Share s) {
       leadership.takeShare(s.term(), s.changesPerS());
-      answer(e, new PeerAnswer.Wanted(state.wantedChanges()));
+      answer(e, new PeerAnswer.Wanted(state.budget().takeWantedChanges()));
     } else if (request instanceof PeerRequest.Handover h) {
       leadership.takeHandover(h.member(), h.term(), h.sessionLease());
       answer(e, new PeerAnswer.Received());
@@ -116,7 +116,7 @@
 
   /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
   private PeerAnswer.Pledged pledged(boolean granted) {
-    return new PeerAnswer.Pledged(granted, state.reached(), cancellations.word());
+    return new PeerAnswer.Pledged(granted, state.health().isReachable(), cancellations.word());
   }
 
   private static void answer(Exchange e, PeerAnswer answer) {
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -81,7 +81,7 @@
 
   /** True while calls to the state service fail: then nothing can be decided here. */
   public boolean stateAway() {
-    return !cache.loaded() || state.failingFor() > StateClient.STATE_TIMEOUT_S;
+    return !cache.loaded() || state.health().failingForS() > StateClient.STATE_TIMEOUT_S;
   }
 
   /** Answers a job submission; see {@link JobSubmissions}. */
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -173,7 +173,8 @@
             this::core,
             this::ready);
     this.requestHedger =
-        new RequestHedger(loop, peerClient, state::stuck, leadership::awayForAll, this::mayAnswer);
+        new RequestHedger(
+            loop, peerClient, state.health()::isStalled, leadership::awayForAll, this::mayAnswer);
     String incarnation = leadership.process();
     this.features =
         new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
@@ -247,8 +248,8 @@
   /** Starts the duties: metrics, the records' watch, features, machine types, leases, ticks. */
   public void start() {
     LOG.info("{} starts in zone {}", settings.member(), settings.zone());
-    metrics.bucket("state requests", state.requestTokens());
-    metrics.bucket("state changes", state.changeTokens());
+    metrics.bucket("state requests", state.budget().requestTokens());
+    metrics.bucket("state changes", state.budget().changeTokens());
     metrics.bucket("cloud", cloud.tokens());
     metrics.readings(quotaMonitor::readings);
     metrics.start();
@@ -300,7 +301,9 @@
       return false;
     }
     boolean here =
-        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < READY_S;
+        cache.loaded()
+            && machineTypes() != null
+            && loop.now() - state.health().lastAnswerAt() < READY_S;
     // While the state service refuses us alone, a peer decides what we are asked; while it is away
     // for all, what can be answered is, and the rest is told at once when to come back.
     return here
@@ -341,8 +344,8 @@
    */
   private boolean submissionsWaitHere() {
     return leadership.leader()
-        ? state.changeTokens().waiting() > 0
-        : state.changeTokens().wouldWait(1);
+        ? state.budget().changeTokens().waiting() > 0
+        : state.budget().changeTokens().wouldWait(1);
   }
 
   private String metricsText() {
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -128,14 +128,12 @@
     state.list(
         prefixOf(feature),
         Use.CLAIM,
-        pages -> {
-          if (pages == null) {
+        listing -> {
+          if (listing == null) {
             done.accept(null);
             return;
           }
-          List<String> keys = new ArrayList<>();
-          pages.forEach(p -> p.path("items").forEach(i -> keys.add(i.path("key").asText())));
-          done.accept(keys);
+          done.accept(listing.keys());
         });
   }
 
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -203,7 +203,8 @@
       term.stepSoon();
     } else if (r.outcome() == StoreOutcome.NOT_EXECUTED) {
       core.onLimits(
-          state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.leadersChanges());
+          state.limitsReduced() ? stateLimits.valueBytes() : Integer.MAX_VALUE,
+          state.budget().leaderChangesPerS());
       loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
     } else {
       LOG.info("transaction {}: {} {}", id, r.outcome(), r.body() == null ? "" : r.body());
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -232,7 +232,7 @@
       return;
     }
     loading = true;
-    List<List<JsonNode>> got = new ArrayList<>();
+    List<Listing> got = new ArrayList<>();
     String[] prefixes = {
       StateCodec.LEADER,
       StateCodec.BARS,
@@ -246,7 +246,7 @@
     loadNext(prefixes, 0, got);
   }
 
-  private void loadNext(String[] prefixes, int i, List<List<JsonNode>> got) {
+  private void loadNext(String[] prefixes, int i, List<Listing> got) {
     if (i == prefixes.length) {
       loadHints(got);
       return;
@@ -254,12 +254,12 @@
     state.list(
         prefixes[i],
         Use.CLAIM,
-        pages -> {
-          if (pages == null) {
+        listing -> {
+          if (listing == null) {
             loading = false;
             loop.after(StateClient.STATE_RETRY_S, this::load);
           } else {
-            got.add(pages);
+            got.add(listing);
             if (prefixes[i].equals(StateCodec.TERM) && !electionLoaded) {
               learnHead(got);
             }
@@ -269,7 +269,7 @@
   }
 
   /** Below its level there are none in the compact form. */
-  private void loadHints(List<List<JsonNode>> got) {
+  private void loadHints(List<Listing> got) {
     if (!features.gate().present(Feature.COMPACT_HINTS)) {
       loading = false;
       take(got);
@@ -278,12 +278,12 @@
     state.list(
         FeatureCodec.HINTS,
         Use.CLAIM,
-        pages -> {
+        listing -> {
           loading = false;
-          if (pages == null) {
+          if (listing == null) {
             loop.after(StateClient.STATE_RETRY_S, this::load);
           } else {
-            got.add(pages);
+            got.add(listing);
             take(got);
           }
         });
@@ -293,8 +293,8 @@
    * Who owns the fleet and with which term is known before all else, so that a node that nobody is
    * before can win a term, and keep workers' leases alive, while it still reads the records.
    */
-  private void learnHead(List<List<JsonNode>> lists) {
-    revision = lists.get(0).get(0).path("ledger").asLong();
+  private void learnHead(List<Listing> lists) {
+    revision = lists.get(0).revision();
     lists.forEach(this::putAll);
     features.read();
     electionLoaded = true;
@@ -302,15 +302,13 @@
     listener.onLeader();
   }
 
-  private void putAll(List<JsonNode> pages) {
-    for (JsonNode page : pages) {
-      for (JsonNode item : page.path("items")) {
-        put(item.path("key").asText(), item.path("data"), item.path("mark").asLong());
-      }
+  private void putAll(Listing listing) {
+    for (StoredRecord record : listing.records()) {
+      put(record.key(), record.value(), record.revision());
     }
   }
 
-  private void take(List<List<JsonNode>> lists) {
+  private void take(List<Listing> lists) {
     // Ends that were learned stay: they are final.
     for (String id : new ArrayList<>(jobs.keySet())) {
       removeJob(id, Long.MAX_VALUE);
@@ -320,7 +318,7 @@
     features.clear();
     quota.clear();
     compactHints.clear();
-    revision = lists.get(0).get(0).path("ledger").asLong();
+    revision = lists.get(0).revision();
     lists.forEach(this::putAll);
     // What changed while the pages were read comes with the first catch-up.
     catchUp(
@@ -348,7 +346,7 @@
     if (closed || gen != generation) {
       return;
     }
-    double pause = Math.max(WATCH_EVERY_S, state.readEveryS());
+    double pause = Math.max(WATCH_EVERY_S, state.budget().readIntervalS());
     double wait = lastWatch + pause - loop.now();
     if (wait > 0) {
       loop.after(wait, () -> watch(gen));
@@ -386,7 +384,7 @@
       return;
     }
     catching = true;
-    double pause = Math.max(CATCH_UP_EVERY_S, state.readEveryS());
+    double pause = Math.max(CATCH_UP_EVERY_S, state.budget().readIntervalS());
     double wait = lastCatch + pause - loop.now();
     if (wait > 0) {
       loop.after(wait, this::catchNow);
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -59,7 +59,7 @@
       return;
     }
     looking = true;
-    loop.after(Math.max(0, lastLook + state.readEveryS() - loop.now()), this::now);
+    loop.after(Math.max(0, lastLook + state.budget().readIntervalS() - loop.now()), this::now);
   }
 
   private void now() {
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -204,7 +204,7 @@
   /** The leader tells us our share of the changes. */
   public void takeShare(long itsTerm, double changesPerS) {
     if (!leader && !closed && itsTerm >= cache.term()) {
-      state.borrow(changesPerS);
+      state.budget().borrow(changesPerS);
     }
   }
 
@@ -472,12 +472,12 @@
   public boolean awayForAll() {
     double now = loop.now();
     return stateAway()
-        && now - lastAway < StateClient.REACHES_S
-        && now - lastReaching > StateClient.REACHES_S;
+        && now - lastAway < StoreHealth.REACHABLE_S
+        && now - lastReaching > StoreHealth.REACHABLE_S;
   }
 
   private boolean stateAway() {
-    return state.failingFor() > KEEP_AFTER_S;
+    return state.health().failingForS() > KEEP_AFTER_S;
   }
 
   /** A worker asks for us while nobody owns the fleet: sees whether its lease can be kept alive. */
@@ -515,7 +515,7 @@
    * A peer wants to keep leases alive; refused if we own the fleet or could take over ourselves.
    */
   public boolean promiseKeep(double seconds) {
-    if (leader || closed || state.reached()) {
+    if (leader || closed || state.health().isReachable()) {
       return false;
     }
     keepBefore = Math.max(keepBefore, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
@@ -625,7 +625,7 @@
       return;
     }
     leader = true;
-    state.owns(true);
+    state.budget().setLeader(true);
     term = newTerm;
     leaderRevision = revision;
     hold = newHold;
@@ -756,7 +756,7 @@
 
   private void lose(String why) {
     leader = false;
-    state.owns(false);
+    state.budget().setLeader(false);
     heldUntil = Double.NEGATIVE_INFINITY;
     promised.clear();
     failingSince = Double.NaN;
--- /dev/null
+++ b/src/main/java/graderelay/state/Listing.java
@@ -0,0 +1,18 @@
+package graderelay.state;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.Collectors;
+
+/**
+ * All keys under a prefix, read page by page.
+ *
+ * @param revision the store's revision when it gave the first page; later pages may show changes
+ *     after it
+ */
+public record Listing(long revision, List<StoredRecord> records) {
+  /** The keys of all records. */
+  public List<String> keys() {
+    return records.stream().map(StoredRecord::key).collect(Collectors.toCollection(ArrayList::new));
+  }
+}
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -36,25 +36,25 @@
 
   /** Changes a second that a peer may make at the moment. */
   double shareOf(String peer) {
-    return shares.getOrDefault(peer, state.usualShare());
+    return shares.getOrDefault(peer, state.budget().followerChangesPerS());
   }
 
   /** A peer made, or would have made, so many changes since it was last asked. */
   void wanted(String peer, double changes) {
-    double usual = state.usualShare();
-    double most = state.allChanges() * MOST_SHARE;
+    double usual = state.budget().followerChangesPerS();
+    double most = state.budget().deploymentChangesPerS() * MOST_SHARE;
     double need = Math.min(most, changes * SHARE_ROOM);
     shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * SHARE_KEPT)));
     double lent = 0;
     for (double s : shares.values()) {
       lent += s - usual;
     }
-    double mostLent = state.leadersChanges() * MOST_LENT;
+    double mostLent = state.budget().leaderChangesPerS() * MOST_LENT;
     if (lent > mostLent) {
       double scale = mostLent / lent;
       shares.replaceAll((p, s) -> usual + (s - usual) * scale);
       lent = mostLent;
     }
-    state.lend(lent);
+    state.budget().lend(lent);
   }
 }
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -117,7 +117,7 @@
             && !stoodStill
             && !cache.features().gate().isShut()
             && now > lastContact + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT)
-            && state.failingFor() > Leadership.KEEP_AFTER_S
+            && state.health().failingForS() > Leadership.KEEP_AFTER_S
             && zone.equals(r.zone())
             && r.term() <= term
             && cancellations.mayRenew();
@@ -151,14 +151,14 @@
     } else if (address != null) {
       ask(address, now);
     }
-    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.reached();
+    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.health().isReachable();
     if (lost && of != 0 && until > now) {
       // Users and workers are better served by the leader, which must not wait for us.
       until = Double.NEGATIVE_INFINITY;
       voidUpTo = asked;
       givingBack = true;
     }
-    if (givingBack && state.reached()) {
+    if (givingBack && state.health().isReachable()) {
       scaleIn(now);
     }
     timer = loop.after(DELEGATE_ASKS_S, this::tick);
