--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -193,8 +193,8 @@
 
   /** Hints in the form of before would be ever more out of date. */
   private void removePlainHints(Consumer<Boolean> done) {
-    List<String> plain = new ArrayList<>(cache.images().keySet());
-    if (cache.demand() != null) {
+    List<String> plain = new ArrayList<>(cache.hints().images().keySet());
+    if (cache.hints().demand() != null) {
       plain.add(StateCodec.DEMAND);
     }
     if (plain.isEmpty()) {
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -67,8 +67,9 @@
   /** The images on machines in all records, the newer form last. */
   List<Map<String, List<String>>> images() {
     List<Map<String, List<String>>> all = new ArrayList<>();
-    cache.images().values().forEach(n -> all.add(StateCodec.images(n)));
+    cache.hints().images().values().forEach(n -> all.add(StateCodec.images(n)));
     cache
+        .hints()
         .compactHints()
         .forEach(
             (key, n) -> {
@@ -82,9 +83,9 @@
 
   /** The recent demand, or null. */
   JsonNode demand() {
-    JsonNode compact = cache.compactHints().get(FeatureCodec.DEMAND_HINT);
+    JsonNode compact = cache.hints().compactHints().get(FeatureCodec.DEMAND_HINT);
     JsonNode plain = compact == null ? null : unpacked(FeatureCodec.DEMAND_HINT, compact);
-    return plain == null ? cache.demand() : plain;
+    return plain == null ? cache.hints().demand() : plain;
   }
 
   private static JsonNode unpacked(String key, JsonNode compact) {
--- a/src/main/java/graderelay/state/StoreResult.java
+++ b/src/main/java/graderelay/state/StoreResult.java
@@ -1,6 +1,8 @@
 package graderelay.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
 
 /**
  * The result of a call to the key-value store.
@@ -43,4 +45,18 @@
   JsonNode failedKeys() {
     return body.path("failed");
   }
+
+  /** The changes that a watch has shown, in the order of their revisions. */
+  List<RecordChange> changes() {
+    List<RecordChange> changes = new ArrayList<>();
+    for (JsonNode event : body.path("news")) {
+      long changedAt = event.path("mark").asLong();
+      if (event.has("put")) {
+        changes.add(new RecordChange(event.get("put").asText(), event.path("data"), changedAt));
+      } else if (event.has("drop")) {
+        changes.add(new RecordChange(event.get("drop").asText(), null, changedAt));
+      }
+    }
+    return changes;
+  }
 }
