--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -11,9 +11,12 @@
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
+import graderelay.state.JobEntry;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
+import graderelay.state.Transaction;
 import graderelay.wire.BadRequest;
+import graderelay.wire.FinalState;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
@@ -97,7 +100,7 @@
       UserApi.refuse(e, 400, b.getMessage());
       return;
     }
-    if (cache.end(spec.id()) != null) {
+    if (cache.finalState(spec.id()) != null) {
       answerFinalState(e, spec.id());
       return;
     }
@@ -106,7 +109,8 @@
       return;
     }
     double longest = e.relayed() ? HANDED_ON_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
-    boolean tooLate = state.changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
+    boolean tooLate =
+        state.budget().changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
     if (inFlight >= MOST_SUBMISSIONS || tooLate) {
       e.to().accept(Answer.later(429, Json.error("too many submissions at once")));
       return;
@@ -133,7 +137,7 @@
   }
 
   private void answerFinalState(Exchange e, String id) {
-    Cache.End end = cache.end(id);
+    FinalState end = cache.finalState(id);
     e.to().accept(Answer.json(200, Json.write(UserCodec.encodeStage(id, JobState.stageOf(end)))));
   }
 
@@ -160,8 +164,8 @@
       return;
     }
     String key = StateCodec.jobKey(spec.id());
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(key, 0)
             .when(StateCodec.finalStateKey(spec.id()), 0)
             .put(key, StateCodec.encodeJob(spec, false));
@@ -169,8 +173,8 @@
         txn,
         Use.SUBMISSION,
         r -> {
-          switch (r.how()) {
-            case DONE -> {
+          switch (r.outcome()) {
+            case SUCCEEDED -> {
               LOG.info(
                   "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
                   spec.id(),
@@ -183,7 +187,7 @@
                   spec.deadlineS());
               created(p, spec);
             }
-            case CONFLICT -> answerIfAccepted(p, spec);
+            case CONDITION_FAILED -> answerIfAccepted(p, spec);
             case NOT_EXECUTED -> lookup.retryOrGiveUp(p, () -> create(p, spec));
             default -> p.retry(() -> create(p, spec));
           }
@@ -198,7 +202,7 @@
   private void created(PendingAnswer p, JobSpec spec) {
     Set<String> unknown = new HashSet<>();
     boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
-    boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
+    boolean fresh = loop.now() - cache.completeAsOf() < FRESH_S;
     if (cancelled || (fresh && unknown.isEmpty())) {
       p.answer(201, UserCodec.encodeStage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
     } else {
@@ -252,7 +256,7 @@
   private List<String> unseen(JobSpec spec) {
     List<String> unseen = new ArrayList<>();
     for (String id : spec.needs()) {
-      if (cache.job(id) == null && cache.end(id) == null) {
+      if (cache.job(id) == null && cache.finalState(id) == null) {
         unseen.add(id);
       }
     }
@@ -266,8 +270,8 @@
     }
     List<String> open = new ArrayList<>();
     for (String id : spec.needs()) {
-      Cache.Entry live = cache.job(id);
-      Cache.End end = cache.end(id);
+      JobEntry live = cache.job(id);
+      FinalState end = cache.finalState(id);
       if (live == null && end == null) {
         refuseUnlessAccepted(
             p, spec, 422, UserCodec.DEPENDENCIES + " names " + id + ", which was never accepted");
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -81,7 +81,7 @@
 
   /** True while calls to the state service fail: then nothing can be decided here. */
   public boolean stateAway() {
-    return !cache.loaded() || state.failingFor() > StateClient.STATE_TIMEOUT_S;
+    return !cache.loaded() || state.health().failingForS() > StateClient.STATE_TIMEOUT_S;
   }
 
   /** Answers a job submission; see {@link JobSubmissions}. */
@@ -95,7 +95,7 @@
       refuse(e, 404, "no such job");
       return;
     }
-    if (cache.end(id) == null && stateAway()) {
+    if (cache.finalState(id) == null && stateAway()) {
       unavailable(e, "the state service can't be reached");
       return;
     }
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -1,6 +1,5 @@
 package graderelay.service;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.api.AdminApi;
 import graderelay.api.FeaturesApi;
 import graderelay.api.PeerApi;
@@ -21,9 +20,14 @@
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
+import graderelay.state.JobEntry;
 import graderelay.state.Leadership;
+import graderelay.state.RecordListener;
 import graderelay.state.StateClient;
+import graderelay.state.TaskBatchEntry;
 import graderelay.state.TeamLimits;
+import graderelay.wire.FinalState;
+import graderelay.wire.StateCodec;
 import graderelay.worker.LeaseDelegate;
 import graderelay.worker.WorkerApi;
 import graderelay.worker.WorkerClient;
@@ -170,7 +174,11 @@
             this::ready);
     this.requestHedger =
         new RequestHedger(
-            loop, peerClient, state::stuck, leadership::isStoreAwayForAll, this::mayAnswer);
+            loop,
+            peerClient,
+            state.health()::isStalled,
+            leadership::isStoreAwayForAll,
+            this::mayAnswer);
     String incarnation = leadership.process();
     this.features =
         new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
@@ -244,8 +252,8 @@
   /** Starts the duties: metrics, the records' watch, features, machine types, leases, ticks. */
   public void start() {
     LOG.info("{} starts in zone {}", settings.member(), settings.zone());
-    metrics.bucket("state requests", state.requestTokens());
-    metrics.bucket("state changes", state.changeTokens());
+    metrics.bucket("state requests", state.budget().requestTokens());
+    metrics.bucket("state changes", state.budget().changeTokens());
     metrics.bucket("cloud", cloud.tokens());
     metrics.readings(quotaMonitor::readings);
     metrics.start();
@@ -297,7 +305,9 @@
       return false;
     }
     boolean here =
-        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < READY_S;
+        cache.loaded()
+            && machineTypes() != null
+            && loop.now() - state.health().lastAnswerAt() < READY_S;
     // While the state service refuses us alone, a peer decides what we are asked; while it is away
     // for all, what can be answered is, and the rest is told at once when to come back.
     return here
@@ -338,8 +348,8 @@
    */
   private boolean submissionsWaitHere() {
     return leadership.isLeader()
-        ? state.changeTokens().waiting() > 0
-        : state.changeTokens().wouldWait(1);
+        ? state.budget().changeTokens().waiting() > 0
+        : state.budget().changeTokens().wouldWait(1);
   }
 
   private String metricsText() {
@@ -353,9 +363,9 @@
 
   // ---------------------------------------------------------------- records
 
-  private final class RecordChanges implements Cache.Listener {
+  private final class RecordChanges implements RecordListener {
     @Override
-    public void onJob(Cache.Entry e) {
+    public void onJob(JobEntry e) {
       office.ifLeading(t -> t.onJob(e));
     }
 
@@ -365,7 +375,7 @@
     }
 
     @Override
-    public void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
+    public void onTaskBatch(TaskBatchKey key, TaskBatchEntry s) {
       office.ifLeading(t -> t.onTaskBatch(key, s));
     }
 
@@ -375,7 +385,7 @@
     }
 
     @Override
-    public void onEnd(String id, Cache.End e) {
+    public void onFinalState(String id, FinalState e) {
       office.ifLeading(t -> t.onEnd(id, e));
     }
 
@@ -392,8 +402,8 @@
     }
 
     @Override
-    public void onDelegateReleased(String member, JsonNode record) {
-      office.ifLeading(t -> t.onLeaseDelegateFreed(member, record));
+    public void onDelegateReleased(String member, StateCodec.DelegateRelease release) {
+      office.ifLeading(t -> t.onLeaseDelegateFreed(member, release));
     }
 
     @Override
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/LeaderHints.java
@@ -9,6 +9,7 @@
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.CompactHints;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
@@ -66,8 +67,9 @@
   /** The images on machines in all records, the newer form last. */
   List<Map<String, List<String>>> images() {
     List<Map<String, List<String>>> all = new ArrayList<>();
-    cache.images().values().forEach(n -> all.add(StateCodec.decodeImages(n)));
+    cache.hints().images().values().forEach(n -> all.add(StateCodec.decodeImages(n)));
     cache
+        .hints()
         .compactHints()
         .forEach(
             (key, n) -> {
@@ -81,9 +83,9 @@
 
   /** The recent demand, or null. */
   JsonNode demand() {
-    JsonNode compact = cache.compactHints().get(FeatureCodec.DEMAND_HINT);
+    JsonNode compact = cache.hints().compactHints().get(FeatureCodec.DEMAND_HINT);
     JsonNode plain = compact == null ? null : unpacked(FeatureCodec.DEMAND_HINT, compact);
-    return plain == null ? cache.demand() : plain;
+    return plain == null ? cache.hints().demand() : plain;
   }
 
   private static JsonNode unpacked(String key, JsonNode compact) {
@@ -132,7 +134,7 @@
 
   private void put(String key, ObjectNode value) {
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .when(cache.election().leaderKey(), leadership.leaderRevision())
             .put(key, value),
         Use.SUBMISSION,
--- a/src/main/java/graderelay/state/ElectionAttempt.java
+++ b/src/main/java/graderelay/state/ElectionAttempt.java
@@ -52,11 +52,11 @@
 
   /** Starts the attempt; to be called once. */
   void start() {
-    state.createHold(
+    state.createSessionLease(
         (long) (leaseS * 1000),
         created -> {
-          if (created.done()) {
-            sessionLease = created.body().path("permit").asLong();
+          if (created.succeeded()) {
+            sessionLease = created.sessionLease();
             writeLeaderRecord();
           } else {
             done.accept(Optional.empty());
@@ -74,18 +74,18 @@
         leaderRecordTransaction(),
         Use.RENEWAL,
         result -> {
-          switch (result.how()) {
-            case DONE -> won(result.revision());
+          switch (result.outcome()) {
+            case SUCCEEDED -> won(result.revision());
             case UNKNOWN -> resolve();
             default -> abandon();
           }
         });
   }
 
-  private StateClient.Txn leaderRecordTransaction() {
+  private Transaction leaderRecordTransaction() {
     ElectionRecords election = cache.election();
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(election.leaderKey(), 0)
             .when(StateCodec.TERM, election.termRevision())
             .put(StateCodec.TERM, StateCodec.encodeTerm(term, self.member()))
@@ -107,9 +107,9 @@
         cache.election().leaderKey(),
         Use.RENEWAL,
         result -> {
-          if (result.done() && isOurRecord(result)) {
-            won(result.body().path("mark").asLong());
-          } else if (result.done() || result.how() == StateClient.How.ABSENT) {
+          if (result.succeeded() && isOurRecord(result)) {
+            won(result.valueRevision());
+          } else if (result.succeeded() || result.outcome() == StoreOutcome.NOT_FOUND) {
             abandon(); // A late copy of the transaction must fail.
           } else {
             loop.after(RESOLVE_RETRY_S, this::resolve);
@@ -117,11 +117,11 @@
         });
   }
 
-  private boolean isOurRecord(StateClient.Result result) {
-    StateCodec.LeaderRecord record = StateCodec.decodeLeader(result.body().path("data"));
+  private boolean isOurRecord(StoreResult result) {
+    StateCodec.LeaderRecord record = StateCodec.decodeLeader(result.value());
     return record.member().equals(self.member())
         && record.term() == term
-        && result.body().path("permit").asLong() == sessionLease;
+        && result.sessionLease() == sessionLease;
   }
 
   private void won(long recordRevision) {
@@ -130,7 +130,7 @@
 
   /** Revokes the session lease, so that no leader record can be attached to it any more. */
   private void abandon() {
-    state.endHold(sessionLease, ended -> {});
+    state.revokeSessionLease(sessionLease, ended -> {});
     done.accept(Optional.empty());
   }
 }
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -56,7 +56,7 @@
    * @return false if the pledge is refused: we lead, or could win an election ourselves
    */
   boolean pledgeLeaderless(double seconds) {
-    if (!status.isActiveFollower() || state.reached()) {
+    if (!status.isActiveFollower() || state.health().isReachable()) {
       return false;
     }
     leaderlessPledgeUntil =
--- a/src/main/java/graderelay/state/LeaderElection.java
+++ b/src/main/java/graderelay/state/LeaderElection.java
@@ -115,18 +115,18 @@
         Use.RENEWAL,
         result -> {
           busy = false;
-          long lease = result.done() ? result.body().path("permit").asLong() : 0;
+          long lease = result.succeeded() ? result.sessionLease() : 0;
           if (lease > 0 && isOurRecord(result) && !status.isLeader()) {
             LOG.info("revoking the session lease of this controller's earlier process");
-            state.endHold(lease, ended -> retryLater());
+            state.revokeSessionLease(lease, ended -> retryLater());
           } else {
             retryLater();
           }
         });
   }
 
-  private boolean isOurRecord(StateClient.Result result) {
-    return StateCodec.decodeLeader(result.body().path("data")).member().equals(self.member());
+  private boolean isOurRecord(StoreResult result) {
+    return StateCodec.decodeLeader(result.value()).member().equals(self.member());
   }
 
   private void stand() {
@@ -172,7 +172,7 @@
       retryLater();
     } else if (loop.now() < pledges.standsNotBefore(succeedsItself)) {
       // Pledged meanwhile: the peer may still act as the leader.
-      state.endHold(won.get().sessionLease(), ended -> {});
+      state.revokeSessionLease(won.get().sessionLease(), ended -> {});
       retryLater();
     } else {
       listener.onWon(won.get());
--- a/src/main/java/graderelay/state/LeaderHandover.java
+++ b/src/main/java/graderelay/state/LeaderHandover.java
@@ -66,6 +66,6 @@
     }
     LOG.info("leader {} of term {} hands the leadership over", peer, term);
     pledges.releaseFromLeader();
-    state.endHold(sessionLease, ended -> cache.catchUp(ok -> considerElection.run()));
+    state.revokeSessionLease(sessionLease, ended -> cache.catchUp(ok -> considerElection.run()));
   }
 }
--- a/src/main/java/graderelay/state/LeaderTenure.java
+++ b/src/main/java/graderelay/state/LeaderTenure.java
@@ -60,7 +60,7 @@
   /** This controller has won an election. */
   void begin(WonElection won) {
     status.begin(won);
-    state.owns(true);
+    state.budget().setLeader(true);
     LOG.info("{} is the leader with term {}", self.member(), won.term());
     renewal.begin(won.leaseSentAt());
     supervisor.begin();
@@ -90,13 +90,13 @@
       return;
     }
     lose(why);
-    state.endHold(status.sessionLease(), ended -> {});
+    state.revokeSessionLease(status.sessionLease(), ended -> {});
   }
 
   /** Stops leading; the session lease is left to expire, or to others. */
   void lose(String why) {
     status.end();
-    state.owns(false);
+    state.budget().setLeader(false);
     renewal.end();
     pledges.clear();
     LOG.info("{} is no longer the leader of term {}: {}", self.member(), status.term(), why);
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -176,7 +176,7 @@
 
   /** The records of the election have changed or were read for the first time. */
   public void consider() {
-    if (status.isClosed() || !cache.headKnown()) {
+    if (status.isClosed() || !cache.electionLoaded()) {
       return;
     }
     if (!cache.features().gate().isOpen()) {
@@ -226,7 +226,7 @@
   /** The leader of a term lends us changes a second. */
   public void takeShare(long term, double changesPerS) {
     if (status.isActiveFollower() && term >= cache.term()) {
-      state.borrow(changesPerS);
+      state.budget().borrow(changesPerS);
     }
   }
 
@@ -243,7 +243,7 @@
   }
 
   /** Changes the cluster's feature level, and raises our term with it. */
-  public void changeLevel(LevelChange change, Consumer<StateClient.How> done) {
+  public void changeLevel(LevelChange change, Consumer<StoreOutcome> done) {
     boolean otherChange = supervisor.changing() || election.isBusy();
     termRaise.changeLevel(change, otherChange, listener::onTermRaised, done);
   }
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -29,7 +29,7 @@
 
   /** True if there is a suspension that this process has not begun to leave. */
   boolean mustBeLeft() {
-    StateCodec.Suspension suspension = cache.bar(self.member());
+    StateCodec.Suspension suspension = cache.suspension(self.member());
     return suspension != null && !suspension.leaving().equals(self.process());
   }
 
@@ -38,9 +38,9 @@
     leavingSince = Double.NaN;
     String key = cache.election().suspensionKey(self.member());
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .when(cache.election().leaderKey(), 0)
-            .when(key, cache.bar(self.member()).revision())
+            .when(key, cache.suspension(self.member()).revision())
             .put(key, StateCodec.encodeSuspension(self.process())),
         Use.RENEWAL,
         result -> done.run());
@@ -51,7 +51,7 @@
    * or if there is none.
    */
   double remainingS() {
-    if (cache.bar(self.member()) == null) {
+    if (cache.suspension(self.member()) == null) {
       return 0;
     }
     leavingSince = Double.isNaN(leavingSince) ? loop.now() : leavingSince;
@@ -59,12 +59,12 @@
   }
 
   /** Makes a transaction depend on the suspension as it is known, and remove it. */
-  void removeIn(StateClient.Txn txn) {
-    StateCodec.Suspension suspension = cache.bar(self.member());
+  void removeIn(Transaction txn) {
+    StateCodec.Suspension suspension = cache.suspension(self.member());
     String key = cache.election().suspensionKey(self.member());
     txn.when(key, suspension == null ? 0 : suspension.revision());
     if (suspension != null) {
-      txn.drop(key);
+      txn.delete(key);
     }
   }
 }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -105,8 +105,8 @@
    * to leave it.
    */
   double suspendedUntil(String peer) {
-    return leader.leads() && stands(cache.bar(peer), peer) && cache.sureAt() >= wonAt
-        ? cache.sureAt()
+    return leader.leads() && stands(cache.suspension(peer), peer) && cache.linearizableAt() >= wonAt
+        ? cache.linearizableAt()
             + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
             - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
@@ -146,17 +146,17 @@
     if (changing || !cache.loaded() || !leader.holdsLease() || early) {
       return;
     }
-    StateCodec.Suspension present = cache.bar(peer);
+    StateCodec.Suspension present = cache.suspension(peer);
     double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
     boolean suspends = !stands(present, peer) && silent > ElectionTiming.SUSPEND_AFTER_S;
     String key = cache.election().suspensionKey(peer);
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(cache.election().leaderKey(), leader.revision())
             .when(key, present == null ? 0 : present.revision());
     if (present != null && hears(peer)) {
       lifting.add(peer); // Not counted on from now, whenever the record goes.
-      txn.drop(key);
+      txn.delete(key);
     } else if (suspends && suspendedBut(peer) < peerClient.peers().size() / 2) {
       LOG.info("{} is silent: barred from taking over", peer);
       txn.put(key, StateCodec.encodeSuspension(""));
@@ -164,13 +164,14 @@
       return;
     }
     changing = true;
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> changed(peer, suspends && r.done())));
+    state.commit(
+        txn, Use.CLAIM, r -> cache.catchUp(ok -> changed(peer, suspends && r.succeeded())));
   }
 
   private void changed(String peer, boolean suspendedAnew) {
     changing = false;
     // A new record's revision also keeps out what was to lift the old one and comes late.
-    if (cache.bar(peer) == null || suspendedAnew) {
+    if (cache.suspension(peer) == null || suspendedAnew) {
       lifting.remove(peer);
     }
   }
@@ -179,7 +180,7 @@
   private int suspendedBut(String peer) {
     int n = 0;
     for (Settings.Peer p : peerClient.peers()) {
-      n += !p.member().equals(peer) && cache.bar(p.member()) != null ? 1 : 0;
+      n += !p.member().equals(peer) && cache.suspension(p.member()) != null ? 1 : 0;
     }
     return n;
   }
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -98,7 +98,7 @@
     }
     double sentAt = loop.now();
     long sessionLease = status.sessionLease();
-    state.extendHold(
+    state.renewSessionLease(
         sessionLease,
         leaseS * RENEW_AFTER_SHARE * 2,
         result -> {
@@ -108,11 +108,11 @@
         });
   }
 
-  private void onRenewalResult(StateClient.Result result, double sentAt) {
-    if (result.done()) {
+  private void onRenewalResult(StoreResult result, double sentAt) {
+    if (result.succeeded()) {
       extendTo(sentAt);
       failingSince = Double.NaN;
-    } else if (result.how() == StateClient.How.ABSENT) {
+    } else if (result.outcome() == StoreOutcome.NOT_FOUND) {
       listener.onLeaseExpired();
       return;
     } else if (!isFailing()) {
--- a/src/main/java/graderelay/state/StoreAvailability.java
+++ b/src/main/java/graderelay/state/StoreAvailability.java
@@ -32,7 +32,7 @@
 
   /** True if this controller's calls to the store have failed for a while. */
   boolean isAway() {
-    return state.failingFor() > ElectionTiming.STORE_AWAY_AFTER_S;
+    return state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S;
   }
 
   /**
@@ -43,7 +43,7 @@
   boolean isAwayForAll() {
     double now = loop.now();
     return isAway()
-        && now - peerFailedAt < StateClient.REACHES_S
-        && now - peerReachedAt > StateClient.REACHES_S;
+        && now - peerFailedAt < StoreHealth.REACHABLE_S
+        && now - peerReachedAt > StoreHealth.REACHABLE_S;
   }
 }
--- a/src/main/java/graderelay/state/TermRaise.java
+++ b/src/main/java/graderelay/state/TermRaise.java
@@ -51,8 +51,8 @@
     busy = true;
     long newTerm = status.term() + 1;
     ElectionRecords election = cache.election();
-    StateClient.Txn txn =
-        new StateClient.Txn()
+    Transaction txn =
+        new Transaction()
             .when(election.leaderKey(), status.recordRevision())
             .when(StateCodec.TERM, election.termRevision())
             .put(StateCodec.TERM, StateCodec.encodeTerm(newTerm, self.member()))
@@ -65,7 +65,7 @@
         Use.RENEWAL,
         result -> {
           onResult(newTerm, result);
-          done.accept(result.done() ? newTerm : 0L);
+          done.accept(result.succeeded() ? newTerm : 0L);
         });
   }
 
@@ -76,18 +76,15 @@
    * @param onRaised takes the new term, once the records show the new level
    */
   void changeLevel(
-      LevelChange change,
-      boolean otherChange,
-      LongConsumer onRaised,
-      Consumer<StateClient.How> done) {
+      LevelChange change, boolean otherChange, LongConsumer onRaised, Consumer<StoreOutcome> done) {
     boolean mustWait = busy || otherChange || change.mustWait(cache.features(), cache.election());
     if (!tenure.mayAct() || mustWait) {
-      done.accept(StateClient.How.NOT_EXECUTED);
+      done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
     if (!change.fits()) {
       LOG.error("the state service's transactions are too small to change the feature level");
-      done.accept(StateClient.How.NOT_EXECUTED);
+      done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
     busy = true;
@@ -102,20 +99,20 @@
         Use.RENEWAL,
         result -> {
           onResult(newTerm, result);
-          if (result.done()) {
+          if (result.succeeded()) {
             // Before that our own transactions would be conditioned on the level of before.
             cache.catchUp(ok -> onRaised.accept(newTerm));
           }
-          done.accept(result.how());
+          done.accept(result.outcome());
         });
   }
 
-  private void onResult(long newTerm, StateClient.Result result) {
+  private void onResult(long newTerm, StoreResult result) {
     busy = false;
-    if (result.done()) {
+    if (result.succeeded()) {
       status.raiseTerm(newTerm, result.revision());
       LOG.info("raised the term to {}", newTerm);
-    } else if (result.how() == StateClient.How.UNKNOWN) {
+    } else if (result.outcome() == StoreOutcome.UNKNOWN) {
       // Whether it committed decides under which revision we may write: rather start over.
       tenure.resign("a raise of the term had no answer");
     } else {
--- a/src/main/java/graderelay/wire/FinalStateCodec.java
+++ b/src/main/java/graderelay/wire/FinalStateCodec.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.wire.StateCodec.FinalState;
 
 /** The stored final state of a job ("end", {@code g/end/JOB}). */
 final class FinalStateCodec {
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -163,15 +163,6 @@
 
   // ---------------------------------------------------------------- final states
 
-  /**
-   * How a job ended.
-   *
-   * @param cancelled true if it was cancelled, false if all its tasks were done
-   * @param tasks how many tasks it had
-   * @param writtenAtMs the time of day of the record in milliseconds, 0 if an old version wrote it
-   */
-  public record FinalState(boolean cancelled, int tasks, long writtenAtMs) {}
-
   /** The final state of a job, and the time of day at which it was written. */
   public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long nowMs) {
     return FinalStateCodec.encode(cancelled, tasks, nowMs);
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -11,6 +11,7 @@
 import graderelay.state.ElectionTiming;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
+import graderelay.state.Transaction;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -117,7 +118,7 @@
             && !stoodStill
             && !cache.features().gate().isShut()
             && now > lastContact + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT)
-            && state.failingFor() > ElectionTiming.STORE_AWAY_AFTER_S
+            && state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S
             && zone.equals(r.zone())
             && r.term() <= term
             && cancellations.mayRenew();
@@ -151,14 +152,14 @@
     } else if (address != null) {
       ask(address, now);
     }
-    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.reached();
+    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.health().isReachable();
     if (lost && of != 0 && until > now) {
       // Users and workers are better served by the leader, which must not wait for us.
       until = Double.NEGATIVE_INFINITY;
       voidUpTo = asked;
       givingBack = true;
     }
-    if (givingBack && state.reached()) {
+    if (givingBack && state.health().isReachable()) {
       scaleIn(now);
     }
     timer = loop.after(DELEGATE_ASKS_S, this::tick);
@@ -198,13 +199,13 @@
   private void scaleIn(double now) {
     long upTo = voidUpTo;
     state.commit(
-        new StateClient.Txn()
+        new Transaction()
             .put(
                 StateCodec.LEASE_DELEGATES + member,
                 StateCodec.encodeDelegateRelease(self, upTo, of, now - lastAlone)),
         Use.CLAIM,
         r -> {
-          if (r.done() && voidUpTo == upTo) {
+          if (r.succeeded() && voidUpTo == upTo) {
             givingBack = false;
           }
         });
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -12,7 +12,6 @@
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange.Answer;
-import graderelay.state.Cache;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -152,11 +151,11 @@
   }
 
   @Test
-  void storedEndsLeadersSuspensionsAndHintsAreRead() {
-    assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000004")))
-        .isEqualTo(new Cache.End(false, 60, 0));
-    assertThat(Cache.endOf(ProductionFormats.record("g/end/j-000005")))
-        .isEqualTo(new Cache.End(true, 6, 0));
+  void storedEndsOwnersBarsAndHintsAreRead() {
+    assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000004")))
+        .isEqualTo(new FinalState(false, 60, 0));
+    assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000005")))
+        .isEqualTo(new FinalState(true, 6, 0));
     assertThat(StateCodec.decodeLeader(ProductionFormats.record(StateCodec.LEADER)))
         .isEqualTo(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081"));
     assertThat(StateCodec.decodeImages(ProductionFormats.record("g/images/0")))
--- a/src/test/java/graderelay/wire/StateCodecTest.java
+++ b/src/test/java/graderelay/wire/StateCodecTest.java
@@ -4,7 +4,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.wire.StateCodec.DelegateRelease;
-import graderelay.wire.StateCodec.FinalState;
 import graderelay.wire.StateCodec.Suspension;
 import graderelay.wire.StateCodec.TermRecord;
 import java.nio.charset.StandardCharsets;
