--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -1,8 +1,8 @@
 package graderelay.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import graderelay.core.ListedMachine;
 import graderelay.core.MachineType;
-import graderelay.core.Scheduler.Listed;
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.TokenBucket;
@@ -77,11 +77,11 @@
   }
 
   /** The whole list of machines, or null. */
-  public void list(Consumer<List<Listed>> done) {
+  public void list(Consumer<List<ListedMachine>> done) {
     page("", new ArrayList<>(), done);
   }
 
-  private void page(String after, List<Listed> got, Consumer<List<Listed>> done) {
+  private void page(String after, List<ListedMachine> got, Consumer<List<ListedMachine>> done) {
     call(
         Use.READ,
         "GET",
@@ -92,7 +92,7 @@
             done.accept(null);
             return;
           }
-          List<Listed> page = CloudCodec.machines(r.body());
+          List<ListedMachine> page = CloudCodec.machines(r.body());
           got.addAll(page);
           if (CloudCodec.more(r.body()) && !page.isEmpty()) {
             page(page.get(page.size() - 1).name(), got, done);
--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -39,8 +39,8 @@
   record TaskBatchDrop(TaskBatchKey key, long revision) {}
 
   /** Sends orders straight to a worker. */
-  record Command(
-      String machine, String address, long session, long term, List<WorkerCommand> orders)
+  record SendCommands(
+      String machine, String address, long session, long term, List<WorkerCommand> commands)
       implements Action {}
 
   /** Rents machines. */
@@ -71,11 +71,11 @@
   record FindEnds(List<String> jobs) implements Action {}
 
   /** Something to be counted: a start with the time that its job waited, or how a task ended. */
-  record Seen(String what, double waitedS) implements Action {}
+  record MetricEvent(String what, double waitedS) implements Action {}
 
   /** An account is not what it should be. */
   record DifferenceFound(Difference difference) implements Action {}
 
   /** One line of the story, for the log. */
-  record Note(String text) implements Action {}
+  record LogLine(String text) implements Action {}
 }
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -27,24 +27,24 @@
               state,
               m.claims.size(),
               m.used.cpus(),
-              m.room.cpus(),
-              now - m.lastReport));
+              m.capacity.cpus(),
+              now - m.lastHeartbeatAt));
     }
     return views;
   }
 
   /** The machine's state as the administration API shows it; the first that holds counts. */
   private static String stateOf(Machine m, double now) {
-    if (m.returning) {
+    if (m.scalingIn) {
       return "returning";
     }
-    if (!m.reported) {
+    if (!m.heartbeatReceived) {
       return "booting";
     }
-    if (m.leaseOver) {
+    if (m.leaseExpired) {
       return "silent";
     }
-    if (m.noticeAt != null) {
+    if (m.interruptionAt != null) {
       return "noticed";
     }
     if (m.drain || m.operatorDrain) {
@@ -62,8 +62,8 @@
     Amount waiting = Amount.NONE;
     for (Job j : cluster.jobs.values()) {
       if (j.waiting() && j.spec.team().equals(team)) {
-        tasks += j.open.cardinality();
-        waiting = waiting.plus(j.amount.times(j.open.cardinality()));
+        tasks += j.openTasks.cardinality();
+        waiting = waiting.plus(j.taskAmount.times(j.openTasks.cardinality()));
       }
     }
     return new Scheduler.TeamUsage(cluster.admission.standing(team), tasks, waiting);
@@ -72,8 +72,8 @@
   /** Why a job has tasks that wait, or null if it is not known or has none. */
   String whyWaiting(String job) {
     Job j = cluster.jobs.get(job);
-    if (j != null && j.blocked() && !j.stop) {
-      return "it needs " + String.join(", ", new TreeSet<>(j.needed));
+    if (j != null && j.awaitsDependencies() && !j.cancelRequested) {
+      return "it needs " + String.join(", ", new TreeSet<>(j.pendingDependencies));
     }
     return j == null || !j.waiting() ? null : j.waitReason;
   }
--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -59,7 +59,10 @@
     recent.removeIf(b -> b.at() < now - BOOT_MEMORY_S);
     Map<String, Integer> overdue = new HashMap<>();
     for (Machine m : cluster.machines.values()) {
-      if (!m.reported && m.booting && !m.returning && now - m.requestedAt > usual(m.type)) {
+      if (!m.heartbeatReceived
+          && m.booting
+          && !m.scalingIn
+          && now - m.requestedAt > usual(m.type)) {
         overdue.merge(m.type, 1, Integer::sum);
       }
     }
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -44,18 +44,18 @@
       strata.add(new ArrayList<>());
     }
     for (Machine m : roomy) {
-      if (m.holds(j.need) && rules.allowed(j, m)) {
+      if (m.holds(j.taskResources) && rules.allowed(j, m)) {
         int stratum = stratum(j, m);
         if (!warmOnly || stratum < COLD) {
           strata.get(stratum).add(m);
         }
       }
     }
-    cluster.looked += roomy.size();
+    cluster.examinedCount += roomy.size();
   }
 
   private static int stratum(Job j, Machine m) {
-    int cold = m.warm(j.spec.image()) ? 0 : m.fetches(j.spec.image()) ? 2 : 4;
+    int cold = m.hasImage(j.spec.image()) ? 0 : m.isFetching(j.spec.image()) ? 2 : 4;
     int dear = j.spec.spot() && !m.spot ? 1 : 0;
     return cold + dear;
   }
@@ -66,7 +66,7 @@
       if (zoned && !pool.isEmpty()) {
         List<Machine> here = new ArrayList<>(pool);
         here.removeIf(m -> !PlacementRules.zoneAllowed(job, m.zone));
-        cluster.looked += pool.size();
+        cluster.examinedCount += pool.size();
         Machine m = sample(here);
         if (m != null) {
           return m;
@@ -92,15 +92,15 @@
       Machine m = pool.get(i);
       active--;
       pool.set(i, pool.get(active));
-      cluster.looked++;
-      if (!m.holds(job.need)) {
+      cluster.examinedCount++;
+      if (!m.holds(job.taskResources)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
         continue;
       }
       pool.set(active, m);
       n--;
-      double left = m.room.cpus() - m.used.cpus() - job.spec.cpus();
+      double left = m.capacity.cpus() - m.used.cpus() - job.spec.cpus();
       if (chosen == null || left < chosenLeft) {
         chosen = m;
         chosenLeft = left;
--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -10,9 +10,9 @@
     /** The transaction that claims it is under way; nothing may start. */
     CLAIMING,
     /** The claim is committed. */
-    HELD,
+    COMMITTED,
     /** It is proven gone; the transaction that says so has yet to commit. */
-    SETTLING
+    ENDING
   }
 
   /** What is known of the launch order of this attempt under the present leader. */
@@ -24,9 +24,9 @@
     /** Sent straight to the worker and not answered yet. */
     DIRECT,
     /** Sent straight, and no answer came: it may be carried out minutes later. */
-    DOUBTFUL,
+    UNACKNOWLEDGED,
     /** A report has shown the attempt. */
-    SEEN
+    CONFIRMED
   }
 
   final Job job;
@@ -34,7 +34,7 @@
   final int attempt;
   final String machine;
   final long session;
-  final double since;
+  final double claimedAt;
 
   /** Its job's when it was claimed; sums count it under this. */
   final Priority priority;
@@ -49,12 +49,12 @@
   long launchTerm;
 
   /** Sequence of the report whose response carried the launch. */
-  long launchSeq;
+  long launchHeartbeatSeq;
 
-  double launchAt;
+  double launchedAt;
 
   /** Taken over from an earlier leader, who may have launched it. */
-  boolean fromPast;
+  boolean fromEarlierLeader;
 
   Heartbeat.Stage stage;
   double stageSince;
@@ -63,48 +63,50 @@
   double runningSince;
 
   /** It has run for a while, which speaks for its job and its machine. */
-  boolean wellSaid;
+  boolean ranLongEnough;
 
   /** Told to stop, by us, for a reason other than its user's cancellation. */
-  boolean stopAsked;
+  boolean stopRequested;
 
-  double stopAskedAt;
-  boolean hardStop;
+  double stopRequestedAt;
+  boolean stopWithoutGrace;
 
   /** The job that this claim makes room for, or null. */
-  Job madeFor;
+  Job preemptedFor;
 
-  double killAt = Double.NEGATIVE_INFINITY;
+  double lastKillAt = Double.NEGATIVE_INFINITY;
 
   /** When settling: true if the task is done. */
-  boolean done;
+  boolean taskDone;
 
-  Claim(Job job, int task, int attempt, String machine, long session, double since) {
+  Claim(Job job, int task, int attempt, String machine, long session, double claimedAt) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
     this.session = session;
-    this.since = since;
+    this.claimedAt = claimedAt;
     this.priority = job.priority();
-    this.stageSince = since;
+    this.stageSince = claimedAt;
   }
 
   String taskId() {
     return job.spec.taskId(task);
   }
 
-  Resources room() {
-    return job.need;
+  Resources resources() {
+    return job.taskResources;
   }
 
   /** True if the claim stands and nothing that could still start it is under way. */
   boolean neverLaunched() {
-    return phase == Phase.HELD && launch == Launch.NONE && !fromPast;
+    return phase == Phase.COMMITTED && launch == Launch.NONE && !fromEarlierLeader;
   }
 
   /** True while an order to launch it may still start it although no report shows it. */
-  boolean launchOpen() {
-    return launch == Launch.DIRECT || launch == Launch.DOUBTFUL || launch == Launch.IN_RESPONSE;
+  boolean launchUnresolved() {
+    return launch == Launch.DIRECT
+        || launch == Launch.UNACKNOWLEDGED
+        || launch == Launch.IN_RESPONSE;
   }
 }
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -25,10 +25,10 @@
   final Map<String, Resources> teamUse = new HashMap<>();
 
   /** Claims that were asked to stop, other than by their user. */
-  final Set<Claim> stopping = new LinkedHashSet<>();
+  final Set<Claim> stoppingClaims = new LinkedHashSet<>();
 
   /** Jobs that may have come to their end since the last look. */
-  final Set<Job> maybeOver = new LinkedHashSet<>();
+  final Set<Job> maybeEndedJobs = new LinkedHashSet<>();
 
   /** All live claims, by priority. */
   final PriorityCounts byPriority = new PriorityCounts();
@@ -43,10 +43,10 @@
   long roomVersion;
 
   /** Machines and claims looked at by rounds so far; tests bound it. */
-  long looked;
+  long examinedCount;
 
   /** Jobs whose users have asked to stop them. */
-  final Set<Job> stopped = new LinkedHashSet<>();
+  final Set<Job> cancelledJobs = new LinkedHashSet<>();
 
   /** Records that share the images of each thousand machines. */
   int imagePartsPerThousand = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
@@ -55,7 +55,7 @@
   int imageParts;
 
   /** Something has changed that a round should look at. */
-  boolean dirty = true;
+  boolean roundNeeded = true;
 
   /** The records are still being read: nothing is new yet. */
   boolean loading = true;
@@ -63,7 +63,7 @@
   /** The term under which orders go out, and when this leader began. */
   long term;
 
-  double tookOver;
+  double leaderSince;
 
   /** Which jobs wait for which. */
   Dependencies dependencies;
@@ -74,7 +74,7 @@
   /** Admission by the stored limits, once they are switched on. */
   final AdmissionControl admission;
 
-  final List<Action> out = new ArrayList<>();
+  final List<Action> actions = new ArrayList<>();
   Policy policy;
 
   /**
@@ -93,11 +93,11 @@
     machines.values().forEach(m -> m.imagesChanged = !m.images.isEmpty());
   }
 
-  void note(String text) {
-    out.add(new Action.Note(text));
+  void log(String text) {
+    actions.add(new Action.LogLine(text));
   }
 
-  Resources use(String team) {
+  Resources teamUsage(String team) {
     return teamUse.getOrDefault(team, Resources.NONE);
   }
 
@@ -111,7 +111,7 @@
     if (t == null) {
       return true;
     }
-    Resources u = use(team).plus(extra);
+    Resources u = teamUsage(team).plus(extra);
     return (t.cpusMax() <= 0 || u.cpus() <= t.cpusMax() + Resources.SLACK)
         && (t.gpusMax() <= 0 || u.gpus() <= t.gpusMax() + Resources.SLACK);
   }
@@ -122,7 +122,7 @@
       return 0;
     }
     Team t = policy.team(team);
-    return t == null || t.cpusMax() <= 0 ? Double.MAX_VALUE : t.cpusMax() - use(team).cpus();
+    return t == null || t.cpusMax() <= 0 ? Double.MAX_VALUE : t.cpusMax() - teamUsage(team).cpus();
   }
 
   /** True if this much more work of the team stays within what it is guaranteed. */
@@ -131,7 +131,7 @@
     if (t == null || (t.cpus() <= 0 && t.gpus() <= 0)) {
       return false;
     }
-    Resources u = use(team).plus(extra);
+    Resources u = teamUsage(team).plus(extra);
     return u.cpus() <= t.cpus() + Resources.SLACK && u.gpus() <= t.gpus() + Resources.SLACK;
   }
 
@@ -141,11 +141,11 @@
     if (t == null) {
       return true;
     }
-    Resources u = use(team).minus(part);
+    Resources u = teamUsage(team).minus(part);
     return u.cpus() + Resources.SLACK >= t.cpus() && u.gpus() + Resources.SLACK >= t.gpus();
   }
 
-  Machine machine(String name, double now) {
+  Machine getOrAddMachine(String name, double now) {
     Machine m = machines.get(name);
     if (m == null) {
       m = new Machine(name, now);
@@ -159,17 +159,17 @@
   }
 
   /** Counts a claim in every sum. */
-  void add(Claim c, double now) {
-    Machine m = machine(c.machine, now);
+  void addClaim(Claim c, double now) {
+    Machine m = getOrAddMachine(c.machine, now);
     m.claims.put(c.taskId(), c);
-    m.take(c);
+    m.allocate(c);
     byPriority.add(c.priority);
-    teamUse.merge(c.job.spec.team(), c.room(), Resources::plus);
+    teamUse.merge(c.job.spec.team(), c.resources(), Resources::plus);
     if (c.phase == Claim.Phase.CLAIMING) {
-      admission.placed(c.job.spec.team(), c.job.amount);
+      admission.placed(c.job.spec.team(), c.job.taskAmount);
     }
     c.job.claims.put(c.task, c);
-    c.job.open.clear(c.task);
+    c.job.openTasks.clear(c.task);
     if (m.zone != null) {
       c.job.zoneClaims.merge(m.zone, 1, Integer::sum);
       c.zone = m.zone;
@@ -177,52 +177,52 @@
   }
 
   /** The transaction of a claim has committed. */
-  void held(Claim c) {
-    c.phase = Claim.Phase.HELD;
-    admission.noLongerPlaced(c.job.spec.team(), c.job.amount);
+  void markCommitted(Claim c) {
+    c.phase = Claim.Phase.COMMITTED;
+    admission.noLongerPlaced(c.job.spec.team(), c.job.taskAmount);
   }
 
   /** Takes a claim out of every sum. */
-  void remove(Claim c, double now) {
-    Machine m = machine(c.machine, now);
+  void removeClaim(Claim c, double now) {
+    Machine m = getOrAddMachine(c.machine, now);
     if (!m.claims.remove(c.taskId(), c)) {
       return; // Taken out before.
     }
-    m.give(c);
+    m.release(c);
     byPriority.remove(c.priority);
-    stopping.remove(c);
-    maybeOver.add(c.job);
+    stoppingClaims.remove(c);
+    maybeEndedJobs.add(c.job);
     roomVersion++;
     if (m.claims.isEmpty()) {
       m.idleSince = now;
     }
-    teamUse.merge(c.job.spec.team(), Resources.NONE.minus(c.room()), Resources::plus);
+    teamUse.merge(c.job.spec.team(), Resources.NONE.minus(c.resources()), Resources::plus);
     if (c.phase == Claim.Phase.CLAIMING) {
-      admission.noLongerPlaced(c.job.spec.team(), c.job.amount);
+      admission.noLongerPlaced(c.job.spec.team(), c.job.taskAmount);
     }
     c.job.claims.remove(c.task, c);
     if (c.zone != null) {
       c.job.zoneClaims.merge(c.zone, -1, Integer::sum);
     }
-    if (c.madeFor != null) {
-      c.madeFor.preempting--;
-      c.madeFor = null;
+    if (c.preemptedFor != null) {
+      c.preemptedFor.pendingPreemptions--;
+      c.preemptedFor = null;
     }
   }
 
   /** Asks a claim to give its place up; what keeps it from ending is looked at each round. */
-  void askStop(Claim c, double now) {
-    c.stopAsked = true;
-    c.stopAskedAt = now;
-    stopping.add(c);
+  void requestStop(Claim c, double now) {
+    c.stopRequested = true;
+    c.stopRequestedAt = now;
+    stoppingClaims.add(c);
   }
 
   /** Learns where a machine stands; claims taken over before that are counted in its zone now. */
-  void locate(Machine m, String type, String zone, boolean spot) {
+  void setTypeAndZone(Machine m, String type, String zone, boolean spot) {
     m.type = type;
     m.spot = spot;
     MachineType t = types.get(type);
-    m.room = t == null ? Resources.NONE : Resources.of(t);
+    m.capacity = t == null ? Resources.NONE : Resources.of(t);
     if (m.zone == null && zone != null) {
       m.zone = zone;
       for (Claim c : m.claims.values()) {
@@ -240,16 +240,16 @@
    * that missed two reports is no target, since a launch to it would be of unknown fate.
    */
   boolean usable(Machine m, double now) {
-    return m.reported
-        && !m.leaseOver
-        && m.deafSince == null
-        && m.seenTerm >= firstTerm
+    return m.heartbeatReceived
+        && !m.leaseExpired
+        && m.answersLostSince == null
+        && m.lastSeenTerm >= firstTerm
         && !m.drain
         && !m.cordoned
-        && !m.returning
-        && m.noticeAt == null
+        && !m.scalingIn
+        && m.interruptionAt == null
         && now >= m.quarantineUntil
-        && m.room.cpus() > 0
-        && now - m.lastReport < policy.reportS() * WorkerCommands.SILENT_REPORTS;
+        && m.capacity.cpus() > 0
+        && now - m.lastHeartbeatAt < policy.reportS() * WorkerCommands.SILENT_REPORTS;
   }
 }
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -46,11 +46,14 @@
   /** Open tasks of the job whose record, or team's account, is being changed. */
   static int blocked(ClusterState cluster, Job j) {
     if (cluster.admission.isPassing(j.spec.team())) {
-      return j.open.cardinality();
+      return j.openTasks.cardinality();
     }
     int n = 0;
     for (Job.TaskBatch s : j.taskBatches.values()) {
-      n += s.inFlight ? j.open.get(s.base, s.base + s.record.size()).cardinality() : 0;
+      n +=
+          s.inFlight
+              ? j.openTasks.get(s.firstTask, s.firstTask + s.record.size()).cardinality()
+              : 0;
     }
     return n;
   }
@@ -70,14 +73,14 @@
     }
     if (Double.isNaN(freeCpus)) {
       freeCpus = 0;
-      cluster.looked += usable.size();
+      cluster.examinedCount += usable.size();
       for (Machine m : usable) {
-        freeCpus += m.room.cpus() - m.used.cpus();
+        freeCpus += m.capacity.cpus() - m.used.cpus();
       }
       countedClaims = claims.size();
     }
     for (; countedClaims < claims.size(); countedClaims++) {
-      freeCpus -= claims.get(countedClaims).room().cpus();
+      freeCpus -= claims.get(countedClaims).resources().cpus();
     }
     return (int) Math.max(0, Math.min(Integer.MAX_VALUE, (freeCpus - kept) / j.spec.cpus()));
   }
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -27,7 +27,7 @@
   }
 
   /** The answer to transaction {@code id}; {@code revision} is the store's revision after it. */
-  void onWrite(long id, Scheduler.Outcome outcome, long revision, double now) {
+  void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
     TransactionsInFlight.Sending s = inFlight.answered(id);
     if (s == null) {
       return;
@@ -43,8 +43,8 @@
       if (j == null) {
         continue;
       }
-      if (outcome == Scheduler.Outcome.COMMITTED) {
-        cluster.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
+      if (outcome == TransactionOutcome.COMMITTED) {
+        cluster.log(e.job() + (e.cancelled() ? " is stopped" : " is done"));
         Set<TaskBatchKey> droppedBatches = new HashSet<>();
         e.taskBatches().forEach(d -> droppedBatches.add(d.key()));
         for (Job.TaskBatch left : j.taskBatches.values()) {
@@ -56,21 +56,21 @@
         ended.accept(e, now);
       } else {
         j.ending = false;
-        cluster.maybeOver.add(j);
+        cluster.maybeEndedJobs.add(j);
       }
     }
     for (Action.TaskBatchDrop d : s.write().drops()) {
-      if (outcome != Scheduler.Outcome.COMMITTED) {
+      if (outcome != TransactionOutcome.COMMITTED) {
         records.orphans.putIfAbsent(d.key(), d.revision());
       }
     }
     accountsAnswered(s.write().accounts(), outcome, revision);
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** What the transaction's task batches say has been taken before. */
   private void accountsAnswered(
-      List<AccountChange> accounts, Scheduler.Outcome outcome, long revision) {
+      List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     switch (outcome) {
       case COMMITTED -> cluster.admission.committed(accounts, revision);
       case REFUSED -> cluster.admission.refused(accounts);
@@ -82,17 +82,17 @@
       Job j,
       Action.TaskBatchPut p,
       TransactionsInFlight.Sending sent,
-      Scheduler.Outcome outcome,
+      TransactionOutcome outcome,
       long revision,
       double now) {
     Job.TaskBatch s = j.taskBatches.get(p.key().index());
     s.inFlight = false;
-    TaskBatchRecord stash = s.stash;
-    long stashRevision = s.stashRevision;
-    s.stash = null;
-    boolean landed = outcome == Scheduler.Outcome.COMMITTED;
+    TaskBatchRecord stash = s.newerRecord;
+    long stashRevision = s.newerRevision;
+    s.newerRecord = null;
+    boolean landed = outcome == TransactionOutcome.COMMITTED;
     if (!landed
-        && outcome == Scheduler.Outcome.UNKNOWN
+        && outcome == TransactionOutcome.UNKNOWN
         && stash != null
         && stash.equals(p.record())) {
       landed = true;
@@ -106,24 +106,24 @@
       records.track(j, s.key, s.record, revision);
       for (Claim c : settled) {
         records.settle.remove(c);
-        cluster.remove(c, now);
-        if (c.done) {
+        cluster.removeClaim(c, now);
+        if (c.taskDone) {
           j.doneCount++;
         } else {
-          j.open.set(c.task);
+          j.openTasks.set(c.task);
           j.waitingSince = now;
         }
       }
       for (Claim c : claimed) {
         if (c.phase == Claim.Phase.CLAIMING) {
-          cluster.held(c);
+          cluster.markCommitted(c);
           records.committed.add(c);
         }
       }
     } else {
       for (Claim c : claimed) {
-        cluster.remove(c, now);
-        j.open.set(c.task);
+        cluster.removeClaim(c, now);
+        j.openTasks.set(c.task);
       }
       // Settled ones stay in the settle set and are written again.
     }
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -70,11 +70,11 @@
     ends.sort(Comparator.comparing(c -> !c.job.spec.isService()));
     for (Claim c : ends) {
       Job.TaskBatch s = batchOf(c);
-      if (c.job.stop) {
+      if (c.job.cancelRequested) {
         // The whole job ends in one write; until then a new leader asks for the proof again.
         if (!s.inFlight) {
           records.settle.remove(c);
-          cluster.remove(c, now);
+          cluster.removeClaim(c, now);
         }
         continue;
       }
@@ -98,10 +98,10 @@
     }
     TaskBatchRecord r = s.record.copy();
     for (Claim c : done) {
-      r.release(c.task - s.base, c.done);
+      r.release(c.task - s.firstTask, c.taskDone);
     }
     for (Claim c : fresh) {
-      r.claim(c.task - s.base, c.attempt, c.machine, c.session);
+      r.claim(c.task - s.firstTask, c.attempt, c.machine, c.session);
     }
     TaskBatchRecord fitting = fitting(r, cluster.policy.valueBytes());
     if (fitting != null) {
@@ -118,8 +118,8 @@
   /** Takes claims back that were never sent. */
   private void giveUp(List<Claim> claims, double now) {
     for (Claim c : claims) {
-      cluster.remove(c, now);
-      c.job.open.set(c.task);
+      cluster.removeClaim(c, now);
+      c.job.openTasks.set(c.task);
     }
   }
 
@@ -171,11 +171,11 @@
 
   /** True if all that is missing to the job's end is the proof that its last tasks are done. */
   private boolean endsWhole(Job j) {
-    if (j.stop || j.ending || !j.open.isEmpty()) {
+    if (j.cancelRequested || j.ending || !j.openTasks.isEmpty()) {
       return false;
     }
     for (Claim c : j.claims.values()) {
-      if (c.phase != Claim.Phase.SETTLING || !c.done) {
+      if (c.phase != Claim.Phase.ENDING || !c.taskDone) {
         return false;
       }
     }
@@ -187,13 +187,13 @@
    */
   void endJobs(double now) {
     List<Job> cancelled = new ArrayList<>();
-    for (Job j : new ArrayList<>(cluster.maybeOver)) {
-      boolean over = j.stop ? j.claims.isEmpty() : endsWhole(j);
+    for (Job j : new ArrayList<>(cluster.maybeEndedJobs)) {
+      boolean over = j.cancelRequested ? j.claims.isEmpty() : endsWhole(j);
       if (!over) {
-        cluster.maybeOver.remove(j);
+        cluster.maybeEndedJobs.remove(j);
       } else if (j.ending || j.taskBatches.values().stream().anyMatch(s -> s.inFlight)) {
         continue;
-      } else if (j.stop) {
+      } else if (j.cancelRequested) {
         cancelled.add(j);
       } else {
         endJob(j);
@@ -224,7 +224,8 @@
     }
     j.ending = true;
     Action.JobEnd e =
-        new Action.JobEnd(j.spec.id(), j.revision, j.stop, j.spec.tasks(), List.copyOf(drops));
+        new Action.JobEnd(
+            j.spec.id(), j.revision, j.cancelRequested, j.spec.tasks(), List.copyOf(drops));
     inFlight.emit(
         new Action.Write(inFlight.nextId(), List.of(), List.of(e), List.of(), List.of()),
         Map.of(),
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -122,8 +122,8 @@
     Double wait = cluster.policy.waits().get(s.jobClass());
     Double finish = cluster.policy.finishes().get(s.jobClass());
     double[] wanted = {
-      wait == null || j.open.isEmpty() ? whole : j.submittedAt + wait + estimate,
-      finish == null ? whole : j.submittedAt + finish,
+      wait == null || j.openTasks.isEmpty() ? whole : j.eligibleSince + wait + estimate,
+      finish == null ? whole : j.eligibleSince + finish,
       whole
     };
     double due = Double.MAX_VALUE;
@@ -146,7 +146,12 @@
     Map<String, List<Part>> teams = new HashMap<>();
     for (Job j : cluster.jobs.values()) {
       JobSpec s = j.spec;
-      if (!s.isService() && j.hasDue() && !j.stop && !j.suspect && !j.complete() && !j.blocked()) {
+      if (!s.isService()
+          && j.hasDue()
+          && !j.cancelRequested
+          && !j.suspect
+          && !j.complete()
+          && !j.awaitsDependencies()) {
         teams.computeIfAbsent(s.team(), t -> new ArrayList<>()).add(part(j, now));
       }
     }
@@ -201,7 +206,7 @@
   }
 
   private static double remaining(Job j, double estimate, double now) {
-    double work = j.open.cardinality() * estimate * j.spec.cpus();
+    double work = j.openTasks.cardinality() * estimate * j.spec.cpus();
     for (Claim c : j.claims.values()) {
       double ran = c.runningSince > 0 ? now - c.runningSince : 0;
       work += Math.max(estimate - ran, estimate * 0.25) * j.spec.cpus();
@@ -243,7 +248,7 @@
     double total = 0;
     for (Job j : cluster.jobs.values()) {
       JobSpec s = j.spec;
-      if (!patient(j) || j.stop || j.suspect || j.blocked()) {
+      if (!patient(j) || j.cancelRequested || j.suspect || j.awaitsDependencies()) {
         continue;
       }
       double estimate = estimate(s);
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -102,7 +102,7 @@
         break;
       }
     }
-    cluster.out.add(new Action.KeepDemand(List.copyOf(classes.values())));
+    cluster.actions.add(new Action.KeepDemand(List.copyOf(classes.values())));
   }
 
   /**
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -48,13 +48,13 @@
   List<Job> added(Job j) {
     missing.remove(j.spec.id());
     boolean cancelled = false;
-    for (String need : j.needed) {
+    for (String need : j.pendingDependencies) {
       dependents.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(j);
       Job n = cluster.jobs.get(need);
       if (n == null) {
         missing.putIfAbsent(need, Double.NEGATIVE_INFINITY);
       }
-      cancelled |= n != null && n.stop;
+      cancelled |= n != null && n.cancelRequested;
     }
     for (Job d : dependents.getOrDefault(j.spec.id(), Set.of())) {
       press(d);
@@ -70,14 +70,14 @@
     while (!next.isEmpty()) {
       Job d = next.poll();
       double by = d.dueAt() - estimate.applyAsDouble(d.spec) - STAGE_S;
-      for (String need : d.needed) {
+      for (String need : d.pendingDependencies) {
         Job n = cluster.jobs.get(need);
         if (n == null) {
           continue;
         }
-        boolean sooner = by < n.neededBy;
-        n.neededBy = Math.min(n.neededBy, by);
-        if (n.raise(d.wanted()) | sooner) {
+        boolean sooner = by < n.dependentsDueAt;
+        n.dependentsDueAt = Math.min(n.dependentsDueAt, by);
+        if (n.inheritPriority(d.inheritedPriority()) | sooner) {
           next.add(n);
         }
       }
@@ -90,7 +90,7 @@
     Deque<Job> next = new ArrayDeque<>(first);
     while (!next.isEmpty()) {
       Job j = next.poll();
-      if (!j.stop && all.add(j)) {
+      if (!j.cancelRequested && all.add(j)) {
         next.addAll(dependents.getOrDefault(j.spec.id(), Set.of()));
       }
     }
@@ -108,9 +108,9 @@
     Set<Job> waiting = dependents.remove(id);
     List<Job> ready = new ArrayList<>();
     for (Job d : waiting == null ? Set.<Job>of() : waiting) {
-      d.needed.remove(id);
-      d.neededUntil = Math.max(d.neededUntil, at);
-      if (d.needed.isEmpty() && !d.stop) {
+      d.pendingDependencies.remove(id);
+      d.dependenciesEndedAt = Math.max(d.dependenciesEndedAt, at);
+      if (d.pendingDependencies.isEmpty() && !d.cancelRequested) {
         ready.add(d);
       }
     }
@@ -127,7 +127,7 @@
 
   private void press(Job j, double now) {
     Double wantedWaitS = cluster.policy.waits().get(j.spec.jobClass());
-    j.press(estimate.applyAsDouble(j.spec), wantedWaitS, now);
+    j.updateUrgency(estimate.applyAsDouble(j.spec), wantedWaitS, now);
   }
 
   /** Looks which of the needed jobs press; to be called now and then. */
@@ -146,7 +146,7 @@
     Deque<Job> next = new ArrayDeque<>();
     next.add(j);
     while (!next.isEmpty()) {
-      for (String need : next.poll().needed) {
+      for (String need : next.poll().pendingDependencies) {
         Job n = cluster.jobs.get(need);
         if (n != null && seen.add(n)) {
           press(n, now);
@@ -163,7 +163,7 @@
 
   /** The job's record is gone: what its final record says is to be found out if it is needed. */
   void gone(Job j) {
-    for (String need : j.needed) {
+    for (String need : j.pendingDependencies) {
       Set<Job> others = dependents.get(need);
       if (others != null && others.remove(j) && others.isEmpty()) {
         dependents.remove(need);
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -48,31 +48,31 @@
     Job j = c.job;
     boolean early = c.runningSince == 0 || now - c.runningSince < GOOD_RUN_S;
     boolean proven = j.doneCount > 0 || (j.ranWell && early);
-    j.failedOn.add(m.name);
+    j.failedMachines.add(m.name);
     int cap = cluster.policy.tuning().attemptCap();
     if (j.suspect) {
       // The rest of one volley says nothing new; only a later try does.
-      if (c.since > j.suspectSince) {
+      if (c.claimedAt > j.suspectSince) {
         pause(j, now);
       }
       return;
     }
-    if (j.failedOn.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
+    if (j.failedMachines.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
       if (!proven) {
         suspect(j, now);
       }
       return; // Some tasks of a job whose others succeed may carry a mistake of their own.
     }
-    m.lastError = now;
+    m.lastErrorAt = now;
     m.errorJobs.merge(j.spec.id(), 1, Integer::sum);
     int streak = m.errorStreak();
     double pause = QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
     m.quarantineUntil = Math.max(m.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
-    if (streak >= BAD_STREAK && m.errorJobs.size() > 1 && !m.bad) {
-      m.bad = true;
+    if (streak >= BAD_STREAK && m.errorJobs.size() > 1 && !m.faulty) {
+      m.faulty = true;
       m.drain = true;
       // What runs there already is left alone: only starts were seen to fail.
-      cluster.note("machine " + m.name + " fails tasks of several jobs: no new ones");
+      cluster.log("machine " + m.name + " fails tasks of several jobs: no new ones");
       acquit(m, now);
     }
   }
@@ -81,71 +81,71 @@
   private void suspect(Job j, double now) {
     j.suspect = true;
     j.suspectSince = now;
-    j.tries = 0;
+    j.backoffCount = 0;
     pause(j, now);
     planner.onBroken(j.spec);
-    cluster.note(
+    cluster.log(
         j.spec.id()
             + " fails on every machine, "
-            + j.failedOn.size()
+            + j.failedMachines.size()
             + " so far: tried one task at a time from now on");
-    for (String name : j.failedOn) {
+    for (String name : j.failedMachines) {
       Machine m = cluster.machines.get(name);
       if (m == null || m.errorJobs.remove(j.spec.id()) == null) {
         continue;
       }
-      if (m.bad && m.errorJobs.size() < 2 && !m.returning) {
-        m.bad = false;
+      if (m.faulty && m.errorJobs.size() < 2 && !m.scalingIn) {
+        m.faulty = false;
         m.drain = false;
-        cluster.note("machine " + m.name + " is used again: the jobs were at fault");
+        cluster.log("machine " + m.name + " is used again: the jobs were at fault");
       }
       if (m.errorJobs.isEmpty()) {
         m.quarantineUntil = Double.NEGATIVE_INFINITY;
         cluster.roomVersion++;
       }
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** The machine fails everything, so that jobs are not to blame for what failed there. */
   private void acquit(Machine m, double now) {
     for (Job j : cluster.jobs.values()) {
-      boolean met = j.failedOn.remove(m.name);
-      if (met && j.suspect && j.failedOn.size() < cluster.policy.tuning().attemptCap()) {
+      boolean met = j.failedMachines.remove(m.name);
+      if (met && j.suspect && j.failedMachines.size() < cluster.policy.tuning().attemptCap()) {
         clear(j, now);
       }
     }
   }
 
   private void pause(Job j, double now) {
-    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, j.tries++));
+    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, j.backoffCount++));
     j.notBefore = now + Math.min(LONGEST_JOB_BACKOFF_S, pause);
   }
 
   /** A task of the claim runs, or is done: neither its job nor its machine fails everything. */
   void good(Machine m, Claim c, double now) {
     Job j = c.job;
-    if (!j.ranWell || j.unsure || j.suspect) {
+    if (!j.ranWell || j.unproven || j.suspect) {
       j.ranWell = true;
-      j.unsure = false;
-      cluster.dirty = true;
+      j.unproven = false;
+      cluster.roundNeeded = true;
       if (j.suspect) {
         clear(j, now);
       }
     }
     // What was started before the machine fell sick goes on there, and shows nothing.
-    if (c.since > m.lastError) {
+    if (c.claimedAt > m.lastErrorAt) {
       m.errorJobs.clear();
     }
   }
 
   private void clear(Job j, double now) {
     j.suspect = false;
-    j.tries = 0;
+    j.backoffCount = 0;
     j.notBefore = now;
-    j.failedOn.clear();
-    cluster.dirty = true;
+    j.failedMachines.clear();
+    cluster.roundNeeded = true;
     cluster.roomVersion++;
-    cluster.note(j.spec.id() + " is not at fault: its machines were");
+    cluster.log(j.spec.id() + " is not at fault: its machines were");
   }
 }
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -63,7 +63,7 @@
         cluster.jobs.values().stream().anyMatch(this::impatient)
             || demand.arrivals().stream().anyMatch(a -> impatient(a.spec()));
     if (impatient || now - startedAt < ScaleInPlanner.SETTLE_S) {
-      cluster.machines.values().forEach(m -> m.closing = false);
+      cluster.machines.values().forEach(m -> m.consolidating = false);
       return;
     }
     List<Machine> onDemand = onDemandMachines();
@@ -72,18 +72,18 @@
     int most = atOnce(onDemand);
     int tries = CLOSE_TRIES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
     for (Machine m : onDemand) {
-      if (m.closing || keep.contains(m) || now - m.requestedAt < CHARGED_AT_LEAST_S) {
+      if (m.consolidating || keep.contains(m) || now - m.requestedAt < CHARGED_AT_LEAST_S) {
         continue;
       }
-      double forArrays = m.room.cpus() - serviceCpus(m);
+      double forArrays = m.capacity.cpus() - serviceCpus(m);
       boolean enough = left - forArrays > CLOSE_SLACK * forArrays;
       if (enough && tries-- <= 0) {
         break; // The next plan looks again; each look compares with the whole fleet.
       }
       if (enough && movable(m, onDemand, now) && warmEnoughWithout(m, onDemand)) {
-        m.closing = true;
+        m.consolidating = true;
         left -= forArrays;
-        cluster.note("closing " + m.name + ": its work fits on cheaper machines");
+        cluster.log("closing " + m.name + ": its work fits on cheaper machines");
         if (--most <= 0) {
           break; // A few at a time, so that the next plan sees what came of it.
         }
@@ -96,10 +96,10 @@
   private List<Machine> onDemandMachines() {
     List<Machine> onDemand = new ArrayList<>();
     for (Machine m : cluster.machines.values()) {
-      if (m.reported
+      if (m.heartbeatReceived
           && !m.spot
-          && !m.leaseOver
-          && !m.returning
+          && !m.leaseExpired
+          && !m.scalingIn
           && cluster.types.containsKey(m.type)) {
         onDemand.add(m);
       }
@@ -111,9 +111,9 @@
   private static double reopen(List<Machine> onDemand, double surplus) {
     double left = surplus;
     for (Machine m : onDemand) {
-      if (m.closing && left < 0) {
-        m.closing = false;
-        left += m.room.cpus();
+      if (m.consolidating && left < 0) {
+        m.consolidating = false;
+        left += m.capacity.cpus();
       }
     }
     return left;
@@ -125,7 +125,7 @@
   }
 
   private boolean impatient(Job j) {
-    return !j.spec.isService() && !j.blocked() && !deadlines.patient(j);
+    return !j.spec.isService() && !j.awaitsDependencies() && !deadlines.patient(j);
   }
 
   private boolean impatient(JobSpec s) {
@@ -133,7 +133,7 @@
   }
 
   private static double serviceCpus(Machine m) {
-    return m.services.cpus();
+    return m.serviceResources.cpus();
   }
 
   /** Money an hour that the machine costs beyond what its services would cost elsewhere. */
@@ -144,13 +144,13 @@
 
   /** True if the machine's services fit on the other on-demand machines that stay. */
   private boolean movable(Machine m, List<Machine> onDemand, double now) {
-    if (serviceCpus(m) > MOVE_SHARE * m.room.cpus()) {
+    if (serviceCpus(m) > MOVE_SHARE * m.capacity.cpus()) {
       return false;
     }
     Map<Machine, Resources> free = new LinkedHashMap<>();
     for (Machine o : onDemand) {
-      if (o != m && !o.closing && cluster.usable(o, now)) {
-        free.put(o, o.room.minus(o.services));
+      if (o != m && !o.consolidating && cluster.usable(o, now)) {
+        free.put(o, o.capacity.minus(o.serviceResources));
       }
     }
     for (Claim c : m.claims.values()) {
@@ -159,7 +159,7 @@
       }
       Machine to = null;
       for (var e : free.entrySet()) {
-        if (e.getValue().holds(c.room()) && goodTarget(c, e.getKey())) {
+        if (e.getValue().holds(c.resources()) && goodTarget(c, e.getKey())) {
           to = e.getKey();
           break;
         }
@@ -167,7 +167,7 @@
       if (to == null) {
         return false;
       }
-      free.merge(to, c.room(), Resources::minus);
+      free.merge(to, c.resources(), Resources::minus);
     }
     return true;
   }
@@ -181,7 +181,9 @@
     Map<String, JobSpec> typical = new HashMap<>();
     for (DemandHistory.Arrival a : demand.arrivals()) {
       JobSpec s = a.spec();
-      if (s.isService() && cluster.policy.waits().containsKey(s.jobClass()) && m.warm(s.image())) {
+      if (s.isService()
+          && cluster.policy.waits().containsKey(s.jobClass())
+          && m.hasImage(s.image())) {
         largest.merge(s.image(), s.tasks(), Math::max);
         typical.put(s.image(), s);
       }
@@ -189,8 +191,8 @@
     for (var e : typical.entrySet()) {
       int slots = 0;
       for (Machine o : onDemand) {
-        if (o != m && !o.closing && o.warm(e.getKey())) {
-          Resources room = o.room.minus(o.services);
+        if (o != m && !o.consolidating && o.hasImage(e.getKey())) {
+          Resources room = o.capacity.minus(o.serviceResources);
           slots += room.times(Resources.of(e.getValue()));
         }
       }
@@ -206,7 +208,7 @@
   /** Zone rules make moves of some services delicate; those stay where they are. */
   private static boolean goodTarget(Claim c, Machine to) {
     JobSpec s = c.job.spec;
-    return to.warm(s.image())
+    return to.hasImage(s.image())
         && (s.types() == null || s.types().contains(to.type))
         && (s.zone() == null || s.zone().equals(to.zone))
         && !s.oneZone()
@@ -221,7 +223,7 @@
     int left = atOnce(onDemand);
     Map<Machine, Resources> promised = new HashMap<>();
     for (Machine m : onDemand) {
-      if (!m.closing) {
+      if (!m.consolidating) {
         continue;
       }
       for (Claim c : m.claims.values()) {
@@ -230,10 +232,10 @@
         }
         Machine to = target(c, m, onDemand, promised, now);
         if (to != null) {
-          cluster.askStop(c, now);
+          cluster.requestStop(c, now);
           lastMove = now;
-          promised.merge(to, c.room(), Resources::plus);
-          cluster.note("move " + c.taskId() + " off " + m.name);
+          promised.merge(to, c.resources(), Resources::plus);
+          cluster.log("move " + c.taskId() + " off " + m.name);
           if (--left <= 0) {
             return;
           }
@@ -243,8 +245,8 @@
   }
 
   private static boolean settled(Claim c, double now) {
-    return c.phase == Claim.Phase.HELD
-        && !c.stopAsked
+    return c.phase == Claim.Phase.COMMITTED
+        && !c.stopRequested
         && c.job.spec.isService()
         && c.runningSince > 0
         && now - c.runningSince > CHARGED_AT_LEAST_S;
@@ -255,11 +257,11 @@
       Claim c, Machine from, List<Machine> onDemand, Map<Machine, Resources> promised, double now) {
     for (Machine to : onDemand) {
       if (to != from
-          && !to.closing
-          && to.holds(c.room())
+          && !to.consolidating
+          && to.holds(c.resources())
           && goodTarget(c, to)
           && cluster.usable(to, now)
-          && to.free().minus(promised.getOrDefault(to, Resources.NONE)).holds(c.room())) {
+          && to.free().minus(promised.getOrDefault(to, Resources.NONE)).holds(c.resources())) {
         return to;
       }
     }
--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -42,37 +42,37 @@
     if (dropped.contains(r.machine())) {
       return false; // Held back on the way: the cloud has said that the machine is gone.
     }
-    Machine m = cluster.machine(r.machine(), now);
-    if (m.reported && !r.newerThan(m.session, m.seq)) {
+    Machine m = cluster.getOrAddMachine(r.machine(), now);
+    if (m.heartbeatReceived && !r.newerThan(m.session, m.seq)) {
       takeStale(m, r, checkin);
       return false; // Held back on the way: its list is older than what we know.
     }
-    boolean first = !m.reported;
+    boolean first = !m.heartbeatReceived;
     boolean wasUsable = cluster.usable(m, now);
     if (first || m.type == null || !m.type.equals(r.type())) {
-      cluster.locate(m, r.type(), r.zone(), r.spot());
+      cluster.setTypeAndZone(m, r.type(), r.zone(), r.spot());
     }
     if (first || r.session() != m.session) {
-      m.sessionSeen = now;
-      m.neverReap.clear(); // Late orders name their session and are refused now.
+      m.sessionSeenAt = now;
+      m.unreapableAttempts.clear(); // Late orders name their session and are refused now.
     }
     hears(m, r, via, first, now);
     renew(m, r, via, now);
     if (first) {
       m.idleSince = now;
       planner.onUp(m, now);
-      cluster.note("machine " + m.name + " reports: " + m.type + " in " + m.zone);
+      cluster.log("machine " + m.name + " reports: " + m.type + " in " + m.zone);
     }
-    if (r.noticeS() != null && m.noticeAt == null) {
-      m.noticeAt = now + r.noticeS();
-      cluster.note("machine " + m.name + " will be taken in " + r.noticeS() + " s");
+    if (r.noticeS() != null && m.interruptionAt == null) {
+      m.interruptionAt = now + r.noticeS();
+      cluster.log("machine " + m.name + " will be taken in " + r.noticeS() + " s");
       commands.drainClaims(m, now);
     }
     learnImages(m, r, now);
     judgeClaims(m, r, checkin, now);
     if (!wasUsable && cluster.usable(m, now)) {
       cluster.roomVersion++;
-      cluster.dirty = true;
+      cluster.roundNeeded = true;
     }
     return true;
   }
@@ -82,28 +82,28 @@
     stale++;
     if (checkin && r.session() == m.session) {
       // It was sent before the newer one came, so an answer to it renews no further than that.
-      m.lastAnswered = Math.max(m.lastAnswered, m.lastReport);
+      m.lastAnsweredAt = Math.max(m.lastAnsweredAt, m.lastHeartbeatAt);
     }
   }
 
   /** Renews the machine's lease and keeps what the heartbeat says of its worker. */
   private void renew(Machine m, Heartbeat r, String via, double now) {
     if (r.session() != m.session) {
-      m.firstAnswered = Double.NaN;
+      m.firstAnsweredAt = Double.NaN;
     }
-    m.reported = true;
-    m.leaseOver = false;
+    m.heartbeatReceived = true;
+    m.leaseExpired = false;
     m.address = r.address();
     m.session = r.session();
     m.seq = r.seq();
-    m.seenTerm = Math.max(m.seenTerm, r.term());
-    m.lastReport = now;
-    m.failedPokes = 0;
+    m.lastSeenTerm = Math.max(m.lastSeenTerm, r.term());
+    m.lastHeartbeatAt = now;
+    m.failedProbes = 0;
     if (via != null) {
-      m.via = via;
-      m.answeredThere = false;
+      m.heartbeatVia = via;
+      m.heartbeatAnswered = false;
     }
-    m.last = r;
+    m.lastHeartbeat = r;
     m.fetching.clear();
   }
 
@@ -143,30 +143,30 @@
     // No other report and no answer to an order lies between; beyond that nothing is known of it.
     boolean next = same && r.seq() == m.seq + 1;
     String why = null;
-    if (via != null && m.answeredThere) {
-      if (next && !via.equals(m.via)) {
+    if (via != null && m.heartbeatAnswered) {
+      if (next && !via.equals(m.heartbeatVia)) {
         why = "it went to another controller after our answer";
       } else if (same && r.term() < cluster.firstTerm) {
         why = "it doesn't know the term of our answer";
       } else if (same && ignoresLaunch(m, r)) {
         why = "it doesn't show what our answer told it to start";
       } else if (r.session() > m.session
-          && now - m.lastAnswered < cluster.policy.leaseS() / 2
+          && now - m.lastAnsweredAt < cluster.policy.leaseS() / 2
           && (r.term() >= cluster.firstTerm
-              || m.lastAnswered - m.firstAnswered > cluster.policy.reportS() / 2)) {
+              || m.lastAnsweredAt - m.firstAnsweredAt > cluster.policy.reportS() / 2)) {
         // A first answer alone may have come when its lease was over already, as after a takeover.
         why = "its lease ran out although we had just answered";
       }
     }
-    boolean took = via == null || r.term() > m.seenTerm || (next && m.answeredThere);
+    boolean took = via == null || r.term() > m.lastSeenTerm || (next && m.heartbeatAnswered);
     if (why == null && took) {
-      if (m.deafSince != null) {
-        cluster.note("machine " + m.name + " hears us again");
+      if (m.answersLostSince != null) {
+        cluster.log("machine " + m.name + " hears us again");
       }
-      m.deafSince = null;
-    } else if (why != null && m.deafSince == null) {
-      m.deafSince = now;
-      cluster.note("machine " + m.name + " does not hear us: " + why);
+      m.answersLostSince = null;
+    } else if (why != null && m.answersLostSince == null) {
+      m.answersLostSince = now;
+      cluster.log("machine " + m.name + " does not hear us: " + why);
     }
   }
 
@@ -175,9 +175,9 @@
     Map<String, Heartbeat.Entry> shown = null;
     for (Claim c : m.claims.values()) {
       if (c.launch == Claim.Launch.IN_RESPONSE
-          && c.phase == Claim.Phase.HELD
+          && c.phase == Claim.Phase.COMMITTED
           && c.session == r.session()
-          && r.seq() > c.launchSeq) {
+          && r.seq() > c.launchHeartbeatSeq) {
         shown = shown == null ? shown(r) : shown;
         if (!shown.containsKey(reapKey(c.taskId(), c.attempt))) {
           return true;
@@ -198,23 +198,25 @@
   /** What a report proves about one claim on its machine. */
   private void judge(
       Machine m, Claim c, Heartbeat r, Heartbeat.Entry e, boolean checkin, double now) {
-    if (c.phase != Claim.Phase.HELD || c.session > r.session()) {
+    if (c.phase != Claim.Phase.COMMITTED || c.session > r.session()) {
       return;
     }
     if (c.session < r.session()) {
-      cluster.note(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
+      cluster.log(c.taskId() + " attempt " + c.attempt + " is gone: new session of " + m.name);
       records.end(c, false, now);
       return;
     }
     if (e != null) {
-      if (c.launch == Claim.Launch.DIRECT || c.launch == Claim.Launch.DOUBTFUL || c.fromPast) {
+      if (c.launch == Claim.Launch.DIRECT
+          || c.launch == Claim.Launch.UNACKNOWLEDGED
+          || c.fromEarlierLeader) {
         // The order may come once more, late; only an attempt that the worker still knows makes
         // it harmless.
         if (r.term() <= c.launchTerm || c.launch == Claim.Launch.DIRECT) {
-          m.neverReap.add(reapKey(c.taskId(), c.attempt));
+          m.unreapableAttempts.add(reapKey(c.taskId(), c.attempt));
         }
       }
-      c.launch = Claim.Launch.SEEN;
+      c.launch = Claim.Launch.CONFIRMED;
       if (c.stage != e.stage()) {
         c.stage = e.stage();
         c.stageSince = now;
@@ -225,9 +227,9 @@
       if (e.stage() == Heartbeat.Stage.EXITED) {
         exited(m, c, e, now);
       } else if (c.runningSince > 0
-          && !c.wellSaid
+          && !c.ranLongEnough
           && now - c.runningSince > FailureAttribution.GOOD_RUN_S) {
-        c.wellSaid = true;
+        c.ranLongEnough = true;
         failureAttribution.good(m, c, now);
       }
       return;
@@ -235,29 +237,31 @@
     switch (c.launch) {
       case NONE -> {
         // An earlier leader may have launched it, but its orders are refused now.
-        if (c.fromPast && r.term() >= cluster.term) {
+        if (c.fromEarlierLeader && r.term() >= cluster.term) {
           records.end(c, false, now);
         }
       }
       case IN_RESPONSE -> {
         // One report is under way at a time, so this one was sent after the response was taken
         // or dropped.
-        if (checkin && r.seq() > c.launchSeq) {
+        if (checkin && r.seq() > c.launchHeartbeatSeq) {
           c.launch = Claim.Launch.NONE;
         }
       }
-      case DOUBTFUL -> {
+      case UNACKNOWLEDGED -> {
         if (r.term() > c.launchTerm) {
           c.launch = Claim.Launch.NONE; // Fenced: the worker refuses the late order.
         }
       }
-      case SEEN -> {
-        cluster.note(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
+      case CONFIRMED -> {
+        cluster.log(c.taskId() + " attempt " + c.attempt + " vanished from " + m.name);
         records.end(c, false, now);
       }
       case DIRECT -> {}
     }
-    if (c.launch == Claim.Launch.NONE && !c.fromPast && (c.job.stop || c.stopAsked)) {
+    if (c.launch == Claim.Launch.NONE
+        && !c.fromEarlierLeader
+        && (c.job.cancelRequested || c.stopRequested)) {
       records.end(c, false, now);
     }
   }
@@ -268,7 +272,7 @@
 
   private void exited(Machine m, Claim c, Heartbeat.Entry e, double now) {
     Job j = c.job;
-    cluster.note(
+    cluster.log(
         c.taskId()
             + " attempt "
             + c.attempt
@@ -277,7 +281,7 @@
             + " exited: "
             + e.why()
             + (e.saved() ? ", saved" : ""));
-    cluster.out.add(new Action.Seen(e.why(), -1));
+    cluster.actions.add(new Action.MetricEvent(e.why(), -1));
     switch (e.why()) {
       case "done" -> {
         failureAttribution.good(m, c, now);
@@ -304,12 +308,12 @@
   }
 
   /** The worker's lease cannot begin later than this answer. */
-  void answered(String machine, double now) {
+  void onHeartbeatAnswered(String machine, double now) {
     Machine m = cluster.machines.get(machine);
     if (m != null) {
-      m.lastAnswered = now;
-      m.firstAnswered = Double.isNaN(m.firstAnswered) ? now : m.firstAnswered;
-      m.answeredThere = true;
+      m.lastAnsweredAt = now;
+      m.firstAnsweredAt = Double.isNaN(m.firstAnsweredAt) ? now : m.firstAnsweredAt;
+      m.heartbeatAnswered = true;
     }
   }
 
@@ -317,21 +321,21 @@
   void leases(double now) {
     double lease = cluster.policy.leaseS() * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
     for (Machine m : cluster.machines.values()) {
-      double from = Math.max(Math.max(m.lastAnswered, m.sessionSeen), cluster.tookOver);
-      if (now <= from + lease || (!m.reported && m.claims.isEmpty())) {
+      double from = Math.max(Math.max(m.lastAnsweredAt, m.sessionSeenAt), cluster.leaderSince);
+      if (now <= from + lease || (!m.heartbeatReceived && m.claims.isEmpty())) {
         continue;
       }
       // A lease delegate of its zone may have answered it since.
       if (now <= cluster.delegates.renewedUntil(m.zone, now) + lease) {
         continue;
       }
-      if (!m.leaseOver) {
-        m.leaseOver = true;
-        cluster.note("the lease of " + m.name + " is over, " + m.claims.size() + " claims");
+      if (!m.leaseExpired) {
+        m.leaseExpired = true;
+        cluster.log("the lease of " + m.name + " is over, " + m.claims.size() + " claims");
       }
       // Also those that committed since: nothing is launched on a machine whose lease is over.
       for (Claim c : new ArrayList<>(m.claims.values())) {
-        if (c.phase == Claim.Phase.HELD) {
+        if (c.phase == Claim.Phase.COMMITTED) {
           records.end(c, false, now);
         }
       }
@@ -340,21 +344,22 @@
 
   void machineGone(Machine m, String why, double now) {
     for (Claim c : new ArrayList<>(m.claims.values())) {
-      if (c.phase == Claim.Phase.HELD) {
-        cluster.note(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
+      if (c.phase == Claim.Phase.COMMITTED) {
+        cluster.log(c.taskId() + " attempt " + c.attempt + " is gone with " + m.name + ": " + why);
         records.end(c, false, now);
       }
     }
   }
 
-  void onSent(Action.Command cmd, Scheduler.Sent how, Heartbeat report, double now) {
+  void onCommandDelivery(
+      Action.SendCommands cmd, CommandDelivery how, Heartbeat report, double now) {
     Machine m = cluster.machines.get(cmd.machine());
     if (m == null) {
       return;
     }
-    m.failedPokes =
-        how == Scheduler.Sent.EXECUTED || how == Scheduler.Sent.REFUSED ? 0 : m.failedPokes + 1;
-    for (WorkerCommand o : cmd.orders()) {
+    m.failedProbes =
+        how == CommandDelivery.EXECUTED || how == CommandDelivery.REFUSED ? 0 : m.failedProbes + 1;
+    for (WorkerCommand o : cmd.commands()) {
       if (!(o instanceof WorkerCommand.Launch l)) {
         continue;
       }
@@ -362,23 +367,23 @@
       boolean same = c != null && c.attempt == l.attempt() && c.session == cmd.session();
       switch (how) {
         case EXECUTED -> {
-          m.neverReap.remove(reapKey(l.task(), l.attempt()));
+          m.unreapableAttempts.remove(reapKey(l.task(), l.attempt()));
           if (same && c.launch == Claim.Launch.DIRECT) {
-            c.launch = Claim.Launch.SEEN;
+            c.launch = Claim.Launch.CONFIRMED;
           }
         }
         case REFUSED, NEVER_LEFT -> {
-          m.neverReap.remove(reapKey(l.task(), l.attempt()));
+          m.unreapableAttempts.remove(reapKey(l.task(), l.attempt()));
           if (same && c.launch == Claim.Launch.DIRECT) {
             c.launch = Claim.Launch.NONE;
-            if (c.job.stop || c.stopAsked) {
+            if (c.job.cancelRequested || c.stopRequested) {
               records.end(c, false, now);
             }
           }
         }
         case UNKNOWN -> {
           if (same && c.launch == Claim.Launch.DIRECT) {
-            c.launch = Claim.Launch.DOUBTFUL;
+            c.launch = Claim.Launch.UNACKNOWLEDGED;
           }
         }
       }
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -51,11 +51,11 @@
         continue;
       }
       m.imagesChanged = false;
-      if (!m.images.isEmpty() && !m.returning) {
+      if (!m.images.isEmpty() && !m.scalingIn) {
         part.put(m.name, List.copyOf(m.images.keySet()));
       }
     }
-    parts.forEach((i, machines) -> cluster.out.add(new Action.KeepImages(i, machines)));
+    parts.forEach((i, machines) -> cluster.actions.add(new Action.KeepImages(i, machines)));
   }
 
   /** The records to write now, empty as yet: the next in turn of those that are out of date. */
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -21,7 +21,7 @@
   /** One stored task batch, with what is under way for it. */
   static final class TaskBatch {
     final TaskBatchKey key;
-    final int base;
+    final int firstTask;
     TaskBatchRecord record;
     long revision;
 
@@ -29,16 +29,16 @@
     boolean inFlight;
 
     /** What the watch said while the transaction was unanswered, or null. */
-    TaskBatchRecord stash;
+    TaskBatchRecord newerRecord;
 
-    long stashRevision;
+    long newerRevision;
 
     /** No more of its tasks are claimed before this time, since its record would be too large. */
     double fullUntil = Double.NEGATIVE_INFINITY;
 
-    TaskBatch(TaskBatchKey key, int base, TaskBatchRecord record, long revision) {
+    TaskBatch(TaskBatchKey key, int firstTask, TaskBatchRecord record, long revision) {
       this.key = key;
-      this.base = base;
+      this.firstTask = firstTask;
       this.record = record;
       this.revision = revision;
     }
@@ -47,13 +47,13 @@
   final JobSpec spec;
 
   /** What one task takes. */
-  final Resources need;
+  final Resources taskResources;
 
   /** The same, as stored limits count it. */
-  final Amount amount;
+  final Amount taskAmount;
 
   long revision;
-  boolean stop;
+  boolean cancelRequested;
   boolean ending;
 
   /**
@@ -62,20 +62,20 @@
   final TreeMap<Integer, TaskBatch> taskBatches = new TreeMap<>();
 
   /** Tasks that nobody has claimed and that are not done. */
-  final BitSet open;
+  final BitSet openTasks;
 
   final Map<Integer, Claim> claims = new HashMap<>();
 
   int doneCount;
 
   /** When it could begin, on our clock: its submission, or the end of the last job it needed. */
-  double submittedAt;
+  double eligibleSince;
 
   /** When the queue's head began to wait; for fairness and for the operator's question why. */
   double waitingSince;
 
   /** Machines on which a task of this job failed by itself, see {@link FailureAttribution}. */
-  final Set<String> failedOn = new HashSet<>();
+  final Set<String> failedMachines = new HashSet<>();
 
   /** It failed on several machines and succeeded on none: tried one task at a time. */
   boolean suspect;
@@ -83,13 +83,13 @@
   double suspectSince;
 
   /** Pauses since it became suspect, each twice as long as the one before. */
-  int tries;
+  int backoffCount;
 
   /** A task of it was seen running for a while, or done. */
   boolean ranWell;
 
   /** Taken over with many attempts and no success: a few tasks first show whether it can run. */
-  boolean unsure;
+  boolean unproven;
 
   /** No task is placed before this time, after failures on several machines. */
   double notBefore;
@@ -99,17 +99,17 @@
 
   final Map<String, Integer> zoneClaims = new HashMap<>();
 
-  Job(JobSpec spec, long revision, boolean stop, double now) {
+  Job(JobSpec spec, long revision, boolean cancelRequested, double now) {
     this.spec = spec;
-    this.need = Resources.of(spec);
-    this.amount = need.amount();
+    this.taskResources = Resources.of(spec);
+    this.taskAmount = taskResources.amount();
     this.revision = revision;
-    this.stop = stop;
+    this.cancelRequested = cancelRequested;
     this.waitingSince = now;
     this.priority = spec.priority();
-    this.needed.addAll(spec.needs());
-    this.open = new BitSet(spec.tasks());
-    this.open.set(0, spec.tasks());
+    this.pendingDependencies.addAll(spec.needs());
+    this.openTasks = new BitSet(spec.tasks());
+    this.openTasks.set(0, spec.tasks());
   }
 
   TaskBatch taskBatch(int index) {
@@ -124,37 +124,37 @@
   }
 
   boolean waiting() {
-    return !stop && !ending && !open.isEmpty() && needed.isEmpty();
+    return !cancelRequested && !ending && !openTasks.isEmpty() && pendingDependencies.isEmpty();
   }
 
   /**
    * Jobs that it waits for: those whose final record has not been seen to say that they are done.
    */
-  final Set<String> needed = new HashSet<>();
+  final Set<String> pendingDependencies = new HashSet<>();
 
   /** True while nothing of it may be claimed; it is no demand, and its times have not begun. */
-  boolean blocked() {
-    return !needed.isEmpty();
+  boolean awaitsDependencies() {
+    return !pendingDependencies.isEmpty();
   }
 
   /** When its user submitted it: its deadline counts from then, all else from submittedAt. */
   double acceptedAt;
 
   /** When the last job that it needed ended, so far. */
-  double neededUntil = Double.NEGATIVE_INFINITY;
+  double dependenciesEndedAt = Double.NEGATIVE_INFINITY;
 
   /** The priority of the most urgent job that needs it, directly or through others, or its own. */
   private Priority priority;
 
   /** When it has to be done for those that need it to be in time, or infinite. */
-  double neededBy = Double.POSITIVE_INFINITY;
+  double dependentsDueAt = Double.POSITIVE_INFINITY;
 
   /**
    * What its place in the queue goes by. What only others make urgent waits with ordinary work
    * while there is time, and goes before it when they would be late.
    */
   Priority priority() {
-    if (pressing || !priority.beats(spec.priority())) {
+    if (urgentForDependents || !priority.beats(spec.priority())) {
       return priority;
     }
     boolean low = Priority.NORMAL.beats(spec.priority());
@@ -162,32 +162,32 @@
   }
 
   /** The priority of the most urgent job that needs it, or its own, whether or not it presses. */
-  Priority wanted() {
+  Priority inheritedPriority() {
     return priority;
   }
 
   /** The jobs that need it would be late if it waited with ordinary work. */
-  boolean pressing;
+  boolean urgentForDependents;
 
   /**
    * Looks how much time is left, given how long a task of it takes and within what time its class
    * should start, if that is wanted.
    */
-  void press(double estimateS, Double wantedWaitS, double now) {
-    double waited = now - submittedAt;
+  void updateUrgency(double estimateS, Double wantedWaitS, double now) {
+    double waited = now - eligibleSince;
     boolean startPresses =
         wantedWaitS != null
-            && needed.isEmpty()
+            && pendingDependencies.isEmpty()
             && waited > wantedWaitS * PRESSING_WAIT
             && waited < wantedWaitS;
-    pressing =
-        neededBy == Double.POSITIVE_INFINITY
-            || neededBy - now < PRESSING_RUNS * estimateS + PRESSING_S
+    urgentForDependents =
+        dependentsDueAt == Double.POSITIVE_INFINITY
+            || dependentsDueAt - now < PRESSING_RUNS * estimateS + PRESSING_S
             || startPresses;
   }
 
   /** A job that needs it has this priority; claims that stand keep theirs. */
-  boolean raise(Priority other) {
+  boolean inheritPriority(Priority other) {
     boolean raised = other.beats(priority); // Whether or not it presses now.
     priority = raised ? other : priority;
     return raised;
@@ -202,7 +202,7 @@
   double dueAt() {
     double own =
         spec.deadlineS() == null ? Double.POSITIVE_INFINITY : acceptedAt + spec.deadlineS();
-    return Math.min(own, neededBy);
+    return Math.min(own, dependentsDueAt);
   }
 
   boolean complete() {
@@ -210,7 +210,7 @@
   }
 
   /** The world's {@link ClusterState#roomVersion} when a round last found no room for it. */
-  long noRoomAt = -1;
+  long noRoomVersion = -1;
 
   /** When that was; what only time changes is looked at again after a while. */
   double noRoomSince;
@@ -221,5 +221,5 @@
   }
 
   /** Claims that already give their place up for a waiting task of this job. */
-  int preempting;
+  int pendingPreemptions;
 }
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -24,9 +24,9 @@
     if (j == null) {
       j = new Job(spec, revision, stop, now);
       j.acceptedAt = submittedAt;
-      j.submittedAt = submittedAt;
+      j.eligibleSince = submittedAt;
       cluster.jobs.put(spec.id(), j);
-      if (!j.blocked()) {
+      if (!j.awaitsDependencies()) {
         planner.onArrival(spec, submittedAt);
       }
       cluster.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
@@ -35,15 +35,15 @@
       records.jobCame(spec.id());
     } else if (revision > j.revision) {
       j.revision = revision;
-      if (stop && !j.stop) {
-        cluster.note("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
+      if (stop && !j.cancelRequested) {
+        cluster.log("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
       }
-      j.stop |= stop;
+      j.cancelRequested |= stop;
     }
-    if (j.stop) {
+    if (j.cancelRequested) {
       stopped(j, now);
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /**
@@ -52,28 +52,28 @@
    */
   void onCancelled(String job, double now) {
     Job j = cluster.jobs.get(job);
-    if (j != null && !j.stop) {
-      cluster.note(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
-      j.stop = true;
+    if (j != null && !j.cancelRequested) {
+      cluster.log(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
+      j.cancelRequested = true;
       stopped(j, now);
-      cluster.dirty = true;
+      cluster.roundNeeded = true;
     }
   }
 
   private void stopped(Job j, double now) {
-    cluster.stopped.add(j);
-    cluster.maybeOver.add(j);
+    cluster.cancelledJobs.add(j);
+    cluster.maybeEndedJobs.add(j);
     commands.stopClaims(j, now);
     cluster.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
   }
 
   /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
   private void cancelWithNeeded(Job d, double now) {
-    cluster.note(d.spec.id() + " is cancelled with a job that it needs");
-    d.stop = true;
-    cluster.stopped.add(d);
-    cluster.maybeOver.add(d);
-    cluster.dirty = true;
+    cluster.log(d.spec.id() + " is cancelled with a job that it needs");
+    d.cancelRequested = true;
+    cluster.cancelledJobs.add(d);
+    cluster.maybeEndedJobs.add(d);
+    cluster.roundNeeded = true;
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
@@ -86,13 +86,13 @@
       return;
     }
     for (Job d : cluster.dependencies.done(job, Math.min(at, now))) {
-      d.submittedAt = Math.max(d.acceptedAt, d.neededUntil);
+      d.eligibleSince = Math.max(d.acceptedAt, d.dependenciesEndedAt);
       d.waitingSince = now;
       d.waitReason = "new";
-      planner.onArrival(d.spec, d.submittedAt);
-      cluster.note(d.spec.id() + " may begin: all that it needs is done");
+      planner.onArrival(d.spec, d.eligibleSince);
+      cluster.log(d.spec.id() + " may begin: all that it needs is done");
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** The job's record is gone from the store. */
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -26,37 +26,37 @@
   /** We rented it, or the list showed it booting: its first report tells how long that took. */
   boolean booting;
 
-  boolean reported;
+  boolean heartbeatReceived;
   long session;
   long seq;
-  long seenTerm;
-  double lastReport = Double.NEGATIVE_INFINITY;
+  long lastSeenTerm;
+  double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
 
   /** When we last answered a report: no lease of this worker can begin later. */
-  double lastAnswered = Double.NEGATIVE_INFINITY;
+  double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
   /** When we first answered a report of its present session, or NaN. */
-  double firstAnswered = Double.NaN;
+  double firstAnsweredAt = Double.NaN;
 
   /**
    * When we first saw its present session. A session that was shown by an answer to direct orders
    * has a whole lease of its own before any report of it was answered.
    */
-  double sessionSeen = Double.NEGATIVE_INFINITY;
+  double sessionSeenAt = Double.NEGATIVE_INFINITY;
 
   /** The controller that its last report came to: the leader itself, or one that passed it on. */
-  String via = "";
+  String heartbeatVia = "";
 
   /** That report was answered and not a copy, so its worker stays there if it hears us. */
-  boolean answeredThere;
+  boolean heartbeatAnswered;
 
   /** The session is over in any case: its lease has run out, counted safely. */
-  boolean leaseOver;
+  boolean leaseExpired;
 
   /** Since when its reports come but answers do not reach it, or null. */
-  Double deafSince;
+  Double answersLostSince;
 
-  Double noticeAt;
+  Double interruptionAt;
   boolean drain;
   boolean cordoned;
 
@@ -64,39 +64,39 @@
   boolean operatorDrain;
 
   /** The deletion was sent; nothing new is placed. */
-  boolean returning;
+  boolean scalingIn;
 
-  double returnAskedAt = Double.NEGATIVE_INFINITY;
+  double scaleInRequestedAt = Double.NEGATIVE_INFINITY;
 
   /** Failures without a success in between by the jobs that are not known to be at fault. */
   final Map<String, Integer> errorJobs = new HashMap<>();
 
-  double lastError = Double.NEGATIVE_INFINITY;
+  double lastErrorAt = Double.NEGATIVE_INFINITY;
   double quarantineUntil = Double.NEGATIVE_INFINITY;
 
   /** Being emptied, since cheaper machines have room for what it does. */
-  boolean closing;
+  boolean consolidating;
 
   /** Tasks of several jobs failed here; to be replaced once empty. */
-  boolean bad;
+  boolean faulty;
 
   /** When we last asked it straight, and how often in a row that failed. */
-  double lastPoke = Double.NEGATIVE_INFINITY;
+  double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-  int failedPokes;
+  int failedProbes;
 
   /** The cloud lists it as failed: everything on it is gone. */
   boolean failed;
 
   double idleSince;
-  Resources room = Resources.NONE;
+  Resources capacity = Resources.NONE;
   Resources used = Resources.NONE;
 
   final Map<String, Claim> claims = new HashMap<>();
-  Heartbeat last;
+  Heartbeat lastHeartbeat;
 
   /** Attempts that a late launch could start again if the worker forgot them. */
-  final Set<String> neverReap = new HashSet<>();
+  final Set<String> unreapableAttempts = new HashSet<>();
 
   /** Images this machine has fetched, by last use; a guess that only guides placement. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -120,7 +120,7 @@
   }
 
   /** What services hold here, kept up with the claims. */
-  Resources services = Resources.NONE;
+  Resources serviceResources = Resources.NONE;
 
   /** Claims here, by priority. */
   final PriorityCounts byPriority = new PriorityCounts();
@@ -137,29 +137,29 @@
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
     return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= room.cpus() - used.cpus() + Resources.SLACK
-        && need.gpus() <= room.gpus() - used.gpus() + Resources.SLACK
-        && need.memGb() <= room.memGb() - used.memGb() + Resources.SLACK;
+        && need.cpus() <= capacity.cpus() - used.cpus() + Resources.SLACK
+        && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
+        && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
 
   Resources free() {
-    return room.minus(used);
+    return capacity.minus(used);
   }
 
-  void take(Claim c) {
-    used = used.plus(c.room());
+  void allocate(Claim c) {
+    used = used.plus(c.resources());
     byPriority.add(c.priority);
     if (c.job.spec.isService()) {
-      services = services.plus(c.room());
+      serviceResources = serviceResources.plus(c.resources());
     }
   }
 
-  void give(Claim c) {
+  void release(Claim c) {
     // An empty machine starts from nothing, so that rounding doesn't add up.
-    used = claims.isEmpty() ? Resources.NONE : used.minus(c.room());
+    used = claims.isEmpty() ? Resources.NONE : used.minus(c.resources());
     byPriority.remove(c.priority);
     if (c.job.spec.isService()) {
-      services = claims.isEmpty() ? Resources.NONE : services.minus(c.room());
+      serviceResources = claims.isEmpty() ? Resources.NONE : serviceResources.minus(c.resources());
     }
   }
 
@@ -172,12 +172,12 @@
     }
   }
 
-  boolean warm(String image) {
+  boolean hasImage(String image) {
     return images.containsKey(image);
   }
 
   /** True if a task here waits for the image, so that a second one joins the same fetch. */
-  boolean fetches(String image) {
+  boolean isFetching(String image) {
     return fetching.contains(image);
   }
 }
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -45,25 +45,25 @@
     cluster.types = byName;
     for (Machine m : cluster.machines.values()) {
       if (m.type != null) {
-        cluster.locate(m, m.type, m.zone, m.spot);
+        cluster.setTypeAndZone(m, m.type, m.zone, m.spot);
       }
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
-  void onList(List<Scheduler.Listed> list, double now) {
-    for (Scheduler.Listed l : list) {
+  void onList(List<ListedMachine> list, double now) {
+    for (ListedMachine l : list) {
       Machine m = cluster.machines.get(l.name());
       if (m == null) {
         if (heartbeats.dropped.contains(l.name())) {
           continue; // The list lags: it was deleted a moment ago.
         }
-        m = cluster.machine(l.name(), now);
+        m = cluster.getOrAddMachine(l.name(), now);
         m.requestedAt = now - l.ageS();
       }
-      if (!m.reported) {
+      if (!m.heartbeatReceived) {
         m.booting |= l.stage().equals("booting");
-        cluster.locate(m, l.type(), l.zone(), l.spot());
+        cluster.setTypeAndZone(m, l.type(), l.zone(), l.spot());
         m.address = l.address();
       }
       if (l.stage().equals("failed") && !m.failed) {
@@ -71,20 +71,20 @@
         heartbeats.machineGone(m, "the cloud lists it as failed", now);
       }
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** The cloud answered scale-out request {@code id}. */
   void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
     planner.onScaleOutAnswered(id, names, noCapacity, now);
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
   void onScaledIn(List<String> names, double now) {
     for (String n : names) {
       Machine m = cluster.machines.get(n);
-      if (m == null || !m.returning) {
+      if (m == null || !m.scalingIn) {
         continue;
       }
       heartbeats.machineGone(m, "it was given back", now);
@@ -94,7 +94,7 @@
       }
       gone.add(n);
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** Forgets given-back machines once no claim on them is left. */
@@ -117,10 +117,10 @@
       m.operatorDrain = drain;
       m.cordoned = drain || cordoned.contains(m.name);
       if (starts) {
-        cluster.note("machine " + m.name + " is drained by its operators");
+        cluster.log("machine " + m.name + " is drained by its operators");
         commands.drainClaims(m, now);
       }
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -62,7 +62,7 @@
         usable.add(m);
       }
     }
-    cluster.looked += cluster.machines.size();
+    cluster.examinedCount += cluster.machines.size();
     waiting.sort(null);
     quota.keepLimits(now);
     reservations.reserve(waiting, now);
@@ -70,7 +70,7 @@
     int left = changes;
     for (QueueOrder.Entry k : waiting) {
       // On a fleet that work above it fills, a guest's job would not begin at all.
-      if (k.job.neverBegan() && now - k.job.submittedAt > MUST_BEGIN_S) {
+      if (k.job.neverBegan() && now - k.job.eligibleSince > MUST_BEGIN_S) {
         left -= place(k.job, usable, roomy, false, 1, claims, now);
       }
     }
@@ -90,7 +90,7 @@
     order.beginRound(now);
     List<QueueOrder.Entry> waiting = new ArrayList<>();
     for (Job j : cluster.jobs.values()) {
-      if (j.waiting() && !(j.noRoomAt == cluster.roomVersion && now - j.noRoomSince < PAUSE)) {
+      if (j.waiting() && !(j.noRoomVersion == cluster.roomVersion && now - j.noRoomSince < PAUSE)) {
         waiting.add(order.entry(j, now));
       }
     }
@@ -137,12 +137,12 @@
   private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> waiting) {
     double least = Double.MAX_VALUE;
     for (QueueOrder.Entry k : waiting) {
-      least = Math.min(least, k.job.need.cpus());
+      least = Math.min(least, k.job.taskResources.cpus());
     }
     double smallest = least - Resources.SLACK;
     List<Machine> roomy = new ArrayList<>();
     for (Machine m : usable) {
-      if (m.room.cpus() - m.used.cpus() >= smallest) {
+      if (m.capacity.cpus() - m.used.cpus() >= smallest) {
         roomy.add(m);
       }
     }
@@ -152,14 +152,14 @@
   /** The wait reason of a job that backs off after failures. */
   private static String backingOff(Job j) {
     return j.suspect
-        ? "it fails on every machine (" + j.failedOn.size() + "); tried again later"
+        ? "it fails on every machine (" + j.failedMachines.size() + "); tried again later"
         : "backing off after failures";
   }
 
   /** The wait reason of a job of which no task may be placed in this round, or null. */
   private String noneThisRound(Job j, int most, double now) {
     if (most <= 0) {
-      j.noRoomAt = cluster.roomVersion;
+      j.noRoomVersion = cluster.roomVersion;
       j.noRoomSince = now;
       return "room is kept for work above it";
     }
@@ -199,7 +199,7 @@
     int placed = 0;
     int changed = 0;
     Job.TaskBatch last = null;
-    for (int t = j.open.nextSetBit(0); t >= 0; t = j.open.nextSetBit(t + 1)) {
+    for (int t = j.openTasks.nextSetBit(0); t >= 0; t = j.openTasks.nextSetBit(t + 1)) {
       Job.TaskBatch taskBatch = j.taskBatches.get(j.spec.batchOf(t));
       if (taskBatch != null && (taskBatch.inFlight || taskBatch.fullUntil > now)) {
         j.waitReason =
@@ -218,7 +218,7 @@
         fit = new CandidateMachines(cluster, random, rules, j, roomy, warmOnly);
       }
       Machine m = fit.pick();
-      if (m != null && !m.warm(j.spec.image()) && fit.warmRoomCanBeMade(usable, now)) {
+      if (m != null && !m.hasImage(j.spec.image()) && fit.warmRoomCanBeMade(usable, now)) {
         j.waitReason = "room is being made where its image is";
         return changed;
       }
@@ -227,9 +227,9 @@
         return changed;
       }
       Job.TaskBatch s = j.taskBatch(j.spec.batchOf(t));
-      int attempt = s.record.attempt(t - s.base) + 1;
+      int attempt = s.record.attempt(t - s.firstTask) + 1;
       Claim c = new Claim(j, t, attempt, m.name, m.session, now);
-      cluster.add(c, now);
+      cluster.addClaim(c, now);
       claims.add(c);
       changed += s == last ? 0 : 1;
       last = s;
@@ -250,7 +250,7 @@
       return;
     }
     j.waitReason = usable.isEmpty() ? "no machine reports" : "no room on an allowed machine";
-    j.noRoomAt = cluster.roomVersion;
+    j.noRoomVersion = cluster.roomVersion;
     j.noRoomSince = now;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -20,7 +20,7 @@
     return (s.types() == null || s.types().contains(m.type))
         && (s.zone() == null || s.zone().equals(m.zone))
         && (s.spot() || !m.spot)
-        && !m.closing
+        && !m.consolidating
         && !avoided(j, m);
   }
 
@@ -29,12 +29,13 @@
    * and on a small fleet no other may be left.
    */
   private boolean avoided(Job j, Machine m) {
-    return j.failedOn.contains(m.name) && j.failedOn.size() * 2 < cluster.machines.size();
+    return j.failedMachines.contains(m.name)
+        && j.failedMachines.size() * 2 < cluster.machines.size();
   }
 
   /** Tasks that may be claimed at once of a job that may be at fault: a look costs little. */
   int mostTried(Job j) {
-    return j.suspect ? 1 : j.unsure ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
+    return j.suspect ? 1 : j.unproven ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
   }
 
   /** True if the job's tasks must stay in one zone or be spread over zones. */
@@ -71,10 +72,10 @@
     if (wait == null || now - j.waitingSince > wait) {
       return false;
     }
-    cluster.looked += usable.size();
+    cluster.examinedCount += usable.size();
     for (Machine m : usable) {
       MachineType t = cluster.types.get(m.type);
-      if (m.warm(j.spec.image())
+      if (m.hasImage(j.spec.image())
           && t != null
           && t.fetchGbPerS() > 0
           && j.spec.imageGb() / t.fetchGbPerS() > wait
@@ -91,12 +92,12 @@
   private static boolean canMakeRoom(Job j, Machine m) {
     Resources room = m.free();
     for (Claim c : m.claims.values()) {
-      boolean comes = c.stopAsked || c.phase == Claim.Phase.SETTLING;
-      boolean lower = c.phase == Claim.Phase.HELD && j.priority().beats(c.priority);
+      boolean comes = c.stopRequested || c.phase == Claim.Phase.ENDING;
+      boolean lower = c.phase == Claim.Phase.COMMITTED && j.priority().beats(c.priority);
       if (comes || lower) {
-        room = room.plus(c.room());
+        room = room.plus(c.resources());
       }
     }
-    return room.holds(j.need);
+    return room.holds(j.taskResources);
   }
 }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -65,9 +65,9 @@
     /** Null for a job whose own claims and failures decide as well. */
     static Demand of(Job j) {
       JobSpec s = j.spec;
-      return s.oneZone() || s.spread() || !j.failedOn.isEmpty()
+      return s.oneZone() || s.spread() || !j.failedMachines.isEmpty()
           ? null
-          : new Demand(s.team(), j.priority(), j.need, s.types(), s.zone(), s.spot());
+          : new Demand(s.team(), j.priority(), j.taskResources, s.types(), s.zone(), s.spot());
     }
   }
 
@@ -90,12 +90,12 @@
     littleBelow.clear();
     fruitless.clear();
     stopping.clear();
-    for (Claim c : cluster.stopping) {
-      stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
+    for (Claim c : cluster.stoppingClaims) {
+      stopping.merge(c.job.spec.team(), c.resources(), Resources::plus);
     }
     for (QueueOrder.Entry k : waiting) {
       Job j = k.job;
-      if (!j.open.isEmpty() && j.notBefore <= now) {
+      if (!j.openTasks.isEmpty() && j.notBefore <= now) {
         makeRoom(j, usable, now);
       }
     }
@@ -103,9 +103,9 @@
 
   private void makeRoom(Job j, List<Machine> usable, double now) {
     // What only waits for a change of its record may find room already.
-    int open = j.open.cardinality() - CommitReservations.blocked(cluster, j);
-    int wanted = Math.min(open, rules.mostTried(j) - j.claims.size()) - j.preempting;
-    boolean guaranteed = cluster.withinGuarantee(j.spec.team(), j.need);
+    int open = j.openTasks.cardinality() - CommitReservations.blocked(cluster, j);
+    int wanted = Math.min(open, rules.mostTried(j) - j.claims.size()) - j.pendingPreemptions;
+    boolean guaranteed = cluster.withinGuarantee(j.spec.team(), j.taskResources);
     if (wanted <= 0 || !(guaranteed || cluster.byPriority.hasBelow(j.priority()))) {
       return;
     }
@@ -132,7 +132,7 @@
     boolean within = false;
     PriorityQueue<Offer> offers = null;
     while (wanted-- > 0) {
-      promised = promised.plus(j.need);
+      promised = promised.plus(j.taskResources);
       if (!cluster.withinLimit(j.spec.team(), promised)) {
         return;
       }
@@ -180,7 +180,7 @@
   private boolean littleBelow(Priority priority, List<Machine> usable) {
     double all = 0;
     for (Machine m : usable) {
-      all += m.room.cpus();
+      all += m.capacity.cpus();
     }
     double below = 0;
     for (Job o : cluster.jobs.values()) {
@@ -188,13 +188,13 @@
         below += o.claims.size() * o.spec.cpus();
       }
     }
-    cluster.looked += usable.size();
+    cluster.examinedCount += usable.size();
     return below <= all * SPARED_SHARE;
   }
 
   private PriorityQueue<Offer> offers(Job j, List<Machine> usable, boolean within, double now) {
     PriorityQueue<Offer> offers = new PriorityQueue<>(Comparator.comparingDouble(Offer::cost));
-    cluster.looked += usable.size();
+    cluster.examinedCount += usable.size();
     for (Machine m : usable) {
       boolean any = within ? !m.claims.isEmpty() : m.byPriority.hasBelow(j.priority());
       if (any && rules.allowed(j, m) && PlacementRules.zoneAllowed(j, m.zone)) {
@@ -208,11 +208,11 @@
   }
 
   private Offer offer(Job j, Machine m, boolean within, double now) {
-    List<Claim> victims = victims(j, m, j.need, within, now);
+    List<Claim> victims = victims(j, m, j.taskResources, within, now);
     if (victims == null) {
       return null;
     }
-    double cost = m.warm(j.spec.image()) ? 0 : COLD_COST_S;
+    double cost = m.hasImage(j.spec.image()) ? 0 : COLD_COST_S;
     for (Claim c : victims) {
       cost += lost(c, now) + STOP_COST_S;
     }
@@ -225,15 +225,15 @@
     for (Claim c : victims) {
       boolean hurry =
           j.priority().beats(c.priority) && wait != null && wait < c.job.spec.saveS() + HURRY_S;
-      cluster.askStop(c, now);
-      stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
-      c.hardStop = hurry;
+      cluster.requestStop(c, now);
+      stopping.merge(c.job.spec.team(), c.resources(), Resources::plus);
+      c.stopWithoutGrace = hurry;
       if (first) {
-        c.madeFor = j;
-        j.preempting++;
+        c.preemptedFor = j;
+        j.pendingPreemptions++;
         first = false;
       }
-      cluster.note(
+      cluster.log(
           "preempt "
               + c.taskId()
               + " attempt "
@@ -259,16 +259,16 @@
   private List<Claim> victims(Job j, Machine m, Resources need, boolean within, double now) {
     Resources free = m.free();
     List<Claim> can = new ArrayList<>();
-    cluster.looked += m.claims.size();
+    cluster.examinedCount += m.claims.size();
     for (Claim c : m.claims.values()) {
-      if (c.stopAsked || c.phase == Claim.Phase.SETTLING) {
+      if (c.stopRequested || c.phase == Claim.Phase.ENDING) {
         // Its room comes back soon, but it is promised to whom it was stopped for, if anybody.
-        if (c.madeFor == null) {
-          free = free.plus(c.room());
+        if (c.preemptedFor == null) {
+          free = free.plus(c.resources());
         }
         continue;
       }
-      if (c.phase == Claim.Phase.HELD && preemptible(j, c, within)) {
+      if (c.phase == Claim.Phase.COMMITTED && preemptible(j, c, within)) {
         can.add(c);
       }
     }
@@ -282,7 +282,7 @@
     List<Claim> chosen = new ArrayList<>();
     for (Claim c : can) {
       chosen.add(c);
-      free = free.plus(c.room());
+      free = free.plus(c.resources());
       if (free.holds(need)) {
         return chosen;
       }
@@ -294,7 +294,7 @@
   private boolean preemptible(Job j, Claim c, boolean within) {
     JobSpec v = c.job.spec;
     boolean lower = j.priority().beats(c.priority);
-    Resources gone = stopping.getOrDefault(v.team(), Resources.NONE).plus(c.room());
+    Resources gone = stopping.getOrDefault(v.team(), Resources.NONE).plus(c.resources());
     boolean borrowed =
         within
             && !v.team().equals(j.spec.team())
--- a/src/main/java/graderelay/core/QueueOrder.java
+++ b/src/main/java/graderelay/core/QueueOrder.java
@@ -59,11 +59,11 @@
       job = j;
       // Neither smaller nor newer jobs, nor other teams, may pass a job for ever.
       patientEnough = !waitingWins(j, now);
-      beyond = !cluster.withinGuarantee(j.spec.team(), j.need);
+      beyond = !cluster.withinGuarantee(j.spec.team(), j.taskResources);
       share = share(j);
       back = stepBack.contains(j);
       worth = worth(j, now);
-      due = patientEnough ? due(j) : j.submittedAt;
+      due = patientEnough ? due(j) : j.eligibleSince;
     }
 
     /**
@@ -98,7 +98,7 @@
    * others of its priority: the largest jobs must begin as well.
    */
   static boolean waitingWins(Job j, double now) {
-    return j.neverBegan() && now - j.submittedAt > SchedulerLimits.WAITING_WINS_S;
+    return j.neverBegan() && now - j.eligibleSince > SchedulerLimits.WAITING_WINS_S;
   }
 
   /**
@@ -116,7 +116,7 @@
     if (s.isService() || steps.isEmpty()) {
       return 0;
     }
-    double waited = now - j.submittedAt;
+    double waited = now - j.eligibleSince;
     double last = steps.get(steps.size() - 1);
     int left = 0;
     for (double w : steps) {
@@ -127,7 +127,7 @@
     double worth = left / (double) s.tasks();
     Double whole = cluster.policy.finishes().get(s.jobClass());
     if (whole != null && waited + s.estimateS() <= whole) {
-      worth += 1.0 / Math.max(1, j.open.cardinality());
+      worth += 1.0 / Math.max(1, j.openTasks.cardinality());
     }
     return worth;
   }
@@ -143,7 +143,7 @@
     for (Job j : cluster.jobs.values()) {
       if (j.waiting() && !j.spec.isService() && j.hasDue() && now < j.dueAt()) {
         jobs.merge(j.priority(), 1, Integer::sum);
-        tasks.merge(j.priority(), j.open.cardinality(), Integer::sum);
+        tasks.merge(j.priority(), j.openTasks.cardinality(), Integer::sum);
       }
     }
     Map<Priority, Double> worth = new EnumMap<>(Priority.class);
@@ -155,10 +155,10 @@
   private double share(Job j) {
     Team t = cluster.policy.team(j.spec.team());
     double base = t == null || t.cpus() <= 0 ? 1 : t.cpus();
-    return Math.round(4 * cluster.use(j.spec.team()).cpus() / base) / 4.0;
+    return Math.round(4 * cluster.teamUsage(j.spec.team()).cpus() / base) / 4.0;
   }
 
   private static double due(Job j) {
-    return j.hasDue() ? j.dueAt() : j.submittedAt;
+    return j.hasDue() ? j.dueAt() : j.eligibleSince;
   }
 }
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -31,7 +31,7 @@
     for (Job j : cluster.jobs.values()) {
       if (j.waiting()
           && QueueOrder.waitingWins(j, now)
-          && cluster.admission.allows(j.spec.team(), j.amount)) {
+          && cluster.admission.allows(j.spec.team(), j.taskAmount)) {
         limitKept.merge(j.spec.team(), j, QuotaGate::goesBefore);
       }
     }
@@ -39,7 +39,7 @@
 
   private static Job goesBefore(Job a, Job b) {
     int order = a.priority().compareTo(b.priority());
-    boolean first = order != 0 ? order < 0 : a.submittedAt <= b.submittedAt;
+    boolean first = order != 0 ? order < 0 : a.eligibleSince <= b.eligibleSince;
     return first ? a : b;
   }
 
@@ -47,14 +47,19 @@
   boolean limitAllows(Job j) {
     Job kept = limitKept.get(j.spec.team());
     boolean keeps = kept != null && kept != j && !j.priority().beats(kept.priority());
-    return cluster.withinLimit(j.spec.team(), keeps ? j.need.plus(kept.need) : j.need);
+    return cluster.withinLimit(
+        j.spec.team(), keeps ? j.taskResources.plus(kept.taskResources) : j.taskResources);
   }
 
   /** The wait reason for a job that {@link #limitAllows} refused. */
   String limitReason(Job j) {
     String team = j.spec.team();
-    if (!cluster.admission.allows(team, j.amount)) {
-      return "a task needs " + j.amount + ", which the stored limits of team " + team + " forbid";
+    if (!cluster.admission.allows(team, j.taskAmount)) {
+      return "a task needs "
+          + j.taskAmount
+          + ", which the stored limits of team "
+          + team
+          + " forbid";
     }
     return "team " + team + " is at its limit";
   }
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -27,7 +27,7 @@
    * batches of the same moment.
    */
   void onQuota(StoredQuota stored) {
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
     if (stored == null) {
       if (cluster.admission.enabled()) {
         cluster.admission.disable();
@@ -59,13 +59,13 @@
 
   void tellDifferences() {
     for (Difference d : cluster.admission.takeDifferences()) {
-      cluster.out.add(new Action.DifferenceFound(d));
+      cluster.actions.add(new Action.DifferenceFound(d));
     }
   }
 
   /** An operator wants a team's account written anew from its committed claims. */
   void replaceAccount(String team) {
     cluster.admission.replaceAccount(team);
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -75,23 +75,23 @@
       if (back.size() >= MOST_RETURNED) {
         break;
       }
-      if (m.returning) {
-        if (now - m.returnAskedAt > RETURN_RETRY_S) {
-          m.returnAskedAt = now;
+      if (m.scalingIn) {
+        if (now - m.scaleInRequestedAt > RETURN_RETRY_S) {
+          m.scaleInRequestedAt = now;
           back.add(m.name);
         }
         continue;
       }
       Reason why = reason(m, needed, now);
       if (why != null) {
-        m.returning = true;
-        m.returnAskedAt = now;
+        m.scalingIn = true;
+        m.scaleInRequestedAt = now;
         back.add(m.name);
-        cluster.note("give back " + m.name + ": " + why.text);
+        cluster.log("give back " + m.name + ": " + why.text);
       }
     }
     if (!back.isEmpty()) {
-      cluster.out.add(new Action.ScaleIn(back));
+      cluster.actions.add(new Action.ScaleIn(back));
     }
   }
 
@@ -102,9 +102,10 @@
    */
   private boolean gone(Machine m, double now) {
     // One whose heartbeats come but that hears nothing will lose its services all the same.
-    double heard = Math.max(m.deafSince != null ? m.deafSince : m.lastReport, startedAt);
-    if (m.leaseOver
-        || m.failedPokes < DEAD_POKES
+    double heard =
+        Math.max(m.answersLostSince != null ? m.answersLostSince : m.lastHeartbeatAt, startedAt);
+    if (m.leaseExpired
+        || m.failedProbes < DEAD_POKES
         || now - heard < cluster.policy.reportS() * DEAD_REPORTS
         || m.claims.values().stream().noneMatch(c -> c.job.spec.isService())) {
       return false;
@@ -123,11 +124,11 @@
     }
     SilentMachines counted = new SilentMachines(now);
     for (Machine o : cluster.machines.values()) {
-      if (!o.leaseOver && !o.spot && (o.reported || !o.claims.isEmpty())) {
+      if (!o.leaseExpired && !o.spot && (o.heartbeatReceived || !o.claims.isEmpty())) {
         // Not only those that were asked already: of hundreds, the first ones are asked first.
         boolean quiet =
-            o.failedPokes > 0
-                || now - Math.max(o.lastReport, startedAt)
+            o.failedProbes > 0
+                || now - Math.max(o.lastHeartbeatAt, startedAt)
                     > cluster.policy.reportS() * WorkerCommands.POKE_REPORTS;
         counted.count(o.zone, quiet);
       }
@@ -145,14 +146,14 @@
       replacedAt.add(now);
       return Reason.GONE;
     }
-    if (!m.reported) {
+    if (!m.heartbeatReceived) {
       return neverCameUp(m, now) ? Reason.NEVER_CAME_UP : null;
     }
-    if (m.leaseOver) {
-      double silent = now - m.lastReport;
+    if (m.leaseExpired) {
+      double silent = now - m.lastHeartbeatAt;
       return silent > cluster.policy.leaseS() + SILENT_KEEP_S ? Reason.SILENT_TOO_LONG : null;
     }
-    if (!m.claims.isEmpty() || (m.last != null && !m.last.tasks().isEmpty())) {
+    if (!m.claims.isEmpty() || (m.lastHeartbeat != null && !m.lastHeartbeat.tasks().isEmpty())) {
       return null;
     }
     return emptyMachineReason(m, needed, now);
@@ -169,10 +170,10 @@
 
   /** Why a reported machine without work should be scaled in, or null. */
   private Reason emptyMachineReason(Machine m, Set<Machine> needed, double now) {
-    if (m.deafSince != null && now - m.deafSince > SILENT_KEEP_S) {
+    if (m.answersLostSince != null && now - m.answersLostSince > SILENT_KEEP_S) {
       return Reason.DEAF;
     }
-    if (m.bad) {
+    if (m.faulty) {
       return Reason.FAILED_SEVERAL_JOBS;
     }
     if (needed.contains(m) || m.cordoned) {
@@ -181,7 +182,7 @@
     if (now - startedAt < SETTLE_S) {
       return null;
     }
-    if (m.closing) {
+    if (m.consolidating) {
       return Reason.CONSOLIDATED;
     }
     double idle = cluster.policy.tuning().idleS();
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -55,9 +55,9 @@
     }
     InstancePool p = request.pool();
     for (String n : names) {
-      Machine m = cluster.machine(n, now);
-      if (!m.reported) {
-        cluster.locate(m, p.type(), p.zone(), p.spot());
+      Machine m = cluster.getOrAddMachine(n, now);
+      if (!m.heartbeatReceived) {
+        cluster.setTypeAndZone(m, p.type(), p.zone(), p.spot());
         m.requestedAt = request.since();
         m.booting = true;
       }
@@ -72,7 +72,7 @@
         PackingBin b = new PackingBin(m, new InstancePool(m.type, m.zone, m.spot), m.free());
         for (Claim c : m.claims.values()) {
           if (!c.job.spec.isService() && Priority.PROD.beats(c.priority)) {
-            b.yielding = b.yielding.plus(c.room());
+            b.yielding = b.yielding.plus(c.resources());
           }
         }
         bins.add(b);
@@ -87,10 +87,10 @@
   }
 
   private boolean mayTakeWork(Machine m, double now) {
-    if (m.returning || m.drain || m.cordoned || m.noticeAt != null || m.leaseOver) {
+    if (m.scalingIn || m.drain || m.cordoned || m.interruptionAt != null || m.leaseExpired) {
       return false;
     }
-    if (!m.reported && (m.type == null || !boots.likely(m, now))) {
+    if (!m.heartbeatReceived && (m.type == null || !boots.likely(m, now))) {
       return false;
     }
     return !(now < m.quarantineUntil);
@@ -101,11 +101,11 @@
     double sum = 0;
     for (PackingBin b : bins) {
       MachineType t = cluster.types.get(b.pool.type());
-      if (t == null || (b.machine != null && b.machine.closing)) {
+      if (t == null || (b.machine != null && b.machine.consolidating)) {
         continue;
       }
       sum += t.cpus();
-      sum -= b.machine == null ? 0 : b.machine.services.cpus();
+      sum -= b.machine == null ? 0 : b.machine.serviceResources.cpus();
     }
     return sum;
   }
@@ -160,7 +160,7 @@
       }
       long id = nextRequestId++;
       pending.put(id, new PendingRequest(p, n, now));
-      cluster.out.add(new Action.ScaleOut(id, p.type(), p.zone(), p.spot(), n));
+      cluster.actions.add(new Action.ScaleOut(id, p.type(), p.zone(), p.spot(), n));
     }
   }
 
@@ -187,7 +187,7 @@
   private int withinLimit(Job j, Map<String, Double> teamLeft) {
     JobSpec s = j.spec;
     Team t = cluster.policy.team(s.team());
-    int open = j.open.cardinality();
+    int open = j.openTasks.cardinality();
     if (t == null || t.cpusMax() <= 0 || s.cpus() <= 0) {
       return open;
     }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -18,26 +18,6 @@
  * WorkerCommands} what workers are told.
  */
 public final class Scheduler {
-  /** How a transaction ended. */
-  public enum Outcome {
-    COMMITTED,
-    /** Nothing was changed. */
-    REFUSED,
-    /** Nobody knows; the cache has been brought up to date since. */
-    UNKNOWN
-  }
-
-  /** How commands sent straight to a worker ended. */
-  public enum Sent {
-    EXECUTED,
-    /** Refused by the worker; nothing was executed. */
-    REFUSED,
-    /** The connection was never made, so they can't arrive. */
-    NEVER_LEFT,
-    /** No answer: they may still be carried out, minutes later. */
-    UNKNOWN
-  }
-
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
@@ -62,7 +42,7 @@
     this.planner = new FleetPlanner(cluster, now);
     cluster.term = term;
     cluster.firstTerm = term;
-    cluster.tookOver = now;
+    cluster.leaderSince = now;
     cluster.delegates =
         new LeaseDelegates(policy.delegates(), term, policy.grantS(), policy.leaseS(), now);
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
@@ -87,8 +67,8 @@
   /** The first load is over: what comes from now on is new. */
   public void loaded(double now) {
     cluster.loading = false;
-    cluster.dirty = true;
-    cluster.note(
+    cluster.roundNeeded = true;
+    cluster.log(
         "took over with term "
             + cluster.term
             + ": "
@@ -161,38 +141,39 @@
 
   /**
    * A worker's heartbeat with status; the worker commands for the response come from {@link
-   * #ordersFor}. A heartbeat that says nothing new sets nothing in motion: hundreds come every
+   * #commandsFor}. A heartbeat that says nothing new sets nothing in motion: hundreds come every
    * second.
    *
    * @return false if it is a copy of the past, which proves nothing and renews nothing
    */
-  public boolean onReport(Heartbeat r, double now) {
-    return onReport(r, "", now);
+  public boolean onHeartbeat(Heartbeat r, double now) {
+    return onHeartbeat(r, "", now);
   }
 
   /**
    * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
    */
-  public boolean onReport(Heartbeat r, String via, double now) {
+  public boolean onHeartbeat(Heartbeat r, String via, double now) {
     return heartbeats.takeHeartbeat(r, via, now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
-  public void answered(String machine, double now) {
-    heartbeats.answered(machine, now);
+  public void onHeartbeatAnswered(String machine, double now) {
+    heartbeats.onHeartbeatAnswered(machine, now);
   }
 
   /** Worker commands for the response to the heartbeat that was just taken. */
-  public List<WorkerCommand> ordersFor(Heartbeat r, double now) {
-    return commands.ordersFor(r, now);
+  public List<WorkerCommand> commandsFor(Heartbeat r, double now) {
+    return commands.commandsFor(r, now);
   }
 
   /**
    * How a worker command sent straight to a worker ended; {@code report} is the worker's answer, or
    * null if there is none.
    */
-  public void onSent(Action.Command cmd, Sent how, Heartbeat report, double now) {
-    heartbeats.onSent(cmd, how, report, now);
+  public void onCommandDelivery(
+      Action.SendCommands cmd, CommandDelivery how, Heartbeat report, double now) {
+    heartbeats.onCommandDelivery(cmd, how, report, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
@@ -218,18 +199,8 @@
     machineEvents.onTypes(types);
   }
 
-  /** One machine of the cloud's list. */
-  public record Listed(
-      String name,
-      String address,
-      String type,
-      String zone,
-      boolean spot,
-      String stage,
-      double ageS) {}
-
   /** The cloud's list of machines. */
-  public void onList(List<Listed> list, double now) {
+  public void onList(List<ListedMachine> list, double now) {
     machineEvents.onList(list, now);
   }
 
@@ -256,7 +227,7 @@
   }
 
   /** The answer to compare-and-swap transaction {@code id}; {@code revision} is its revision. */
-  public void onWrite(long id, Outcome outcome, long revision, double now) {
+  public void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
     answers.onWrite(id, outcome, revision, now);
   }
 
@@ -280,7 +251,7 @@
   /** The operators changed the tuning of the settings. */
   public void onTuning(Policy.Tuning tuning) {
     cluster.policy = cluster.policy.with(tuning);
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
@@ -290,8 +261,8 @@
 
   /** Takes the actions decided since the last call. */
   public List<Action> take() {
-    List<Action> actions = new ArrayList<>(cluster.out);
-    cluster.out.clear();
+    List<Action> actions = new ArrayList<>(cluster.actions);
+    cluster.actions.clear();
     return actions;
   }
 
@@ -329,7 +300,7 @@
 
   /** What the claims of a team take while limits are not stored. */
   public Amount teamClaims(String team) {
-    return cluster.use(team).amount();
+    return cluster.teamUsage(team).amount();
   }
 
   /** How a team stands; for the administration API. */
@@ -348,12 +319,12 @@
   }
 
   /** Machines and claims that rounds have looked at so far. */
-  public long looked() {
-    return cluster.looked;
+  public long examinedCount() {
+    return cluster.examinedCount;
   }
 
   /** Heartbeats dropped because newer ones had come before. */
-  public long staleReports() {
+  public long staleHeartbeats() {
     return heartbeats.stale;
   }
 }
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -53,7 +53,7 @@
     heartbeats.leases(now);
     commands.pokes(now);
     commands.doubts(now);
-    for (Job j : cluster.stopped) {
+    for (Job j : cluster.cancelledJobs) {
       commands.kill(j.claims.values(), now);
     }
     askForEnds(now);
@@ -63,7 +63,7 @@
       cluster.admission.check();
     }
     if (now - lastRound >= ROUND_AT_LEAST_EVERY_S) {
-      cluster.dirty = true;
+      cluster.roundNeeded = true;
     }
     step(now);
     quota.tellDifferences();
@@ -73,7 +73,7 @@
   private void askForEnds(double now) {
     List<String> find = cluster.dependencies.toFind(now);
     if (!find.isEmpty()) {
-      cluster.out.add(new Action.FindEnds(find));
+      cluster.actions.add(new Action.FindEnds(find));
     }
   }
 
@@ -90,14 +90,14 @@
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   double step(double now) {
     commands.launchCommitted(now);
-    if (!cluster.dirty || cluster.loading) {
+    if (!cluster.roundNeeded || cluster.loading) {
       return ROUND_AT_LEAST_EVERY_S;
     }
     double wait = lastRound + SchedulerLimits.ROUND_EVERY_S - now;
     if (wait > 0) {
       return wait;
     }
-    cluster.dirty = false;
+    cluster.roundNeeded = false;
     lastRound = now;
     machineEvents.forgetMachines(now);
     boolean pause = cluster.policy.tuning().claimsPaused() || commands.raising();
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -46,8 +46,8 @@
     }
     track(j, s.key, record, revision);
     if (s.inFlight) {
-      s.stash = record;
-      s.stashRevision = revision;
+      s.newerRecord = record;
+      s.newerRevision = revision;
       return;
     }
     adopt(j, s, record, revision, now);
@@ -68,7 +68,7 @@
     s.record = r;
     s.revision = revision;
     for (int i = 0; i < r.size(); i++) {
-      int task = s.base + i;
+      int task = s.firstTask + i;
       Claim c = j.claims.get(task);
       String m = r.machine(i);
       boolean same =
@@ -82,33 +82,33 @@
       }
       if (c != null) {
         settle.remove(c);
-        cluster.remove(c, now);
+        cluster.removeClaim(c, now);
       }
       if (m != null) {
         Claim a = new Claim(j, task, r.attempt(i), m, r.session(i), now);
-        a.phase = Claim.Phase.HELD;
-        a.fromPast = cluster.loading;
-        cluster.add(a, now);
+        a.phase = Claim.Phase.COMMITTED;
+        a.fromEarlierLeader = cluster.loading;
+        cluster.addClaim(a, now);
         if (!cluster.loading) {
           // Written by a transaction of ours whose answer was lost, so it was never launched. Its
           // place may have been given to others meanwhile: it must not be launched now.
           end(a, false, now);
         }
       } else if (r.done(i)) {
-        j.open.clear(task);
+        j.openTasks.clear(task);
       } else {
-        j.open.set(task);
+        j.openTasks.set(task);
       }
     }
-    cluster.maybeOver.add(j);
+    cluster.maybeEndedJobs.add(j);
     j.doneCount = 0;
     for (Job.TaskBatch each : j.taskBatches.values()) {
       j.doneCount += each.record.doneCount();
     }
     if (cluster.loading) {
-      j.unsure = j.doneCount == 0 && j.claims.isEmpty() && triedOften(j);
+      j.unproven = j.doneCount == 0 && j.claims.isEmpty() && triedOften(j);
     }
-    cluster.dirty = true;
+    cluster.roundNeeded = true;
   }
 
   /**
@@ -130,32 +130,32 @@
   void forget(Job j, double now) {
     for (Claim c : new ArrayList<>(j.claims.values())) {
       settle.remove(c);
-      cluster.remove(c, now);
+      cluster.removeClaim(c, now);
     }
     cluster.jobs.remove(j.spec.id());
     cluster.admission.committed().removeJob(j.spec.id());
     cluster.dependencies.gone(j);
-    cluster.stopped.remove(j);
-    cluster.maybeOver.remove(j);
-    cluster.dirty = true;
+    cluster.cancelledJobs.remove(j);
+    cluster.maybeEndedJobs.remove(j);
+    cluster.roundNeeded = true;
   }
 
   /** The claim is proven gone, or was never launched. */
   void end(Claim c, boolean isDone, double now) {
-    if (c.phase == Claim.Phase.SETTLING) {
+    if (c.phase == Claim.Phase.ENDING) {
       return;
     }
-    c.phase = Claim.Phase.SETTLING;
-    c.done = isDone;
+    c.phase = Claim.Phase.ENDING;
+    c.taskDone = isDone;
     settle.add(c);
-    cluster.maybeOver.add(c.job);
-    cluster.dirty = true;
+    cluster.maybeEndedJobs.add(c.job);
+    cluster.roundNeeded = true;
   }
 
   /** Counts what a task batch's committed claims take, where stored limits are switched on. */
   void track(Job j, TaskBatchKey key, TaskBatchRecord r, long revision) {
     if (cluster.admission.enabled()) {
-      Amount use = j.amount.times(r.claimedCount());
+      Amount use = j.taskAmount.times(r.claimedCount());
       cluster.admission.committed().put(j.spec.id(), key.index(), j.spec.team(), revision, use);
     }
   }
@@ -164,14 +164,14 @@
   void trackAll() {
     for (Job j : cluster.jobs.values()) {
       for (Job.TaskBatch s : j.taskBatches.values()) {
-        boolean newer = s.stash != null && s.stashRevision > s.revision;
+        boolean newer = s.newerRecord != null && s.newerRevision > s.revision;
         if (newer || s.revision > 0) {
-          track(j, s.key, newer ? s.stash : s.record, newer ? s.stashRevision : s.revision);
+          track(j, s.key, newer ? s.newerRecord : s.record, newer ? s.newerRevision : s.revision);
         }
       }
       for (Claim c : j.claims.values()) {
         if (c.phase == Claim.Phase.CLAIMING) {
-          cluster.admission.placed(j.spec.team(), j.amount);
+          cluster.admission.placed(j.spec.team(), j.taskAmount);
         }
       }
     }
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -53,7 +53,7 @@
   void emit(Action.Write w, Map<TaskBatchKey, List<Claim>> c, Map<TaskBatchKey, List<Claim>> s) {
     sending.put(w.id(), new Sending(w, c, s));
     changesOut += changes(w);
-    cluster.out.add(w);
+    cluster.actions.add(w);
   }
 
   private static int changes(Action.Write w) {
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -45,7 +45,7 @@
   WorkerCommands(ClusterState cluster, StoredRecords records) {
     this.cluster = cluster;
     this.records = records;
-    this.directFilled = cluster.tookOver;
+    this.directFilled = cluster.leaderSince;
     this.directTokens = cluster.policy.directPerS();
   }
 
@@ -63,7 +63,7 @@
   private boolean raising;
 
   /** Orders for the response to the report that was just taken. */
-  List<WorkerCommand> ordersFor(Heartbeat r, double now) {
+  List<WorkerCommand> commandsFor(Heartbeat r, double now) {
     Machine m = cluster.machines.get(r.machine());
     List<WorkerCommand> orders = new ArrayList<>();
     if (m == null || m.session != r.session() || m.seq != r.seq()) {
@@ -75,7 +75,8 @@
       if (!ours) {
         if (e.stage() != Heartbeat.Stage.EXITED) {
           orders.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
-        } else if (!m.neverReap.contains(HeartbeatMonitor.reapKey(e.task(), e.attempt()))) {
+        } else if (!m.unreapableAttempts.contains(
+            HeartbeatMonitor.reapKey(e.task(), e.attempt()))) {
           orders.add(new WorkerCommand.Reap(e.task(), e.attempt()));
         }
       } else if (e.stage() != Heartbeat.Stage.EXITED) {
@@ -86,14 +87,14 @@
       }
     }
     for (Claim c : m.claims.values()) {
-      boolean open = c.launch == Claim.Launch.NONE || c.launch == Claim.Launch.DOUBTFUL;
+      boolean open = c.launch == Claim.Launch.NONE || c.launch == Claim.Launch.UNACKNOWLEDGED;
       if (open && launchable(m, c)) {
         orders.add(new WorkerCommand.Launch(c.taskId(), c.attempt));
         if (c.launch == Claim.Launch.NONE) {
           c.launch = Claim.Launch.IN_RESPONSE;
-          c.launchSeq = r.seq();
+          c.launchHeartbeatSeq = r.seq();
           c.launchTerm = cluster.term;
-          c.launchAt = now;
+          c.launchedAt = now;
         }
       }
     }
@@ -102,23 +103,23 @@
 
   /** A start needs a committed claim of this session and no stop request. */
   private boolean launchable(Machine m, Claim c) {
-    return c.phase == Claim.Phase.HELD
-        && !c.fromPast
+    return c.phase == Claim.Phase.COMMITTED
+        && !c.fromEarlierLeader
         && c.session == m.session
-        && !c.job.stop
-        && !c.stopAsked
-        && !m.returning;
+        && !c.job.cancelRequested
+        && !c.stopRequested
+        && !m.scalingIn;
   }
 
   private WorkerCommand.Kill killOf(Claim c, double now) {
-    if (c.job.stop) {
+    if (c.job.cancelRequested) {
       return new WorkerCommand.Kill(c.taskId(), c.attempt, 0);
     }
-    if (!c.stopAsked) {
+    if (!c.stopRequested) {
       return null;
     }
     JobSpec s = c.job.spec;
-    if (c.hardStop || s.checkpointS() <= 0) {
+    if (c.stopWithoutGrace || s.checkpointS() <= 0) {
       return new WorkerCommand.Kill(c.taskId(), c.attempt, 0);
     }
     double grace = s.saveS() + SAVE_SLACK_S;
@@ -141,8 +142,8 @@
 
   void drainClaims(Machine m, double now) {
     for (Claim c : new ArrayList<>(m.claims.values())) {
-      if (!c.stopAsked && c.phase != Claim.Phase.SETTLING) {
-        cluster.askStop(c, now);
+      if (!c.stopRequested && c.phase != Claim.Phase.ENDING) {
+        cluster.requestStop(c, now);
       }
       if (c.neverLaunched()) {
         records.end(c, false, now);
@@ -156,20 +157,20 @@
     Map<Machine, List<WorkerCommand>> byMachine = new LinkedHashMap<>();
     for (Claim c : claims) {
       Machine m = cluster.machines.get(c.machine);
-      if (c.phase != Claim.Phase.HELD
+      if (c.phase != Claim.Phase.COMMITTED
           || m == null
           || m.address == null
           || c.session != m.session
           || c.stage == Heartbeat.Stage.EXITED
-          || now - m.lastReport > cluster.policy.reportS() * SILENT_REPORTS) {
+          || now - m.lastHeartbeatAt > cluster.policy.reportS() * SILENT_REPORTS) {
         continue;
       }
       WorkerCommand.Kill k = killOf(c, now);
       if (k != null
-          && now - c.killAt > KILL_AGAIN_S
+          && now - c.lastKillAt > KILL_AGAIN_S
           && room(byMachine.get(m))
           && (byMachine.containsKey(m) || direct(now, 0))) {
-        c.killAt = now;
+        c.lastKillAt = now;
         byMachine.computeIfAbsent(m, x -> new ArrayList<>()).add(k);
       }
     }
@@ -179,17 +180,17 @@
   private void send(Map<Machine, List<WorkerCommand>> byMachine) {
     byMachine.forEach(
         (m, orders) ->
-            cluster.out.add(
-                new Action.Command(m.name, m.address, m.session, cluster.term, orders)));
+            cluster.actions.add(
+                new Action.SendCommands(m.name, m.address, m.session, cluster.term, orders)));
   }
 
   void killPreempted(double now) {
-    if (cluster.stopping.isEmpty()) {
+    if (cluster.stoppingClaims.isEmpty()) {
       return;
     }
     List<Claim> asked = new ArrayList<>();
-    for (Claim c : cluster.stopping) {
-      if (c.phase == Claim.Phase.HELD && !c.job.stop) {
+    for (Claim c : cluster.stoppingClaims) {
+      if (c.phase == Claim.Phase.COMMITTED && !c.job.cancelRequested) {
         asked.add(c);
       }
     }
@@ -207,21 +208,25 @@
     records.committed.sort(Comparator.comparing(c -> !c.job.spec.isService()));
     for (Claim c : records.committed) {
       Machine m = cluster.machines.get(c.machine);
-      if (c.phase != Claim.Phase.HELD || m == null || m.claims.get(c.taskId()) != c) {
+      if (c.phase != Claim.Phase.COMMITTED || m == null || m.claims.get(c.taskId()) != c) {
         continue;
       }
-      if (c.session < m.session || c.job.stop || c.stopAsked || m.returning || m.failed) {
+      if (c.session < m.session
+          || c.job.cancelRequested
+          || c.stopRequested
+          || m.scalingIn
+          || m.failed) {
         records.end(c, false, now);
         continue;
       }
       boolean near =
           m.address != null
-              && now - m.lastReport <= cluster.policy.reportS() * SILENT_REPORTS
-              && !m.leaseOver;
+              && now - m.lastHeartbeatAt <= cluster.policy.reportS() * SILENT_REPORTS
+              && !m.leaseExpired;
       boolean go = near && launchable(m, c) && c.launch == Claim.Launch.NONE;
       double reserve = c.job.spec.isService() ? 0 : DIRECT_FOR_SERVICES;
       if (go && room(byMachine.get(m)) && (byMachine.containsKey(m) || direct(now, reserve))) {
-        cluster.note(
+        cluster.log(
             "start "
                 + c.taskId()
                 + " attempt "
@@ -230,11 +235,11 @@
                 + m.name
                 + " with term "
                 + cluster.term
-                + (m.warm(c.job.spec.image()) ? "" : ", image to be fetched"));
-        cluster.out.add(new Action.Seen("started", now - c.job.waitingSince));
+                + (m.hasImage(c.job.spec.image()) ? "" : ", image to be fetched"));
+        cluster.actions.add(new Action.MetricEvent("started", now - c.job.waitingSince));
         c.launch = Claim.Launch.DIRECT;
         c.launchTerm = cluster.term;
-        c.launchAt = now;
+        c.launchedAt = now;
         byMachine
             .computeIfAbsent(m, x -> new ArrayList<>())
             .add(new WorkerCommand.Launch(c.taskId(), c.attempt));
@@ -268,7 +273,7 @@
     // Those with services first: their replicas are down until we know.
     for (boolean services : new boolean[] {true, false}) {
       for (Machine m : cluster.machines.values()) {
-        if (m.services.cpus() > 0 == services) {
+        if (m.serviceResources.cpus() > 0 == services) {
           poke(m, now);
         }
       }
@@ -278,15 +283,18 @@
   private void poke(Machine m, double now) {
     // Most report by themselves within an interval of the takeover.
     boolean unheard =
-        !m.reported && !m.claims.isEmpty() && now - cluster.tookOver > cluster.policy.reportS() / 2;
-    boolean deaf = m.deafSince != null;
-    boolean silent = m.reported && now - m.lastReport > cluster.policy.reportS() * POKE_REPORTS;
-    double reserve = m.services.cpus() > 0 ? DIRECT_FOR_SERVICES : DIRECT_FOR_ORDERS;
+        !m.heartbeatReceived
+            && !m.claims.isEmpty()
+            && now - cluster.leaderSince > cluster.policy.reportS() / 2;
+    boolean deaf = m.answersLostSince != null;
+    boolean silent =
+        m.heartbeatReceived && now - m.lastHeartbeatAt > cluster.policy.reportS() * POKE_REPORTS;
+    double reserve = m.serviceResources.cpus() > 0 ? DIRECT_FOR_SERVICES : DIRECT_FOR_ORDERS;
     if (m.address == null
-        || m.leaseOver
-        || m.returning
+        || m.leaseExpired
+        || m.scalingIn
         || !(unheard || silent || deaf)
-        || now - m.lastPoke < POKE_EVERY_S
+        || now - m.lastProbeAt < POKE_EVERY_S
         || !direct(now, reserve)) {
       return;
     }
@@ -294,8 +302,9 @@
     for (Claim c : m.claims.values()) {
       session = Math.max(session, c.session);
     }
-    m.lastPoke = now;
-    cluster.out.add(new Action.Command(m.name, m.address, session, cluster.term, List.of()));
+    m.lastProbeAt = now;
+    cluster.actions.add(
+        new Action.SendCommands(m.name, m.address, session, cluster.term, List.of()));
   }
 
   /** Fences launches of unknown fate that stand in the way of an end, by a new term. */
@@ -305,16 +314,16 @@
     }
     for (Machine m : cluster.machines.values()) {
       for (Claim c : m.claims.values()) {
-        boolean blocked = c.job.stop || c.stopAsked;
-        if (c.phase == Claim.Phase.HELD
-            && c.launch == Claim.Launch.DOUBTFUL
+        boolean blocked = c.job.cancelRequested || c.stopRequested;
+        if (c.phase == Claim.Phase.COMMITTED
+            && c.launch == Claim.Launch.UNACKNOWLEDGED
             && blocked
-            && now - c.launchAt > DOUBT_S
+            && now - c.launchedAt > DOUBT_S
             && c.launchTerm == cluster.term) {
           raising = true;
           lastRaise = now;
-          cluster.note("raising the term: a launch of " + c.taskId() + " is of unknown fate");
-          cluster.out.add(new Action.RaiseTerm());
+          cluster.log("raising the term: a launch of " + c.taskId() + " is of unknown fate");
+          cluster.actions.add(new Action.RaiseTerm());
           return;
         }
       }
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -3,9 +3,9 @@
 import graderelay.cloud.CloudClient;
 import graderelay.config.Settings;
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Scheduler;
-import graderelay.core.Scheduler.Outcome;
-import graderelay.core.Scheduler.Sent;
+import graderelay.core.TransactionOutcome;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.quota.AccountChange;
@@ -96,9 +96,9 @@
   /** Takes every action the core has decided on and carries it out. */
   void carryOut() {
     for (Action a : core.take()) {
-      if (a instanceof Action.Note n) {
+      if (a instanceof Action.LogLine n) {
         LOG.info("{}", n.text());
-      } else if (a instanceof Action.Seen seen) {
+      } else if (a instanceof Action.MetricEvent seen) {
         if (seen.waitedS() >= 0) {
           metrics.span("graderelay.queue.wait", seen.waitedS());
         }
@@ -108,7 +108,7 @@
         metrics.count("graderelay.quota.differences", "team", d.difference().team());
       } else if (a instanceof Action.Write w) {
         write(w);
-      } else if (a instanceof Action.Command c) {
+      } else if (a instanceof Action.SendCommands c) {
         command(c);
       } else if (a instanceof Action.ScaleOut h) {
         rent(h);
@@ -196,21 +196,22 @@
     }
     metrics.count("graderelay.writes", "outcome", r.how().name().toLowerCase(Locale.ROOT));
     if (r.done()) {
-      core.onWrite(id, Outcome.COMMITTED, r.revision(), loop.now());
+      core.onWrite(id, TransactionOutcome.COMMITTED, r.revision(), loop.now());
       carryOut();
       term.stepSoon();
     } else if (r.how() == How.NOT_EXECUTED) {
       core.onLimits(
           state.smaller() ? stateLimits.valueBytes() : Integer.MAX_VALUE, state.leadersChanges());
-      loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
+      loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info("transaction {}: {} {}", id, r.how(), r.body() == null ? "" : r.body());
       // The records as they are now come first; the core decides on them.
-      catchUpThenTell(id, r.how() == How.UNKNOWN ? Outcome.UNKNOWN : Outcome.REFUSED);
+      catchUpThenTell(
+          id, r.how() == How.UNKNOWN ? TransactionOutcome.UNKNOWN : TransactionOutcome.REFUSED);
     }
   }
 
-  private void catchUpThenTell(long id, Outcome outcome) {
+  private void catchUpThenTell(long id, TransactionOutcome outcome) {
     cache.catchUp(
         ok -> {
           if (term.isClosed()) {
@@ -224,7 +225,7 @@
         });
   }
 
-  private void tellOutcome(long id, Outcome outcome) {
+  private void tellOutcome(long id, TransactionOutcome outcome) {
     if (!term.isClosed()) {
       core.onWrite(id, outcome, 0, loop.now());
       term.stepSoon();
@@ -233,12 +234,12 @@
 
   // ---------------------------------------------------------------- workers
 
-  private void command(Action.Command c) {
+  private void command(Action.SendCommands c) {
     if (!leadership.entitled()) {
-      core.onSent(c, Sent.NEVER_LEFT, null, loop.now());
+      core.onCommandDelivery(c, CommandDelivery.NEVER_LEFT, null, loop.now());
       return;
     }
-    LOG.debug("to {}: {}", c.machine(), c.orders());
+    LOG.debug("to {}: {}", c.machine(), c.commands());
     workers.send(
         c,
         (how, report) -> {
@@ -246,10 +247,10 @@
             return;
           }
           metrics.count("graderelay.orders", "outcome", how.name().toLowerCase(Locale.ROOT));
-          if (how != Sent.EXECUTED) {
-            LOG.info("orders to {} ended {}: {}", c.machine(), how, c.orders());
+          if (how != CommandDelivery.EXECUTED) {
+            LOG.info("orders to {} ended {}: {}", c.machine(), how, c.commands());
           }
-          core.onSent(c, how, report, loop.now());
+          core.onCommandDelivery(c, how, report, loop.now());
           term.stepSoon();
         });
   }
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -214,14 +214,14 @@
    */
   List<WorkerCommand> onReport(Heartbeat r, String via) {
     double now = loop.now();
-    boolean fresh = core.onReport(r, via, now);
-    if (core.staleReports() > staleHeartbeats) {
-      staleHeartbeats = core.staleReports();
+    boolean fresh = core.onHeartbeat(r, via, now);
+    if (core.staleHeartbeats() > staleHeartbeats) {
+      staleHeartbeats = core.staleHeartbeats();
       metrics.count("graderelay.dropped", "what", "stale report");
     }
-    List<WorkerCommand> orders = core.ordersFor(r, now);
+    List<WorkerCommand> orders = core.commandsFor(r, now);
     if (fresh) {
-      core.answered(r.machine(), now);
+      core.onHeartbeatAnswered(r.machine(), now);
     }
     stepSoon();
     return orders;
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.ListedMachine;
 import graderelay.core.MachineType;
-import graderelay.core.Scheduler.Listed;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,11 +31,11 @@
     return types;
   }
 
-  public static List<Listed> machines(JsonNode n) {
-    List<Listed> list = new ArrayList<>();
+  public static List<ListedMachine> machines(JsonNode n) {
+    List<ListedMachine> list = new ArrayList<>();
     for (JsonNode m : n.path("saws")) {
       list.add(
-          new Listed(
+          new ListedMachine(
               m.path("ref").asText(),
               m.path("address").asText(),
               m.path("rig").asText(),
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -1,8 +1,8 @@
 package graderelay.worker;
 
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Heartbeat;
-import graderelay.core.Scheduler.Sent;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
 import graderelay.wire.Json;
@@ -15,7 +15,7 @@
 
   /** Hears how orders ended. */
   public interface Done {
-    void done(Sent how, Heartbeat report);
+    void done(CommandDelivery how, Heartbeat report);
   }
 
   private final Transport transport;
@@ -24,8 +24,8 @@
     this.transport = transport;
   }
 
-  public void send(Action.Command c, Done done) {
-    byte[] body = Json.write(WorkerCodec.commands(c.term(), c.session(), c.orders()));
+  public void send(Action.SendCommands c, Done done) {
+    byte[] body = Json.write(WorkerCodec.commands(c.term(), c.session(), c.commands()));
     transport.call(
         c.address(),
         "POST",
@@ -35,12 +35,12 @@
         r -> done.done(how(r), report(r)));
   }
 
-  private static Sent how(Reply r) {
+  private static CommandDelivery how(Reply r) {
     return switch (r.status()) {
-      case 200 -> Sent.EXECUTED;
-      case 409, 400 -> Sent.REFUSED;
-      case 0 -> r.sent() ? Sent.UNKNOWN : Sent.NEVER_LEFT;
-      default -> Sent.UNKNOWN;
+      case 200 -> CommandDelivery.EXECUTED;
+      case 409, 400 -> CommandDelivery.REFUSED;
+      case 0 -> r.sent() ? CommandDelivery.UNKNOWN : CommandDelivery.NEVER_LEFT;
+      default -> CommandDelivery.UNKNOWN;
     };
   }
 
--- a/src/test/java/graderelay/ClaimTest.java
+++ b/src/test/java/graderelay/ClaimTest.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.core.Scheduler;
 import graderelay.core.TaskBatchKey;
+import graderelay.core.TransactionOutcome;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
 import graderelay.wire.Json;
@@ -164,10 +165,10 @@
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     s.step(0.1);
-    SchedulerFixture.answerWrites(s, Scheduler.Outcome.UNKNOWN, 0.2);
+    SchedulerFixture.answerWrites(s, TransactionOutcome.UNKNOWN, 0.2);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
-    s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), 0.25);
-    assertThat(s.ordersFor(SchedulerFixture.report("n-1", 1, 2, 1), 0.25)).isEmpty();
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), 0.25);
+    assertThat(s.commandsFor(SchedulerFixture.report("n-1", 1, 2, 1), 0.25)).isEmpty();
     assertThat(SchedulerFixture.launches(s)).isZero();
     SchedulerFixture.commitAll(s, 7, 0.3);
     assertThat(SchedulerFixture.writes(s)).isPositive(); // It goes back to the queue.
--- a/src/test/java/graderelay/DeafMachinesTest.java
+++ b/src/test/java/graderelay/DeafMachinesTest.java
@@ -6,6 +6,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Scheduler;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
@@ -31,14 +32,14 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // A worker that took our answer would have stayed with us.
-    s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), "m-1", 5.1);
-    s.answered("n-1", 5.1);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), "m-1", 5.1);
+    s.onHeartbeatAnswered("n-1", 5.1);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(s, 10, 5.3);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
     // It stays there: the answer that went back that way has arrived.
-    s.onReport(SchedulerFixture.report("n-1", 1, 3, 1), "m-1", 7.1);
-    s.answered("n-1", 7.1);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 3, 1), "m-1", 7.1);
+    s.onHeartbeatAnswered("n-1", 7.1);
     SchedulerFixture.commitAll(s, 11, 7.2);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
   }
@@ -110,12 +111,12 @@
     SchedulerFixture.commitAll(s, 10, 0.2);
     // The direct order never left, so the answer to the next report carries the start.
     for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.Command c) {
-        s.onSent(c, Scheduler.Sent.NEVER_LEFT, null, 0.3);
+      if (a instanceof Action.SendCommands c) {
+        s.onCommandDelivery(c, CommandDelivery.NEVER_LEFT, null, 0.3);
       }
     }
     SchedulerFixture.machine(s, "n-1", 1, 2, 4);
-    assertThat(s.ordersFor(SchedulerFixture.report("n-1", 1, 2, 1), 4)).hasSize(1);
+    assertThat(s.commandsFor(SchedulerFixture.report("n-1", 1, 2, 1), 4)).hasSize(1);
     SchedulerFixture.machine(s, "n-1", 1, 3, 8);
     assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
   }
@@ -124,8 +125,8 @@
   void aMachineThatStillHasTheOldTermAfterOurAnswerDoesNotHear() {
     Scheduler s = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
-      s.onReport(SchedulerFixture.report("n-1", 1, seq, 6), seq * 4);
-      s.answered("n-1", seq * 4);
+      s.onHeartbeat(SchedulerFixture.report("n-1", 1, seq, 6), seq * 4);
+      s.onHeartbeatAnswered("n-1", seq * 4);
     }
     assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
   }
@@ -135,8 +136,8 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     // Its second report found nobody, so it went on to another controller with the third.
-    s.onReport(SchedulerFixture.report("n-1", 1, 3, 1), "m-2", 9);
-    s.answered("n-1", 9);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 3, 1), "m-2", 9);
+    s.onHeartbeatAnswered("n-1", 9);
     assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
   }
 }
--- a/src/test/java/graderelay/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/DependencyGuardsTest.java
@@ -8,6 +8,7 @@
 import graderelay.core.JobSpec;
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
+import graderelay.core.TransactionOutcome;
 import graderelay.sim.RandomDay;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
@@ -69,7 +70,7 @@
     Set<String> ended = new HashSet<>();
     for (int i = 0; i < 600; i++) {
       ended.addAll(ends(scheduler));
-      SchedulerFixture.answerWrites(scheduler, Scheduler.Outcome.COMMITTED, 2 + i * 0.1);
+      SchedulerFixture.answerWrites(scheduler, TransactionOutcome.COMMITTED, 2 + i * 0.1);
       scheduler.step(2.05 + i * 0.1);
     }
     assertThat(ended).hasSize(501); // In their own time, all of them.
--- a/src/test/java/graderelay/FailingJobsTest.java
+++ b/src/test/java/graderelay/FailingJobsTest.java
@@ -23,9 +23,9 @@
   private static Map<String, List<WorkerCommand.Launch>> launched(Scheduler s) {
     Map<String, List<WorkerCommand.Launch>> by = new TreeMap<>();
     for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.Command c) {
+      if (a instanceof Action.SendCommands c) {
         SchedulerFixture.taken(s).remove(a);
-        for (WorkerCommand o : c.orders()) {
+        for (WorkerCommand o : c.commands()) {
           if (o instanceof WorkerCommand.Launch l) {
             by.computeIfAbsent(c.machine(), k -> new ArrayList<>()).add(l);
           }
@@ -53,8 +53,8 @@
       Heartbeat r =
           SchedulerFixture.report(
               e.getKey(), 1, seq, s.term(), shown.toArray(new Heartbeat.Entry[0]));
-      s.onReport(r, now);
-      s.answered(e.getKey(), now);
+      s.onHeartbeat(r, now);
+      s.onHeartbeatAnswered(e.getKey(), now);
     }
     return n;
   }
--- a/src/test/java/graderelay/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/FleetOfThousandsTest.java
@@ -96,10 +96,10 @@
     for (int i = 0; i < 40; i++) {
       s.onJob(SchedulerFixture.wholeMachines(String.format("j-9%d", i), 10), false, 5, 3, 3);
     }
-    long before = s.looked();
+    long before = s.examinedCount();
     s.step(3.1);
     // Each machine a few times for the round as a whole, and not once for each job that waits.
-    assertThat(s.looked() - before).isBetween((long) MACHINES, 4L * MACHINES);
+    assertThat(s.examinedCount() - before).isBetween((long) MACHINES, 4L * MACHINES);
   }
 
   @Test
@@ -109,9 +109,9 @@
       // More than any machine has, so that no stop makes room.
       s.onJob(SchedulerFixture.urgentGuests(String.format("j-9%d", i), 10, 8), false, 5, 3, 3);
     }
-    long before = s.looked();
+    long before = s.examinedCount();
     s.step(3.1);
-    assertThat(s.looked() - before).isBetween((long) MACHINES, 8L * MACHINES);
+    assertThat(s.examinedCount() - before).isBetween((long) MACHINES, 8L * MACHINES);
   }
 
   @Test
@@ -140,7 +140,7 @@
         }
       }
       assertThat(records).isLessThanOrEqualTo(24);
-      actions.removeIf(a -> !(a instanceof Action.Command));
+      actions.removeIf(a -> !(a instanceof Action.SendCommands));
     }
     assertThat(recorded).hasSize(MACHINES);
   }
--- a/src/test/java/graderelay/LateMessagesTest.java
+++ b/src/test/java/graderelay/LateMessagesTest.java
@@ -13,6 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Scheduler;
 import graderelay.sim.Rules;
 import graderelay.sim.SimWorld;
@@ -39,7 +40,7 @@
     hearing(s, "n-1", 0);
     SchedulerFixture.machine(s, "n-1", 1, 2, 2);
     for (double t = 3; t < 2 + SimWorld.LEASE_S; t += 1) {
-      assertThat(s.onReport(SchedulerFixture.report("n-1", 1, 1, 1), t)).isFalse();
+      assertThat(s.onHeartbeat(SchedulerFixture.report("n-1", 1, 1, 1), t)).isFalse();
     }
     s.tick(2 + SimWorld.LEASE_S + 1);
     assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
@@ -50,9 +51,9 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // The worker's answer to a direct order, sent after its report, comes first.
-    var poke = new Action.Command("n-1", "n-1:9000", 1, 1, List.of());
-    s.onSent(poke, Scheduler.Sent.EXECUTED, SchedulerFixture.report("n-1", 1, 3, 1), 4);
-    s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
+    var poke = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
+    s.onCommandDelivery(poke, CommandDelivery.EXECUTED, SchedulerFixture.report("n-1", 1, 3, 1), 4);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
     s.tick(SimWorld.LEASE_S + 3);
     assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
     s.tick(4 + SimWorld.LEASE_S + 1);
@@ -62,11 +63,11 @@
   @Test
   void afterATakeoverACopyFromAMachineThatIsGoneMakesItNoTarget() {
     Scheduler s = SchedulerFixture.scheduler(7);
-    s.onReport(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
-    s.onReport(SchedulerFixture.report("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
     SchedulerFixture.commitAll(s, 11, 1.6);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
   }
--- a/src/test/java/graderelay/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/ManyMachineFailuresTest.java
@@ -33,7 +33,7 @@
     s.tick(8); // Nobody has reported for four intervals.
     Set<String> asked = new HashSet<>();
     for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.Command c) {
+      if (a instanceof Action.SendCommands c) {
         asked.add(c.machine());
       }
     }
--- a/src/test/java/graderelay/PreemptionTest.java
+++ b/src/test/java/graderelay/PreemptionTest.java
@@ -118,15 +118,15 @@
   @Test
   void aLeaseThatEndsJustAsANewOwnerAnswersIsNoSignOfDeafness() {
     Scheduler s = SchedulerFixture.scheduler(7);
-    s.onReport(SchedulerFixture.report("n-1", 1, 90, 6), 1);
-    s.answered("n-1", 1);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 90, 6), 1);
+    s.onHeartbeatAnswered("n-1", 1);
     // It dropped the answer: its lease had ended while the answer was on its way.
-    s.onReport(SchedulerFixture.report("n-1", 2, 91, 6), 2);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 2, 91, 6), 2);
     assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
-    s.answered("n-1", 2);
-    s.onReport(SchedulerFixture.report("n-1", 2, 92, 7), 4);
-    s.answered("n-1", 4);
-    s.onReport(SchedulerFixture.report("n-1", 3, 93, 7), 6);
+    s.onHeartbeatAnswered("n-1", 2);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 2, 92, 7), 4);
+    s.onHeartbeatAnswered("n-1", 4);
+    s.onHeartbeat(SchedulerFixture.report("n-1", 3, 93, 7), 6);
     assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
   }
 
--- a/src/test/java/graderelay/SchedulerFixture.java
+++ b/src/test/java/graderelay/SchedulerFixture.java
@@ -1,6 +1,7 @@
 package graderelay;
 
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Heartbeat;
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
@@ -10,6 +11,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.TaskBatchRecord;
 import graderelay.core.Team;
+import graderelay.core.TransactionOutcome;
 import graderelay.core.WorkerCommand;
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
@@ -192,8 +194,8 @@
 
   /** A report that is answered. */
   static void machine(Scheduler s, String name, long session, long seq, double now) {
-    s.onReport(report(name, session, seq, s.term()), now);
-    s.answered(name, now);
+    s.onHeartbeat(report(name, session, seq, s.term()), now);
+    s.onHeartbeatAnswered(name, now);
   }
 
   static List<Action> taken(Scheduler s) {
@@ -205,7 +207,7 @@
   static List<String> notes(Scheduler s) {
     List<String> notes = new ArrayList<>();
     for (Action a : taken(s)) {
-      if (a instanceof Action.Note n) {
+      if (a instanceof Action.LogLine n) {
         notes.add(n.text());
       }
     }
@@ -222,14 +224,14 @@
 
   static long launches(Scheduler s) {
     return taken(s).stream()
-        .filter(a -> a instanceof Action.Command)
-        .flatMap(a -> ((Action.Command) a).orders().stream())
+        .filter(a -> a instanceof Action.SendCommands)
+        .flatMap(a -> ((Action.SendCommands) a).commands().stream())
         .filter(o -> o instanceof WorkerCommand.Launch)
         .count();
   }
 
   /** Answers the transactions that were sent, without a round before. */
-  static void answerWrites(Scheduler s, Scheduler.Outcome how, double now) {
+  static void answerWrites(Scheduler s, TransactionOutcome how, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Write w) {
         TAKEN.get(s).remove(a);
@@ -247,7 +249,7 @@
         all.remove(a);
         writes(s);
         WRITES.get(s)[0]++;
-        s.onWrite(w.id(), Scheduler.Outcome.COMMITTED, revision, now);
+        s.onWrite(w.id(), TransactionOutcome.COMMITTED, revision, now);
       }
     }
     s.step(now + 0.05);
@@ -256,9 +258,9 @@
   /** Answers the latest direct orders with a report that refuses them. */
   static void answerDirect(Scheduler s, Heartbeat r, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.Command c) {
+      if (a instanceof Action.SendCommands c) {
         TAKEN.get(s).remove(a);
-        s.onSent(c, Scheduler.Sent.REFUSED, r, now);
+        s.onCommandDelivery(c, CommandDelivery.REFUSED, r, now);
       }
     }
   }
@@ -276,18 +278,18 @@
             .computeIfAbsent(s, k -> new HashMap<>())
             .computeIfAbsent(machine, k -> new LinkedHashMap<>());
     for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.Command c && c.machine().equals(machine)) {
+      if (a instanceof Action.SendCommands c && c.machine().equals(machine)) {
         TAKEN.get(s).remove(a);
-        start(c.orders(), running);
+        start(c.commands(), running);
       }
     }
     Heartbeat first = report(machine, 1, seq, s.term(), shown(running, 0));
-    s.onReport(first, now);
-    s.answered(machine, now);
-    start(s.ordersFor(first, now), running);
+    s.onHeartbeat(first, now);
+    s.onHeartbeatAnswered(machine, now);
+    start(s.commandsFor(first, now), running);
     Heartbeat second = report(machine, 1, seq + 1, s.term(), shown(running, done));
-    s.onReport(second, now + 0.5);
-    s.answered(machine, now + 0.5);
+    s.onHeartbeat(second, now + 0.5);
+    s.onHeartbeatAnswered(machine, now + 0.5);
     var it = running.keySet().iterator();
     for (int i = 0; i < done && it.hasNext(); i++) {
       it.next();
--- a/src/test/java/graderelay/SchedulingCostTest.java
+++ b/src/test/java/graderelay/SchedulingCostTest.java
@@ -36,12 +36,12 @@
     }
     s.step(0.1);
     s.step(0.2);
-    long before = s.looked();
+    long before = s.examinedCount();
     for (int i = 0; i < machines; i++) {
-      s.onReport(SchedulerFixture.report(name(i), 1, 2, 1), 0.3);
+      s.onHeartbeat(SchedulerFixture.report(name(i), 1, 2, 1), 0.3);
       s.step(0.3 + i * 1e-5);
     }
-    assertThat(s.looked() - before).isZero();
+    assertThat(s.examinedCount() - before).isZero();
   }
 
   @Test
@@ -55,13 +55,13 @@
     }
     SchedulerFixture.commitAll(s, 10, 0.1);
     s.step(0.2);
-    long before = s.looked();
+    long before = s.examinedCount();
     for (int i = 0; i < 9; i++) {
       s.onScaleOutAnswered(
           99, List.of(), false, 0.21 + i * 0.011); // Something that starts a round.
       s.step(0.21 + i * 0.011);
     }
-    assertThat(s.looked() - before).isZero();
+    assertThat(s.examinedCount() - before).isZero();
   }
 
   @Test
@@ -72,11 +72,11 @@
       hearing(s, name(i), 0);
     }
     s.step(0.1);
-    long before = s.looked();
+    long before = s.examinedCount();
     s.onJob(SchedulerFixture.array("j-1", 250), false, 5, 0.2, 0.2);
     s.step(0.3);
     // Each machine is looked at a few times for the job, and a few more for each task.
-    assertThat(s.looked() - before).isLessThan(4L * machines + 250 * 8);
+    assertThat(s.examinedCount() - before).isLessThan(4L * machines + 250 * 8);
   }
 
   @Test
--- a/src/test/java/graderelay/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/StoredLimitsInCoreTest.java
@@ -10,6 +10,7 @@
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.TaskBatchKey;
+import graderelay.core.TransactionOutcome;
 import graderelay.quota.Account;
 import graderelay.quota.AccountChange;
 import graderelay.quota.Amount;
@@ -55,7 +56,7 @@
     Action.Write fence = writes(s).get(0);
     assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before it.
     AccountChange change = fence.accounts().get(0);
-    s.onWrite(fence.id(), Scheduler.Outcome.COMMITTED, 20, 1);
+    s.onWrite(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
     s.onQuota(stored(Account.of(change.use(), change.writer(), 20), 20));
     return s;
   }
@@ -100,14 +101,14 @@
   void theEndOfAJobGivesItsClaimsBackOnlyOnceItHasCommitted() {
     Scheduler s = fenced(1);
     s.step(2);
-    s.onWrite(writes(s).get(0).id(), Scheduler.Outcome.COMMITTED, 21, 2);
+    s.onWrite(writes(s).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
     s.onCancelled("j-000000", 3); // It was never launched.
     s.step(3.1);
     Action.Write end =
         writes(s).stream().filter(w -> !w.ends().isEmpty()).findFirst().orElseThrow();
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
-    s.onWrite(end.id(), Scheduler.Outcome.COMMITTED, 22, 4);
+    s.onWrite(end.id(), TransactionOutcome.COMMITTED, 22, 4);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
   }
 }
--- a/src/test/java/graderelay/TakeoverTest.java
+++ b/src/test/java/graderelay/TakeoverTest.java
@@ -105,13 +105,13 @@
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
     s.loaded(0);
-    s.onReport(
+    s.onHeartbeat(
         SchedulerFixture.report("n-1", 1, 5, 1),
         1); // The earlier leader's launch may be under way.
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     assertThat(SchedulerFixture.writes(s)).isZero();
-    s.onReport(SchedulerFixture.report("n-1", 1, 6, 2), 2); // Now that launch would be refused.
+    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 6, 2), 2); // Now that launch would be refused.
     SchedulerFixture.commitAll(s, 11, 2.1);
     assertThat(SchedulerFixture.writes(s)).isPositive();
   }
