--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -3,8 +3,12 @@
 import graderelay.quota.AccountChange;
 import graderelay.quota.Difference;
 import java.util.List;
+import java.util.Map;
 
-/** What the core wants done outside. The outside reports back under the same id or names. */
+/**
+ * What the core wants done outside. Whoever carries it out reports back to {@link Scheduler} under
+ * the same id or names.
+ */
 public sealed interface Action {
 
   /**
@@ -38,18 +42,23 @@
   /** Removes a task batch's record that no longer has a job. */
   record TaskBatchDrop(TaskBatchKey key, long revision) {}
 
-  /** Sends orders straight to a worker. */
+  /**
+   * Sends commands straight to a worker; an empty list of them is a probe.
+   *
+   * @param session the incarnation of the worker that they are for
+   * @param term the fencing token that they go under
+   */
   record SendCommands(
       String machine, String address, long session, long term, List<WorkerCommand> commands)
       implements Action {}
 
-  /** Rents machines. */
+  /** Scales out: creates machines. */
   record ScaleOut(long id, String type, String zone, boolean spot, int count) implements Action {}
 
-  /** Gives machines back. */
+  /** Scales in: deletes machines. */
   record ScaleIn(List<String> machines) implements Action {}
 
-  /** Asks for a new term for this same leader, to fence launches whose fate is unknown. */
+  /** Asks for a new term for this same leader, to fence unacknowledged launches. */
   record RaiseTerm() implements Action {}
 
   /**
@@ -63,19 +72,24 @@
 
   /**
    * Keeps which images machines have, so that the next leader finds the warm ones. {@code part} is
-   * one of a few records that share the fleet.
+   * one of a few records that share the machines.
    */
-  record KeepImages(int part, java.util.Map<String, List<String>> machines) implements Action {}
+  record KeepImages(int part, Map<String, List<String>> machines) implements Action {}
 
   /** Asks for the final records of jobs that others need. */
   record FindEnds(List<String> jobs) implements Action {}
 
-  /** Something to be counted: a start with the time that its job waited, or how a task ended. */
+  /**
+   * Something to be counted.
+   *
+   * @param what "started", or how a task ended
+   * @param waitedS seconds that a started task's job waited, or less than 0 for an end
+   */
   record MetricEvent(String what, double waitedS) implements Action {}
 
-  /** An account is not what it should be. */
+  /** A team's account is not what its committed claims make it. */
   record DifferenceFound(Difference difference) implements Action {}
 
-  /** One line of the story, for the log. */
+  /** One line for the log. */
   record LogLine(String text) implements Action {}
 }
--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -2,10 +2,11 @@
 
 /**
  * One attempt of one task that is claimed on a machine, from the moment the claim is sent to the
- * state service until its end is committed there. Quota, spread and room count claims, not reports.
+ * key-value store until its end is committed there. Quota, spread and room count claims, not
+ * heartbeats.
  */
 final class Claim {
-  /** How far the record in the state service is. */
+  /** How far the claim's record in the key-value store is. */
   enum Phase {
     /** The transaction that claims it is under way; nothing may start. */
     CLAIMING,
@@ -15,17 +16,17 @@
     ENDING
   }
 
-  /** What is known of the launch order of this attempt under the present leader. */
+  /** What is known of the launch command of this attempt under the present leader. */
   enum Launch {
-    /** No order is under way that could still be carried out. */
+    /** No command is under way that could still be carried out. */
     NONE,
-    /** Sent in a report's response: decided as soon as the next report arrives. */
+    /** Sent in a heartbeat's response: decided as soon as the next heartbeat arrives. */
     IN_RESPONSE,
     /** Sent straight to the worker and not answered yet. */
     DIRECT,
     /** Sent straight, and no answer came: it may be carried out minutes later. */
     UNACKNOWLEDGED,
-    /** A report has shown the attempt. */
+    /** A heartbeat has shown the attempt. */
     CONFIRMED
   }
 
@@ -33,7 +34,11 @@
   final int task;
   final int attempt;
   final String machine;
+
+  /** The incarnation of the machine's worker that it is claimed on. */
   final long session;
+
+  /** When it was claimed, or first seen by this leader. */
   final double claimedAt;
 
   /** Its job's when it was claimed; sums count it under this. */
@@ -48,35 +53,41 @@
   /** The term under which the latest launch was sent. */
   long launchTerm;
 
-  /** Sequence of the report whose response carried the launch. */
+  /** Sequence number of the heartbeat whose response carried the launch. */
   long launchHeartbeatSeq;
 
+  /** When the latest launch was sent. */
   double launchedAt;
 
-  /** Taken over from an earlier leader, who may have launched it. */
+  /** Loaded from the records of an earlier leader, who may have launched it. */
   boolean fromEarlierLeader;
 
+  /** What the last heartbeat showed of it, or null before that. */
   Heartbeat.Stage stage;
+
   double stageSince;
 
-  /** When a report first showed it running, 0 before that. */
+  /** When a heartbeat first showed it running, 0 before that. */
   double runningSince;
 
   /** It has run for a while, which speaks for its job and its machine. */
   boolean ranLongEnough;
 
-  /** Told to stop, by us, for a reason other than its user's cancellation. */
+  /** Told to stop, by us, for a reason other than its job's cancellation. */
   boolean stopRequested;
 
   double stopRequestedAt;
+
+  /** It is to stop at once, without time to save its progress. */
   boolean stopWithoutGrace;
 
   /** The job that this claim makes room for, or null. */
   Job preemptedFor;
 
+  /** When a kill was last sent straight to its worker. */
   double lastKillAt = Double.NEGATIVE_INFINITY;
 
-  /** When settling: true if the task is done. */
+  /** When ending: true if the task is done. */
   boolean taskDone;
 
   Claim(Job job, int task, int attempt, String machine, long session, double claimedAt) {
@@ -90,10 +101,12 @@
     this.stageSince = claimedAt;
   }
 
+  /** The task's id, as workers and the API name it. */
   String taskId() {
     return job.spec.taskId(task);
   }
 
+  /** What the attempt takes of its machine. */
   Resources resources() {
     return job.taskResources;
   }
@@ -103,7 +116,7 @@
     return phase == Phase.COMMITTED && launch == Launch.NONE && !fromEarlierLeader;
   }
 
-  /** True while an order to launch it may still start it although no report shows it. */
+  /** True while a launch command may still start it although no heartbeat shows it. */
   boolean launchUnresolved() {
     return launch == Launch.DIRECT
         || launch == Launch.UNACKNOWLEDGED
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -9,7 +9,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Everything the leader knows, with the sums that placement decides by. */
+/**
+ * The leader's working state, shared by all parts of the scheduling core: jobs, machines and claims
+ * with the sums that placement decides by. Each claim is counted once in every sum from {@link
+ * #addClaim} to {@link #removeClaim}; quota rules stand in {@link TeamQuotas} and the rules on
+ * where tasks may be placed in {@link MachineAvailability}.
+ */
 final class ClusterState {
   /**
    * Seconds for which a team's account may be above its committed claims before it is lowered by a
@@ -17,36 +22,59 @@
    */
   private static final double ACCOUNT_RELEASE_S = 5;
 
-  final Map<String, Job> jobs = new LinkedHashMap<>();
-  final Map<String, Machine> machines = new LinkedHashMap<>();
-  Map<String, MachineType> types = Map.of();
+  // ---------------------------------------------------------------- the leader
 
-  /** What each team's claims take together: claims, not reports. */
-  final Map<String, Resources> teamUse = new HashMap<>();
+  /** Settings that the core decides by; replaced as a whole when one of them changes. */
+  Policy policy;
 
-  /** Claims that were asked to stop, other than by their user. */
-  final Set<Claim> stoppingClaims = new LinkedHashSet<>();
+  /** The term that this leader won; a worker that has not seen it has not heard this leader. */
+  long firstTerm;
+
+  /** The term under which worker commands go out: the fencing token. */
+  long term;
+
+  /** When this leader began, in seconds on its own clock. */
+  double leaderSince;
+
+  /** True while the stored records are still being loaded: nothing is new yet. */
+  boolean loading = true;
+
+  /** True if something has changed that a scheduling round should look at. */
+  boolean roundNeeded = true;
+
+  /** Actions decided on and not yet taken by the caller, in order. */
+  final List<Action> actions = new ArrayList<>();
+
+  // ---------------------------------------------------------------- jobs and claims
 
-  /** Jobs that may have come to their end since the last look. */
+  /** Live jobs by id, in the order in which they came. */
+  final Map<String, Job> jobs = new LinkedHashMap<>();
+
+  /** Jobs whose users have asked to cancel them. */
+  final Set<Job> cancelledJobs = new LinkedHashSet<>();
+
+  /** Jobs that may have come to their end since the last round. */
   final Set<Job> maybeEndedJobs = new LinkedHashSet<>();
 
-  /** All live claims, by priority. */
+  /** Claims that were asked to stop for a reason other than their job's cancellation. */
+  final Set<Claim> stoppingClaims = new LinkedHashSet<>();
+
+  /** All live claims, counted by priority. */
   final PriorityCounts byPriority = new PriorityCounts();
 
-  /** What an earlier leader kept of the images on machines. */
-  final Map<String, List<String>> knownImages = new HashMap<>();
+  /** Which jobs wait for which. */
+  Dependencies dependencies;
 
-  /** The term that this leader won; what has not seen it has not heard this leader. */
-  long firstTerm;
+  // ---------------------------------------------------------------- machines
 
-  /** Rises whenever there may be more room than before, so that what found none tries again. */
-  long roomVersion;
+  /** Known machines by name. */
+  final Map<String, Machine> machines = new LinkedHashMap<>();
 
-  /** Machines and claims looked at by rounds so far; tests bound it. */
-  long examinedCount;
+  /** Machine types that the cloud offers, by name. */
+  Map<String, MachineType> types = Map.of();
 
-  /** Jobs whose users have asked to stop them. */
-  final Set<Job> cancelledJobs = new LinkedHashSet<>();
+  /** Images on machines as the records of an earlier leader have them. */
+  final Map<String, List<String>> knownImages = new HashMap<>();
 
   /** Records that share the images of each thousand machines. */
   int imagePartsPerThousand = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
@@ -54,28 +82,22 @@
   /** Records that share the images of all machines. */
   int imageParts;
 
-  /** Something has changed that a round should look at. */
-  boolean roundNeeded = true;
-
-  /** The records are still being read: nothing is new yet. */
-  boolean loading = true;
-
-  /** The term under which orders go out, and when this leader began. */
-  long term;
-
-  double leaderSince;
+  /** Rises whenever there may be more room than before, so that what found none tries again. */
+  long roomVersion;
 
-  /** Which jobs wait for which. */
-  Dependencies dependencies;
+  /** Machines and claims examined by scheduling rounds so far; tests bound it. */
+  long examinedCount;
 
-  /** Who may keep leases alive in zones that are cut off from us. */
+  /** The lease delegates: who may renew leases in zones that are cut off from this leader. */
   LeaseDelegates delegates;
 
+  // ---------------------------------------------------------------- quota
+
   /** Admission by the stored limits, once they are switched on. */
   final AdmissionControl admission;
 
-  final List<Action> actions = new ArrayList<>();
-  Policy policy;
+  /** What each team's claims take, against its guarantee and limit. */
+  final TeamQuotas quotas;
 
   /**
    * Makes the state of a new leader.
@@ -85,6 +107,7 @@
   ClusterState(Policy policy, String name) {
     this.policy = policy;
     this.admission = new AdmissionControl(name, ACCOUNT_RELEASE_S);
+    this.quotas = new TeamQuotas(this);
   }
 
   /** Machines are shared out anew among the records, so that all of them have to be written. */
@@ -93,58 +116,12 @@
     machines.values().forEach(m -> m.imagesChanged = !m.images.isEmpty());
   }
 
+  /** Adds a line to the log. */
   void log(String text) {
     actions.add(new Action.LogLine(text));
   }
 
-  Resources teamUsage(String team) {
-    return teamUse.getOrDefault(team, Resources.NONE);
-  }
-
-  /** True if one more task of this size keeps the team within its limit. */
-  boolean withinLimit(String team, Resources extra) {
-    // Asked for each task that is placed: without stored limits it costs nothing.
-    if (admission.enabled() && !admission.fits(team, extra.amount())) {
-      return false;
-    }
-    Team t = policy.team(team);
-    if (t == null) {
-      return true;
-    }
-    Resources u = teamUsage(team).plus(extra);
-    return (t.cpusMax() <= 0 || u.cpus() <= t.cpusMax() + Resources.SLACK)
-        && (t.gpusMax() <= 0 || u.gpus() <= t.gpusMax() + Resources.SLACK);
-  }
-
-  /** CPUs that the team's limit leaves beside its claims; without a limit, any number. */
-  double cpusLeft(String team) {
-    if (admission.isStopped(team)) {
-      return 0;
-    }
-    Team t = policy.team(team);
-    return t == null || t.cpusMax() <= 0 ? Double.MAX_VALUE : t.cpusMax() - teamUsage(team).cpus();
-  }
-
-  /** True if this much more work of the team stays within what it is guaranteed. */
-  boolean withinGuarantee(String team, Resources extra) {
-    Team t = policy.team(team);
-    if (t == null || (t.cpus() <= 0 && t.gpus() <= 0)) {
-      return false;
-    }
-    Resources u = teamUsage(team).plus(extra);
-    return u.cpus() <= t.cpus() + Resources.SLACK && u.gpus() <= t.gpus() + Resources.SLACK;
-  }
-
-  /** True if the team would still use at least its guarantee without this much of it. */
-  boolean beyondGuarantee(String team, Resources part) {
-    Team t = policy.team(team);
-    if (t == null) {
-      return true;
-    }
-    Resources u = teamUsage(team).minus(part);
-    return u.cpus() + Resources.SLACK >= t.cpus() && u.gpus() + Resources.SLACK >= t.gpus();
-  }
-
+  /** The machine of this name, which is added if it is not known yet. */
   Machine getOrAddMachine(String name, double now) {
     Machine m = machines.get(name);
     if (m == null) {
@@ -159,65 +136,65 @@
   }
 
   /** Counts a claim in every sum. */
-  void addClaim(Claim c, double now) {
-    Machine m = getOrAddMachine(c.machine, now);
-    m.claims.put(c.taskId(), c);
-    m.allocate(c);
-    byPriority.add(c.priority);
-    teamUse.merge(c.job.spec.team(), c.resources(), Resources::plus);
-    if (c.phase == Claim.Phase.CLAIMING) {
-      admission.placed(c.job.spec.team(), c.job.taskAmount);
+  void addClaim(Claim claim, double now) {
+    Machine m = getOrAddMachine(claim.machine, now);
+    m.claims.put(claim.taskId(), claim);
+    m.allocate(claim);
+    byPriority.add(claim.priority);
+    quotas.allocate(claim.job.spec.team(), claim.resources());
+    if (claim.phase == Claim.Phase.CLAIMING) {
+      admission.placed(claim.job.spec.team(), claim.job.taskAmount);
     }
-    c.job.claims.put(c.task, c);
-    c.job.openTasks.clear(c.task);
+    claim.job.claims.put(claim.task, claim);
+    claim.job.openTasks.clear(claim.task);
     if (m.zone != null) {
-      c.job.zoneClaims.merge(m.zone, 1, Integer::sum);
-      c.zone = m.zone;
+      claim.job.zoneClaims.merge(m.zone, 1, Integer::sum);
+      claim.zone = m.zone;
     }
   }
 
   /** The transaction of a claim has committed. */
-  void markCommitted(Claim c) {
-    c.phase = Claim.Phase.COMMITTED;
-    admission.noLongerPlaced(c.job.spec.team(), c.job.taskAmount);
+  void markCommitted(Claim claim) {
+    claim.phase = Claim.Phase.COMMITTED;
+    admission.noLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
   }
 
-  /** Takes a claim out of every sum. */
-  void removeClaim(Claim c, double now) {
-    Machine m = getOrAddMachine(c.machine, now);
-    if (!m.claims.remove(c.taskId(), c)) {
-      return; // Taken out before.
+  /** Takes a claim out of every sum; does nothing if it was taken out before. */
+  void removeClaim(Claim claim, double now) {
+    Machine m = getOrAddMachine(claim.machine, now);
+    if (!m.claims.remove(claim.taskId(), claim)) {
+      return;
     }
-    m.release(c);
-    byPriority.remove(c.priority);
-    stoppingClaims.remove(c);
-    maybeEndedJobs.add(c.job);
+    m.release(claim);
+    byPriority.remove(claim.priority);
+    stoppingClaims.remove(claim);
+    maybeEndedJobs.add(claim.job);
     roomVersion++;
     if (m.claims.isEmpty()) {
       m.idleSince = now;
     }
-    teamUse.merge(c.job.spec.team(), Resources.NONE.minus(c.resources()), Resources::plus);
-    if (c.phase == Claim.Phase.CLAIMING) {
-      admission.noLongerPlaced(c.job.spec.team(), c.job.taskAmount);
+    quotas.release(claim.job.spec.team(), claim.resources());
+    if (claim.phase == Claim.Phase.CLAIMING) {
+      admission.noLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
     }
-    c.job.claims.remove(c.task, c);
-    if (c.zone != null) {
-      c.job.zoneClaims.merge(c.zone, -1, Integer::sum);
+    claim.job.claims.remove(claim.task, claim);
+    if (claim.zone != null) {
+      claim.job.zoneClaims.merge(claim.zone, -1, Integer::sum);
     }
-    if (c.preemptedFor != null) {
-      c.preemptedFor.pendingPreemptions--;
-      c.preemptedFor = null;
+    if (claim.preemptedFor != null) {
+      claim.preemptedFor.pendingPreemptions--;
+      claim.preemptedFor = null;
     }
   }
 
-  /** Asks a claim to give its place up; what keeps it from ending is looked at each round. */
-  void requestStop(Claim c, double now) {
-    c.stopRequested = true;
-    c.stopRequestedAt = now;
-    stoppingClaims.add(c);
+  /** Asks a claim's attempt to stop; each round looks at what keeps it from ending. */
+  void requestStop(Claim claim, double now) {
+    claim.stopRequested = true;
+    claim.stopRequestedAt = now;
+    stoppingClaims.add(claim);
   }
 
-  /** Learns where a machine stands; claims taken over before that are counted in its zone now. */
+  /** Learns where a machine stands; claims loaded before that are counted in its zone now. */
   void setTypeAndZone(Machine m, String type, String zone, boolean spot) {
     m.type = type;
     m.spot = spot;
@@ -225,31 +202,12 @@
     m.capacity = t == null ? Resources.NONE : Resources.of(t);
     if (m.zone == null && zone != null) {
       m.zone = zone;
-      for (Claim c : m.claims.values()) {
-        if (c.zone == null) {
-          c.zone = zone;
-          c.job.zoneClaims.merge(zone, 1, Integer::sum);
+      for (Claim claim : m.claims.values()) {
+        if (claim.zone == null) {
+          claim.zone = zone;
+          claim.job.zoneClaims.merge(zone, 1, Integer::sum);
         }
       }
     }
   }
-
-  /**
-   * True if the machine can be given a task now: it reports, it has shown that it hears this leader
-   * (a copy of a report from before the takeover can't), and nothing is known against it. A machine
-   * that missed two reports is no target, since a launch to it would be of unknown fate.
-   */
-  boolean usable(Machine m, double now) {
-    return m.heartbeatReceived
-        && !m.leaseExpired
-        && m.answersLostSince == null
-        && m.lastSeenTerm >= firstTerm
-        && !m.drain
-        && !m.cordoned
-        && !m.scalingIn
-        && m.interruptionAt == null
-        && now >= m.quarantineUntil
-        && m.capacity.cpus() > 0
-        && now - m.lastHeartbeatAt < policy.reportS() * WorkerCommands.SILENT_REPORTS;
-  }
 }
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -35,7 +35,8 @@
       JobSpec s = k.job.spec;
       if (k.job.priority().beats(lowest) && k.job.notBefore <= now) {
         // Not for what its team's limit keeps from running in any case.
-        double cpus = Math.min(blocked(cluster, k.job) * s.cpus(), cluster.cpusLeft(s.team()));
+        double cpus =
+            Math.min(blocked(cluster, k.job) * s.cpus(), cluster.quotas.cpusLeft(s.team()));
         if (cpus > 0) {
           reserved.merge(k.job.priority(), cpus, Double::sum);
         }
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -15,61 +15,73 @@
   private final ClusterState cluster;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
+  private final ObjDoubleConsumer<Action.JobEnd> onJobEnded;
 
-  /** Hears of each job's end that has committed. */
-  ObjDoubleConsumer<Action.JobEnd> ended = (e, now) -> {};
-
+  /**
+   * Makes one.
+   *
+   * @param onJobEnded hears of each job's end that has committed, and when its answer came
+   */
   CompareAndSwapAnswers(
-      ClusterState cluster, StoredRecords records, TransactionsInFlight inFlight) {
+      ClusterState cluster,
+      StoredRecords records,
+      TransactionsInFlight inFlight,
+      ObjDoubleConsumer<Action.JobEnd> onJobEnded) {
     this.cluster = cluster;
     this.records = records;
     this.inFlight = inFlight;
+    this.onJobEnded = onJobEnded;
   }
 
   /** The answer to transaction {@code id}; {@code revision} is the store's revision after it. */
   void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
-    TransactionsInFlight.Sending s = inFlight.answered(id);
-    if (s == null) {
+    TransactionsInFlight.Transaction transaction = inFlight.takeAnswered(id);
+    if (transaction == null) {
       return;
     }
-    for (Action.TaskBatchPut p : s.write().taskBatches()) {
-      Job j = cluster.jobs.get(p.key().job());
-      if (j != null) {
-        batchAnswered(j, p, s, outcome, revision, now);
+    Action.Write write = transaction.write();
+    for (Action.TaskBatchPut put : write.taskBatches()) {
+      Job job = cluster.jobs.get(put.key().job());
+      if (job != null) {
+        onTaskBatchAnswer(job, put, transaction, outcome, revision, now);
       }
     }
-    for (Action.JobEnd e : s.write().ends()) {
-      Job j = cluster.jobs.get(e.job());
-      if (j == null) {
-        continue;
-      }
-      if (outcome == TransactionOutcome.COMMITTED) {
-        cluster.log(e.job() + (e.cancelled() ? " is stopped" : " is done"));
-        Set<TaskBatchKey> droppedBatches = new HashSet<>();
-        e.taskBatches().forEach(d -> droppedBatches.add(d.key()));
-        for (Job.TaskBatch left : j.taskBatches.values()) {
-          if (!droppedBatches.contains(left.key) && left.revision > 0) {
-            records.orphans.put(left.key, left.revision);
-          }
-        }
-        records.forget(j, now);
-        ended.accept(e, now);
-      } else {
-        j.ending = false;
-        cluster.maybeEndedJobs.add(j);
+    for (Action.JobEnd end : write.ends()) {
+      Job job = cluster.jobs.get(end.job());
+      if (job != null) {
+        onJobEndAnswer(job, end, outcome, now);
       }
     }
-    for (Action.TaskBatchDrop d : s.write().drops()) {
+    for (Action.TaskBatchDrop drop : write.drops()) {
       if (outcome != TransactionOutcome.COMMITTED) {
-        records.orphans.putIfAbsent(d.key(), d.revision());
+        records.orphans.putIfAbsent(drop.key(), drop.revision());
       }
     }
-    accountsAnswered(s.write().accounts(), outcome, revision);
+    onAccountsAnswer(write.accounts(), outcome, revision);
     cluster.roundNeeded = true;
   }
 
+  /** A job's final record has committed, or is to be written again. */
+  private void onJobEndAnswer(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
+    if (outcome != TransactionOutcome.COMMITTED) {
+      job.ending = false;
+      cluster.maybeEndedJobs.add(job);
+      return;
+    }
+    cluster.log(end.job() + (end.cancelled() ? " is stopped" : " is done"));
+    Set<TaskBatchKey> dropped = new HashSet<>();
+    end.taskBatches().forEach(drop -> dropped.add(drop.key()));
+    for (Job.TaskBatch left : job.taskBatches.values()) {
+      if (!dropped.contains(left.key) && left.revision > 0) {
+        records.orphans.put(left.key, left.revision);
+      }
+    }
+    records.forget(job, now);
+    onJobEnded.accept(end, now);
+  }
+
   /** What the transaction's task batches say has been taken before. */
-  private void accountsAnswered(
+  private void onAccountsAnswer(
       List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     switch (outcome) {
       case COMMITTED -> cluster.admission.committed(accounts, revision);
@@ -78,57 +90,67 @@
     }
   }
 
-  private void batchAnswered(
-      Job j,
-      Action.TaskBatchPut p,
-      TransactionsInFlight.Sending sent,
+  private void onTaskBatchAnswer(
+      Job job,
+      Action.TaskBatchPut put,
+      TransactionsInFlight.Transaction transaction,
       TransactionOutcome outcome,
       long revision,
       double now) {
-    Job.TaskBatch s = j.taskBatches.get(p.key().index());
-    s.inFlight = false;
-    TaskBatchRecord stash = s.newerRecord;
-    long stashRevision = s.newerRevision;
-    s.newerRecord = null;
-    boolean landed = outcome == TransactionOutcome.COMMITTED;
-    if (!landed
-        && outcome == TransactionOutcome.UNKNOWN
-        && stash != null
-        && stash.equals(p.record())) {
-      landed = true;
-      revision = stashRevision;
+    Job.TaskBatch batch = job.taskBatches.get(put.key().index());
+    batch.inFlight = false;
+    TaskBatchRecord newerRecord = batch.newerRecord;
+    batch.newerRecord = null;
+    List<Claim> claimed = transaction.claimed().getOrDefault(put.key(), List.of());
+    List<Claim> ended = transaction.ended().getOrDefault(put.key(), List.of());
+    if (outcome == TransactionOutcome.COMMITTED) {
+      onTaskBatchCommitted(job, batch, put.record(), revision, claimed, ended, now);
+    } else if (outcome == TransactionOutcome.UNKNOWN && put.record().equals(newerRecord)) {
+      onTaskBatchCommitted(job, batch, put.record(), batch.newerRevision, claimed, ended, now);
+    } else {
+      // The ended claims stay among those that are ending, and are written again.
+      onTaskBatchRefused(job, claimed, now);
     }
-    List<Claim> claimed = sent.claimed().getOrDefault(p.key(), List.of());
-    List<Claim> settled = sent.settled().getOrDefault(p.key(), List.of());
-    if (landed) {
-      s.record = p.record();
-      s.revision = revision;
-      records.track(j, s.key, s.record, revision);
-      for (Claim c : settled) {
-        records.settle.remove(c);
-        cluster.removeClaim(c, now);
-        if (c.taskDone) {
-          j.doneCount++;
-        } else {
-          j.openTasks.set(c.task);
-          j.waitingSince = now;
-        }
-      }
-      for (Claim c : claimed) {
-        if (c.phase == Claim.Phase.CLAIMING) {
-          cluster.markCommitted(c);
-          records.committed.add(c);
-        }
+    if (newerRecord != null && batch.newerRevision > batch.revision) {
+      records.adopt(job, batch, newerRecord, batch.newerRevision, now);
+    }
+  }
+
+  /** The record that was written is the stored one now. */
+  private void onTaskBatchCommitted(
+      Job job,
+      Job.TaskBatch batch,
+      TaskBatchRecord record,
+      long revision,
+      List<Claim> claimed,
+      List<Claim> ended,
+      double now) {
+    batch.record = record;
+    batch.revision = revision;
+    records.track(job, batch.key, record, revision);
+    for (Claim claim : ended) {
+      records.endingClaims.remove(claim);
+      cluster.removeClaim(claim, now);
+      if (claim.taskDone) {
+        job.doneCount++;
+      } else {
+        job.openTasks.set(claim.task);
+        job.waitingSince = now;
       }
-    } else {
-      for (Claim c : claimed) {
-        cluster.removeClaim(c, now);
-        j.openTasks.set(c.task);
+    }
+    for (Claim claim : claimed) {
+      if (claim.phase == Claim.Phase.CLAIMING) {
+        cluster.markCommitted(claim);
+        records.committedClaims.add(claim);
       }
-      // Settled ones stay in the settle set and are written again.
     }
-    if (stash != null && stashRevision > s.revision) {
-      records.adopt(j, s, stash, stashRevision, now);
+  }
+
+  /** Nothing was written: the tasks of the new claims wait again. */
+  private void onTaskBatchRefused(Job job, List<Claim> claimed, double now) {
+    for (Claim claim : claimed) {
+      cluster.removeClaim(claim, now);
+      job.openTasks.set(claim.task);
     }
   }
 }
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -44,63 +44,69 @@
   }
 
   /** A task of the claim failed by itself. */
-  void failed(Machine m, Claim c, double now) {
-    Job j = c.job;
-    boolean early = c.runningSince == 0 || now - c.runningSince < GOOD_RUN_S;
-    boolean proven = j.doneCount > 0 || (j.ranWell && early);
-    j.failedMachines.add(m.name);
+  void onFailure(Machine machine, Claim claim, double now) {
+    Job job = claim.job;
+    boolean early = claim.runningSince == 0 || now - claim.runningSince < GOOD_RUN_S;
+    boolean proven = job.doneCount > 0 || (job.ranWell && early);
+    job.failedMachines.add(machine.name);
     int cap = cluster.policy.tuning().attemptCap();
-    if (j.suspect) {
+    if (job.suspect) {
       // The rest of one volley says nothing new; only a later try does.
-      if (c.claimedAt > j.suspectSince) {
-        pause(j, now);
+      if (claim.claimedAt > job.suspectSince) {
+        backOff(job, now);
       }
       return;
     }
-    if (j.failedMachines.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
+    if (job.failedMachines.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
       if (!proven) {
-        suspect(j, now);
+        markSuspect(job, now);
       }
       return; // Some tasks of a job whose others succeed may carry a mistake of their own.
     }
-    m.lastErrorAt = now;
-    m.errorJobs.merge(j.spec.id(), 1, Integer::sum);
-    int streak = m.errorStreak();
+    blameMachine(machine, job, now);
+  }
+
+  /** The failure counts against the machine: a pause, or no new tasks after several. */
+  private void blameMachine(Machine machine, Job job, double now) {
+    machine.lastErrorAt = now;
+    machine.errorJobs.merge(job.spec.id(), 1, Integer::sum);
+    int streak = machine.errorStreak();
     double pause = QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
-    m.quarantineUntil = Math.max(m.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
-    if (streak >= BAD_STREAK && m.errorJobs.size() > 1 && !m.faulty) {
-      m.faulty = true;
-      m.drain = true;
+    machine.quarantineUntil =
+        Math.max(machine.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
+    if (streak >= BAD_STREAK && machine.errorJobs.size() > 1 && !machine.faulty) {
+      machine.faulty = true;
+      machine.drain = true;
       // What runs there already is left alone: only starts were seen to fail.
-      cluster.log("machine " + m.name + " fails tasks of several jobs: no new ones");
-      acquit(m, now);
+      cluster.log("machine " + machine.name + " fails tasks of several jobs: no new ones");
+      exonerateJobs(machine, now);
     }
   }
 
   /** It failed on several machines and succeeded nowhere: they are not to blame for it. */
-  private void suspect(Job j, double now) {
-    j.suspect = true;
-    j.suspectSince = now;
-    j.backoffCount = 0;
-    pause(j, now);
-    planner.onBroken(j.spec);
+  private void markSuspect(Job job, double now) {
+    job.suspect = true;
+    job.suspectSince = now;
+    job.backoffCount = 0;
+    backOff(job, now);
+    planner.onBroken(job.spec);
     cluster.log(
-        j.spec.id()
+        job.spec.id()
             + " fails on every machine, "
-            + j.failedMachines.size()
+            + job.failedMachines.size()
             + " so far: tried one task at a time from now on");
-    for (String name : j.failedMachines) {
-      Machine m = cluster.machines.get(name);
-      if (m == null || m.errorJobs.remove(j.spec.id()) == null) {
+    for (String name : job.failedMachines) {
+      Machine machine = cluster.machines.get(name);
+      if (machine == null || machine.errorJobs.remove(job.spec.id()) == null) {
         continue;
       }
-      if (m.faulty && m.errorJobs.size() < 2 && !m.scalingIn) {
-        m.faulty = false;
-        m.drain = false;
-        cluster.log("machine " + m.name + " is used again: the jobs were at fault");
+      if (machine.faulty && machine.errorJobs.size() < 2 && !machine.scalingIn) {
+        machine.faulty = false;
+        machine.drain = false;
+        cluster.log("machine " + machine.name + " is used again: the jobs were at fault");
       }
-      if (m.errorJobs.isEmpty()) {
-        m.quarantineUntil = Double.NEGATIVE_INFINITY;
+      if (machine.errorJobs.isEmpty()) {
+        machine.quarantineUntil = Double.NEGATIVE_INFINITY;
         cluster.roomVersion++;
       }
     }
@@ -108,44 +114,48 @@
   }
 
   /** The machine fails everything, so that jobs are not to blame for what failed there. */
-  private void acquit(Machine m, double now) {
-    for (Job j : cluster.jobs.values()) {
-      boolean met = j.failedMachines.remove(m.name);
-      if (met && j.suspect && j.failedMachines.size() < cluster.policy.tuning().attemptCap()) {
-        clear(j, now);
+  private void exonerateJobs(Machine machine, double now) {
+    for (Job job : cluster.jobs.values()) {
+      boolean failedHere = job.failedMachines.remove(machine.name);
+      if (failedHere
+          && job.suspect
+          && job.failedMachines.size() < cluster.policy.tuning().attemptCap()) {
+        clearSuspicion(job, now);
       }
     }
   }
 
-  private void pause(Job j, double now) {
-    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, j.backoffCount++));
-    j.notBefore = now + Math.min(LONGEST_JOB_BACKOFF_S, pause);
+  /** Tries no task of the job for a while, each time twice as long as before. */
+  private void backOff(Job job, double now) {
+    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, job.backoffCount++));
+    job.notBefore = now + Math.min(LONGEST_JOB_BACKOFF_S, pause);
   }
 
   /** A task of the claim runs, or is done: neither its job nor its machine fails everything. */
-  void good(Machine m, Claim c, double now) {
-    Job j = c.job;
-    if (!j.ranWell || j.unproven || j.suspect) {
-      j.ranWell = true;
-      j.unproven = false;
+  void onSuccess(Machine machine, Claim claim, double now) {
+    Job job = claim.job;
+    if (!job.ranWell || job.unproven || job.suspect) {
+      job.ranWell = true;
+      job.unproven = false;
       cluster.roundNeeded = true;
-      if (j.suspect) {
-        clear(j, now);
+      if (job.suspect) {
+        clearSuspicion(job, now);
       }
     }
     // What was started before the machine fell sick goes on there, and shows nothing.
-    if (c.claimedAt > m.lastErrorAt) {
-      m.errorJobs.clear();
+    if (claim.claimedAt > machine.lastErrorAt) {
+      machine.errorJobs.clear();
     }
   }
 
-  private void clear(Job j, double now) {
-    j.suspect = false;
-    j.backoffCount = 0;
-    j.notBefore = now;
-    j.failedMachines.clear();
+  /** The job is not at fault after all: it is placed as others are. */
+  private void clearSuspicion(Job job, double now) {
+    job.suspect = false;
+    job.backoffCount = 0;
+    job.notBefore = now;
+    job.failedMachines.clear();
     cluster.roundNeeded = true;
     cluster.roomVersion++;
-    cluster.log(j.spec.id() + " is not at fault: its machines were");
+    cluster.log(job.spec.id() + " is not at fault: its machines were");
   }
 }
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -149,7 +149,7 @@
     }
     Map<Machine, Resources> free = new LinkedHashMap<>();
     for (Machine o : onDemand) {
-      if (o != m && !o.consolidating && cluster.usable(o, now)) {
+      if (o != m && !o.consolidating && MachineAvailability.isAvailable(cluster, o, now)) {
         free.put(o, o.capacity.minus(o.serviceResources));
       }
     }
@@ -260,7 +260,7 @@
           && !to.consolidating
           && to.holds(c.resources())
           && goodTarget(c, to)
-          && cluster.usable(to, now)
+          && MachineAvailability.isAvailable(cluster, to, now)
           && to.free().minus(promised.getOrDefault(to, Resources.NONE)).holds(c.resources())) {
         return to;
       }
--- a/src/main/java/graderelay/core/Heartbeat.java
+++ b/src/main/java/graderelay/core/Heartbeat.java
@@ -1,6 +1,8 @@
 package graderelay.core;
 
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 
 /**
  * A worker's heartbeat with status: what it says of itself and of the task attempts it holds. The
@@ -38,4 +40,13 @@
   public boolean newerThan(long otherSession, long otherSeq) {
     return session > otherSession || (session == otherSession && seq > otherSeq);
   }
+
+  /** The tasks on the worker, by the attempt that each entry names. */
+  Map<AttemptKey, Entry> entriesByAttempt() {
+    Map<AttemptKey, Entry> entries = new HashMap<>();
+    for (Entry entry : tasks) {
+      entries.put(AttemptKey.of(entry), entry);
+    }
+    return entries;
+  }
 }
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -8,20 +8,27 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The leader's working view of a live job. */
+/**
+ * The leader's working view of a live job: its stored task batches, its claims, how it has fared so
+ * far, and how urgent it is for itself and for the jobs that depend on it.
+ */
 final class Job {
-  /** Run times and seconds left before it is needed when a job goes by the priority of others. */
-  private static final double PRESSING_RUNS = 2;
+  /** Run times left before it is due at which a job goes by the priority of its dependents. */
+  private static final double URGENT_RUNS = 2;
 
-  private static final double PRESSING_S = 45;
+  /** Seconds on top of those run times. */
+  private static final double URGENT_S = 45;
 
-  /** Share of its class's wanted wait after which a needed job goes by the priority of others. */
-  private static final double PRESSING_WAIT = 0.4;
+  /** Share of its class's wanted wait after which a job goes by the priority of its dependents. */
+  private static final double URGENT_WAIT_SHARE = 0.4;
 
   /** One stored task batch, with what is under way for it. */
   static final class TaskBatch {
     final TaskBatchKey key;
+
+    /** Number of its first task within the job. */
     final int firstTask;
+
     TaskBatchRecord record;
     long revision;
 
@@ -44,6 +51,8 @@
     }
   }
 
+  // ---------------------------------------------------------------- records
+
   final JobSpec spec;
 
   /** What one task takes. */
@@ -52,8 +61,13 @@
   /** The same, as stored limits count it. */
   final Amount taskAmount;
 
+  /** Revision of the job's own record. */
   long revision;
+
+  /** Its user, or the cancellation of a job that it needs, has asked to cancel it. */
   boolean cancelRequested;
+
+  /** The transaction that writes its final record is under way. */
   boolean ending;
 
   /**
@@ -61,25 +75,57 @@
    */
   final TreeMap<Integer, TaskBatch> taskBatches = new TreeMap<>();
 
+  // ---------------------------------------------------------------- tasks and claims
+
   /** Tasks that nobody has claimed and that are not done. */
   final BitSet openTasks;
 
+  /** Claims by task number. */
   final Map<Integer, Claim> claims = new HashMap<>();
 
+  /** Claims by zone, as far as their machines' zones are known. */
+  final Map<String, Integer> zoneClaims = new HashMap<>();
+
+  /** Tasks that are done. */
   int doneCount;
 
-  /** When it could begin, on our clock: its submission, or the end of the last job it needed. */
+  /** Claims that already give their place up for a waiting task of this job. */
+  int pendingPreemptions;
+
+  // ---------------------------------------------------------------- times, on the leader's clock
+
+  /** When its user submitted it: its deadline counts from then, all else from eligibleSince. */
+  double acceptedAt;
+
+  /** When it could begin: its submission, or the end of the last job it needed. */
   double eligibleSince;
 
   /** When the queue's head began to wait; for fairness and for the operator's question why. */
   double waitingSince;
 
+  /** No task is placed before this time, after failures on several machines. */
+  double notBefore;
+
+  // ---------------------------------------------------------------- placement
+
+  /** Why the last round placed no task of it; for logs and the administration API. */
+  String waitReason = "new";
+
+  /** {@link ClusterState#roomVersion} when a round last found no room for it. */
+  long noRoomVersion = -1;
+
+  /** When that was; what only time changes is looked at again after a while. */
+  double noRoomSince;
+
+  // ---------------------------------------------------------------- failures
+
   /** Machines on which a task of this job failed by itself, see {@link FailureAttribution}. */
   final Set<String> failedMachines = new HashSet<>();
 
   /** It failed on several machines and succeeded on none: tried one task at a time. */
   boolean suspect;
 
+  /** When it became suspect. */
   double suspectSince;
 
   /** Pauses since it became suspect, each twice as long as the one before. */
@@ -88,16 +134,27 @@
   /** A task of it was seen running for a while, or done. */
   boolean ranWell;
 
-  /** Taken over with many attempts and no success: a few tasks first show whether it can run. */
+  /** Loaded with many attempts and no success: a few tasks first show whether it can run. */
   boolean unproven;
 
-  /** No task is placed before this time, after failures on several machines. */
-  double notBefore;
+  // ---------------------------------------------------------------- DAG dependencies
 
-  /** Why the last round placed no task of it; for logs and the administration API. */
-  String waitReason = "new";
+  /**
+   * Jobs that it waits for: those whose final record has not been seen to say that they are done.
+   */
+  final Set<String> pendingDependencies = new HashSet<>();
 
-  final Map<String, Integer> zoneClaims = new HashMap<>();
+  /** When the last job that it needed ended, so far. */
+  double dependenciesEndedAt = Double.NEGATIVE_INFINITY;
+
+  /** When it has to be done for its dependents to be in time, or infinite. */
+  double dependentsDueAt = Double.POSITIVE_INFINITY;
+
+  /** Its dependents would be late if it waited with ordinary work. */
+  boolean urgentForDependents;
+
+  /** The priority of its most urgent dependent, direct or through others, or its own. */
+  private Priority priority;
 
   Job(JobSpec spec, long revision, boolean cancelRequested, double now) {
     this.spec = spec;
@@ -112,6 +169,7 @@
     this.openTasks.set(0, spec.tasks());
   }
 
+  /** The task batch with this number, which begins fresh if none of its tasks was claimed yet. */
   TaskBatch taskBatch(int index) {
     return taskBatches.computeIfAbsent(
         index,
@@ -123,35 +181,29 @@
                 0));
   }
 
+  /** True if it has tasks to place now or as soon as there is room. */
   boolean waiting() {
     return !cancelRequested && !ending && !openTasks.isEmpty() && pendingDependencies.isEmpty();
   }
 
-  /**
-   * Jobs that it waits for: those whose final record has not been seen to say that they are done.
-   */
-  final Set<String> pendingDependencies = new HashSet<>();
-
   /** True while nothing of it may be claimed; it is no demand, and its times have not begun. */
   boolean awaitsDependencies() {
     return !pendingDependencies.isEmpty();
   }
 
-  /** When its user submitted it: its deadline counts from then, all else from submittedAt. */
-  double acceptedAt;
-
-  /** When the last job that it needed ended, so far. */
-  double dependenciesEndedAt = Double.NEGATIVE_INFINITY;
-
-  /** The priority of the most urgent job that needs it, directly or through others, or its own. */
-  private Priority priority;
+  /** True if all of its tasks are done. */
+  boolean complete() {
+    return doneCount == spec.tasks();
+  }
 
-  /** When it has to be done for those that need it to be in time, or infinite. */
-  double dependentsDueAt = Double.POSITIVE_INFINITY;
+  /** True while none of its tasks has ever been claimed. */
+  boolean neverBegan() {
+    return claims.isEmpty() && taskBatches.isEmpty();
+  }
 
   /**
-   * What its place in the queue goes by. What only others make urgent waits with ordinary work
-   * while there is time, and goes before it when they would be late.
+   * What its place in the queue goes by. What only its dependents make urgent waits with ordinary
+   * work while there is time, and goes before it when they would be late.
    */
   Priority priority() {
     if (urgentForDependents || !priority.beats(spec.priority())) {
@@ -161,65 +213,50 @@
     return low && !Priority.NORMAL.beats(priority) ? Priority.NORMAL : spec.priority();
   }
 
-  /** The priority of the most urgent job that needs it, or its own, whether or not it presses. */
+  /** The priority of its most urgent dependent, or its own, whether or not it is urgent now. */
   Priority inheritedPriority() {
     return priority;
   }
 
-  /** The jobs that need it would be late if it waited with ordinary work. */
-  boolean urgentForDependents;
+  /**
+   * A dependent has this priority; claims that stand keep theirs.
+   *
+   * @return true if it is higher than the one inherited so far
+   */
+  boolean inheritPriority(Priority other) {
+    boolean raised = other.beats(priority); // Whether or not it is urgent now.
+    priority = raised ? other : priority;
+    return raised;
+  }
 
   /**
-   * Looks how much time is left, given how long a task of it takes and within what time its class
-   * should start, if that is wanted.
+   * Looks how much time is left for its dependents.
+   *
+   * @param estimateS how long a task of it takes, in seconds
+   * @param wantedWaitS seconds within which its class should start, or null if none is wanted
    */
   void updateUrgency(double estimateS, Double wantedWaitS, double now) {
     double waited = now - eligibleSince;
-    boolean startPresses =
+    boolean startIsUrgent =
         wantedWaitS != null
             && pendingDependencies.isEmpty()
-            && waited > wantedWaitS * PRESSING_WAIT
+            && waited > wantedWaitS * URGENT_WAIT_SHARE
             && waited < wantedWaitS;
     urgentForDependents =
         dependentsDueAt == Double.POSITIVE_INFINITY
-            || dependentsDueAt - now < PRESSING_RUNS * estimateS + PRESSING_S
-            || startPresses;
-  }
-
-  /** A job that needs it has this priority; claims that stand keep theirs. */
-  boolean inheritPriority(Priority other) {
-    boolean raised = other.beats(priority); // Whether or not it presses now.
-    priority = raised ? other : priority;
-    return raised;
+            || dependentsDueAt - now < URGENT_RUNS * estimateS + URGENT_S
+            || startIsUrgent;
   }
 
-  /** True if it, or a job that needs it, has a deadline. */
+  /** True if it, or a dependent, has a deadline. */
   boolean hasDue() {
     return dueAt() < Double.POSITIVE_INFINITY;
   }
 
-  /** When it has to be done, on our clock. */
+  /** When it has to be done, on our clock, or infinite. */
   double dueAt() {
     double own =
         spec.deadlineS() == null ? Double.POSITIVE_INFINITY : acceptedAt + spec.deadlineS();
     return Math.min(own, dependentsDueAt);
   }
-
-  boolean complete() {
-    return doneCount == spec.tasks();
-  }
-
-  /** The world's {@link ClusterState#roomVersion} when a round last found no room for it. */
-  long noRoomVersion = -1;
-
-  /** When that was; what only time changes is looked at again after a while. */
-  double noRoomSince;
-
-  /** True while none of its tasks has ever been claimed. */
-  boolean neverBegan() {
-    return claims.isEmpty() && taskBatches.isEmpty();
-  }
-
-  /** Claims that already give their place up for a waiting task of this job. */
-  int pendingPreemptions;
 }
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -8,40 +8,40 @@
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final WorkerCommands commands;
+  private final TaskStops stops;
 
   JobRecordEvents(
-      ClusterState cluster, FleetPlanner planner, StoredRecords records, WorkerCommands commands) {
+      ClusterState cluster, FleetPlanner planner, StoredRecords records, TaskStops stops) {
     this.cluster = cluster;
     this.planner = planner;
     this.records = records;
-    this.commands = commands;
+    this.stops = stops;
   }
 
   /** {@code submittedAt} is the job's time of submission on this clock. */
   void onJob(JobSpec spec, boolean stop, long revision, double submittedAt, double now) {
-    Job j = cluster.jobs.get(spec.id());
-    if (j == null) {
-      j = new Job(spec, revision, stop, now);
-      j.acceptedAt = submittedAt;
-      j.eligibleSince = submittedAt;
-      cluster.jobs.put(spec.id(), j);
-      if (!j.awaitsDependencies()) {
+    Job job = cluster.jobs.get(spec.id());
+    if (job == null) {
+      job = new Job(spec, revision, stop, now);
+      job.acceptedAt = submittedAt;
+      job.eligibleSince = submittedAt;
+      cluster.jobs.put(spec.id(), job);
+      if (!job.awaitsDependencies()) {
         planner.onArrival(spec, submittedAt);
       }
-      cluster.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
-      cluster.dependencies.look(j, now);
+      cluster.dependencies.added(job).forEach(dependent -> cancelWithNeeded(dependent, now));
+      cluster.dependencies.look(job, now);
       // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
-    } else if (revision > j.revision) {
-      j.revision = revision;
-      if (stop && !j.cancelRequested) {
-        cluster.log("stop request for " + spec.id() + ", " + j.claims.size() + " claims");
+    } else if (revision > job.revision) {
+      job.revision = revision;
+      if (stop && !job.cancelRequested) {
+        cluster.log("stop request for " + spec.id() + ", " + job.claims.size() + " claims");
       }
-      j.cancelRequested |= stop;
+      job.cancelRequested |= stop;
     }
-    if (j.cancelRequested) {
-      stopped(j, now);
+    if (job.cancelRequested) {
+      onCancellation(job, now);
     }
     cluster.roundNeeded = true;
   }
@@ -50,56 +50,60 @@
    * The job was cancelled, although its record has not shown that yet: no start, no claim and no
    * end of it can commit against the record as we know it, and its tasks are stopped at once.
    */
-  void onCancelled(String job, double now) {
-    Job j = cluster.jobs.get(job);
-    if (j != null && !j.cancelRequested) {
-      cluster.log(job + " was cancelled, says a peer; " + j.claims.size() + " claims");
-      j.cancelRequested = true;
-      stopped(j, now);
+  void onCancelled(String id, double now) {
+    Job job = cluster.jobs.get(id);
+    if (job != null && !job.cancelRequested) {
+      cluster.log(id + " was cancelled, says a peer; " + job.claims.size() + " claims");
+      job.cancelRequested = true;
+      onCancellation(job, now);
       cluster.roundNeeded = true;
     }
   }
 
-  private void stopped(Job j, double now) {
-    cluster.cancelledJobs.add(j);
-    cluster.maybeEndedJobs.add(j);
-    commands.stopClaims(j, now);
-    cluster.dependencies.cancelledWith(j.spec.id()).forEach(d -> cancelWithNeeded(d, now));
+  /** Stops a cancelled job's tasks, and cancels the jobs that need it. */
+  private void onCancellation(Job job, double now) {
+    cluster.cancelledJobs.add(job);
+    cluster.maybeEndedJobs.add(job);
+    stops.cancelJob(job, now);
+    cluster
+        .dependencies
+        .cancelledWith(job.spec.id())
+        .forEach(dependent -> cancelWithNeeded(dependent, now));
   }
 
   /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
-  private void cancelWithNeeded(Job d, double now) {
-    cluster.log(d.spec.id() + " is cancelled with a job that it needs");
-    d.cancelRequested = true;
-    cluster.cancelledJobs.add(d);
-    cluster.maybeEndedJobs.add(d);
+  private void cancelWithNeeded(Job dependent, double now) {
+    cluster.log(dependent.spec.id() + " is cancelled with a job that it needs");
+    dependent.cancelRequested = true;
+    cluster.cancelledJobs.add(dependent);
+    cluster.maybeEndedJobs.add(dependent);
     cluster.roundNeeded = true;
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
-  void onEnd(String job, boolean cancelled, double at, double now) {
-    if (!cluster.dependencies.needed(job)) {
+  void onEnd(String id, boolean cancelled, double at, double now) {
+    if (!cluster.dependencies.needed(id)) {
       return;
     }
     if (cancelled) {
-      cluster.dependencies.cancelled(job).forEach(d -> cancelWithNeeded(d, now));
+      cluster.dependencies.cancelled(id).forEach(dependent -> cancelWithNeeded(dependent, now));
       return;
     }
-    for (Job d : cluster.dependencies.done(job, Math.min(at, now))) {
-      d.eligibleSince = Math.max(d.acceptedAt, d.dependenciesEndedAt);
-      d.waitingSince = now;
-      d.waitReason = "new";
-      planner.onArrival(d.spec, d.eligibleSince);
-      cluster.log(d.spec.id() + " may begin: all that it needs is done");
+    for (Job dependent : cluster.dependencies.done(id, Math.min(at, now))) {
+      dependent.eligibleSince = Math.max(dependent.acceptedAt, dependent.dependenciesEndedAt);
+      dependent.waitingSince = now;
+      dependent.waitReason = "new";
+      planner.onArrival(dependent.spec, dependent.eligibleSince);
+      cluster.log(dependent.spec.id() + " may begin: all that it needs is done");
     }
     cluster.roundNeeded = true;
   }
 
   /** The job's record is gone from the store. */
   void onJobGone(String id, double now) {
-    Job j = cluster.jobs.get(id);
-    if (j != null && !j.ending) {
-      records.forget(j, now);
+    Job job = cluster.jobs.get(id);
+    if (job != null && !job.ending) {
+      records.forget(job, now);
     }
   }
 }
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -4,90 +4,127 @@
 import java.util.Map;
 
 /**
- * The controllers that may keep leases alive in a zone that is cut off, as the leader counts it. A
- * lease delegate answers its zone's workers by itself, without orders, only while it reaches
- * neither the leader nor the state service, and only for so long after the leader's last word.
- * Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed until
- * its grant has run out; from one that speaks we know that it does not answer by itself.
+ * The controllers that may renew workers' leases in a zone that is cut off, as the leader counts
+ * it. A lease delegate answers its zone's workers by itself, without commands, only while it
+ * reaches neither the leader nor the key-value store, and only for so long after the leader's last
+ * word. Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed
+ * until its grant has run out; from one that speaks we know that it does not answer by itself.
  */
 final class LeaseDelegates {
   /**
-   * A lease delegate's question for a grant.
+   * A lease delegate's request for a grant.
    *
-   * @param self tells its process from earlier ones of the same member
-   * @param n number of the question
-   * @param of whose grant it has, 0 for none of ours
-   * @param echo our time of the last grant that it has heard of
+   * @param process tells its process from earlier ones of the same member
+   * @param number number of the request within its process
+   * @param grantTerm term of the leader whose grant it has, 0 if it has none
+   * @param lastHeardAt our time of the last grant that it has heard of
    * @param aloneS seconds since it last answered by itself, or since its process began
    */
-  record Ask(String member, String self, long n, long of, double echo, double aloneS) {}
+  record GrantRequest(
+      String member,
+      String process,
+      long number,
+      long grantTerm,
+      double lastHeardAt,
+      double aloneS) {}
+
+  /**
+   * A lease delegate gives its grants back, since it reaches the key-value store but not us.
+   *
+   * @param process tells its process from earlier ones of the same member
+   * @param number number of the last request whose grant is given back
+   * @param grantTerm term of the leader whose grant it has
+   * @param aloneS seconds since it last answered by itself, or since its process began
+   */
+  record GrantRelease(String member, String process, long number, long grantTerm, double aloneS) {}
 
   private static final class LeaseDelegate {
     final String zone;
-    String self = "";
-    long granted;
+    String process = "";
+
+    /** Number of the last request that was granted. */
+    long grantedNumber;
+
+    /** When its grant runs out. */
     double grantedUntil;
-    double echoAt = Double.NEGATIVE_INFINITY;
+
+    /** When we sent the last grant that it is known to have heard of. */
+    double heardAt = Double.NEGATIVE_INFINITY;
+
+    /** When it may last have answered its workers by itself, as far as it told. */
     double aloneAt = Double.NEGATIVE_INFINITY;
 
     LeaseDelegate(String zone, double grantedUntil) {
       this.zone = zone;
       this.grantedUntil = grantedUntil;
     }
+
+    /** True if it may be answering its workers by itself. */
+    boolean maybeAlone(double now) {
+      return now > heardAt + LeaseTiming.DELEGATE_ALONE_S * (1 - LeaseTiming.DRIFT);
+    }
   }
 
-  private final Map<String, LeaseDelegate> all = new HashMap<>();
-  private final long epoch;
-  private final double lengthS;
+  private final Map<String, LeaseDelegate> byMember = new HashMap<>();
+  private final long term;
+  private final double grantS;
   private final double leaseS;
 
-  /** Earlier leaders granted until they lost the fleet at the latest, which was before now. */
-  LeaseDelegates(Map<String, String> zones, long epoch, double grantS, double leaseS, double now) {
-    this.epoch = epoch;
-    this.lengthS = grantS * (1 + LeaseTiming.DRIFT);
+  /**
+   * The lease delegates of a new leader. Earlier leaders granted until they lost the leadership at
+   * the latest, which was before now.
+   *
+   * @param zones the zone of each member that is a lease delegate
+   * @param grantS seconds that a grant lasts
+   * @param leaseS seconds that a worker's lease lasts
+   */
+  LeaseDelegates(Map<String, String> zones, long term, double grantS, double leaseS, double now) {
+    this.term = term;
+    this.grantS = grantS * (1 + LeaseTiming.DRIFT);
     this.leaseS = leaseS;
-    zones.forEach((m, z) -> all.put(m, new LeaseDelegate(z, now + lengthS)));
+    zones.forEach(
+        (member, zone) -> byMember.put(member, new LeaseDelegate(zone, now + this.grantS)));
   }
 
-  /** True if the member is one; it has a grant from now on. */
-  boolean ask(Ask a, double now) {
-    LeaseDelegate d = all.get(a.member());
-    if (d == null) {
+  /** Takes a request; true if the member is a lease delegate, which has a grant from now on. */
+  boolean grant(GrantRequest request, double now) {
+    LeaseDelegate delegate = byMember.get(request.member());
+    if (delegate == null) {
       return false;
     }
-    if (!a.self().equals(d.self)) {
-      d.self = a.self();
-      d.granted = 0;
+    if (!request.process().equals(delegate.process)) {
+      delegate.process = request.process();
+      delegate.grantedNumber = 0;
     }
-    d.granted = Math.max(d.granted, a.n());
-    d.grantedUntil = Math.max(d.grantedUntil, now + lengthS);
-    d.aloneAt = Math.max(d.aloneAt, now - a.aloneS());
-    if (a.of() == epoch) {
-      d.echoAt = Math.max(d.echoAt, a.echo());
+    delegate.grantedNumber = Math.max(delegate.grantedNumber, request.number());
+    delegate.grantedUntil = Math.max(delegate.grantedUntil, now + grantS);
+    delegate.aloneAt = Math.max(delegate.aloneAt, now - request.aloneS());
+    if (request.grantTerm() == term) {
+      delegate.heardAt = Math.max(delegate.heardAt, request.lastHeardAt());
     }
     return true;
   }
 
-  /**
-   * A lease delegate that reaches the state service but not us has given its grants back, up to
-   * that of its question {@code n}. One that was granted since may hold.
-   */
-  void free(String member, String self, long n, long of, double aloneS, double now) {
-    LeaseDelegate d = all.get(member);
-    if (d != null && of == epoch && self.equals(d.self) && d.granted <= n) {
-      d.aloneAt = Math.max(d.aloneAt, now - aloneS);
-      d.grantedUntil = Double.NEGATIVE_INFINITY;
+  /** Takes grants back, unless one was granted since: that may hold. */
+  void release(GrantRelease release, double now) {
+    LeaseDelegate delegate = byMember.get(release.member());
+    if (delegate != null
+        && release.grantTerm() == term
+        && release.process().equals(delegate.process)
+        && delegate.grantedNumber <= release.number()) {
+      delegate.aloneAt = Math.max(delegate.aloneAt, now - release.aloneS());
+      delegate.grantedUntil = Double.NEGATIVE_INFINITY;
     }
   }
 
-  /** No lease in the zone was renewed by a lease delegate later than this. */
+  /** No lease in the zone, null for any, was renewed by a lease delegate later than this. */
   double renewedUntil(String zone, double now) {
     double last = Double.NEGATIVE_INFINITY;
-    for (LeaseDelegate d : all.values()) {
-      if (zone == null || zone.equals(d.zone)) {
-        last = Math.max(last, d.aloneAt);
-        if (silent(d, now)) {
-          last = Math.max(last, Math.min(now, d.grantedUntil));
+    for (LeaseDelegate delegate : byMember.values()) {
+      if (zone == null || zone.equals(delegate.zone)) {
+        last = Math.max(last, delegate.aloneAt);
+        if (delegate.maybeAlone(now)) {
+          last = Math.max(last, Math.min(now, delegate.grantedUntil));
         }
       }
     }
@@ -95,16 +132,14 @@
   }
 
   /** True if leases in the zone may go on since a lease delegate answered its workers by itself. */
-  boolean mayKeep(String zone, double now) {
-    for (LeaseDelegate d : all.values()) {
-      if (d.zone.equals(zone) && silent(d, now) && now < d.grantedUntil + leaseS) {
+  boolean mayRenew(String zone, double now) {
+    for (LeaseDelegate delegate : byMember.values()) {
+      if (delegate.zone.equals(zone)
+          && delegate.maybeAlone(now)
+          && now < delegate.grantedUntil + leaseS) {
         return true;
       }
     }
     return false;
   }
-
-  private static boolean silent(LeaseDelegate d, double now) {
-    return now > d.echoAt + LeaseTiming.DELEGATE_ALONE_S * (1 - LeaseTiming.DRIFT);
-  }
 }
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -6,97 +6,150 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The leader's view of one machine. */
+/**
+ * The leader's view of one machine: what the cloud and its worker say of it, its lease, the claims
+ * on it, and whether it may be given more.
+ */
 final class Machine {
   /** Images remembered of a machine; only a guide for placement. */
   private static final int MOST_IMAGES = 64;
 
+  // ---------------------------------------------------------------- the instance
+
   final String name;
+
+  /** Name of its machine type, null until known. */
   String type;
+
+  /** Null until known. */
   String zone;
+
+  /** True for a spot instance, false for an on-demand instance. */
   boolean spot;
+
+  /** Where its worker takes commands, null until known. */
   String address;
 
   /** When we first knew of it. */
   final double knownSince;
 
-  /** When it was rented, as far as known. */
+  /** When its creation was requested, as far as known. */
   double requestedAt;
 
-  /** We rented it, or the list showed it booting: its first report tells how long that took. */
+  /** Requested by us or listed as booting: its first heartbeat tells how long the boot took. */
   boolean booting;
 
+  /** The cloud lists it as failed: everything on it is gone. */
+  boolean failed;
+
+  /** When the cloud will take the machine, or null without such a notice. */
+  Double interruptionAt;
+
+  /** Its deletion was sent; nothing new is placed. */
+  boolean scalingIn;
+
+  /** When the deletion was last sent. */
+  double scaleInRequestedAt = Double.NEGATIVE_INFINITY;
+
+  // ---------------------------------------------------------------- heartbeats and the lease
+
+  /** This leader has had a heartbeat of it. */
   boolean heartbeatReceived;
+
+  /** Its worker's incarnation, and the sequence number of its last heartbeat therein. */
   long session;
+
   long seq;
+
+  /** The highest term that its heartbeats have shown. */
   long lastSeenTerm;
+
+  /** When its last heartbeat, or answer to commands, was taken. */
   double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
 
-  /** When we last answered a report: no lease of this worker can begin later. */
+  /** That heartbeat. */
+  Heartbeat lastHeartbeat;
+
+  /** When we last answered a heartbeat: no lease of this worker can begin later. */
   double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
-  /** When we first answered a report of its present session, or NaN. */
+  /** When we first answered a heartbeat of its present session, or NaN. */
   double firstAnsweredAt = Double.NaN;
 
   /**
-   * When we first saw its present session. A session that was shown by an answer to direct orders
-   * has a whole lease of its own before any report of it was answered.
+   * When we first saw its present session. A session that was shown by an answer to direct commands
+   * has a whole lease of its own before any heartbeat of it was answered.
    */
   double sessionSeenAt = Double.NEGATIVE_INFINITY;
 
-  /** The controller that its last report came to: the leader itself, or one that passed it on. */
+  /** The controller that its last heartbeat came to; "" for the leader itself. */
   String heartbeatVia = "";
 
-  /** That report was answered and not a copy, so its worker stays there if it hears us. */
+  /** That heartbeat was answered and not a copy, so its worker stays there if it hears us. */
   boolean heartbeatAnswered;
 
   /** The session is over in any case: its lease has run out, counted safely. */
   boolean leaseExpired;
 
-  /** Since when its reports come but answers do not reach it, or null. */
+  /** Since when its heartbeats come but answers do not reach it, or null. */
   Double answersLostSince;
 
-  Double interruptionAt;
+  /** When we last probed it. */
+  double lastProbeAt = Double.NEGATIVE_INFINITY;
+
+  /** Direct commands and probes in a row that got no answer. */
+  int failedProbes;
+
+  /** Attempts that a late launch could start again if the worker forgot them. */
+  final Set<AttemptKey> unreapableAttempts = new HashSet<>();
+
+  // ---------------------------------------------------------------- availability
+
+  /** Nothing new is placed, and what runs may end. */
   boolean drain;
+
+  /** Its operators want nothing new on it. */
   boolean cordoned;
 
   /** Its operators want it empty. */
   boolean operatorDrain;
 
-  /** The deletion was sent; nothing new is placed. */
-  boolean scalingIn;
+  /** Being emptied, since cheaper machines have room for what it does. */
+  boolean consolidating;
 
-  double scaleInRequestedAt = Double.NEGATIVE_INFINITY;
+  /** Tasks of several jobs failed here; to be replaced once empty. */
+  boolean faulty;
 
   /** Failures without a success in between by the jobs that are not known to be at fault. */
   final Map<String, Integer> errorJobs = new HashMap<>();
 
+  /** When a task last failed for which the machine is blamed. */
   double lastErrorAt = Double.NEGATIVE_INFINITY;
-  double quarantineUntil = Double.NEGATIVE_INFINITY;
 
-  /** Being emptied, since cheaper machines have room for what it does. */
-  boolean consolidating;
+  /** Nothing new is placed before this time, after failures. */
+  double quarantineUntil = Double.NEGATIVE_INFINITY;
 
-  /** Tasks of several jobs failed here; to be replaced once empty. */
-  boolean faulty;
+  // ---------------------------------------------------------------- claims
 
-  /** When we last asked it straight, and how often in a row that failed. */
-  double lastProbeAt = Double.NEGATIVE_INFINITY;
-
-  int failedProbes;
+  /** Claims here, by task id. */
+  final Map<String, Claim> claims = new HashMap<>();
 
-  /** The cloud lists it as failed: everything on it is gone. */
-  boolean failed;
+  /** Claims here, counted by priority. */
+  final PriorityCounts byPriority = new PriorityCounts();
 
+  /** Since when it has been without claims. */
   double idleSince;
+
+  /** What the machine type offers; none while the type isn't known. */
   Resources capacity = Resources.NONE;
+
+  /** What the claims here take. */
   Resources used = Resources.NONE;
 
-  final Map<String, Claim> claims = new HashMap<>();
-  Heartbeat lastHeartbeat;
+  /** What the services among them take. */
+  Resources serviceResources = Resources.NONE;
 
-  /** Attempts that a late launch could start again if the worker forgot them. */
-  final Set<String> unreapableAttempts = new HashSet<>();
+  // ---------------------------------------------------------------- images
 
   /** Images this machine has fetched, by last use; a guess that only guides placement. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -104,12 +157,7 @@
   /** An image is there that no record of ours names yet. */
   boolean imagesChanged;
 
-  /** Which of so many records of images names this machine. */
-  int imagePart(int parts) {
-    return Math.floorMod(name.hashCode(), parts);
-  }
-
-  /** Images that a task here waits for, as of the last report. */
+  /** Images that a task here waits for, as of the last heartbeat. */
   final Set<String> fetching = new HashSet<>();
 
   Machine(String name, double now) {
@@ -119,19 +167,18 @@
     this.idleSince = now;
   }
 
-  /** What services hold here, kept up with the claims. */
-  Resources serviceResources = Resources.NONE;
-
-  /** Claims here, by priority. */
-  final PriorityCounts byPriority = new PriorityCounts();
+  /** Which of so many records of images names this machine. */
+  int imagePart(int parts) {
+    return Math.floorMod(name.hashCode(), parts);
+  }
 
   /** Failures in a row that this machine is blamed for. */
   int errorStreak() {
-    int n = 0;
-    for (int k : errorJobs.values()) {
-      n += k;
+    int streak = 0;
+    for (int errors : errorJobs.values()) {
+      streak += errors;
     }
-    return n;
+    return streak;
   }
 
   /** The same as {@code free().holds(need)}, without an object for each question. */
@@ -142,10 +189,12 @@
         && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
 
+  /** What the claims leave of the machine. */
   Resources free() {
     return capacity.minus(used);
   }
 
+  /** Counts a claim that was just added to {@link #claims}. */
   void allocate(Claim c) {
     used = used.plus(c.resources());
     byPriority.add(c.priority);
@@ -154,6 +203,7 @@
     }
   }
 
+  /** Takes out a claim that was just removed from {@link #claims}. */
   void release(Claim c) {
     // An empty machine starts from nothing, so that rounding doesn't add up.
     used = claims.isEmpty() ? Resources.NONE : used.minus(c.resources());
@@ -163,7 +213,7 @@
     }
   }
 
-  /** Notes that the image is there; only the last few are remembered, as the machine does. */
+  /** Records that the image is there; only the last few are remembered, as the machine does. */
   void learnImage(String image, double now) {
     imagesChanged |= images.put(image, now) == null;
     fetching.remove(image);
@@ -172,6 +222,7 @@
     }
   }
 
+  /** True if the image is likely there already. */
   boolean hasImage(String image) {
     return images.containsKey(image);
   }
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -9,71 +9,74 @@
 
 /**
  * Takes in what the cloud and the operators say of machines for {@link Scheduler}: machine types,
- * the cloud's list, rentals (scale out), give-backs (scale in), cordons and graceful evictions.
+ * the cloud's list, the answers to scale-out and scale-in requests, cordons and graceful evictions.
  */
 final class MachineEvents {
-  /**
-   * Deleted machines remembered: late lists and reports still name them for minutes, in which a
-   * fleet of four thousand may have been replaced several times. Some 100 bytes each.
-   */
-  private static final int MOST_DROPPED = 20_000;
-
   private final ClusterState cluster;
   private final FleetPlanner planner;
-  private final HeartbeatMonitor heartbeats;
-  private final WorkerCommands commands;
+  private final DeletedMachines deleted;
+  private final TerminationProofs proofs;
+  private final TaskStops stops;
 
   /** Deleted machines that still carry claims whose end has to commit. */
-  private final Set<String> gone = new LinkedHashSet<>();
+  private final Set<String> toForget = new LinkedHashSet<>();
 
   MachineEvents(
       ClusterState cluster,
       FleetPlanner planner,
-      HeartbeatMonitor heartbeats,
-      WorkerCommands commands) {
+      DeletedMachines deleted,
+      TerminationProofs proofs,
+      TaskStops stops) {
     this.cluster = cluster;
     this.planner = planner;
-    this.heartbeats = heartbeats;
-    this.commands = commands;
+    this.deleted = deleted;
+    this.proofs = proofs;
+    this.stops = stops;
   }
 
+  /** The machine types that the cloud offers. */
   void onTypes(Collection<MachineType> types) {
     Map<String, MachineType> byName = new TreeMap<>();
-    for (MachineType t : types) {
-      byName.put(t.name(), t);
+    for (MachineType type : types) {
+      byName.put(type.name(), type);
     }
     cluster.types = byName;
-    for (Machine m : cluster.machines.values()) {
-      if (m.type != null) {
-        cluster.setTypeAndZone(m, m.type, m.zone, m.spot);
+    for (Machine machine : cluster.machines.values()) {
+      if (machine.type != null) {
+        cluster.setTypeAndZone(machine, machine.type, machine.zone, machine.spot);
       }
     }
     cluster.roundNeeded = true;
   }
 
+  /** The cloud's list of machines. */
   void onList(List<ListedMachine> list, double now) {
-    for (ListedMachine l : list) {
-      Machine m = cluster.machines.get(l.name());
-      if (m == null) {
-        if (heartbeats.dropped.contains(l.name())) {
-          continue; // The list lags: it was deleted a moment ago.
-        }
-        m = cluster.getOrAddMachine(l.name(), now);
-        m.requestedAt = now - l.ageS();
-      }
-      if (!m.heartbeatReceived) {
-        m.booting |= l.stage().equals("booting");
-        cluster.setTypeAndZone(m, l.type(), l.zone(), l.spot());
-        m.address = l.address();
-      }
-      if (l.stage().equals("failed") && !m.failed) {
-        m.failed = true;
-        heartbeats.machineGone(m, "the cloud lists it as failed", now);
-      }
+    for (ListedMachine listed : list) {
+      onListed(listed, now);
     }
     cluster.roundNeeded = true;
   }
 
+  private void onListed(ListedMachine listed, double now) {
+    Machine machine = cluster.machines.get(listed.name());
+    if (machine == null) {
+      if (deleted.contains(listed.name())) {
+        return; // The list lags: it was deleted a moment ago.
+      }
+      machine = cluster.getOrAddMachine(listed.name(), now);
+      machine.requestedAt = now - listed.ageS();
+    }
+    if (!machine.heartbeatReceived) {
+      machine.booting |= listed.stage().equals("booting");
+      cluster.setTypeAndZone(machine, listed.type(), listed.zone(), listed.spot());
+      machine.address = listed.address();
+    }
+    if (listed.stage().equals("failed") && !machine.failed) {
+      machine.failed = true;
+      proofs.machineGone(machine, "the cloud lists it as failed", now);
+    }
+  }
+
   /** The cloud answered scale-out request {@code id}. */
   void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
     planner.onScaleOutAnswered(id, names, noCapacity, now);
@@ -82,43 +85,40 @@
 
   /** The cloud answered a deletion: the machines and everything on them are gone. */
   void onScaledIn(List<String> names, double now) {
-    for (String n : names) {
-      Machine m = cluster.machines.get(n);
-      if (m == null || !m.scalingIn) {
+    for (String name : names) {
+      Machine machine = cluster.machines.get(name);
+      if (machine == null || !machine.scalingIn) {
         continue;
       }
-      heartbeats.machineGone(m, "it was given back", now);
-      heartbeats.dropped.add(n);
-      if (heartbeats.dropped.size() > MOST_DROPPED) {
-        heartbeats.dropped.remove(heartbeats.dropped.iterator().next());
-      }
-      gone.add(n);
+      proofs.machineGone(machine, "it was given back", now);
+      deleted.add(name);
+      toForget.add(name);
     }
     cluster.roundNeeded = true;
   }
 
-  /** Forgets given-back machines once no claim on them is left. */
-  void forgetMachines(double now) {
-    gone.removeIf(
-        n -> {
-          Machine m = cluster.machines.get(n);
-          if (m != null && m.claims.isEmpty()) {
-            cluster.machines.remove(n);
+  /** Forgets deleted machines once no claim on them is left. */
+  void forgetMachines() {
+    toForget.removeIf(
+        name -> {
+          Machine machine = cluster.machines.get(name);
+          if (machine != null && machine.claims.isEmpty()) {
+            cluster.machines.remove(name);
           }
-          return m == null || m.claims.isEmpty();
+          return machine == null || machine.claims.isEmpty();
         });
   }
 
-  /** What operators keep off machines, as the settings have it now. */
+  /** The machines that operators cordon or drain, as the settings have it now. */
   void onCordons(Set<String> cordoned, Set<String> drained, double now) {
-    for (Machine m : cluster.machines.values()) {
-      boolean drain = drained.contains(m.name);
-      boolean starts = drain && !m.operatorDrain;
-      m.operatorDrain = drain;
-      m.cordoned = drain || cordoned.contains(m.name);
+    for (Machine machine : cluster.machines.values()) {
+      boolean drain = drained.contains(machine.name);
+      boolean starts = drain && !machine.operatorDrain;
+      machine.operatorDrain = drain;
+      machine.cordoned = drain || cordoned.contains(machine.name);
       if (starts) {
-        cluster.log("machine " + m.name + " is drained by its operators");
-        commands.drainClaims(m, now);
+        cluster.log("machine " + machine.name + " is drained by its operators");
+        stops.drainMachine(machine, now);
       }
     }
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -58,7 +58,7 @@
     }
     List<Machine> usable = new ArrayList<>();
     for (Machine m : cluster.machines.values()) {
-      if (cluster.usable(m, now)) {
+      if (MachineAvailability.isAvailable(cluster, m, now)) {
         usable.add(m);
       }
     }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -105,7 +105,7 @@
     // What only waits for a change of its record may find room already.
     int open = j.openTasks.cardinality() - CommitReservations.blocked(cluster, j);
     int wanted = Math.min(open, rules.mostTried(j) - j.claims.size()) - j.pendingPreemptions;
-    boolean guaranteed = cluster.withinGuarantee(j.spec.team(), j.taskResources);
+    boolean guaranteed = cluster.quotas.withinGuarantee(j.spec.team(), j.taskResources);
     if (wanted <= 0 || !(guaranteed || cluster.byPriority.hasBelow(j.priority()))) {
       return;
     }
@@ -133,10 +133,10 @@
     PriorityQueue<Offer> offers = null;
     while (wanted-- > 0) {
       promised = promised.plus(j.taskResources);
-      if (!cluster.withinLimit(j.spec.team(), promised)) {
+      if (!cluster.quotas.withinLimit(j.spec.team(), promised)) {
         return;
       }
-      boolean still = guaranteed && cluster.withinGuarantee(j.spec.team(), promised);
+      boolean still = guaranteed && cluster.quotas.withinGuarantee(j.spec.team(), promised);
       if (offers == null || still != within) {
         within = still;
         offers = offers(j, usable, within, now);
@@ -299,7 +299,7 @@
         within
             && !v.team().equals(j.spec.team())
             && !v.isService()
-            && cluster.beyondGuarantee(v.team(), gone);
+            && cluster.quotas.beyondGuarantee(v.team(), gone);
     return lower || borrowed;
   }
 }
--- a/src/main/java/graderelay/core/QueueOrder.java
+++ b/src/main/java/graderelay/core/QueueOrder.java
@@ -59,7 +59,7 @@
       job = j;
       // Neither smaller nor newer jobs, nor other teams, may pass a job for ever.
       patientEnough = !waitingWins(j, now);
-      beyond = !cluster.withinGuarantee(j.spec.team(), j.taskResources);
+      beyond = !cluster.quotas.withinGuarantee(j.spec.team(), j.taskResources);
       share = share(j);
       back = stepBack.contains(j);
       worth = worth(j, now);
@@ -155,7 +155,7 @@
   private double share(Job j) {
     Team t = cluster.policy.team(j.spec.team());
     double base = t == null || t.cpus() <= 0 ? 1 : t.cpus();
-    return Math.round(4 * cluster.teamUsage(j.spec.team()).cpus() / base) / 4.0;
+    return Math.round(4 * cluster.quotas.usage(j.spec.team()).cpus() / base) / 4.0;
   }
 
   private static double due(Job j) {
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -47,7 +47,7 @@
   boolean limitAllows(Job j) {
     Job kept = limitKept.get(j.spec.team());
     boolean keeps = kept != null && kept != j && !j.priority().beats(kept.priority());
-    return cluster.withinLimit(
+    return cluster.quotas.withinLimit(
         j.spec.team(), keeps ? j.taskResources.plus(kept.taskResources) : j.taskResources);
   }
 
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -112,7 +112,7 @@
     }
     replacedAt.removeIf(t -> now - t > REPLACE_MEMORY_S);
     SilentMachines silence = silence(now);
-    if (silence.mostOf(m.zone) && cluster.delegates.mayKeep(m.zone, now)) {
+    if (silence.mostOf(m.zone) && cluster.delegates.mayRenew(m.zone, now)) {
       return false; // The zone is cut off, and its lease delegate keeps its services up.
     }
     return silence.silent + replacedAt.size() <= Math.max(1, silence.up * ALONE_SHARE);
@@ -129,7 +129,7 @@
         boolean quiet =
             o.failedProbes > 0
                 || now - Math.max(o.lastHeartbeatAt, startedAt)
-                    > cluster.policy.reportS() * WorkerCommands.POKE_REPORTS;
+                    > cluster.policy.reportS() * SilentWorkerProbes.SILENT_INTERVALS;
         counted.count(o.zone, quiet);
       }
     }
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -191,7 +191,7 @@
     if (t == null || t.cpusMax() <= 0 || s.cpus() <= 0) {
       return open;
     }
-    double left = teamLeft.computeIfAbsent(s.team(), cluster::cpusLeft);
+    double left = teamLeft.computeIfAbsent(s.team(), cluster.quotas::cpusLeft);
     int n = (int) Math.max(0, Math.min(open, (left + Resources.SLACK) / s.cpus()));
     teamLeft.put(s.team(), left - n * s.cpus());
     return n;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -11,20 +11,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What the leader of the fleet decides. Events come in with the time, actions go out; nothing here
- * waits, reads a clock or touches a socket. The parts share one {@link ClusterState}: {@link
+ * The scheduling core of the leader: a façade with one method for each event. Events come in with
+ * the time, actions go out; nothing here waits, reads a clock or touches a socket. All times are
+ * seconds on the leader's steady clock. The parts share one {@link ClusterState}: {@link
  * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
- * the transactions that change them, {@link HeartbeatMonitor} what is proven gone, {@link
- * WorkerCommands} what workers are told.
+ * the transactions that change them, {@link HeartbeatIntake} and {@link ClaimReconciliation} what
+ * heartbeats show, {@link TerminationProofs} what is proven gone without them, and {@link
+ * WorkerTasks} what workers are told.
  */
 public final class Scheduler {
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final CompareAndSwapWriter writer;
   private final CompareAndSwapAnswers answers;
-  private final WorkerCommands commands;
-  private final HeartbeatMonitor heartbeats;
+  private final WorkerTasks workers;
+  private final HeartbeatIntake heartbeats;
+  private final HeartbeatResponses responses;
+  private final CommandDeliveryEvents deliveries;
   private final JobRecordEvents jobEvents;
   private final QuotaUpdates quota;
   private final MachineEvents machineEvents;
@@ -48,18 +51,29 @@
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
-    this.writer = new CompareAndSwapWriter(cluster, records, inFlight);
-    this.answers = new CompareAndSwapAnswers(cluster, records, inFlight);
-    this.commands = new WorkerCommands(cluster, records);
-    this.heartbeats = new HeartbeatMonitor(cluster, records, commands, planner);
-    this.jobEvents = new JobRecordEvents(cluster, planner, records, commands);
+    CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
+    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
+    this.workers = WorkerTasks.create(cluster, records);
+    TerminationProofs proofs = new TerminationProofs(cluster, records);
+    DeletedMachines deleted = new DeletedMachines();
+    ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
+    this.heartbeats =
+        new HeartbeatIntake(cluster, deleted, reconciliation, workers.stops(), planner);
+    this.responses = new HeartbeatResponses(cluster);
+    this.deliveries = new CommandDeliveryEvents(cluster, records, heartbeats);
+    this.jobEvents = new JobRecordEvents(cluster, planner, records, workers.stops());
+    this.answers =
+        new CompareAndSwapAnswers(
+            cluster,
+            records,
+            inFlight,
+            (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
     this.quota = new QuotaUpdates(cluster, records, policy.teams());
-    this.machineEvents = new MachineEvents(cluster, planner, heartbeats, commands);
+    this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stops());
     this.views = new AdminViews(cluster);
     this.rounds =
         new SchedulingRounds(
-            cluster, placement, planner, writer, commands, heartbeats, machineEvents, quota);
-    answers.ended = (e, at) -> onEnd(e.job(), e.cancelled(), at, at);
+            cluster, placement, planner, writer, jobEnds, workers, proofs, machineEvents, quota);
   }
 
   // ---------------------------------------------------------------- records
@@ -96,7 +110,7 @@
     jobEvents.onEnd(job, cancelled, at, now);
   }
 
-  /** The state service allows less than at our start. */
+  /** The key-value store allows smaller values, or fewer changes a second, than at our start. */
   public void onLimits(int valueBytes, double changesPerS) {
     cluster.policy = cluster.policy.within(valueBytes, changesPerS);
   }
@@ -146,15 +160,15 @@
    *
    * @return false if it is a copy of the past, which proves nothing and renews nothing
    */
-  public boolean onHeartbeat(Heartbeat r, double now) {
-    return onHeartbeat(r, "", now);
+  public boolean onHeartbeat(Heartbeat heartbeat, double now) {
+    return onHeartbeat(heartbeat, "", now);
   }
 
   /**
    * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
    */
-  public boolean onHeartbeat(Heartbeat r, String via, double now) {
-    return heartbeats.takeHeartbeat(r, via, now);
+  public boolean onHeartbeat(Heartbeat heartbeat, String via, double now) {
+    return heartbeats.onHeartbeat(heartbeat, HeartbeatOrigin.checkIn(via), now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
@@ -163,33 +177,52 @@
   }
 
   /** Worker commands for the response to the heartbeat that was just taken. */
-  public List<WorkerCommand> commandsFor(Heartbeat r, double now) {
-    return commands.commandsFor(r, now);
+  public List<WorkerCommand> commandsFor(Heartbeat heartbeat, double now) {
+    return responses.commandsFor(heartbeat, now);
   }
 
   /**
-   * How a worker command sent straight to a worker ended; {@code report} is the worker's answer, or
-   * null if there is none.
+   * How the delivery of commands sent straight to a worker ended; {@code status} is the worker's
+   * answer, or null if there is none.
    */
   public void onCommandDelivery(
-      Action.SendCommands cmd, CommandDelivery how, Heartbeat report, double now) {
-    heartbeats.onCommandDelivery(cmd, how, report, now);
+      Action.SendCommands sent, CommandDelivery delivery, Heartbeat status, double now) {
+    deliveries.onDelivery(sent, delivery, status, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
 
-  /** Another controller asks to be our lease delegate in its zone; false if it is none of ours. */
+  /**
+   * Another controller requests a grant as our lease delegate in its zone.
+   *
+   * @param process tells its process from earlier ones of the same member
+   * @param number number of the request within its process
+   * @param grantTerm term of the leader whose grant it has, 0 if it has none
+   * @param lastHeardAt our time of the last grant that it has heard of
+   * @param aloneS seconds since it last answered workers by itself, or since its process began
+   * @return false if it is none of our lease delegates
+   */
   public boolean onDelegate(
-      String member, String self, long n, long of, double echo, double aloneS, double now) {
-    return cluster.delegates.ask(new LeaseDelegates.Ask(member, self, n, of, echo, aloneS), now);
+      String member,
+      String process,
+      long number,
+      long grantTerm,
+      double lastHeardAt,
+      double aloneS,
+      double now) {
+    return cluster.delegates.grant(
+        new LeaseDelegates.GrantRequest(member, process, number, grantTerm, lastHeardAt, aloneS),
+        now);
   }
 
   /**
-   * A lease delegate that doesn't reach us has given back what it was granted up to its question.
+   * A lease delegate that doesn't reach us has given back its grants, up to the one for its request
+   * {@code number}; see {@link #onDelegate}.
    */
   public void onDelegateReleased(
-      String member, String self, long n, long of, double aloneS, double now) {
-    cluster.delegates.free(member, self, n, of, aloneS, now);
+      String member, String process, long number, long grantTerm, double aloneS, double now) {
+    cluster.delegates.release(
+        new LeaseDelegates.GrantRelease(member, process, number, grantTerm, aloneS), now);
   }
 
   // ---------------------------------------------------------------- the cloud
@@ -235,7 +268,7 @@
 
   /** The term was raised, or could not be. */
   public void onTerm(long newTerm, double now) {
-    commands.onTerm(newTerm, now);
+    workers.fencing().onTerm(newTerm, now);
   }
 
   /** Looks at everything that only the passing of time changes. */
@@ -287,7 +320,7 @@
 
   /** What each team uses, judged on claims. */
   public Map<String, Resources> teamUse() {
-    return Map.copyOf(cluster.teamUse);
+    return cluster.quotas.usageByTeam();
   }
 
   /**
@@ -300,7 +333,7 @@
 
   /** What the claims of a team take while limits are not stored. */
   public Amount teamClaims(String team) {
-    return cluster.teamUsage(team).amount();
+    return cluster.quotas.usage(team).amount();
   }
 
   /** How a team stands; for the administration API. */
@@ -313,18 +346,18 @@
     return views.whyWaiting(job);
   }
 
-  /** What operators keep off machines, as the settings have it now. */
+  /** The machines that operators cordon or drain, as the settings have it now. */
   public void onCordons(Set<String> cordoned, Set<String> drained, double now) {
     machineEvents.onCordons(cordoned, drained, now);
   }
 
-  /** Machines and claims that rounds have looked at so far. */
+  /** Machines and claims that scheduling rounds have examined so far. */
   public long examinedCount() {
     return cluster.examinedCount;
   }
 
   /** Heartbeats dropped because newer ones had come before. */
   public long staleHeartbeats() {
-    return heartbeats.stale;
+    return heartbeats.staleCount();
   }
 }
--- a/src/main/java/graderelay/core/SchedulerLimits.java
+++ b/src/main/java/graderelay/core/SchedulerLimits.java
@@ -8,13 +8,13 @@
   /**
    * Seconds after its submission from which a job that has never begun goes before all others of
    * its priority. Users want the largest to begin within four minutes; this leaves time to make
-   * room and to rent.
+   * room and to scale out.
    */
   public static final double WAITING_WINS_S = 75;
 
   /**
-   * Tasks on one machine: its report names all of them, with as many more that have exited, at some
-   * 75 bytes each, and a report of more than 64 KiB can't be taken from it any more.
+   * Tasks on one machine: its heartbeat names all of them, with as many more that have exited, at
+   * some 75 bytes each, and a heartbeat of more than 64 KiB can't be taken from it any more.
    */
   public static final int MOST_ON_MACHINE = 400;
 
@@ -27,7 +27,7 @@
   /** Conditions that a transaction may have for each of its changes; a limit of the protocol. */
   public static final int CONDITIONS_PER_OP = 4;
 
-  /** Orders in one response to a worker, a batch, so that its line stays well below 64 KiB. */
+  /** Commands in one message to a worker, a batch, so that its line stays well below 64 KiB. */
   public static final int MOST_ORDERS = 400;
 
   private SchedulerLimits() {}
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What only the passing of time sets off for {@link Scheduler} (lease expiry, pokes, plans, account
- * checks), and the scheduling round: place claims, then write them by compare-and-swap.
+ * What only the passing of time sets off for {@link Scheduler} (lease expiry, probes, fleet plans,
+ * account checks), and the scheduling round: place claims, then write them by compare-and-swap.
  */
 final class SchedulingRounds {
   /** Seconds between rounds at most, for what only time changes. */
@@ -20,8 +20,9 @@
   private final PlacementRound placement;
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
-  private final WorkerCommands commands;
-  private final HeartbeatMonitor heartbeats;
+  private final JobEndWriter jobEnds;
+  private final WorkerTasks workers;
+  private final TerminationProofs proofs;
   private final MachineEvents machineEvents;
   private final QuotaUpdates quota;
 
@@ -34,28 +35,28 @@
       PlacementRound placement,
       FleetPlanner planner,
       CompareAndSwapWriter writer,
-      WorkerCommands commands,
-      HeartbeatMonitor heartbeats,
+      JobEndWriter jobEnds,
+      WorkerTasks workers,
+      TerminationProofs proofs,
       MachineEvents machineEvents,
       QuotaUpdates quota) {
     this.cluster = cluster;
     this.placement = placement;
     this.planner = planner;
     this.writer = writer;
-    this.commands = commands;
-    this.heartbeats = heartbeats;
+    this.jobEnds = jobEnds;
+    this.workers = workers;
+    this.proofs = proofs;
     this.machineEvents = machineEvents;
     this.quota = quota;
   }
 
   /** Looks at everything that only the passing of time changes. */
   void tick(double now) {
-    heartbeats.leases(now);
-    commands.pokes(now);
-    commands.doubts(now);
-    for (Job j : cluster.cancelledJobs) {
-      commands.kill(j.claims.values(), now);
-    }
+    proofs.expireLeases(now);
+    workers.probes().probe(now);
+    workers.fencing().raiseTermIfBlocked(now);
+    workers.stops().repeatCancellations(now);
     askForEnds(now);
     planIfDue(now);
     if (now - lastAccountCheck >= ACCOUNT_CHECK_EVERY_S) {
@@ -89,7 +90,7 @@
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   double step(double now) {
-    commands.launchCommitted(now);
+    workers.launches().launchCommitted(now);
     if (!cluster.roundNeeded || cluster.loading) {
       return ROUND_AT_LEAST_EVERY_S;
     }
@@ -99,13 +100,13 @@
     }
     cluster.roundNeeded = false;
     lastRound = now;
-    machineEvents.forgetMachines(now);
-    boolean pause = cluster.policy.tuning().claimsPaused() || commands.raising();
+    machineEvents.forgetMachines();
+    boolean pause = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
     List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
-    commands.killPreempted(now);
+    workers.stops().stopRequestedClaims(now);
     writer.write(claims, now);
-    writer.endJobs(now);
-    commands.launchCommitted(now);
+    jobEnds.endJobs();
+    workers.launches().launchCommitted(now);
     return ROUND_AT_LEAST_EVERY_S;
   }
 }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -20,11 +20,11 @@
   /** Task batch records seen without their job, with their revision: to be dropped. */
   final Map<TaskBatchKey, Long> orphans = new LinkedHashMap<>();
 
-  /** Claims proven gone or never launched whose end has yet to commit. */
-  final Set<Claim> settle = new LinkedHashSet<>();
+  /** Claims proven gone, or never launched, whose end has yet to commit. */
+  final Set<Claim> endingClaims = new LinkedHashSet<>();
 
   /** Claims that committed since the last launch pass. */
-  final List<Claim> committed = new ArrayList<>();
+  final List<Claim> committedClaims = new ArrayList<>();
 
   StoredRecords(ClusterState cluster) {
     this.cluster = cluster;
@@ -32,25 +32,25 @@
 
   /** A task batch record came from the store, at revision {@code revision}. */
   void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long revision, double now) {
-    Job j = cluster.jobs.get(key.job());
-    if (j == null) {
+    Job job = cluster.jobs.get(key.job());
+    if (job == null) {
       orphans.put(key, revision);
       return;
     }
-    if (record.size() != j.spec.batchSize(key.index())) {
+    if (record.size() != job.spec.batchSize(key.index())) {
       return;
     }
-    Job.TaskBatch s = j.taskBatch(key.index());
-    if (revision <= s.revision) {
+    Job.TaskBatch batch = job.taskBatch(key.index());
+    if (revision <= batch.revision) {
       return;
     }
-    track(j, s.key, record, revision);
-    if (s.inFlight) {
-      s.newerRecord = record;
-      s.newerRevision = revision;
+    track(job, batch.key, record, revision);
+    if (batch.inFlight) {
+      batch.newerRecord = record;
+      batch.newerRevision = revision;
       return;
     }
-    adopt(j, s, record, revision, now);
+    adopt(job, batch, record, revision, now);
   }
 
   /** A task batch record was removed from the store. */
@@ -64,61 +64,71 @@
   }
 
   /** Takes a record that somebody else wrote, or that a write of ours with no answer made. */
-  void adopt(Job j, Job.TaskBatch s, TaskBatchRecord r, long revision, double now) {
-    s.record = r;
-    s.revision = revision;
-    for (int i = 0; i < r.size(); i++) {
-      int task = s.firstTask + i;
-      Claim c = j.claims.get(task);
-      String m = r.machine(i);
-      boolean same =
-          c != null
-              && m != null
-              && c.machine.equals(m)
-              && c.session == r.session(i)
-              && c.attempt == r.attempt(i);
-      if (same) {
-        continue;
-      }
-      if (c != null) {
-        settle.remove(c);
-        cluster.removeClaim(c, now);
-      }
-      if (m != null) {
-        Claim a = new Claim(j, task, r.attempt(i), m, r.session(i), now);
-        a.phase = Claim.Phase.COMMITTED;
-        a.fromEarlierLeader = cluster.loading;
-        cluster.addClaim(a, now);
-        if (!cluster.loading) {
-          // Written by a transaction of ours whose answer was lost, so it was never launched. Its
-          // place may have been given to others meanwhile: it must not be launched now.
-          end(a, false, now);
-        }
-      } else if (r.done(i)) {
-        j.openTasks.clear(task);
-      } else {
-        j.openTasks.set(task);
-      }
+  void adopt(Job job, Job.TaskBatch batch, TaskBatchRecord record, long revision, double now) {
+    batch.record = record;
+    batch.revision = revision;
+    for (int i = 0; i < record.size(); i++) {
+      adoptTask(job, batch.firstTask + i, record, i, now);
     }
-    cluster.maybeEndedJobs.add(j);
-    j.doneCount = 0;
-    for (Job.TaskBatch each : j.taskBatches.values()) {
-      j.doneCount += each.record.doneCount();
+    cluster.maybeEndedJobs.add(job);
+    job.doneCount = 0;
+    for (Job.TaskBatch each : job.taskBatches.values()) {
+      job.doneCount += each.record.doneCount();
     }
     if (cluster.loading) {
-      j.unproven = j.doneCount == 0 && j.claims.isEmpty() && triedOften(j);
+      job.unproven = job.doneCount == 0 && job.claims.isEmpty() && triedOften(job);
     }
     cluster.roundNeeded = true;
   }
 
+  /** Brings the claim of one task in line with the {@code i}-th entry of its batch's record. */
+  private void adoptTask(Job job, int task, TaskBatchRecord record, int i, double now) {
+    Claim claim = job.claims.get(task);
+    if (claim != null && matches(claim, record, i)) {
+      return;
+    }
+    if (claim != null) {
+      endingClaims.remove(claim);
+      cluster.removeClaim(claim, now);
+    }
+    if (record.machine(i) != null) {
+      adoptClaim(job, task, record, i, now);
+    } else if (record.done(i)) {
+      job.openTasks.clear(task);
+    } else {
+      job.openTasks.set(task);
+    }
+  }
+
+  private static boolean matches(Claim claim, TaskBatchRecord record, int i) {
+    return record.machine(i) != null
+        && claim.machine.equals(record.machine(i))
+        && claim.session == record.session(i)
+        && claim.attempt == record.attempt(i);
+  }
+
+  /** Adds the claim that a record holds and this leader doesn't know. */
+  private void adoptClaim(Job job, int task, TaskBatchRecord record, int i, double now) {
+    Claim claim =
+        new Claim(job, task, record.attempt(i), record.machine(i), record.session(i), now);
+    claim.phase = Claim.Phase.COMMITTED;
+    claim.fromEarlierLeader = cluster.loading;
+    cluster.addClaim(claim, now);
+    if (!cluster.loading) {
+      // Written by a transaction of ours whose answer was lost, so it was never launched. Its
+      // place may have been given to others meanwhile: it must not be launched now.
+      end(claim, false, now);
+    }
+  }
+
   /**
    * Every task of the task batches seen had as many attempts as a job may fail before it is
    * suspect.
    */
-  private boolean triedOften(Job j) {
-    for (Job.TaskBatch s : j.taskBatches.values()) {
-      for (int i = 0; i < s.record.size(); i++) {
-        if (s.record.attempt(i) < cluster.policy.tuning().attemptCap()) {
+  private boolean triedOften(Job job) {
+    for (Job.TaskBatch batch : job.taskBatches.values()) {
+      for (int i = 0; i < batch.record.size(); i++) {
+        if (batch.record.attempt(i) < cluster.policy.tuning().attemptCap()) {
           return false;
         }
       }
@@ -127,51 +137,55 @@
   }
 
   /** Forgets a job and all its claims: its record is gone. */
-  void forget(Job j, double now) {
-    for (Claim c : new ArrayList<>(j.claims.values())) {
-      settle.remove(c);
-      cluster.removeClaim(c, now);
-    }
-    cluster.jobs.remove(j.spec.id());
-    cluster.admission.committed().removeJob(j.spec.id());
-    cluster.dependencies.gone(j);
-    cluster.cancelledJobs.remove(j);
-    cluster.maybeEndedJobs.remove(j);
+  void forget(Job job, double now) {
+    for (Claim claim : new ArrayList<>(job.claims.values())) {
+      endingClaims.remove(claim);
+      cluster.removeClaim(claim, now);
+    }
+    cluster.jobs.remove(job.spec.id());
+    cluster.admission.committed().removeJob(job.spec.id());
+    cluster.dependencies.gone(job);
+    cluster.cancelledJobs.remove(job);
+    cluster.maybeEndedJobs.remove(job);
     cluster.roundNeeded = true;
   }
 
-  /** The claim is proven gone, or was never launched. */
-  void end(Claim c, boolean isDone, double now) {
-    if (c.phase == Claim.Phase.ENDING) {
+  /** The claim is proven gone, or was never launched; {@code isDone} if its task is done. */
+  void end(Claim claim, boolean isDone, double now) {
+    if (claim.phase == Claim.Phase.ENDING) {
       return;
     }
-    c.phase = Claim.Phase.ENDING;
-    c.taskDone = isDone;
-    settle.add(c);
-    cluster.maybeEndedJobs.add(c.job);
+    claim.phase = Claim.Phase.ENDING;
+    claim.taskDone = isDone;
+    endingClaims.add(claim);
+    cluster.maybeEndedJobs.add(claim.job);
     cluster.roundNeeded = true;
   }
 
   /** Counts what a task batch's committed claims take, where stored limits are switched on. */
-  void track(Job j, TaskBatchKey key, TaskBatchRecord r, long revision) {
+  void track(Job job, TaskBatchKey key, TaskBatchRecord r, long revision) {
     if (cluster.admission.enabled()) {
-      Amount use = j.taskAmount.times(r.claimedCount());
-      cluster.admission.committed().put(j.spec.id(), key.index(), j.spec.team(), revision, use);
+      Amount use = job.taskAmount.times(r.claimedCount());
+      cluster.admission.committed().put(job.spec.id(), key.index(), job.spec.team(), revision, use);
     }
   }
 
   /** Stored limits are switched on: counts all claims that are known. */
   void trackAll() {
-    for (Job j : cluster.jobs.values()) {
-      for (Job.TaskBatch s : j.taskBatches.values()) {
-        boolean newer = s.newerRecord != null && s.newerRevision > s.revision;
-        if (newer || s.revision > 0) {
-          track(j, s.key, newer ? s.newerRecord : s.record, newer ? s.newerRevision : s.revision);
+    for (Job job : cluster.jobs.values()) {
+      for (Job.TaskBatch batch : job.taskBatches.values()) {
+        boolean newer = batch.newerRecord != null && batch.newerRevision > batch.revision;
+        if (newer || batch.revision > 0) {
+          track(
+              job,
+              batch.key,
+              newer ? batch.newerRecord : batch.record,
+              newer ? batch.newerRevision : batch.revision);
         }
       }
-      for (Claim c : j.claims.values()) {
-        if (c.phase == Claim.Phase.CLAIMING) {
-          cluster.admission.placed(j.spec.team(), j.taskAmount);
+      for (Claim claim : job.claims.values()) {
+        if (claim.phase == Claim.Phase.CLAIMING) {
+          cluster.admission.placed(job.spec.team(), job.taskAmount);
         }
       }
     }
--- a/src/main/java/graderelay/core/TaskBatchChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -7,14 +7,14 @@
  *
  * @param record what it will say
  * @param claimed the claims that it adds
- * @param settled the claims that it ends
+ * @param ended the claims that it ends
  */
 record TaskBatchChange(
     Job job,
     Job.TaskBatch taskBatch,
     TaskBatchRecord record,
     List<Claim> claimed,
-    List<Claim> settled) {
+    List<Claim> ended) {
   /** Bytes of the stored form at most. */
   int bytes() {
     return record.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK;
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -9,10 +9,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * Packs changed task batches into compare-and-swap transactions that the state service takes. Where
- * stored limits are switched on, a transaction with claims is conditioned on the accounts of their
- * teams, and raises those that do not cover the claims; nothing more of such a team can go before
- * that has committed.
+ * Packs changed task batches into compare-and-swap transactions that the key-value store takes.
+ * Where stored limits are switched on, a transaction with claims is conditioned on the accounts of
+ * their teams, and raises those that do not cover the claims; nothing more of such a team can go
+ * before that has committed.
  */
 final class TransactionPacker {
   /** Bytes of task batch records in one transaction; the protocol allows 64 KiB in all. */
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -10,7 +10,7 @@
  * they hold: the rate of the consensus-backed store bounds what may be under way.
  */
 final class TransactionsInFlight {
-  /** Seconds' worth of changes that may be under way to the state service at once. */
+  /** Seconds' worth of changes that may be under way to the key-value store at once. */
   private static final double CHANGES_OUT_S = 0.4;
 
   /** Changes that may be under way in any case: a round trip must not leave the rate unused. */
@@ -18,15 +18,20 @@
 
   private final ClusterState cluster;
 
-  /** What a transaction under way contains. */
-  record Sending(
+  /**
+   * A transaction under way.
+   *
+   * @param claimed the claims that it adds, by task batch
+   * @param ended the claims that it ends, by task batch
+   */
+  record Transaction(
       Action.Write write,
       Map<TaskBatchKey, List<Claim>> claimed,
-      Map<TaskBatchKey, List<Claim>> settled) {}
+      Map<TaskBatchKey, List<Claim>> ended) {}
 
-  private final Map<Long, Sending> sending = new HashMap<>();
+  private final Map<Long, Transaction> byId = new HashMap<>();
 
-  private long nextWrite = 1;
+  private long nextId = 1;
 
   /** Changes in transactions that have not been answered. */
   private int changesOut;
@@ -37,32 +42,40 @@
 
   /** The id of the next transaction. */
   long nextId() {
-    return nextWrite++;
+    return nextId++;
   }
 
   /** The transaction {@code id} was answered: what it contained, or null if it is not ours. */
-  Sending answered(long id) {
-    Sending s = sending.remove(id);
-    if (s != null) {
-      changesOut -= changes(s.write());
+  Transaction takeAnswered(long id) {
+    Transaction transaction = byId.remove(id);
+    if (transaction != null) {
+      changesOut -= changes(transaction.write());
     }
-    return s;
+    return transaction;
+  }
+
+  /** Sends a transaction that adds and ends claims, and keeps it until its answer comes. */
+  void send(
+      Action.Write write,
+      Map<TaskBatchKey, List<Claim>> claimed,
+      Map<TaskBatchKey, List<Claim>> ended) {
+    byId.put(write.id(), new Transaction(write, claimed, ended));
+    changesOut += changes(write);
+    cluster.actions.add(write);
   }
 
-  /** Sends a transaction and keeps what it contains until its answer comes. */
-  void emit(Action.Write w, Map<TaskBatchKey, List<Claim>> c, Map<TaskBatchKey, List<Claim>> s) {
-    sending.put(w.id(), new Sending(w, c, s));
-    changesOut += changes(w);
-    cluster.actions.add(w);
+  /** Sends a transaction that changes no task batch, and keeps it until its answer comes. */
+  void send(Action.Write write) {
+    send(write, Map.of(), Map.of());
   }
 
-  private static int changes(Action.Write w) {
-    int n = w.taskBatches().size() + w.drops().size();
-    n += (int) w.accounts().stream().filter(AccountChange::writes).count();
-    for (Action.JobEnd e : w.ends()) {
-      n += 2 + e.taskBatches().size();
+  private static int changes(Action.Write write) {
+    int changes = write.taskBatches().size() + write.drops().size();
+    changes += (int) write.accounts().stream().filter(AccountChange::writes).count();
+    for (Action.JobEnd end : write.ends()) {
+      changes += 2 + end.taskBatches().size();
     }
-    return n;
+    return changes;
   }
 
   /**
@@ -80,14 +93,14 @@
 
   /** Transactions under way that end a cancelled job. */
   long cancelledEndsOut() {
-    return sending.values().stream()
-        .flatMap(s -> s.write().ends().stream())
+    return byId.values().stream()
+        .flatMap(transaction -> transaction.write().ends().stream())
         .filter(Action.JobEnd::cancelled)
         .count();
   }
 
   /** True if a transaction that drops records without a job is under way. */
   boolean orphanWriteOpen() {
-    return sending.values().stream().anyMatch(s -> !s.write().drops().isEmpty());
+    return byId.values().stream().anyMatch(t -> !t.write().drops().isEmpty());
   }
 }
