--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -15,62 +15,74 @@
   private final ClusterState cluster;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
+  private final ObjDoubleConsumer<Action.JobEnd> onJobEnded;
 
-  /** Hears of each job's end that has committed. */
-  ObjDoubleConsumer<Action.JobEnd> ended = (e, now) -> {};
-
+  /**
+   * Makes one.
+   *
+   * @param onJobEnded hears of each job's end that has committed, and when its answer came
+   */
   CompareAndSwapAnswers(
-      ClusterState cluster, StoredRecords records, TransactionsInFlight inFlight) {
+      ClusterState cluster,
+      StoredRecords records,
+      TransactionsInFlight inFlight,
+      ObjDoubleConsumer<Action.JobEnd> onJobEnded) {
     this.cluster = cluster;
     this.records = records;
     this.inFlight = inFlight;
+    this.onJobEnded = onJobEnded;
   }
 
   /** The answer to transaction {@code id}; {@code revision} is the store's revision after it. */
-  void onWrite(long id, Scheduler.Outcome outcome, long revision, double now) {
-    TransactionsInFlight.Sending s = inFlight.answered(id);
-    if (s == null) {
+  void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
+    TransactionsInFlight.Transaction transaction = inFlight.takeAnswered(id);
+    if (transaction == null) {
       return;
     }
-    for (Action.TaskBatchPut p : s.write().taskBatches()) {
-      Job j = cluster.jobs.get(p.key().job());
-      if (j != null) {
-        batchAnswered(j, p, s, outcome, revision, now);
+    Action.Write write = transaction.write();
+    for (Action.TaskBatchPut put : write.taskBatches()) {
+      Job job = cluster.jobs.get(put.key().job());
+      if (job != null) {
+        onTaskBatchAnswer(job, put, transaction, outcome, revision, now);
       }
     }
-    for (Action.JobEnd e : s.write().ends()) {
-      Job j = cluster.jobs.get(e.job());
-      if (j == null) {
-        continue;
+    for (Action.JobEnd end : write.ends()) {
+      Job job = cluster.jobs.get(end.job());
+      if (job != null) {
+        onJobEndAnswer(job, end, outcome, now);
       }
-      if (outcome == Scheduler.Outcome.COMMITTED) {
-        cluster.note(e.job() + (e.cancelled() ? " is stopped" : " is done"));
-        Set<TaskBatchKey> droppedBatches = new HashSet<>();
-        e.taskBatches().forEach(d -> droppedBatches.add(d.key()));
-        for (Job.TaskBatch left : j.taskBatches.values()) {
-          if (!droppedBatches.contains(left.key) && left.revision > 0) {
-            records.orphans.put(left.key, left.revision);
-          }
-        }
-        records.forget(j, now);
-        ended.accept(e, now);
-      } else {
-        j.ending = false;
-        cluster.maybeOver.add(j);
+    }
+    for (Action.TaskBatchDrop drop : write.drops()) {
+      if (outcome != TransactionOutcome.COMMITTED) {
+        records.orphans.putIfAbsent(drop.key(), drop.revision());
       }
     }
-    for (Action.TaskBatchDrop d : s.write().drops()) {
-      if (outcome != Scheduler.Outcome.COMMITTED) {
-        records.orphans.putIfAbsent(d.key(), d.revision());
+    onAccountsAnswer(write.accounts(), outcome, revision);
+    cluster.roundNeeded = true;
+  }
+
+  /** A job's final record has committed, or is to be written again. */
+  private void onJobEndAnswer(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
+    if (outcome != TransactionOutcome.COMMITTED) {
+      job.ending = false;
+      cluster.maybeEndedJobs.add(job);
+      return;
+    }
+    cluster.log(end.job() + (end.cancelled() ? " is stopped" : " is done"));
+    Set<TaskBatchKey> dropped = new HashSet<>();
+    end.taskBatches().forEach(drop -> dropped.add(drop.key()));
+    for (Job.TaskBatch left : job.taskBatches.values()) {
+      if (!dropped.contains(left.key) && left.revision > 0) {
+        records.orphans.put(left.key, left.revision);
       }
     }
-    accountsAnswered(s.write().accounts(), outcome, revision);
-    cluster.dirty = true;
+    records.forget(job, now);
+    onJobEnded.accept(end, now);
   }
 
   /** What the transaction's task batches say has been taken before. */
-  private void accountsAnswered(
-      List<AccountChange> accounts, Scheduler.Outcome outcome, long revision) {
+  private void onAccountsAnswer(
+      List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     switch (outcome) {
       case COMMITTED -> cluster.admission.committed(accounts, revision);
       case REFUSED -> cluster.admission.refused(accounts);
@@ -78,57 +90,67 @@
     }
   }
 
-  private void batchAnswered(
-      Job j,
-      Action.TaskBatchPut p,
-      TransactionsInFlight.Sending sent,
-      Scheduler.Outcome outcome,
+  private void onTaskBatchAnswer(
+      Job job,
+      Action.TaskBatchPut put,
+      TransactionsInFlight.Transaction transaction,
+      TransactionOutcome outcome,
       long revision,
       double now) {
-    Job.TaskBatch s = j.taskBatches.get(p.key().index());
-    s.inFlight = false;
-    TaskBatchRecord stash = s.stash;
-    long stashRevision = s.stashRevision;
-    s.stash = null;
-    boolean landed = outcome == Scheduler.Outcome.COMMITTED;
-    if (!landed
-        && outcome == Scheduler.Outcome.UNKNOWN
-        && stash != null
-        && stash.equals(p.record())) {
-      landed = true;
-      revision = stashRevision;
+    Job.TaskBatch batch = job.taskBatches.get(put.key().index());
+    batch.inFlight = false;
+    TaskBatchRecord newerRecord = batch.newerRecord;
+    batch.newerRecord = null;
+    List<Claim> claimed = transaction.claimed().getOrDefault(put.key(), List.of());
+    List<Claim> ended = transaction.ended().getOrDefault(put.key(), List.of());
+    if (outcome == TransactionOutcome.COMMITTED) {
+      onTaskBatchCommitted(job, batch, put.record(), revision, claimed, ended, now);
+    } else if (outcome == TransactionOutcome.UNKNOWN && put.record().equals(newerRecord)) {
+      onTaskBatchCommitted(job, batch, put.record(), batch.newerRevision, claimed, ended, now);
+    } else {
+      // The ended claims stay among those that are ending, and are written again.
+      onTaskBatchRefused(job, claimed, now);
     }
-    List<Claim> claimed = sent.claimed().getOrDefault(p.key(), List.of());
-    List<Claim> settled = sent.settled().getOrDefault(p.key(), List.of());
-    if (landed) {
-      s.record = p.record();
-      s.revision = revision;
-      records.track(j, s.key, s.record, revision);
-      for (Claim c : settled) {
-        records.settle.remove(c);
-        cluster.remove(c, now);
-        if (c.done) {
-          j.doneCount++;
-        } else {
-          j.open.set(c.task);
-          j.waitingSince = now;
-        }
-      }
-      for (Claim c : claimed) {
-        if (c.phase == Claim.Phase.CLAIMING) {
-          cluster.held(c);
-          records.committed.add(c);
-        }
+    if (newerRecord != null && batch.newerRevision > batch.revision) {
+      records.adopt(job, batch, newerRecord, batch.newerRevision, now);
+    }
+  }
+
+  /** The record that was written is the stored one now. */
+  private void onTaskBatchCommitted(
+      Job job,
+      Job.TaskBatch batch,
+      TaskBatchRecord record,
+      long revision,
+      List<Claim> claimed,
+      List<Claim> ended,
+      double now) {
+    batch.record = record;
+    batch.revision = revision;
+    records.track(job, batch.key, record, revision);
+    for (Claim claim : ended) {
+      records.endingClaims.remove(claim);
+      cluster.removeClaim(claim, now);
+      if (claim.taskDone) {
+        job.doneCount++;
+      } else {
+        job.openTasks.set(claim.task);
+        job.waitingSince = now;
       }
-    } else {
-      for (Claim c : claimed) {
-        cluster.remove(c, now);
-        j.open.set(c.task);
+    }
+    for (Claim claim : claimed) {
+      if (claim.phase == Claim.Phase.CLAIMING) {
+        cluster.markCommitted(claim);
+        records.committedClaims.add(claim);
       }
-      // Settled ones stay in the settle set and are written again.
     }
-    if (stash != null && stashRevision > s.revision) {
-      records.adopt(j, s, stash, stashRevision, now);
+  }
+
+  /** Nothing was written: the tasks of the new claims wait again. */
+  private void onTaskBatchRefused(Job job, List<Claim> claimed, double now) {
+    for (Claim claim : claimed) {
+      cluster.removeClaim(claim, now);
+      job.openTasks.set(claim.task);
     }
   }
 }
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -6,97 +6,150 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The leader's view of one machine. */
+/**
+ * The leader's view of one machine: what the cloud and its worker say of it, its lease, the claims
+ * on it, and whether it may be given more.
+ */
 final class Machine {
   /** Images remembered of a machine; only a guide for placement. */
   private static final int MOST_IMAGES = 64;
 
+  // ---------------------------------------------------------------- the instance
+
   final String name;
+
+  /** Name of its machine type, null until known. */
   String type;
+
+  /** Null until known. */
   String zone;
+
+  /** True for a spot instance, false for an on-demand instance. */
   boolean spot;
+
+  /** Where its worker takes commands, null until known. */
   String address;
 
   /** When we first knew of it. */
   final double knownSince;
 
-  /** When it was rented, as far as known. */
+  /** When its creation was requested, as far as known. */
   double requestedAt;
 
-  /** We rented it, or the list showed it booting: its first report tells how long that took. */
+  /** Requested by us or listed as booting: its first heartbeat tells how long the boot took. */
   boolean booting;
 
-  boolean reported;
+  /** The cloud lists it as failed: everything on it is gone. */
+  boolean failed;
+
+  /** When the cloud will take the machine, or null without such a notice. */
+  Double interruptionAt;
+
+  /** Its deletion was sent; nothing new is placed. */
+  boolean scalingIn;
+
+  /** When the deletion was last sent. */
+  double scaleInRequestedAt = Double.NEGATIVE_INFINITY;
+
+  // ---------------------------------------------------------------- heartbeats and the lease
+
+  /** This leader has had a heartbeat of it. */
+  boolean heartbeatReceived;
+
+  /** Its worker's incarnation, and the sequence number of its last heartbeat therein. */
   long session;
+
   long seq;
-  long seenTerm;
-  double lastReport = Double.NEGATIVE_INFINITY;
 
-  /** When we last answered a report: no lease of this worker can begin later. */
-  double lastAnswered = Double.NEGATIVE_INFINITY;
+  /** The highest term that its heartbeats have shown. */
+  long lastSeenTerm;
+
+  /** When its last heartbeat, or answer to commands, was taken. */
+  double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
 
-  /** When we first answered a report of its present session, or NaN. */
-  double firstAnswered = Double.NaN;
+  /** That heartbeat. */
+  Heartbeat lastHeartbeat;
+
+  /** When we last answered a heartbeat: no lease of this worker can begin later. */
+  double lastAnsweredAt = Double.NEGATIVE_INFINITY;
+
+  /** When we first answered a heartbeat of its present session, or NaN. */
+  double firstAnsweredAt = Double.NaN;
 
   /**
-   * When we first saw its present session. A session that was shown by an answer to direct orders
-   * has a whole lease of its own before any report of it was answered.
+   * When we first saw its present session. A session that was shown by an answer to direct commands
+   * has a whole lease of its own before any heartbeat of it was answered.
    */
-  double sessionSeen = Double.NEGATIVE_INFINITY;
+  double sessionSeenAt = Double.NEGATIVE_INFINITY;
 
-  /** The controller that its last report came to: the leader itself, or one that passed it on. */
-  String via = "";
+  /** The controller that its last heartbeat came to; "" for the leader itself. */
+  String heartbeatVia = "";
 
-  /** That report was answered and not a copy, so its worker stays there if it hears us. */
-  boolean answeredThere;
+  /** That heartbeat was answered and not a copy, so its worker stays there if it hears us. */
+  boolean heartbeatAnswered;
 
   /** The session is over in any case: its lease has run out, counted safely. */
-  boolean leaseOver;
+  boolean leaseExpired;
+
+  /** Since when its heartbeats come but answers do not reach it, or null. */
+  Double answersLostSince;
 
-  /** Since when its reports come but answers do not reach it, or null. */
-  Double deafSince;
+  /** When we last probed it. */
+  double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-  Double noticeAt;
+  /** Direct commands and probes in a row that got no answer. */
+  int failedProbes;
+
+  /** Attempts that a late launch could start again if the worker forgot them. */
+  final Set<AttemptKey> unreapableAttempts = new HashSet<>();
+
+  // ---------------------------------------------------------------- availability
+
+  /** Nothing new is placed, and what runs may end. */
   boolean drain;
+
+  /** Its operators want nothing new on it. */
   boolean cordoned;
 
   /** Its operators want it empty. */
   boolean operatorDrain;
 
-  /** The deletion was sent; nothing new is placed. */
-  boolean returning;
+  /** Being emptied, since cheaper machines have room for what it does. */
+  boolean consolidating;
 
-  double returnAskedAt = Double.NEGATIVE_INFINITY;
+  /** Tasks of several jobs failed here; to be replaced once empty. */
+  boolean faulty;
 
   /** Failures without a success in between by the jobs that are not known to be at fault. */
   final Map<String, Integer> errorJobs = new HashMap<>();
 
-  double lastError = Double.NEGATIVE_INFINITY;
+  /** When a task last failed for which the machine is blamed. */
+  double lastErrorAt = Double.NEGATIVE_INFINITY;
+
+  /** Nothing new is placed before this time, after failures. */
   double quarantineUntil = Double.NEGATIVE_INFINITY;
 
-  /** Being emptied, since cheaper machines have room for what it does. */
-  boolean closing;
+  // ---------------------------------------------------------------- claims
 
-  /** Tasks of several jobs failed here; to be replaced once empty. */
-  boolean bad;
+  /** Claims here, by task id. */
+  final Map<String, Claim> claims = new HashMap<>();
 
-  /** When we last asked it straight, and how often in a row that failed. */
-  double lastPoke = Double.NEGATIVE_INFINITY;
+  /** Claims here, counted by priority. */
+  final PriorityCounts byPriority = new PriorityCounts();
 
-  int failedPokes;
+  /** Since when it has been without claims. */
+  double idleSince;
 
-  /** The cloud lists it as failed: everything on it is gone. */
-  boolean failed;
+  /** What the machine type offers; none while the type isn't known. */
+  Resources capacity = Resources.NONE;
 
-  double idleSince;
-  Resources room = Resources.NONE;
+  /** What the claims here take. */
   Resources used = Resources.NONE;
 
-  final Map<String, Claim> claims = new HashMap<>();
-  Heartbeat last;
+  /** What the services among them take. */
+  Resources serviceResources = Resources.NONE;
 
-  /** Attempts that a late launch could start again if the worker forgot them. */
-  final Set<String> neverReap = new HashSet<>();
+  // ---------------------------------------------------------------- images
 
   /** Images this machine has fetched, by last use; a guess that only guides placement. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -104,12 +157,7 @@
   /** An image is there that no record of ours names yet. */
   boolean imagesChanged;
 
-  /** Which of so many records of images names this machine. */
-  int imagePart(int parts) {
-    return Math.floorMod(name.hashCode(), parts);
-  }
-
-  /** Images that a task here waits for, as of the last report. */
+  /** Images that a task here waits for, as of the last heartbeat. */
   final Set<String> fetching = new HashSet<>();
 
   Machine(String name, double now) {
@@ -119,51 +167,53 @@
     this.idleSince = now;
   }
 
-  /** What services hold here, kept up with the claims. */
-  Resources services = Resources.NONE;
-
-  /** Claims here, by priority. */
-  final PriorityCounts byPriority = new PriorityCounts();
+  /** Which of so many records of images names this machine. */
+  int imagePart(int parts) {
+    return Math.floorMod(name.hashCode(), parts);
+  }
 
   /** Failures in a row that this machine is blamed for. */
   int errorStreak() {
-    int n = 0;
-    for (int k : errorJobs.values()) {
-      n += k;
+    int streak = 0;
+    for (int errors : errorJobs.values()) {
+      streak += errors;
     }
-    return n;
+    return streak;
   }
 
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
     return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= room.cpus() - used.cpus() + Resources.SLACK
-        && need.gpus() <= room.gpus() - used.gpus() + Resources.SLACK
-        && need.memGb() <= room.memGb() - used.memGb() + Resources.SLACK;
+        && need.cpus() <= capacity.cpus() - used.cpus() + Resources.SLACK
+        && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
+        && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
 
+  /** What the claims leave of the machine. */
   Resources free() {
-    return room.minus(used);
+    return capacity.minus(used);
   }
 
-  void take(Claim c) {
-    used = used.plus(c.room());
+  /** Counts a claim that was just added to {@link #claims}. */
+  void allocate(Claim c) {
+    used = used.plus(c.resources());
     byPriority.add(c.priority);
     if (c.job.spec.isService()) {
-      services = services.plus(c.room());
+      serviceResources = serviceResources.plus(c.resources());
     }
   }
 
-  void give(Claim c) {
+  /** Takes out a claim that was just removed from {@link #claims}. */
+  void release(Claim c) {
     // An empty machine starts from nothing, so that rounding doesn't add up.
-    used = claims.isEmpty() ? Resources.NONE : used.minus(c.room());
+    used = claims.isEmpty() ? Resources.NONE : used.minus(c.resources());
     byPriority.remove(c.priority);
     if (c.job.spec.isService()) {
-      services = claims.isEmpty() ? Resources.NONE : services.minus(c.room());
+      serviceResources = claims.isEmpty() ? Resources.NONE : serviceResources.minus(c.resources());
     }
   }
 
-  /** Notes that the image is there; only the last few are remembered, as the machine does. */
+  /** Records that the image is there; only the last few are remembered, as the machine does. */
   void learnImage(String image, double now) {
     imagesChanged |= images.put(image, now) == null;
     fetching.remove(image);
@@ -172,12 +222,13 @@
     }
   }
 
-  boolean warm(String image) {
+  /** True if the image is likely there already. */
+  boolean hasImage(String image) {
     return images.containsKey(image);
   }
 
   /** True if a task here waits for the image, so that a second one joins the same fetch. */
-  boolean fetches(String image) {
+  boolean isFetching(String image) {
     return fetching.contains(image);
   }
 }
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -3,9 +3,9 @@
 import graderelay.cloud.CloudClient;
 import graderelay.config.Settings;
 import graderelay.core.Action;
+import graderelay.core.CommandDelivery;
 import graderelay.core.Scheduler;
-import graderelay.core.Scheduler.Outcome;
-import graderelay.core.Scheduler.Sent;
+import graderelay.core.TransactionOutcome;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.quota.AccountChange;
@@ -98,9 +98,9 @@
   /** Takes every action the core has decided on and carries it out. */
   void carryOut() {
     for (Action a : core.take()) {
-      if (a instanceof Action.Note n) {
+      if (a instanceof Action.LogLine n) {
         LOG.info("{}", n.text());
-      } else if (a instanceof Action.Seen seen) {
+      } else if (a instanceof Action.MetricEvent seen) {
         if (seen.waitedS() >= 0) {
           metrics.span("graderelay.queue.wait", seen.waitedS());
         }
@@ -110,7 +110,7 @@
         metrics.count("graderelay.quota.differences", "team", d.difference().team());
       } else if (a instanceof Action.Write w) {
         write(w);
-      } else if (a instanceof Action.Command c) {
+      } else if (a instanceof Action.SendCommands c) {
         command(c);
       } else if (a instanceof Action.ScaleOut h) {
         rent(h);
@@ -200,22 +200,26 @@
     }
     metrics.count("graderelay.writes", "outcome", r.outcome().metricLabel());
     if (r.succeeded()) {
-      core.onWrite(id, Outcome.COMMITTED, r.revision(), loop.now());
+      core.onWrite(id, TransactionOutcome.COMMITTED, r.revision(), loop.now());
       carryOut();
       term.stepSoon();
     } else if (r.outcome() == StoreOutcome.NOT_EXECUTED) {
       core.onLimits(
           state.limitsReduced() ? stateLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
-      loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, Outcome.REFUSED));
+      loop.after(StateClient.STATE_RETRY_S, () -> tellOutcome(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info("transaction {}: {} {}", id, r.outcome(), r.body() == null ? "" : r.body());
       // The records as they are now come first; the core decides on them.
-      catchUpThenTell(id, r.outcome() == StoreOutcome.UNKNOWN ? Outcome.UNKNOWN : Outcome.REFUSED);
+      catchUpThenTell(
+          id,
+          r.outcome() == StoreOutcome.UNKNOWN
+              ? TransactionOutcome.UNKNOWN
+              : TransactionOutcome.REFUSED);
     }
   }
 
-  private void catchUpThenTell(long id, Outcome outcome) {
+  private void catchUpThenTell(long id, TransactionOutcome outcome) {
     cache.catchUp(
         ok -> {
           if (term.isClosed()) {
@@ -229,7 +233,7 @@
         });
   }
 
-  private void tellOutcome(long id, Outcome outcome) {
+  private void tellOutcome(long id, TransactionOutcome outcome) {
     if (!term.isClosed()) {
       core.onWrite(id, outcome, 0, loop.now());
       term.stepSoon();
@@ -238,12 +242,12 @@
 
   // ---------------------------------------------------------------- workers
 
-  private void command(Action.Command c) {
+  private void command(Action.SendCommands c) {
     if (!leadership.mayActAsLeader()) {
-      core.onSent(c, Sent.NEVER_LEFT, null, loop.now());
+      core.onCommandDelivery(c, CommandDelivery.NEVER_LEFT, null, loop.now());
       return;
     }
-    LOG.debug("to {}: {}", c.machine(), c.orders());
+    LOG.debug("to {}: {}", c.machine(), c.commands());
     workers.send(
         c,
         (how, report) -> {
@@ -251,10 +255,10 @@
             return;
           }
           metrics.count("graderelay.orders", "outcome", how.name().toLowerCase(Locale.ROOT));
-          if (how != Sent.EXECUTED) {
-            LOG.info("orders to {} ended {}: {}", c.machine(), how, c.orders());
+          if (how != CommandDelivery.EXECUTED) {
+            LOG.info("orders to {} ended {}: {}", c.machine(), how, c.commands());
           }
-          core.onSent(c, how, report, loop.now());
+          core.onCommandDelivery(c, how, report, loop.now());
           term.stepSoon();
         });
   }
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -65,7 +65,7 @@
     Set<String> ended = new HashSet<>();
     for (int i = 0; i < 600; i++) {
       ended.addAll(ends(scheduler));
-      SchedulerFixture.answerWrites(scheduler, Scheduler.Outcome.COMMITTED, 2 + i * 0.1);
+      SchedulerFixture.answerWrites(scheduler, TransactionOutcome.COMMITTED, 2 + i * 0.1);
       scheduler.step(2.05 + i * 0.1);
     }
     assertThat(ended).hasSize(501); // In their own time, all of them.
