--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -59,7 +59,7 @@
             p.unavailable("the owner may not know that the job is cancelled; ask again");
             return;
           }
-          if (live != null && !live.stop && !live.spec.needs().isEmpty()) {
+          if (live != null && !live.stop && !live.spec.dependencies().isEmpty()) {
             withDependencies(p, live, then);
             return;
           }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -229,7 +229,7 @@
    * for good, by whichever node and version. Those that are done need not be kept.
    */
   private void checkDependencies(PendingAnswer p, JobSpec spec) {
-    if (spec.needs().isEmpty()) {
+    if (spec.dependencies().isEmpty()) {
       checkSize(p, spec);
       return;
     }
@@ -250,7 +250,7 @@
   /** Dependencies of which this node has seen neither the record nor the final state. */
   private List<String> unseen(JobSpec spec) {
     List<String> unseen = new ArrayList<>();
-    for (String id : spec.needs()) {
+    for (String id : spec.dependencies()) {
       if (cache.job(id) == null && cache.end(id) == null) {
         unseen.add(id);
       }
@@ -264,7 +264,7 @@
       return;
     }
     List<String> open = new ArrayList<>();
-    for (String id : spec.needs()) {
+    for (String id : spec.dependencies()) {
       Cache.Entry live = cache.job(id);
       Cache.End end = cache.end(id);
       if (live == null && end == null) {
@@ -290,7 +290,7 @@
     if (Json.write(StateCodec.job(spec, true)).length <= most) {
       create(p, spec);
     } else if (Json.write(StateCodec.job(spec.needing(List.of()), true)).length <= most) {
-      int open = spec.needs().size();
+      int open = spec.dependencies().size();
       refuseUnlessAccepted(
           p,
           spec,
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -81,10 +81,10 @@
     }
     ObjectNode n = describe(j);
     n.put("waits_because", scheduler.get().whyWaiting(id));
-    j.spec.needs().forEach(n.putArray("needs")::add);
+    j.spec.dependencies().forEach(n.putArray("needs")::add);
     ArrayNode neededBy = n.putArray("needed_by");
     for (Cache.Entry o : new TreeMap<>(cache.jobs()).values()) {
-      if (o.spec.needs().contains(id) && neededBy.size() < ListQuery.MOST_LISTED) {
+      if (o.spec.dependencies().contains(id) && neededBy.size() < ListQuery.MOST_LISTED) {
         neededBy.add(o.spec.id());
       }
     }
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -250,6 +250,6 @@
         && m.noticeAt == null
         && now >= m.quarantineUntil
         && m.room.cpus() > 0
-        && now - m.lastReport < policy.reportS() * WorkerCommands.SILENT_REPORTS;
+        && now - m.lastReport < policy.heartbeatIntervalS() * WorkerCommands.SILENT_REPORTS;
   }
 }
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -97,14 +97,14 @@
     if (s.isService() || !s.spot() || !due) {
       return false;
     }
-    Double wait = cluster.policy.waits().get(s.jobClass());
+    Double wait = cluster.policy.startObjectivesS().get(s.jobClass());
     return wait == null || wait > PATIENT_BOOTS * BootTimes.slowestNominal(cluster);
   }
 
   /** True if more than its deadline is wanted of the class: a first start, or an end, by a time. */
   private boolean hurried(JobSpec s) {
-    return cluster.policy.waits().containsKey(s.jobClass())
-        || cluster.policy.finishes().containsKey(s.jobClass());
+    return cluster.policy.startObjectivesS().containsKey(s.jobClass())
+        || cluster.policy.completionObjectivesS().containsKey(s.jobClass());
   }
 
   /**
@@ -119,8 +119,8 @@
       return whole;
     }
     double next = now + PATIENT_S + DEADLINE_MARGIN_S + estimate * 0.5;
-    Double wait = cluster.policy.waits().get(s.jobClass());
-    Double finish = cluster.policy.finishes().get(s.jobClass());
+    Double wait = cluster.policy.startObjectivesS().get(s.jobClass());
+    Double finish = cluster.policy.completionObjectivesS().get(s.jobClass());
     double[] wanted = {
       wait == null || j.open.isEmpty() ? whole : j.submittedAt + wait + estimate,
       finish == null ? whole : j.submittedAt + finish,
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -118,7 +118,7 @@
     double boot = BootTimes.slowestNominal(cluster);
     Map<JobSpec, Integer> spare = new HashMap<>();
     for (var e : byClass.entrySet()) {
-      Double wait = cluster.policy.waits().get(e.getKey());
+      Double wait = cluster.policy.startObjectivesS().get(e.getKey());
       if (wait == null || wait > boot) {
         continue;
       }
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -126,7 +126,7 @@
   }
 
   private void press(Job j, double now) {
-    Double wantedWaitS = cluster.policy.waits().get(j.spec.jobClass());
+    Double wantedWaitS = cluster.policy.startObjectivesS().get(j.spec.jobClass());
     j.press(estimate.applyAsDouble(j.spec), wantedWaitS, now);
   }
 
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -181,7 +181,9 @@
     Map<String, JobSpec> typical = new HashMap<>();
     for (DemandHistory.Arrival a : demand.arrivals()) {
       JobSpec s = a.spec();
-      if (s.isService() && cluster.policy.waits().containsKey(s.jobClass()) && m.warm(s.image())) {
+      if (s.isService()
+          && cluster.policy.startObjectivesS().containsKey(s.jobClass())
+          && m.warm(s.image())) {
         largest.merge(s.image(), s.tasks(), Math::max);
         typical.put(s.image(), s);
       }
--- a/src/main/java/graderelay/core/HeartbeatMonitor.java
+++ b/src/main/java/graderelay/core/HeartbeatMonitor.java
@@ -153,7 +153,7 @@
       } else if (r.session() > m.session
           && now - m.lastAnswered < cluster.policy.leaseS() / 2
           && (r.term() >= cluster.firstTerm
-              || m.lastAnswered - m.firstAnswered > cluster.policy.reportS() / 2)) {
+              || m.lastAnswered - m.firstAnswered > cluster.policy.heartbeatIntervalS() / 2)) {
         // A first answer alone may have come when its lease was over already, as after a takeover.
         why = "its lease ran out although we had just answered";
       }
@@ -292,7 +292,7 @@
       }
       case "no_room" -> {
         // Something runs there that we don't know of yet; the next reports will show it.
-        m.quarantineUntil = Math.max(m.quarantineUntil, now + cluster.policy.reportS());
+        m.quarantineUntil = Math.max(m.quarantineUntil, now + cluster.policy.heartbeatIntervalS());
         records.end(c, false, now);
       }
       case "unknown" -> {
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -107,7 +107,7 @@
     this.stop = stop;
     this.waitingSince = now;
     this.priority = spec.priority();
-    this.needed.addAll(spec.needs());
+    this.needed.addAll(spec.dependencies());
     this.open = new BitSet(spec.tasks());
     this.open.set(0, spec.tasks());
   }
--- a/src/main/java/graderelay/core/JobSpec.java
+++ b/src/main/java/graderelay/core/JobSpec.java
@@ -12,7 +12,8 @@
  * @param submittedMs time of day at acceptance
  * @param batchCapacity tasks in one task batch; fixed at acceptance, so that stored task batches
  *     keep their place
- * @param needs jobs that have to be done before any task of this one starts, its dependencies
+ * @param dependencies jobs that have to be done before any task of this one starts (DAG
+ *     dependencies)
  */
 public record JobSpec(
     String id,
@@ -37,7 +38,7 @@
     Double deadlineS,
     long submittedMs,
     int batchCapacity,
-    List<String> needs) {
+    List<String> dependencies) {
 
   /** True if a machine of this type is among the allowed ones and could hold a task when empty. */
   public boolean fits(MachineType type) {
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -67,7 +67,7 @@
    * stands on a machine that has the image.
    */
   boolean warmRoom(Job j, List<Machine> usable, double now) {
-    Double wait = cluster.policy.waits().get(j.spec.jobClass());
+    Double wait = cluster.policy.startObjectivesS().get(j.spec.jobClass());
     if (wait == null || now - j.waitingSince > wait) {
       return false;
     }
--- a/src/main/java/graderelay/core/Policy.java
+++ b/src/main/java/graderelay/core/Policy.java
@@ -4,34 +4,52 @@
 import java.util.Map;
 
 /**
- * What the platform and the operators prescribe to the core.
+ * Platform limits, service-level objectives and operators' settings that the scheduling core obeys.
  *
- * @param delegates the other controllers by zone, if there are several
- * @param grantS seconds that a lease delegate's grant lasts
- * @param valueBytes the largest value that the state service takes at present
- * @param changesPerS changes of the state service that the leader may make
- * @param directPerS orders that the leader may send straight to workers
- * @param waits for each class with a wanted waiting time, the shortest
- * @param waitSteps all of them, ascending
- * @param finishes for each class with a wanted time to the end of its jobs, the shortest
+ * @param teams the teams' quotas
+ * @param delegates the lease delegates: the other controllers by zone, if there are several
+ * @param delegateGrantS seconds that a lease delegate's grant lasts
+ * @param heartbeatIntervalS seconds between two heartbeats of a worker
+ * @param leaseS seconds that a worker's session lease lasts
+ * @param listLagS seconds by which the cloud's list of machines may lag behind a scale out
+ * @param txnOps changes that one compare-and-swap transaction of the store may hold
+ * @param valueBytes the largest value that the store takes at present, in bytes
+ * @param changesPerS changes of the store that the leader may make, a second
+ * @param directCommandsPerS worker commands that the leader may send straight to workers, a second
+ * @param startObjectivesS the shortest wanted time from submission to the first start of a job, in
+ *     seconds, by job class; classes without one are absent
+ * @param startObjectiveStepsS all such wanted times of a class, in seconds, ascending
+ * @param completionObjectivesS the shortest wanted time from submission to the end of a job, in
+ *     seconds, by job class; classes without one are absent
+ * @param tuning settings that operators may change at any time
  */
 public record Policy(
     List<Team> teams,
     Map<String, String> delegates,
-    double grantS,
-    double reportS,
+    double delegateGrantS,
+    double heartbeatIntervalS,
     double leaseS,
     double listLagS,
     int txnOps,
     int valueBytes,
     double changesPerS,
-    double directPerS,
-    Map<String, Double> waits,
-    Map<String, List<Double>> waitSteps,
-    Map<String, Double> finishes,
+    double directCommandsPerS,
+    Map<String, Double> startObjectivesS,
+    Map<String, List<Double>> startObjectiveStepsS,
+    Map<String, Double> completionObjectivesS,
     Tuning tuning) {
 
-  /** Settings that operators may change at any time. */
+  /**
+   * Settings that operators may change at any time.
+   *
+   * @param batchCapacity tasks in one task batch of jobs accepted from now on
+   * @param sampleSize machines drawn at random for each placement of a task
+   * @param attemptCap tasks claimed at once of a job that may be at fault
+   * @param idleS seconds without work after which a machine is scaled in
+   * @param spareFactor factor on the spare room that arrivals call for
+   * @param spotAllowed whether spot instances may be requested
+   * @param claimsPaused whether no new task is claimed
+   */
   public record Tuning(
       int batchCapacity,
       int sampleSize,
@@ -41,48 +59,46 @@
       boolean spotAllowed,
       boolean claimsPaused) {}
 
+  /** The quota of the team, or null if it has none. */
   Team team(String name) {
-    for (Team t : teams) {
-      if (t.name().equals(name)) {
-        return t;
+    for (Team team : teams) {
+      if (team.name().equals(name)) {
+        return team;
       }
     }
     return null;
   }
 
-  Policy with(Tuning t) {
-    return with(t, valueBytes, changesPerS);
+  /** The same with other operators' settings. */
+  Policy with(Tuning newTuning) {
+    return with(teams, newTuning, valueBytes, changesPerS);
   }
 
-  /** The same where the state service allows no more than this. */
+  /** The same where the store allows no more than this many bytes a value, and changes a second. */
   Policy within(int bytes, double changes) {
-    return with(tuning, Math.min(valueBytes, bytes), Math.min(changesPerS, changes));
+    return with(teams, tuning, Math.min(valueBytes, bytes), Math.min(changesPerS, changes));
   }
 
   /** The same with other guarantees and limits. */
-  Policy with(List<Team> others) {
-    return with(others, tuning, valueBytes, changesPerS);
+  Policy with(List<Team> newTeams) {
+    return with(newTeams, tuning, valueBytes, changesPerS);
   }
 
-  private Policy with(Tuning t, int bytes, double changes) {
-    return with(teams, t, bytes, changes);
-  }
-
-  private Policy with(List<Team> itsTeams, Tuning t, int bytes, double changes) {
+  private Policy with(List<Team> newTeams, Tuning newTuning, int bytes, double changes) {
     return new Policy(
-        itsTeams,
+        newTeams,
         delegates,
-        grantS,
-        reportS,
+        delegateGrantS,
+        heartbeatIntervalS,
         leaseS,
         listLagS,
         txnOps,
         bytes,
         changes,
-        directPerS,
-        waits,
-        waitSteps,
-        finishes,
-        t);
+        directCommandsPerS,
+        startObjectivesS,
+        startObjectiveStepsS,
+        completionObjectivesS,
+        newTuning);
   }
 }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -221,7 +221,7 @@
 
   private void stop(List<Claim> victims, Job j, double now) {
     boolean first = true;
-    Double wait = cluster.policy.waits().get(j.spec.jobClass());
+    Double wait = cluster.policy.startObjectivesS().get(j.spec.jobClass());
     for (Claim c : victims) {
       boolean hurry =
           j.priority().beats(c.priority) && wait != null && wait < c.job.spec.saveS() + HURRY_S;
--- a/src/main/java/graderelay/core/QueueOrder.java
+++ b/src/main/java/graderelay/core/QueueOrder.java
@@ -109,7 +109,8 @@
    */
   private double worth(Job j, double now) {
     JobSpec s = j.spec;
-    List<Double> steps = cluster.policy.waitSteps().getOrDefault(s.jobClass(), List.of());
+    List<Double> steps =
+        cluster.policy.startObjectiveStepsS().getOrDefault(s.jobClass(), List.of());
     if (!s.isService() && j.hasDue()) {
       return worthOfDue.getOrDefault(j.priority(), 0.0);
     }
@@ -125,7 +126,7 @@
     // Others must not pass it for ever.
     left = waited > last * PASSED_STEPS ? 1 : left;
     double worth = left / (double) s.tasks();
-    Double whole = cluster.policy.finishes().get(s.jobClass());
+    Double whole = cluster.policy.completionObjectivesS().get(s.jobClass());
     if (whole != null && waited + s.estimateS() <= whole) {
       worth += 1.0 / Math.max(1, j.open.cardinality());
     }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -105,7 +105,7 @@
     double heard = Math.max(m.deafSince != null ? m.deafSince : m.lastReport, startedAt);
     if (m.leaseOver
         || m.failedPokes < DEAD_POKES
-        || now - heard < cluster.policy.reportS() * DEAD_REPORTS
+        || now - heard < cluster.policy.heartbeatIntervalS() * DEAD_REPORTS
         || m.claims.values().stream().noneMatch(c -> c.job.spec.isService())) {
       return false;
     }
@@ -128,7 +128,7 @@
         boolean quiet =
             o.failedPokes > 0
                 || now - Math.max(o.lastReport, startedAt)
-                    > cluster.policy.reportS() * WorkerCommands.POKE_REPORTS;
+                    > cluster.policy.heartbeatIntervalS() * WorkerCommands.POKE_REPORTS;
         counted.count(o.zone, quiet);
       }
     }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -64,7 +64,7 @@
     cluster.firstTerm = term;
     cluster.tookOver = now;
     cluster.delegates =
-        new LeaseDelegates(policy.delegates(), term, policy.grantS(), policy.leaseS(), now);
+        new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
--- a/src/main/java/graderelay/core/WorkerCommands.java
+++ b/src/main/java/graderelay/core/WorkerCommands.java
@@ -46,7 +46,7 @@
     this.cluster = cluster;
     this.records = records;
     this.directFilled = cluster.tookOver;
-    this.directTokens = cluster.policy.directPerS();
+    this.directTokens = cluster.policy.directCommandsPerS();
   }
 
   /** A body may have 64 KiB: what goes beyond one's share follows with the reports' responses. */
@@ -161,7 +161,7 @@
           || m.address == null
           || c.session != m.session
           || c.stage == Heartbeat.Stage.EXITED
-          || now - m.lastReport > cluster.policy.reportS() * SILENT_REPORTS) {
+          || now - m.lastReport > cluster.policy.heartbeatIntervalS() * SILENT_REPORTS) {
         continue;
       }
       WorkerCommand.Kill k = killOf(c, now);
@@ -216,7 +216,7 @@
       }
       boolean near =
           m.address != null
-              && now - m.lastReport <= cluster.policy.reportS() * SILENT_REPORTS
+              && now - m.lastReport <= cluster.policy.heartbeatIntervalS() * SILENT_REPORTS
               && !m.leaseOver;
       boolean go = near && launchable(m, c) && c.launch == Claim.Launch.NONE;
       double reserve = c.job.spec.isService() ? 0 : DIRECT_FOR_SERVICES;
@@ -249,7 +249,7 @@
    * beyond the rate the orders go with the responses to reports, which come in any case.
    */
   private boolean direct(double now, double reserve) {
-    double rate = cluster.policy.directPerS();
+    double rate = cluster.policy.directCommandsPerS();
     directTokens = Math.min(rate, directTokens + (now - directFilled) * rate);
     directFilled = now;
     if (directTokens < 1 + reserve * rate) {
@@ -278,9 +278,12 @@
   private void poke(Machine m, double now) {
     // Most report by themselves within an interval of the takeover.
     boolean unheard =
-        !m.reported && !m.claims.isEmpty() && now - cluster.tookOver > cluster.policy.reportS() / 2;
+        !m.reported
+            && !m.claims.isEmpty()
+            && now - cluster.tookOver > cluster.policy.heartbeatIntervalS() / 2;
     boolean deaf = m.deafSince != null;
-    boolean silent = m.reported && now - m.lastReport > cluster.policy.reportS() * POKE_REPORTS;
+    boolean silent =
+        m.reported && now - m.lastReport > cluster.policy.heartbeatIntervalS() * POKE_REPORTS;
     double reserve = m.services.cpus() > 0 ? DIRECT_FOR_SERVICES : DIRECT_FOR_ORDERS;
     if (m.address == null
         || m.leaseOver
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -37,7 +37,7 @@
     Deque<JobSpec> next = new ArrayDeque<>();
     next.add(job);
     while (!next.isEmpty()) {
-      for (String id : next.poll().needs()) {
+      for (String id : next.poll().dependencies()) {
         if (!seen.add(id)) {
           continue;
         }
@@ -58,7 +58,7 @@
 
   /** Decides for a job whose record has just been caught up with. */
   public void decide(Cache.Entry e, Consumer<Verdict> then) {
-    if (e.spec.needs().isEmpty()) {
+    if (e.spec.dependencies().isEmpty()) {
       then.accept(Verdict.NOT_CANCELLED);
       return;
     }
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -61,8 +61,8 @@
       n.put(DEADLINE_S, s.deadlineS());
     }
     n.put(SUBMITTED_MS, s.submittedMs()).put(BATCH_CAPACITY, s.batchCapacity());
-    if (!s.needs().isEmpty()) {
-      s.needs().forEach(n.putArray(DEPENDENCIES)::add);
+    if (!s.dependencies().isEmpty()) {
+      s.dependencies().forEach(n.putArray(DEPENDENCIES)::add);
     }
     if (stopRequested) {
       n.put(STOP_REQUESTED, true);
--- a/src/test/java/graderelay/LowerLimitsTest.java
+++ b/src/test/java/graderelay/LowerLimitsTest.java
@@ -133,7 +133,7 @@
             + "\"checkpoint\":0.0,\"save\":0.0,\"at\":1700000000000,\"cap\":500,\"stop\":true}";
     JsonNode n = Json.read(job.getBytes(StandardCharsets.UTF_8));
     JobSpec s = StateCodec.job("j-1", n);
-    assertThat(s.needs()).isEmpty();
+    assertThat(s.dependencies()).isEmpty();
     assertThat(s.batchCapacity()).isEqualTo(500);
     assertThat(Json.write(StateCodec.job(s, true))).isEqualTo(job.getBytes(StandardCharsets.UTF_8));
     JsonNode taskBatch =
