--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -12,98 +12,108 @@
  * CPU left over) of a random sample of the best stratum that has a machine.
  */
 final class CandidateMachines {
+  /** The first stratum of machines that neither have nor fetch the image. */
   private static final int COLD = 4;
+
+  /** The first stratum of machines that fetch the image. */
+  private static final int FETCHING = 2;
+
   private static final int STRATA = COLD + 2;
+
   private final ClusterState cluster;
   private final RandomGenerator random;
   private final PlacementRules rules;
   private final Job job;
   private final boolean zoned;
   private final List<List<Machine>> strata = new ArrayList<>();
-  private Boolean canBeMade;
+
+  /** The answer of {@link #warmRoomCanBeMade}, null before it was first asked. */
+  private Boolean warmRoomCanBeMade;
 
   /**
    * Sorts the machines that the job may use by how good a fit they are.
    *
-   * @param roomy the machines that may have room
+   * @param withRoom the machines that may have room
    * @param warmOnly whether only machines that have or fetch the image count
    */
   CandidateMachines(
       ClusterState cluster,
       RandomGenerator random,
       PlacementRules rules,
-      Job j,
-      List<Machine> roomy,
+      Job job,
+      List<Machine> withRoom,
       boolean warmOnly) {
     this.cluster = cluster;
     this.random = random;
     this.rules = rules;
-    job = j;
-    zoned = PlacementRules.zoned(j);
+    this.job = job;
+    this.zoned = PlacementRules.zoned(job);
     for (int i = 0; i < STRATA; i++) {
       strata.add(new ArrayList<>());
     }
-    for (Machine m : roomy) {
-      if (m.holds(j.need) && rules.allowed(j, m)) {
-        int stratum = stratum(j, m);
+    for (Machine machine : withRoom) {
+      if (machine.holds(job.need) && rules.allowed(job, machine)) {
+        int stratum = stratum(job, machine);
         if (!warmOnly || stratum < COLD) {
-          strata.get(stratum).add(m);
+          strata.get(stratum).add(machine);
         }
       }
     }
-    cluster.looked += roomy.size();
+    cluster.looked += withRoom.size();
   }
 
-  private static int stratum(Job j, Machine m) {
-    int cold = m.warm(j.spec.image()) ? 0 : m.fetches(j.spec.image()) ? 2 : 4;
-    int dear = j.spec.spot() && !m.spot ? 1 : 0;
-    return cold + dear;
+  private static int stratum(Job job, Machine machine) {
+    String image = job.spec.image();
+    int byImage = machine.warm(image) ? 0 : machine.fetches(image) ? FETCHING : COLD;
+    int onDemandPenalty = job.spec.spot() && !machine.spot ? 1 : 0;
+    return byImage + onDemandPenalty;
   }
 
   /** The best fit of a sample from the best stratum that has a machine, or null. */
   Machine pick() {
-    for (List<Machine> pool : strata) {
-      if (zoned && !pool.isEmpty()) {
-        List<Machine> here = new ArrayList<>(pool);
-        here.removeIf(m -> !PlacementRules.zoneAllowed(job, m.zone));
-        cluster.looked += pool.size();
-        Machine m = sample(here);
-        if (m != null) {
-          return m;
-        }
-      } else {
-        Machine m = sample(pool);
-        if (m != null) {
-          return m;
-        }
+    for (List<Machine> stratum : strata) {
+      Machine machine = sample(zoned && !stratum.isEmpty() ? zoneAllowed(stratum) : stratum);
+      if (machine != null) {
+        return machine;
       }
     }
     return null;
   }
 
-  /** Draws without putting back; machines that are full by now are dropped from the pool. */
+  /** Those in zones that take one more task of the job, as its claims stand now. */
+  private List<Machine> zoneAllowed(List<Machine> stratum) {
+    List<Machine> allowed = new ArrayList<>(stratum);
+    allowed.removeIf(machine -> !PlacementRules.zoneAllowed(job, machine.zone));
+    cluster.looked += stratum.size();
+    return allowed;
+  }
+
+  /**
+   * The best fit of a few machines drawn at random without putting back, or null; machines that are
+   * full by now are dropped from the pool. Drawn ones move behind the first {@code active}.
+   */
   private Machine sample(List<Machine> pool) {
     Machine chosen = null;
-    double chosenLeft = 0;
-    int n = Math.max(1, cluster.policy.tuning().sampleSize());
+    double chosenLeftOver = 0;
+    int samplesLeft = Math.max(1, cluster.policy.tuning().sampleSize());
     int active = pool.size();
-    while (n > 0 && active > 0) {
-      int i = random.nextInt(active);
-      Machine m = pool.get(i);
+    while (samplesLeft > 0 && active > 0) {
+      int drawn = random.nextInt(active);
+      Machine machine = pool.get(drawn);
       active--;
-      pool.set(i, pool.get(active));
+      pool.set(drawn, pool.get(active));
       cluster.looked++;
-      if (!m.holds(job.need)) {
+      if (!machine.holds(job.need)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
         continue;
       }
-      pool.set(active, m);
-      n--;
-      double left = m.room.cpus() - m.used.cpus() - job.spec.cpus();
-      if (chosen == null || left < chosenLeft) {
-        chosen = m;
-        chosenLeft = left;
+      pool.set(active, machine);
+      samplesLeft--;
+      double cpusLeftOver = machine.room.cpus() - machine.used.cpus() - job.spec.cpus();
+      if (chosen == null || cpusLeftOver < chosenLeftOver) {
+        chosen = machine;
+        chosenLeftOver = cpusLeftOver;
       }
     }
     return chosen;
@@ -115,9 +125,9 @@
    * out once for the job.
    */
   boolean warmRoomCanBeMade(List<Machine> usable, double now) {
-    if (canBeMade == null) {
-      canBeMade = rules.warmRoom(job, usable, now);
+    if (warmRoomCanBeMade == null) {
+      warmRoomCanBeMade = rules.warmRoomCanBeMade(job, usable, now);
     }
-    return canBeMade;
+    return warmRoomCanBeMade;
   }
 }
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -16,7 +16,7 @@
   /** CPUs that tasks of each priority will take as soon as a change of theirs has committed. */
   private final Map<Priority, Double> reserved = new EnumMap<>(Priority.class);
 
-  /** CPUs that usable machines had free when this round began, once somebody has asked. */
+  /** CPUs free on usable machines, worked out when first asked for in a round; NaN before. */
   private double freeCpus;
 
   /** Claims of the round already taken off {@link #freeCpus}. */
@@ -27,32 +27,37 @@
   }
 
   /** Reserves, for a new round, the CPUs of what waits above the lowest priority in the queue. */
-  void reserve(List<QueueOrder.Entry> waiting, double now) {
+  void reserve(List<QueueOrder.Entry> queue, double now) {
     reserved.clear();
     freeCpus = Double.NaN;
-    Priority lowest = waiting.get(waiting.size() - 1).job.priority();
-    for (QueueOrder.Entry k : waiting) {
-      JobSpec s = k.job.spec;
-      if (k.job.priority().beats(lowest) && k.job.notBefore <= now) {
+    Priority lowest = queue.get(queue.size() - 1).job.priority();
+    for (QueueOrder.Entry entry : queue) {
+      JobSpec spec = entry.job.spec;
+      if (entry.job.priority().beats(lowest) && entry.job.notBefore <= now) {
         // Not for what its team's limit keeps from running in any case.
-        double cpus = Math.min(blocked(cluster, k.job) * s.cpus(), cluster.cpusLeft(s.team()));
+        double cpus =
+            Math.min(
+                awaitingCommit(cluster, entry.job) * spec.cpus(), cluster.cpusLeft(spec.team()));
         if (cpus > 0) {
-          reserved.merge(k.job.priority(), cpus, Double::sum);
+          reserved.merge(entry.job.priority(), cpus, Double::sum);
         }
       }
     }
   }
 
-  /** Open tasks of the job whose record, or team's account, is being changed. */
-  static int blocked(ClusterState cluster, Job j) {
-    if (cluster.admission.isPassing(j.spec.team())) {
-      return j.open.cardinality();
+  /** Open tasks of the job whose task batch record, or team's account, is being changed. */
+  static int awaitingCommit(ClusterState cluster, Job job) {
+    if (cluster.admission.isPassing(job.spec.team())) {
+      return job.open.cardinality();
     }
-    int n = 0;
-    for (Job.TaskBatch s : j.taskBatches.values()) {
-      n += s.inFlight ? j.open.get(s.base, s.base + s.record.size()).cardinality() : 0;
+    int open = 0;
+    for (Job.TaskBatch batch : job.taskBatches.values()) {
+      open +=
+          batch.inFlight
+              ? job.open.get(batch.base, batch.base + batch.record.size()).cardinality()
+              : 0;
     }
-    return n;
+    return open;
   }
 
   /**
@@ -60,25 +65,26 @@
    *
    * @param claims the claims of this round so far
    */
-  int unreserved(Job j, List<Machine> usable, List<Claim> claims) {
-    double kept = 0;
-    for (var e : reserved.entrySet()) {
-      kept += e.getKey().beats(j.priority()) ? e.getValue() : 0;
+  int unreserved(Job job, List<Machine> usable, List<Claim> claims) {
+    double reservedCpus = 0;
+    for (var reservation : reserved.entrySet()) {
+      reservedCpus += reservation.getKey().beats(job.priority()) ? reservation.getValue() : 0;
     }
-    if (kept == 0 || j.spec.cpus() <= 0) {
+    if (reservedCpus == 0 || job.spec.cpus() <= 0) {
       return Integer.MAX_VALUE;
     }
     if (Double.isNaN(freeCpus)) {
       freeCpus = 0;
       cluster.looked += usable.size();
-      for (Machine m : usable) {
-        freeCpus += m.room.cpus() - m.used.cpus();
+      for (Machine machine : usable) {
+        freeCpus += machine.room.cpus() - machine.used.cpus();
       }
       countedClaims = claims.size();
     }
     for (; countedClaims < claims.size(); countedClaims++) {
       freeCpus -= claims.get(countedClaims).room().cpus();
     }
-    return (int) Math.max(0, Math.min(Integer.MAX_VALUE, (freeCpus - kept) / j.spec.cpus()));
+    return (int)
+        Math.max(0, Math.min(Integer.MAX_VALUE, (freeCpus - reservedCpus) / job.spec.cpus()));
   }
 }
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -6,281 +6,224 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 
 /**
- * How many CPUs the arrays need to be in time: work by deadline, summed up, over the time that is
- * left. Owners' estimates are often wrong, on some days all in one way, so they are corrected by
- * what tasks of the class really took.
+ * What deadlines ask of the fleet: how many CPUs the arrays need to be in time (work by deadline,
+ * summed up, over the time that is left), which jobs may wait for spot machines, and which are
+ * deferrable.
  */
 final class Deadlines {
-  /** Times its expected run time before its deadline from which a job stops others' work. */
-  private static final double LEISURE_RUNS = 1.5;
+  /** Seconds before a deadline at which work should be done: fetches, heartbeats and the poll. */
+  static final double DEADLINE_MARGIN_S = 8;
 
-  /** Share of the weight that older run times keep with each new one. */
-  private static final double RATIO_MEMORY = 0.98;
+  /** Times its expected run time before its deadline from which a job preempts others' work. */
+  private static final double DEFERRABLE_RUNS = 1.5;
 
-  /** Seconds that a task without an estimate is taken to run. */
-  private static final double UNKNOWN_RUN_S = 60;
-
-  /** Seconds before a deadline at which work should be done: fetches, reports and the poll. */
-  private static final double DEADLINE_MARGIN_S = 8;
-
-  /** Times its own time to the deadline that a late job steps back for others at most. */
-  private static final double OVERDUE_SPANS = 2;
-
-  /** Share of the rented CPUs that tasks of uneven size can fill. */
+  /** Share of the fleet's CPUs that tasks of uneven size can fill. */
   private static final double PACKING = 0.85;
 
   /**
-   * Times the slowest nominal boot beyond which a wanted wait leaves time to rent for it when it
-   * presses: some machines take several times as long.
+   * Times the slowest nominal boot beyond which a start objective leaves time to scale out for it
+   * when it presses: some machines take several times as long.
    */
-  private static final double PATIENT_BOOTS = 3;
+  private static final double SPOT_WAIT_BOOTS = 3;
 
   /**
-   * Times the work that patient jobs of a class with a wanted wait are counted as: bursts come
-   * while machines boot, and a late start costs more than a machine that stands idle for a minute.
+   * Times the work that jobs of a class with objectives are counted as: bursts come while machines
+   * boot, and a late start costs more than a machine that stands idle for a minute.
    */
-  private static final double HURRIED_WORK = 1.5;
+  private static final double OBJECTIVE_WORK_FACTOR = 1.5;
 
-  /** Seconds in which running work is counted at most when nothing presses. */
-  private static final double PATIENT_S = 60;
+  /** Seconds in which all work should be done at the latest when no deadline presses. */
+  private static final double RELAXED_RUN_S = 60;
 
-  private static final class Ratio {
-    double sum = 1;
-    double count = 1;
-  }
+  /** Share of its run time that a task which overran its estimate is taken to run on. */
+  private static final double LEAST_REMAINING_SHARE = 0.25;
 
-  private record Due(double at, double work, double estimate) {}
+  /**
+   * Work with the time by which it should be done.
+   *
+   * @param at seconds on the leader's clock
+   * @param work CPU seconds
+   * @param estimate expected run time of one task, in seconds
+   */
+  private record DueWork(double at, double work, double estimate) {}
 
   private final ClusterState cluster;
-  private final Map<String, Ratio> ratios = new HashMap<>();
+  private final RunTimeEstimates estimates;
 
-  Deadlines(ClusterState cluster) {
+  Deadlines(ClusterState cluster, RunTimeEstimates estimates) {
     this.cluster = cluster;
-  }
-
-  /** A task has run to its end in so many seconds. */
-  void onRan(JobSpec spec, double seconds) {
-    if (spec.estimateS() <= 0) {
-      return;
-    }
-    Ratio r = ratios.computeIfAbsent(spec.jobClass(), c -> new Ratio());
-    // Older ones fade, so that a change of habit shows.
-    r.sum = r.sum * RATIO_MEMORY + Math.min(4, seconds / spec.estimateS());
-    r.count = r.count * RATIO_MEMORY + 1;
-  }
-
-  /** Expected run time of a task, in seconds: the leader's estimate, corrected by the class. */
-  double estimate(JobSpec s) {
-    Ratio r = ratios.get(s.jobClass());
-    double e = s.estimateS() > 0 ? s.estimateS() : UNKNOWN_RUN_S;
-    return r == null ? e : e * r.sum / r.count;
+    this.estimates = estimates;
   }
 
   /**
-   * True if the job may wait for spot machines as long as its deadline is kept. A wanted time to
-   * its first start is no reason against it if a scale out can bring machines up well within that.
+   * True if the job may wait for spot machines as long as its deadline is kept. A start objective
+   * is no reason against it if a scale out can bring machines up well within that.
    */
-  boolean patient(Job j) {
-    return patient(j.spec, j.hasDue());
+  boolean mayWaitForSpot(Job job) {
+    return mayWaitForSpot(job.spec, job.hasDue());
   }
 
-  /** As {@link #patient(Job)}, for a job of this spec that has a due time if it has a deadline. */
-  boolean patient(JobSpec s) {
-    return patient(s, s.deadlineS() != null);
+  /** As for a job of this spec that has a due time only if it has a deadline of its own. */
+  boolean mayWaitForSpot(JobSpec spec) {
+    return mayWaitForSpot(spec, spec.deadlineS() != null);
   }
 
-  private boolean patient(JobSpec s, boolean due) {
-    if (s.isService() || !s.spot() || !due) {
+  private boolean mayWaitForSpot(JobSpec spec, boolean due) {
+    if (spec.isService() || !spec.spot() || !due) {
       return false;
     }
-    Double wait = cluster.policy.startObjectivesS().get(s.jobClass());
-    return wait == null || wait > PATIENT_BOOTS * BootTimes.slowestNominal(cluster);
+    Double startObjectiveS = cluster.policy.startObjectivesS().get(spec.jobClass());
+    return startObjectiveS == null
+        || startObjectiveS > SPOT_WAIT_BOOTS * BootTimes.slowestNominal(cluster);
   }
 
-  /** True if more than its deadline is wanted of the class: a first start, or an end, by a time. */
-  private boolean hurried(JobSpec s) {
-    return cluster.policy.startObjectivesS().containsKey(s.jobClass())
-        || cluster.policy.completionObjectivesS().containsKey(s.jobClass());
+  /** True if more than deadlines is wanted of the class: a first start, or an end, by a time. */
+  private boolean hasObjective(JobSpec spec) {
+    return cluster.policy.startObjectivesS().containsKey(spec.jobClass())
+        || cluster.policy.completionObjectivesS().containsKey(spec.jobClass());
   }
 
   /**
-   * By when the job's work should be done. Of hurried work that is the next wanted time that can
-   * still be met, and when none can, soon: an overdue job is to run as well, and must not wait on a
-   * fleet that is made smaller since nothing presses.
+   * Jobs that may wait for room to come free instead of preempting others' work for it: they have a
+   * deadline, with time left for their tasks to run once and half again, and nothing else is wanted
+   * of their class.
    */
-  private double dueAt(Job j, double estimate, double now) {
-    JobSpec s = j.spec;
-    double whole = j.dueAt();
-    if (!hurried(s)) {
-      return whole;
-    }
-    double next = now + PATIENT_S + DEADLINE_MARGIN_S + estimate * 0.5;
-    Double wait = cluster.policy.startObjectivesS().get(s.jobClass());
-    Double finish = cluster.policy.completionObjectivesS().get(s.jobClass());
-    double[] wanted = {
-      wait == null || j.open.isEmpty() ? whole : j.submittedAt + wait + estimate,
-      finish == null ? whole : j.submittedAt + finish,
-      whole
-    };
-    double due = Double.MAX_VALUE;
-    for (double w : wanted) {
-      if (w - now - DEADLINE_MARGIN_S > estimate) {
-        due = Math.min(due, w);
+  Set<Job> deferrable(double now) {
+    Set<Job> jobs = new HashSet<>();
+    for (Job job : cluster.jobs.values()) {
+      if (!job.waiting() || job.spec.isService() || !job.hasDue() || hasObjective(job.spec)) {
+        continue;
+      }
+      double latestEnd = job.dueAt() - DEADLINE_MARGIN_S;
+      if (now + estimates.estimate(job.spec) * DEFERRABLE_RUNS < latestEnd
+          && !QueueOrder.starved(job, now)) {
+        jobs.add(job);
       }
     }
-    return due == Double.MAX_VALUE ? next : due;
+    return jobs;
   }
 
-  private record Part(Job job, double due, double seconds, double estimate) {}
-
   /**
-   * Jobs that should wait for others of their team, so that as few as possible are late: where a
-   * team's limit or the fleet can't do everything in time, running by deadline alone makes one job
-   * late after the other. By deadline, whenever the sum is too long, the longest steps back.
+   * CPUs with which all work that may wait for spot machines would be in time. A job that can't be
+   * in time any more adds its work but does not press.
+   *
+   * @param yielding jobs that yield to teammates: their deadlines don't count
    */
-  Set<Job> steppingBack(double fleetCpus, double now) {
-    Map<String, List<Part>> teams = new HashMap<>();
-    for (Job j : cluster.jobs.values()) {
-      JobSpec s = j.spec;
-      if (!s.isService() && j.hasDue() && !j.stop && !j.suspect && !j.complete() && !j.blocked()) {
-        teams.computeIfAbsent(s.team(), t -> new ArrayList<>()).add(part(j, now));
+  double neededCpus(Set<Job> yielding, double now) {
+    double runningCpus = 0;
+    double totalWork = 0;
+    List<DueWork> pressing = new ArrayList<>();
+    Map<String, List<DueWork>> pressingByTeam = new HashMap<>();
+    for (Job job : cluster.jobs.values()) {
+      if (!mayWaitForSpot(job) || job.stop || job.suspect || job.blocked()) {
+        continue;
       }
-    }
-    Set<Job> back = new HashSet<>();
-    for (var e : teams.entrySet()) {
-      double rate = Math.min(fleetCpus, leftForArrays(e.getKey()));
-      if (rate > 0) {
-        stepBack(e.getValue(), rate, now, back);
+      JobSpec spec = job.spec;
+      DueWork due = dueWork(job, now);
+      totalWork += due.work();
+      runningCpus += job.claims.size() * spec.cpus();
+      if (hasObjective(spec) || !yielding.contains(job)) {
+        pressing.add(due);
+        pressingByTeam.computeIfAbsent(spec.team(), t -> new ArrayList<>()).add(due);
       }
     }
-    return back;
+    double withinLimits = cpusWithinTeamLimits(pressingByTeam, now);
+    double needed = Math.min(cpusToMeet(pressing, now), withinLimits);
+    return Math.max(needed, Math.min(runningCpus, totalWork / RELAXED_RUN_S)) / PACKING;
   }
 
-  /**
-   * Jobs that may wait for room to come free instead of stopping others' work for it: they have a
-   * deadline, with time left for their tasks to run once and half again, and nothing else is wanted
-   * of their class.
-   */
-  Set<Job> atLeisure(double now) {
-    Set<Job> jobs = new HashSet<>();
-    for (Job j : cluster.jobs.values()) {
-      if (!j.waiting() || j.spec.isService() || !j.hasDue() || hurried(j.spec)) {
-        continue;
-      }
-      double due = j.dueAt() - DEADLINE_MARGIN_S;
-      if (now + estimate(j.spec) * LEISURE_RUNS < due && !QueueOrder.waitingWins(j, now)) {
-        jobs.add(j);
-      }
+  private DueWork dueWork(Job job, double now) {
+    double estimate = estimates.estimate(job.spec);
+    double work = remainingWork(job, estimate, now);
+    if (hasObjective(job.spec)) {
+      work *= OBJECTIVE_WORK_FACTOR; // It has more than its deadline to meet.
     }
-    return jobs;
+    return new DueWork(dueAt(job, estimate, now), work, estimate);
   }
 
-  /** CPUs that a team's limit leaves beside its services; without a limit, any number. */
-  private double leftForArrays(String team) {
-    Team t = cluster.policy.team(team);
-    if (t == null || t.cpusMax() <= 0) {
-      return Double.MAX_VALUE;
+  /**
+   * By when the job's work should be done. Of a class with objectives that is the next of them that
+   * can still be met, and when none can, soon: an overdue job is to run as well, and must not wait
+   * on a fleet that is made smaller since nothing presses.
+   */
+  private double dueAt(Job job, double estimate, double now) {
+    double deadline = job.dueAt();
+    if (!hasObjective(job.spec)) {
+      return deadline;
     }
-    double left = t.cpusMax();
-    for (Job j : cluster.jobs.values()) {
-      if (j.spec.isService() && j.spec.team().equals(team)) {
-        left -= j.claims.size() * j.spec.cpus();
+    String jobClass = job.spec.jobClass();
+    Double startS = cluster.policy.startObjectivesS().get(jobClass);
+    Double completionS = cluster.policy.completionObjectivesS().get(jobClass);
+    double[] wantedEnds = {
+      startS == null || job.open.isEmpty() ? deadline : job.submittedAt + startS + estimate,
+      completionS == null ? deadline : job.submittedAt + completionS,
+      deadline
+    };
+    double next = Double.MAX_VALUE;
+    for (double end : wantedEnds) {
+      if (end - now - DEADLINE_MARGIN_S > estimate) {
+        next = Math.min(next, end);
       }
     }
-    return left;
-  }
-
-  private Part part(Job j, double now) {
-    double estimate = estimate(j.spec);
-    double due = j.dueAt() - DEADLINE_MARGIN_S;
-    return new Part(j, due, remaining(j, estimate, now), estimate);
+    double soon = now + RELAXED_RUN_S + DEADLINE_MARGIN_S + estimate * 0.5;
+    return next == Double.MAX_VALUE ? soon : next;
   }
 
-  private static double remaining(Job j, double estimate, double now) {
-    double work = j.open.cardinality() * estimate * j.spec.cpus();
-    for (Claim c : j.claims.values()) {
-      double ran = c.runningSince > 0 ? now - c.runningSince : 0;
-      work += Math.max(estimate - ran, estimate * 0.25) * j.spec.cpus();
+  /** The teams' needs summed up, each no more than its limit: more would stand idle. */
+  private double cpusWithinTeamLimits(Map<String, List<DueWork>> byTeam, double now) {
+    double sum = 0;
+    for (var teamWork : byTeam.entrySet()) {
+      double needed = cpusToMeet(teamWork.getValue(), now);
+      sum += Math.min(needed, limitLeftForArrays(teamWork.getKey()));
     }
-    return work;
+    return sum;
   }
 
-  private static void stepBack(List<Part> parts, double rate, double now, Set<Job> back) {
-    parts.sort(Comparator.comparingDouble(Part::due));
-    PriorityQueue<Part> taken =
-        new PriorityQueue<>(Comparator.comparingDouble((Part p) -> -p.seconds()));
+  /** CPUs with which the work of each deadline and all before it is done in time. */
+  private static double cpusToMeet(List<DueWork> dueWork, double now) {
+    dueWork.sort(Comparator.comparingDouble(DueWork::at));
     double work = 0;
-    for (Part p : parts) {
-      double span = p.job().dueAt() - p.job().acceptedAt;
-      if (now > p.due() + OVERDUE_SPANS * span) {
-        continue; // Stepped back for long enough: it goes first now.
-      }
-      taken.add(p);
-      work += p.seconds();
-      while (!taken.isEmpty() && now + work / rate + p.estimate() * 0.5 > p.due()) {
-        Part longest = taken.poll();
-        work -= longest.seconds();
-        back.add(longest.job());
-        if (longest == p) {
-          break;
-        }
+    double needed = 0;
+    for (DueWork due : dueWork) {
+      work += due.work();
+      // The last wave of tasks has to start this long before the deadline.
+      double slack = due.at() - now - due.estimate() * 0.5 - DEADLINE_MARGIN_S;
+      if (slack > due.estimate() * 0.5) {
+        needed = Math.max(needed, work / slack);
       }
     }
+    return needed;
   }
 
-  /**
-   * CPUs with which all patient work would be in time. A job that can't be in time any more adds
-   * its work but no hurry.
-   */
-  double neededCpus(Set<Job> back, double now) {
-    double running = 0;
-    List<Due> all = new ArrayList<>();
-    Map<String, List<Due>> byTeam = new HashMap<>();
-    double total = 0;
-    for (Job j : cluster.jobs.values()) {
-      JobSpec s = j.spec;
-      if (!patient(j) || j.stop || j.suspect || j.blocked()) {
-        continue;
-      }
-      double estimate = estimate(s);
-      double work = remaining(j, estimate, now);
-      if (hurried(s)) {
-        work *= HURRIED_WORK; // It has more than its deadline to meet.
-      }
-      total += work;
-      running += j.claims.size() * s.cpus();
-      if (hurried(s) || !back.contains(j)) {
-        Due d = new Due(dueAt(j, estimate, now), work, estimate);
-        all.add(d);
-        byTeam.computeIfAbsent(s.team(), t -> new ArrayList<>()).add(d);
-      }
+  /** CPUs that a team's limit leaves beside its services; without a limit, any number. */
+  double limitLeftForArrays(String teamName) {
+    Team team = cluster.policy.team(teamName);
+    if (team == null || team.cpusMax() <= 0) {
+      return Double.MAX_VALUE;
     }
-    double capped = 0;
-    for (var e : byTeam.entrySet()) {
-      // More than the team's limit leaves would stand idle.
-      capped += Math.min(press(e.getValue(), now), leftForArrays(e.getKey()));
+    double left = team.cpusMax();
+    for (Job job : cluster.jobs.values()) {
+      if (job.spec.isService() && job.spec.team().equals(teamName)) {
+        left -= job.claims.size() * job.spec.cpus();
+      }
     }
-    double need = Math.min(press(all, now), capped);
-    return Math.max(need, Math.min(running, total / PATIENT_S)) / PACKING;
+    return left;
   }
 
-  /** CPUs with which the work of each deadline and all before it is done in time. */
-  private static double press(List<Due> dues, double now) {
-    dues.sort(Comparator.comparingDouble(Due::at));
-    double sum = 0;
-    double need = 0;
-    for (Due d : dues) {
-      sum += d.work();
-      // The last wave of tasks has to start this long before the deadline.
-      double slack = d.at() - now - d.estimate() * 0.5 - DEADLINE_MARGIN_S;
-      if (slack > d.estimate() * 0.5) {
-        need = Math.max(need, sum / slack);
-      }
+  /**
+   * The work of the job that is not done yet, in CPU seconds.
+   *
+   * @param estimate expected run time of one task, in seconds
+   */
+  static double remainingWork(Job job, double estimate, double now) {
+    double work = job.open.cardinality() * estimate * job.spec.cpus();
+    for (Claim claim : job.claims.values()) {
+      double ran = claim.runningSince > 0 ? now - claim.runningSince : 0;
+      work += Math.max(estimate - ran, estimate * LEAST_REMAINING_SHARE) * job.spec.cpus();
     }
-    return need;
+    return work;
   }
 }
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -125,11 +125,11 @@
   }
 
   private boolean impatient(Job j) {
-    return !j.spec.isService() && !j.blocked() && !deadlines.patient(j);
+    return !j.spec.isService() && !j.blocked() && !deadlines.mayWaitForSpot(j);
   }
 
   private boolean impatient(JobSpec s) {
-    return !s.isService() && !deadlines.patient(s);
+    return !s.isService() && !deadlines.mayWaitForSpot(s);
   }
 
   private static double serviceCpus(Machine m) {
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -13,19 +13,22 @@
 final class FleetPlanner {
   private final ClusterState cluster;
   private final BootTimes boots;
+  private final RunTimeEstimates estimates = new RunTimeEstimates();
   private final Deadlines deadlines;
+  private final TeammateYielding teammateYielding;
   private final DemandHistory demand;
   private final ScaleOutPlanner scaleOut;
   private final FleetConsolidation consolidation;
   private final ScaleInPlanner scaleIn;
   private final ImageRecords images;
-  private Set<Job> stepBack = Set.of();
-  private Set<Job> atLeisure = Set.of();
+  private Set<Job> yieldingToTeammates = Set.of();
+  private Set<Job> deferrable = Set.of();
 
   FleetPlanner(ClusterState cluster, double now) {
     this.cluster = cluster;
     this.boots = new BootTimes(cluster, now);
-    this.deadlines = new Deadlines(cluster);
+    this.deadlines = new Deadlines(cluster, estimates);
+    this.teammateYielding = new TeammateYielding(cluster, deadlines, estimates);
     this.demand = new DemandHistory(cluster, now);
     this.scaleOut = new ScaleOutPlanner(cluster, boots, deadlines);
     this.consolidation = new FleetConsolidation(cluster, deadlines, demand, now);
@@ -38,19 +41,20 @@
     return 1 + Math.max(0, cluster.machines.size() - 1) / 1000;
   }
 
+  /** A job of this spec was submitted at that time (seconds on the leader's clock). */
   void onArrival(JobSpec spec, double at) {
     demand.onArrival(spec, at);
   }
 
   /** What an earlier leader remembered; jobs that are still live were counted already. */
-  void onDemand(Action.Demand d, double now) {
-    demand.onDemand(d, now);
+  void onDemand(Action.Demand remembered, double now) {
+    demand.onDemand(remembered, now);
   }
 
   /** A machine has sent its first heartbeat. */
-  void onUp(Machine m, double now) {
-    if (m.booting) {
-      boots.up(m, now);
+  void onUp(Machine machine, double now) {
+    if (machine.booting) {
+      boots.up(machine, now);
     }
   }
 
@@ -60,13 +64,13 @@
   }
 
   /** Expected run time of a task, in seconds. */
-  double estimate(JobSpec s) {
-    return deadlines.estimate(s);
+  double estimate(JobSpec spec) {
+    return estimates.estimate(spec);
   }
 
   /** A task of the spec has run to its end in so many seconds. */
   void onRan(JobSpec spec, double seconds) {
-    deadlines.onRan(spec, seconds);
+    estimates.onRan(spec, seconds);
   }
 
   /**
@@ -77,17 +81,17 @@
     scaleOut.onAnswer(id, names, noCapacity, now);
   }
 
-  /** Jobs that step back for others of their team, as of the last plan. */
-  Set<Job> steppingBack() {
-    return stepBack;
+  /** Jobs that yield to others of their team, as of the last plan. */
+  Set<Job> yieldingToTeammates() {
+    return yieldingToTeammates;
   }
 
-  /** Jobs that wait without harm as yet, as of the last plan. */
-  Set<Job> atLeisure() {
-    return atLeisure;
+  /** Jobs that may wait without harm as yet, as of the last plan. */
+  Set<Job> deferrable() {
+    return deferrable;
   }
 
-  /** Plans the fleet and adds the scale-out, scale-in and record actions to the world's out. */
+  /** Plans the fleet and adds the scale-out, scale-in and record actions to the cluster's out. */
   void plan(double now) {
     if (cluster.types.isEmpty()) {
       return;
@@ -95,19 +99,20 @@
     demand.forgetOld(now);
     boots.plan(now);
     List<PackingBin> bins = scaleOut.bins(now);
-    double there = scaleOut.cpusForArrays(bins);
-    stepBack = deadlines.steppingBack(there, now);
-    atLeisure = deadlines.atLeisure(now);
+    double availableCpus = scaleOut.cpusForArrays(bins);
+    yieldingToTeammates = teammateYielding.yielding(availableCpus, now);
+    deferrable = deadlines.deferrable(now);
     // Only what teams' limits make hopeless is left out: a fleet too small for the rest is to grow.
-    Set<Job> hopeless = deadlines.steppingBack(Double.MAX_VALUE, now);
-    double needed = deadlines.neededCpus(hopeless, now);
-    Set<Machine> keep = new HashSet<>();
-    Map<JobSpec, Integer> spare = demand.spareRoom(now);
-    Map<InstancePool, Integer> wanted =
-        scaleOut.pack(bins, spare, Math.max(0, needed - there), keep, now);
-    consolidation.close(there - needed, keep, now);
-    scaleOut.request(wanted, now);
-    scaleIn.scaleIn(keep, now);
+    Set<Job> hopeless = teammateYielding.yielding(Double.MAX_VALUE, now);
+    double neededCpus = deadlines.neededCpus(hopeless, now);
+    Set<Machine> spareRoomMachines = new HashSet<>();
+    Map<JobSpec, Integer> spareRoom = demand.spareRoom(now);
+    double missingCpus = Math.max(0, neededCpus - availableCpus);
+    Map<InstancePool, Integer> toRequest =
+        scaleOut.pack(bins, spareRoom, missingCpus, spareRoomMachines, now);
+    consolidation.close(availableCpus - neededCpus, spareRoomMachines, now);
+    scaleOut.request(toRequest, now);
+    scaleIn.scaleIn(spareRoomMachines, now);
     demand.keepDemand(now);
     images.keepImages(now);
   }
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -8,7 +8,7 @@
 /**
  * Placement rounds: in queue order, each waiting task takes the best fit of a few machines drawn
  * from those that send heartbeats, and where there is no room, work that may be preempted for it is
- * stopped.
+ * stopped. {@link JobPlacer} places the tasks of one job.
  */
 final class PlacementRound {
   /** Seconds for which a job that found no room waits while no room was given back. */
@@ -16,33 +16,47 @@
 
   /**
    * Seconds after its submission from which the first task of a job that has never begun takes the
-   * next room whatever its priority, for the same reason.
+   * next room whatever its priority.
    */
   private static final double MUST_BEGIN_S = 150;
 
-  private static final double PAUSE = NO_ROOM_PAUSE_S;
+  /** Whether only machines with the image count, for a rank that is placed in a single pass. */
+  private static final boolean[] ONE_PASS = {false};
+
+  /** The same for a rank of several jobs: machines with the image first, then all. */
+  private static final boolean[] WARM_PASS_FIRST = {true, false};
+
   private final ClusterState cluster;
-  private final RandomGenerator random;
-  private final PlacementRules rules;
   private final QuotaGate quota;
   private final QueueOrder order;
   private final CommitReservations reservations;
+  private final JobPlacer placer;
   private final Preemption preemption;
 
+  /**
+   * What all steps of one placement round share.
+   *
+   * @param usable all machines that may be given tasks
+   * @param withRoom those of them that may have room
+   * @param claims the new claims of the round so far
+   * @param now seconds on the leader's clock
+   */
+  record Context(List<Machine> usable, List<Machine> withRoom, List<Claim> claims, double now) {}
+
   PlacementRound(ClusterState cluster, RandomGenerator random) {
     this.cluster = cluster;
-    this.random = random;
-    this.rules = new PlacementRules(cluster);
+    PlacementRules rules = new PlacementRules(cluster);
     this.quota = new QuotaGate(cluster);
     this.order = new QueueOrder(cluster);
     this.reservations = new CommitReservations(cluster);
+    this.placer = new JobPlacer(cluster, random, rules, quota);
     this.preemption = new Preemption(cluster, rules, quota);
   }
 
-  /** What the last fleet plan found of the jobs that wait. */
-  void planned(Set<Job> steppingBack, Set<Job> waitingAtLeisure) {
-    order.steppingBack(steppingBack);
-    preemption.atLeisure(waitingAtLeisure);
+  /** Takes what the last fleet plan found of the jobs that wait. */
+  void planned(Set<Job> yieldingToTeammates, Set<Job> deferrable) {
+    order.yieldingToTeammates(yieldingToTeammates);
+    preemption.deferrable(deferrable);
   }
 
   /**
@@ -52,49 +66,73 @@
    */
   List<Claim> round(int changes, double now) {
     List<Claim> claims = new ArrayList<>();
-    List<QueueOrder.Entry> waiting = waiting(now);
-    if (waiting.isEmpty()) {
+    List<QueueOrder.Entry> queue = waiting(now);
+    if (queue.isEmpty()) {
       return claims;
     }
-    List<Machine> usable = new ArrayList<>();
-    for (Machine m : cluster.machines.values()) {
-      if (cluster.usable(m, now)) {
-        usable.add(m);
-      }
-    }
-    cluster.looked += cluster.machines.size();
-    waiting.sort(null);
-    quota.keepLimits(now);
-    reservations.reserve(waiting, now);
-    List<Machine> roomy = withRoom(usable, waiting);
-    int left = changes;
-    for (QueueOrder.Entry k : waiting) {
-      // On a fleet that work above it fills, a guest's job would not begin at all.
-      if (k.job.neverBegan() && now - k.job.submittedAt > MUST_BEGIN_S) {
-        left -= place(k.job, usable, roomy, false, 1, claims, now);
-      }
-    }
-    for (int from = 0, to; from < waiting.size(); from = to) {
-      to = from + 1;
-      while (to < waiting.size() && waiting.get(from).ranksWith(waiting.get(to))) {
-        to++;
-      }
-      left = placeRank(waiting.subList(from, to), left, usable, roomy, claims, now);
+    List<Machine> usable = usableMachines(now);
+    queue.sort(null);
+    quota.reserveForStarvedJobs(now);
+    reservations.reserve(queue, now);
+    Context context = new Context(usable, withRoom(usable, queue), claims, now);
+    int changesLeft = changes - startOverdueJobs(queue, context);
+    for (int from = 0, to; from < queue.size(); from = to) {
+      to = endOfRank(queue, from);
+      changesLeft = placeRank(queue.subList(from, to), changesLeft, context);
     }
-    preemption.makeRoom(waiting, usable, now);
+    preemption.makeRoom(queue, usable, now);
     return claims;
   }
 
   /** The jobs that wait, except those that found no room of late and nothing changed since. */
   private List<QueueOrder.Entry> waiting(double now) {
     order.beginRound(now);
-    List<QueueOrder.Entry> waiting = new ArrayList<>();
-    for (Job j : cluster.jobs.values()) {
-      if (j.waiting() && !(j.noRoomAt == cluster.roomVersion && now - j.noRoomSince < PAUSE)) {
-        waiting.add(order.entry(j, now));
+    List<QueueOrder.Entry> queue = new ArrayList<>();
+    for (Job job : cluster.jobs.values()) {
+      if (job.waiting() && !foundNoRoomOfLate(job, now)) {
+        queue.add(order.entry(job, now));
       }
     }
-    return waiting;
+    return queue;
+  }
+
+  private boolean foundNoRoomOfLate(Job job, double now) {
+    return job.noRoomAt == cluster.roomVersion && now - job.noRoomSince < NO_ROOM_PAUSE_S;
+  }
+
+  private List<Machine> usableMachines(double now) {
+    List<Machine> usable = new ArrayList<>();
+    for (Machine machine : cluster.machines.values()) {
+      if (cluster.usable(machine, now)) {
+        usable.add(machine);
+      }
+    }
+    cluster.looked += cluster.machines.size();
+    return usable;
+  }
+
+  /**
+   * Places the first task of each job that has waited longest, whatever its priority; returns the
+   * records changed. On a fleet that work above it fills, a guest's job would not begin at all.
+   */
+  private int startOverdueJobs(List<QueueOrder.Entry> queue, Context context) {
+    int changed = 0;
+    for (QueueOrder.Entry entry : queue) {
+      Job job = entry.job;
+      if (job.neverBegan() && context.now() - job.submittedAt > MUST_BEGIN_S) {
+        changed += placer.place(job, 1, false, context);
+      }
+    }
+    return changed;
+  }
+
+  /** The end (exclusive) of the run of entries from {@code from} with the same claim to room. */
+  private static int endOfRank(List<QueueOrder.Entry> queue, int from) {
+    int to = from + 1;
+    while (to < queue.size() && queue.get(from).ranksWith(queue.get(to))) {
+      to++;
+    }
+    return to;
   }
 
   /**
@@ -102,31 +140,26 @@
    * those whose image is there already: on a full fleet, slots come back a few at a time, and each
    * fetch leaves one idle. One that ranks alone takes the best machines first anyway.
    */
-  private int placeRank(
-      List<QueueOrder.Entry> rank,
-      int changesLeft,
-      List<Machine> usable,
-      List<Machine> roomy,
-      List<Claim> claims,
-      double now) {
-    int left = changesLeft;
+  private int placeRank(List<QueueOrder.Entry> rank, int changes, Context context) {
+    int changesLeft = changes;
     boolean alone = rank.size() == 1;
-    for (boolean warmOnly : alone ? new boolean[] {false} : new boolean[] {true, false}) {
-      for (QueueOrder.Entry k : rank) {
-        boolean service = k.job.spec.isService();
+    for (boolean warmOnly : alone ? ONE_PASS : WARM_PASS_FIRST) {
+      for (QueueOrder.Entry entry : rank) {
+        Job job = entry.job;
+        boolean service = job.spec.isService();
         if (service && !warmOnly && !alone) {
           continue; // Placed by the first pass, wherever there was room.
         }
-        boolean may = left > 0 || service;
-        int most =
-            Math.min(k.job.spec.batchCapacity(), reservations.unreserved(k.job, usable, claims));
-        left -= may ? place(k.job, usable, roomy, warmOnly && !service, most, claims, now) : 0;
-        if (!may) {
-          k.job.waitReason = "changes of the state service are used up for the moment";
+        int unreserved = reservations.unreserved(job, context.usable(), context.claims());
+        if (changesLeft <= 0 && !service) {
+          job.waitReason = "changes of the state service are used up for the moment";
+          continue;
         }
+        int mostTasks = Math.min(job.spec.batchCapacity(), unreserved);
+        changesLeft -= placer.place(job, mostTasks, warmOnly && !service, context);
       }
     }
-    return left;
+    return changesLeft;
   }
 
   /**
@@ -134,123 +167,18 @@
    * places, so nobody finds any on the others; on a busy fleet those are most, and each job that
    * waits would look at every one of them.
    */
-  private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> waiting) {
-    double least = Double.MAX_VALUE;
-    for (QueueOrder.Entry k : waiting) {
-      least = Math.min(least, k.job.need.cpus());
-    }
-    double smallest = least - Resources.SLACK;
-    List<Machine> roomy = new ArrayList<>();
-    for (Machine m : usable) {
-      if (m.room.cpus() - m.used.cpus() >= smallest) {
-        roomy.add(m);
-      }
-    }
-    return roomy;
-  }
-
-  /** The wait reason of a job that backs off after failures. */
-  private static String backingOff(Job j) {
-    return j.suspect
-        ? "it fails on every machine (" + j.failedOn.size() + "); tried again later"
-        : "backing off after failures";
-  }
-
-  /** The wait reason of a job of which no task may be placed in this round, or null. */
-  private String noneThisRound(Job j, int most, double now) {
-    if (most <= 0) {
-      j.noRoomAt = cluster.roomVersion;
-      j.noRoomSince = now;
-      return "room is kept for work above it";
-    }
-    if (j.claims.size() >= rules.mostTried(j)) {
-      return "a few of its tasks are tried first, since it may fail on every machine";
-    }
-    return null;
-  }
-
-  /**
-   * Places what it can of one job and returns how many records that changes.
-   *
-   * @param usable all machines that may be given tasks
-   * @param roomy those of them that may have room
-   */
-  private int place(
-      Job j,
-      List<Machine> usable,
-      List<Machine> roomy,
-      boolean warmOnly,
-      int most,
-      List<Claim> claims,
-      double now) {
-    if (j.notBefore > now) {
-      j.waitReason = backingOff(j);
-      return 0;
-    }
-    if (quota.obstructed(j)) {
-      return 0;
-    }
-    String none = noneThisRound(j, most, now);
-    if (none != null) {
-      j.waitReason = none;
-      return 0;
+  private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> queue) {
+    double leastCpus = Double.MAX_VALUE;
+    for (QueueOrder.Entry entry : queue) {
+      leastCpus = Math.min(leastCpus, entry.job.need.cpus());
     }
-    CandidateMachines fit = null;
-    int placed = 0;
-    int changed = 0;
-    Job.TaskBatch last = null;
-    for (int t = j.open.nextSetBit(0); t >= 0; t = j.open.nextSetBit(t + 1)) {
-      Job.TaskBatch taskBatch = j.taskBatches.get(j.spec.batchOf(t));
-      if (taskBatch != null && (taskBatch.inFlight || taskBatch.fullUntil > now)) {
-        j.waitReason =
-            taskBatch.inFlight
-                ? "a change of its slice is being committed"
-                : "its record is as large as the state service allows";
-        // Skip to the next task batch.
-        t = (j.spec.batchOf(t) + 1) * j.spec.batchCapacity() - 1;
-        continue;
-      }
-      if (!quota.limitAllows(j)) {
-        j.waitReason = quota.limitReason(j);
-        return changed;
-      }
-      if (fit == null) {
-        fit = new CandidateMachines(cluster, random, rules, j, roomy, warmOnly);
-      }
-      Machine m = fit.pick();
-      if (m != null && !m.warm(j.spec.image()) && fit.warmRoomCanBeMade(usable, now)) {
-        j.waitReason = "room is being made where its image is";
-        return changed;
+    double smallest = leastCpus - Resources.SLACK;
+    List<Machine> withRoom = new ArrayList<>();
+    for (Machine machine : usable) {
+      if (machine.room.cpus() - machine.used.cpus() >= smallest) {
+        withRoom.add(machine);
       }
-      if (m == null) {
-        noRoom(j, usable, warmOnly, now);
-        return changed;
-      }
-      Job.TaskBatch s = j.taskBatch(j.spec.batchOf(t));
-      int attempt = s.record.attempt(t - s.base) + 1;
-      Claim c = new Claim(j, t, attempt, m.name, m.session, now);
-      cluster.add(c, now);
-      claims.add(c);
-      changed += s == last ? 0 : 1;
-      last = s;
-      if (j.claims.size() >= rules.mostTried(j)) {
-        return changed;
-      }
-      if (++placed >= most) {
-        j.waitReason = "slice cap of a round";
-        return changed;
-      }
-    }
-    return changed;
-  }
-
-  /** Notes that no machine had room, unless only warm machines were looked at. */
-  private void noRoom(Job j, List<Machine> usable, boolean warmOnly, double now) {
-    if (warmOnly) {
-      return;
     }
-    j.waitReason = usable.isEmpty() ? "no machine reports" : "no room on an allowed machine";
-    j.noRoomAt = cluster.roomVersion;
-    j.noRoomSince = now;
+    return withRoom;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -14,73 +14,81 @@
     this.cluster = cluster;
   }
 
-  /** The static part of what a job allows. */
-  boolean allowed(Job j, Machine m) {
-    JobSpec s = j.spec;
-    return (s.types() == null || s.types().contains(m.type))
-        && (s.zone() == null || s.zone().equals(m.zone))
-        && (s.spot() || !m.spot)
-        && !m.closing
-        && !avoided(j, m);
+  /** The part that does not depend on where the job's other tasks are. */
+  boolean allowed(Job job, Machine machine) {
+    JobSpec spec = job.spec;
+    return (spec.types() == null || spec.types().contains(machine.type))
+        && (spec.zone() == null || spec.zone().equals(machine.zone))
+        && (spec.spot() || !machine.spot)
+        && !machine.closing
+        && !avoided(job, machine);
   }
 
   /**
    * Where a task of the job failed, unless that is most of the machines: a job must be tried on,
    * and on a small fleet no other may be left.
    */
-  private boolean avoided(Job j, Machine m) {
-    return j.failedOn.contains(m.name) && j.failedOn.size() * 2 < cluster.machines.size();
+  private boolean avoided(Job job, Machine machine) {
+    return job.failedOn.contains(machine.name) && job.failedOn.size() * 2 < cluster.machines.size();
   }
 
-  /** Tasks that may be claimed at once of a job that may be at fault: a look costs little. */
-  int mostTried(Job j) {
-    return j.suspect ? 1 : j.unsure ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
+  /**
+   * Tasks that may be claimed at once: few of a job that may be at fault, as trying costs little.
+   */
+  int mostTried(Job job) {
+    if (job.suspect) {
+      return 1;
+    }
+    return job.unsure ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
   }
 
   /** True if the job's tasks must stay in one zone or be spread over zones. */
-  static boolean zoned(Job j) {
-    return j.spec.oneZone() || j.spec.spread();
+  static boolean zoned(Job job) {
+    return job.spec.oneZone() || job.spec.spread();
   }
 
-  /** The part that depends on where the job's other tasks are, judged on claims. */
-  static boolean zoneAllowed(Job j, String zone) {
-    if (!zoned(j)) {
+  /**
+   * True if the zone may take one more task, given where the job's other tasks are. Judged on
+   * claims, not heartbeats.
+   */
+  static boolean zoneAllowed(Job job, String zone) {
+    if (!zoned(job)) {
       return true;
     }
-    int known = 0;
-    int here = 0;
-    for (var e : j.zoneClaims.entrySet()) {
-      known += e.getValue();
-      here += e.getKey().equals(zone) ? e.getValue() : 0;
+    int located = 0;
+    int inZone = 0;
+    for (var zoneCount : job.zoneClaims.entrySet()) {
+      located += zoneCount.getValue();
+      inZone += zoneCount.getKey().equals(zone) ? zoneCount.getValue() : 0;
     }
-    if (known != j.claims.size()) {
+    if (located != job.claims.size()) {
       return false; // A claim stands on a machine whose zone is not known yet.
     }
-    if (j.spec.oneZone() && here != known) {
+    if (job.spec.oneZone() && inZone != located) {
       return false;
     }
-    return !j.spec.spread() || here < j.spec.zoneLimit();
+    return !job.spec.spread() || inZone < job.spec.zoneLimit();
   }
 
   /**
    * True if the job should start sooner than its image can be fetched, and work that it may preempt
    * stands on a machine that has the image.
    */
-  boolean warmRoom(Job j, List<Machine> usable, double now) {
-    Double wait = cluster.policy.startObjectivesS().get(j.spec.jobClass());
-    if (wait == null || now - j.waitingSince > wait) {
+  boolean warmRoomCanBeMade(Job job, List<Machine> usable, double now) {
+    Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
+    if (startObjectiveS == null || now - job.waitingSince > startObjectiveS) {
       return false;
     }
     cluster.looked += usable.size();
-    for (Machine m : usable) {
-      MachineType t = cluster.types.get(m.type);
-      if (m.warm(j.spec.image())
-          && t != null
-          && t.fetchGbPerS() > 0
-          && j.spec.imageGb() / t.fetchGbPerS() > wait
-          && allowed(j, m)
-          && zoneAllowed(j, m.zone)
-          && canMakeRoom(j, m)) {
+    for (Machine machine : usable) {
+      MachineType type = cluster.types.get(machine.type);
+      if (machine.warm(job.spec.image())
+          && type != null
+          && type.fetchGbPerS() > 0
+          && job.spec.imageGb() / type.fetchGbPerS() > startObjectiveS
+          && allowed(job, machine)
+          && zoneAllowed(job, machine.zone)
+          && canMakeRoom(job, machine)) {
         return true;
       }
     }
@@ -88,15 +96,15 @@
   }
 
   /** True if room is on its way on the machine, or can be made at little loss. */
-  private static boolean canMakeRoom(Job j, Machine m) {
-    Resources room = m.free();
-    for (Claim c : m.claims.values()) {
-      boolean comes = c.stopAsked || c.phase == Claim.Phase.SETTLING;
-      boolean lower = c.phase == Claim.Phase.HELD && j.priority().beats(c.priority);
-      if (comes || lower) {
-        room = room.plus(c.room());
+  private static boolean canMakeRoom(Job job, Machine machine) {
+    Resources room = machine.free();
+    for (Claim claim : machine.claims.values()) {
+      boolean ending = claim.stopAsked || claim.phase == Claim.Phase.SETTLING;
+      boolean outranked = claim.phase == Claim.Phase.HELD && job.priority().beats(claim.priority);
+      if (ending || outranked) {
+        room = room.plus(claim.room());
       }
     }
-    return room.holds(j.need);
+    return room.holds(job.need);
   }
 }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -1,9 +1,6 @@
 package graderelay.core;
 
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.EnumMap;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -13,24 +10,15 @@
 /**
  * Makes room by preemption, after the placement of a round: stops work of lower priority, or work
  * that another team runs beyond its guarantee while the job is within its own, on as few machines
- * and with as little lost as possible.
+ * and with as little lost as possible. {@link PreemptionOffers} finds what stopping would cost.
  */
 final class Preemption {
   /**
-   * Seconds from a stop to the start in its place, without the time to save: the worker's report,
-   * the change that ends the claim, the next claim, its launch. Where saving doesn't leave as much
-   * of a wanted wait, the work is stopped at once; what has lost least is chosen.
+   * Seconds from a stop to the start in its place, without the time to save: the worker's
+   * heartbeat, the change that ends the claim, the next claim, its launch. Where saving doesn't
+   * leave as much of a start objective, the work is stopped at once; what has lost least is chosen.
    */
-  private static final double HURRY_S = 2;
-
-  /** Seconds of lost work that one image fetch is counted as when choosing whom to stop. */
-  private static final double COLD_COST_S = 20;
-
-  /**
-   * Seconds of lost work that each stop counts as, whatever it has done: the task's end, its next
-   * claim and its next end are changes of the state service, of which there are some tens a second.
-   */
-  private static final double STOP_COST_S = 4;
+  private static final double RESTART_S = 2;
 
   /** Share of the fleet that work of lower priority may have without being stopped for arrays. */
   private static final double SPARED_SHARE = 0.1;
@@ -38,21 +26,19 @@
   private final ClusterState cluster;
   private final PlacementRules rules;
   private final QuotaGate quota;
+  private final PreemptionOffers offers;
 
-  /** Jobs that can wait for room beyond their guarantee, see {@link Deadlines}. */
-  private Set<Job> atLeisure = Set.of();
-
-  /** What each team is about to lose already, so that nobody is pushed below its guarantee. */
-  private final Map<String, Resources> stopping = new HashMap<>();
+  /** Jobs that can wait for room beyond their guarantee, see {@link Deadlines#deferrable}. */
+  private Set<Job> deferrable = Set.of();
 
-  /** Whether what a priority outranks is little, worked out once a round. */
-  private final Map<Priority, Boolean> littleBelow = new EnumMap<>(Priority.class);
+  /** Whether what a priority outranks is too little to stop, worked out once a round. */
+  private final Map<Priority, Boolean> littleOutranked = new EnumMap<>(Priority.class);
 
   /**
    * Demands for which no room can be made in this round. A thousand jobs that wait differ in little
    * else than their names, and each would look at every machine and its claims.
    */
-  private final Set<Demand> fruitless = new HashSet<>();
+  private final Set<Demand> unsatisfiable = new HashSet<>();
 
   /** All that decides whether room can be made for a task, apart from what it would cost. */
   private record Demand(
@@ -63,243 +49,192 @@
       String zone,
       boolean spot) {
     /** Null for a job whose own claims and failures decide as well. */
-    static Demand of(Job j) {
-      JobSpec s = j.spec;
-      return s.oneZone() || s.spread() || !j.failedOn.isEmpty()
+    static Demand of(Job job) {
+      JobSpec spec = job.spec;
+      return spec.oneZone() || spec.spread() || !job.failedOn.isEmpty()
           ? null
-          : new Demand(s.team(), j.priority(), j.need, s.types(), s.zone(), s.spot());
+          : new Demand(
+              spec.team(), job.priority(), job.need, spec.types(), spec.zone(), spec.spot());
     }
   }
 
-  /** What it would take to make room on one machine: the claims to stop, and the loss. */
-  private record Offer(Machine machine, List<Claim> victims, double cost) {}
-
   Preemption(ClusterState cluster, PlacementRules rules, QuotaGate quota) {
     this.cluster = cluster;
     this.rules = rules;
     this.quota = quota;
+    this.offers = new PreemptionOffers(cluster, rules);
   }
 
-  /** Takes the jobs that wait at leisure as of the last fleet plan. */
-  void atLeisure(Set<Job> waitingAtLeisure) {
-    atLeisure = waitingAtLeisure;
+  /** Takes the deferrable jobs as of the last fleet plan. */
+  void deferrable(Set<Job> jobs) {
+    deferrable = jobs;
   }
 
   /** Makes room, in queue order, for each job of the round that still has open tasks. */
-  void makeRoom(List<QueueOrder.Entry> waiting, List<Machine> usable, double now) {
-    littleBelow.clear();
-    fruitless.clear();
-    stopping.clear();
-    for (Claim c : cluster.stopping) {
-      stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
-    }
-    for (QueueOrder.Entry k : waiting) {
-      Job j = k.job;
-      if (!j.open.isEmpty() && j.notBefore <= now) {
-        makeRoom(j, usable, now);
+  void makeRoom(List<QueueOrder.Entry> queue, List<Machine> usable, double now) {
+    littleOutranked.clear();
+    unsatisfiable.clear();
+    offers.beginRound();
+    for (QueueOrder.Entry entry : queue) {
+      Job job = entry.job;
+      if (!job.open.isEmpty() && job.notBefore <= now) {
+        makeRoom(job, usable, now);
       }
     }
   }
 
-  private void makeRoom(Job j, List<Machine> usable, double now) {
-    // What only waits for a change of its record may find room already.
-    int open = j.open.cardinality() - CommitReservations.blocked(cluster, j);
-    int wanted = Math.min(open, rules.mostTried(j) - j.claims.size()) - j.preempting;
-    boolean guaranteed = cluster.withinGuarantee(j.spec.team(), j.need);
-    if (wanted <= 0 || !(guaranteed || cluster.byPriority.hasBelow(j.priority()))) {
+  private void makeRoom(Job job, List<Machine> usable, double now) {
+    int tasks = tasksWithoutRoom(job);
+    boolean guaranteed = cluster.withinGuarantee(job.spec.team(), job.need);
+    if (tasks <= 0 || !(guaranteed || cluster.byPriority.hasBelow(job.priority()))) {
       return;
     }
-    if (cluster.admission.isStopped(j.spec.team()) || !quota.limitAllows(j)) {
+    if (cluster.admission.isStopped(job.spec.team()) || !quota.limitAllows(job)) {
       return;
     }
-    if (!guaranteed && atLeisure.contains(j)) {
+    if (!guaranteed && deferrable.contains(job)) {
       // Each task of it may cost dozens of small ones their work, and two changes each.
       return;
     }
-    Demand demand = Demand.of(j);
-    if (fruitless.contains(demand) || spares(j, guaranteed, usable, now)) {
+    Demand demand = Demand.of(job);
+    if (unsatisfiable.contains(demand) || (!guaranteed && sparesOutranked(job, usable, now))) {
       return;
     }
-    preempt(j, wanted, guaranteed, demand, usable, now);
+    boolean roomMade = new RoomSearch(job, guaranteed, usable, now).preemptFor(tasks);
+    if (!roomMade && demand != null) {
+      unsatisfiable.add(demand); // Others only take away what might be stopped.
+    }
+  }
+
+  /** Open tasks of the job for which room should be made; none or less means no task. */
+  private int tasksWithoutRoom(Job job) {
+    // What only waits for a change of its record may find room already.
+    int open = job.open.cardinality() - CommitReservations.awaitingCommit(cluster, job);
+    return Math.min(open, rules.mostTried(job) - job.claims.size()) - job.preempting;
   }
 
-  /** Stops the cheapest offers, one task's room at a time, for up to {@code wanted} tasks. */
-  private void preempt(
-      Job j, int wanted, boolean guaranteed, Demand demand, List<Machine> usable, double now) {
-    boolean zoned = PlacementRules.zoned(j);
-    boolean any = false;
-    Resources promised = Resources.NONE;
-    boolean within = false;
-    PriorityQueue<Offer> offers = null;
-    while (wanted-- > 0) {
-      promised = promised.plus(j.need);
-      if (!cluster.withinLimit(j.spec.team(), promised)) {
-        return;
+  /** The search for claims to stop for one job, one task's room at a time. */
+  private final class RoomSearch {
+    private final Job job;
+    private final boolean guaranteed;
+    private final List<Machine> usable;
+    private final double now;
+
+    /** Whether the next task keeps the job's team within its guarantee, as of the last offers. */
+    private boolean withinGuarantee;
+
+    /** Cheapest first; null before the first task. */
+    private PriorityQueue<PreemptionOffers.Offer> byCost;
+
+    private RoomSearch(Job job, boolean guaranteed, List<Machine> usable, double now) {
+      this.job = job;
+      this.guaranteed = guaranteed;
+      this.usable = usable;
+      this.now = now;
+    }
+
+    /**
+     * Stops the cheapest claims for up to this many tasks. Returns false if the machines can't make
+     * room for a single one; a quota that allows no more is no reason for that.
+     */
+    boolean preemptFor(int tasks) {
+      Resources planned = Resources.NONE;
+      for (int made = 0; made < tasks; made++) {
+        planned = planned.plus(job.need);
+        if (!cluster.withinLimit(job.spec.team(), planned)) {
+          return true;
+        }
+        refreshOffers(planned);
+        PreemptionOffers.Offer best = cheapestOffer();
+        if (best == null) {
+          return made > 0;
+        }
+        stop(best.claims(), job, now);
+        PreemptionOffers.Offer next = offers.offer(job, best.machine(), withinGuarantee, now);
+        if (next != null) {
+          byCost.add(next);
+        }
       }
-      boolean still = guaranteed && cluster.withinGuarantee(j.spec.team(), promised);
-      if (offers == null || still != within) {
-        within = still;
-        offers = offers(j, usable, within, now);
+      return true;
+    }
+
+    /** Looks at all machines for the first task, and again once the guarantee is used up. */
+    private void refreshOffers(Resources planned) {
+      boolean within = guaranteed && cluster.withinGuarantee(job.spec.team(), planned);
+      if (byCost == null || within != withinGuarantee) {
+        withinGuarantee = within;
+        byCost = offers.offers(job, usable, within, now);
       }
-      Offer best = null;
-      while (best == null && !offers.isEmpty()) {
-        Offer o = offers.poll();
-        if (zoned && !PlacementRules.zoneAllowed(j, o.machine().zone)) {
+    }
+
+    /** Takes out and returns the cheapest offer that still stands, or null. */
+    private PreemptionOffers.Offer cheapestOffer() {
+      boolean zoned = PlacementRules.zoned(job);
+      PreemptionOffers.Offer best = null;
+      while (best == null && !byCost.isEmpty()) {
+        PreemptionOffers.Offer offer = byCost.poll();
+        if (zoned && !PlacementRules.zoneAllowed(job, offer.machine().zone)) {
           continue;
         }
         // What others were told to give up since may have brought a team down to its guarantee.
-        best = within ? offer(j, o.machine(), true, now) : o;
-      }
-      if (best == null) {
-        if (!any && demand != null) {
-          fruitless.add(demand); // Others only take away what might be stopped.
-        }
-        return;
-      }
-      any = true;
-      stop(best.victims(), j, now);
-      Offer again = offer(j, best.machine(), within, now);
-      if (again != null) {
-        offers.add(again);
+        best = withinGuarantee ? offers.offer(job, offer.machine(), true, now) : offer;
       }
+      return best;
     }
   }
 
   /**
    * True if what the job outranks is so little that it is spared: on a full fleet, a swarm of small
    * long tasks was stopped again and again, dozens for each start, got nothing done in minutes, and
-   * every stop is two more changes of the state service. An array takes the next room instead.
+   * every stop is two more changes of the store. An array takes the next room instead.
    */
-  private boolean spares(Job j, boolean guaranteed, List<Machine> usable, double now) {
-    return !guaranteed
-        && !j.spec.isService()
-        && !QueueOrder.waitingWins(j, now)
-        && littleBelow.computeIfAbsent(j.priority(), p -> littleBelow(p, usable));
+  private boolean sparesOutranked(Job job, List<Machine> usable, double now) {
+    return !job.spec.isService()
+        && !QueueOrder.starved(job, now)
+        && littleOutranked.computeIfAbsent(job.priority(), p -> littleOutranked(p, usable));
   }
 
-  private boolean littleBelow(Priority priority, List<Machine> usable) {
-    double all = 0;
-    for (Machine m : usable) {
-      all += m.room.cpus();
+  private boolean littleOutranked(Priority priority, List<Machine> usable) {
+    double fleetCpus = 0;
+    for (Machine machine : usable) {
+      fleetCpus += machine.room.cpus();
     }
-    double below = 0;
-    for (Job o : cluster.jobs.values()) {
-      if (priority.beats(o.priority())) {
-        below += o.claims.size() * o.spec.cpus();
+    double outrankedCpus = 0;
+    for (Job other : cluster.jobs.values()) {
+      if (priority.beats(other.priority())) {
+        outrankedCpus += other.claims.size() * other.spec.cpus();
       }
     }
     cluster.looked += usable.size();
-    return below <= all * SPARED_SHARE;
-  }
-
-  private PriorityQueue<Offer> offers(Job j, List<Machine> usable, boolean within, double now) {
-    PriorityQueue<Offer> offers = new PriorityQueue<>(Comparator.comparingDouble(Offer::cost));
-    cluster.looked += usable.size();
-    for (Machine m : usable) {
-      boolean any = within ? !m.claims.isEmpty() : m.byPriority.hasBelow(j.priority());
-      if (any && rules.allowed(j, m) && PlacementRules.zoneAllowed(j, m.zone)) {
-        Offer o = offer(j, m, within, now);
-        if (o != null) {
-          offers.add(o);
-        }
-      }
-    }
-    return offers;
-  }
-
-  private Offer offer(Job j, Machine m, boolean within, double now) {
-    List<Claim> victims = victims(j, m, j.need, within, now);
-    if (victims == null) {
-      return null;
-    }
-    double cost = m.warm(j.spec.image()) ? 0 : COLD_COST_S;
-    for (Claim c : victims) {
-      cost += lost(c, now) + STOP_COST_S;
-    }
-    return new Offer(m, victims, cost);
+    return outrankedCpus <= fleetCpus * SPARED_SHARE;
   }
 
-  private void stop(List<Claim> victims, Job j, double now) {
+  /** Stops the claims to make room for one task of the job; the first counts as made for it. */
+  private void stop(List<Claim> claims, Job job, double now) {
+    Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     boolean first = true;
-    Double wait = cluster.policy.startObjectivesS().get(j.spec.jobClass());
-    for (Claim c : victims) {
-      boolean hurry =
-          j.priority().beats(c.priority) && wait != null && wait < c.job.spec.saveS() + HURRY_S;
-      cluster.askStop(c, now);
-      stopping.merge(c.job.spec.team(), c.room(), Resources::plus);
-      c.hardStop = hurry;
+    for (Claim claim : claims) {
+      boolean noTimeToSave =
+          job.priority().beats(claim.priority)
+              && startObjectiveS != null
+              && startObjectiveS < claim.job.spec.saveS() + RESTART_S;
+      cluster.askStop(claim, now);
+      offers.stopped(claim);
+      claim.hardStop = noTimeToSave;
       if (first) {
-        c.madeFor = j;
-        j.preempting++;
+        claim.madeFor = job;
+        job.preempting++;
         first = false;
       }
       cluster.note(
           "preempt "
-              + c.taskId()
+              + claim.taskId()
               + " attempt "
-              + c.attempt
+              + claim.attempt
               + " on "
-              + c.machine
+              + claim.machine
               + " for "
-              + j.spec.id());
-    }
-  }
-
-  /** Run time that is lost when a claim is stopped, weighted by its CPUs. */
-  private static double lost(Claim c, double now) {
-    if (c.stage != Heartbeat.Stage.RUNNING) {
-      return 0.5;
+              + job.spec.id());
     }
-    double ran = now - c.stageSince;
-    double every = c.job.spec.checkpointS();
-    return (every > 0 ? ran % every : ran) * c.job.spec.cpus() / 4 + 1;
-  }
-
-  /** The cheapest claims whose end makes room on the machine, or null if that is not possible. */
-  private List<Claim> victims(Job j, Machine m, Resources need, boolean within, double now) {
-    Resources free = m.free();
-    List<Claim> can = new ArrayList<>();
-    cluster.looked += m.claims.size();
-    for (Claim c : m.claims.values()) {
-      if (c.stopAsked || c.phase == Claim.Phase.SETTLING) {
-        // Its room comes back soon, but it is promised to whom it was stopped for, if anybody.
-        if (c.madeFor == null) {
-          free = free.plus(c.room());
-        }
-        continue;
-      }
-      if (c.phase == Claim.Phase.HELD && preemptible(j, c, within)) {
-        can.add(c);
-      }
-    }
-    if (free.holds(need)) {
-      return null; // Room is on its way already.
-    }
-    can.sort(
-        Comparator.<Claim, Priority>comparing(c -> c.priority)
-            .reversed()
-            .thenComparingDouble(c -> lost(c, now)));
-    List<Claim> chosen = new ArrayList<>();
-    for (Claim c : can) {
-      chosen.add(c);
-      free = free.plus(c.room());
-      if (free.holds(need)) {
-        return chosen;
-      }
-    }
-    return null;
-  }
-
-  /** True if the claim is of lower priority, or borrowed beyond another team's guarantee. */
-  private boolean preemptible(Job j, Claim c, boolean within) {
-    JobSpec v = c.job.spec;
-    boolean lower = j.priority().beats(c.priority);
-    Resources gone = stopping.getOrDefault(v.team(), Resources.NONE).plus(c.room());
-    boolean borrowed =
-        within
-            && !v.team().equals(j.spec.team())
-            && !v.isService()
-            && cluster.beyondGuarantee(v.team(), gone);
-    return lower || borrowed;
   }
 }
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -6,69 +6,71 @@
 
 /**
  * The quota side of a placement round: whether a team's limit has room for one more task, with room
- * kept for the first task of the job that goes first below the stored limit, and why not.
+ * reserved for the first task of a starved job below the stored limit, and why not.
  */
 final class QuotaGate {
   private final ClusterState cluster;
 
-  /** By team, the job for whose first task room is kept below the team's stored limit. */
-  private final Map<String, Job> limitKept = new HashMap<>();
+  /** By team, the starved job for whose first task room is reserved below the team's limit. */
+  private final Map<String, Job> reservedFor = new HashMap<>();
 
   QuotaGate(ClusterState cluster) {
     this.cluster = cluster;
   }
 
   /**
-   * Chooses, once a round, the job of each team for which room is kept. A job as large as its
+   * Chooses, once a round, the job of each team for which room is reserved. A job as large as its
    * team's limit would never begin beside a stream of small ones, each of which takes what the last
    * one gave back.
    */
-  void keepLimits(double now) {
-    limitKept.clear();
+  void reserveForStarvedJobs(double now) {
+    reservedFor.clear();
     if (!cluster.admission.enabled()) {
       return;
     }
-    for (Job j : cluster.jobs.values()) {
-      if (j.waiting()
-          && QueueOrder.waitingWins(j, now)
-          && cluster.admission.allows(j.spec.team(), j.amount)) {
-        limitKept.merge(j.spec.team(), j, QuotaGate::goesBefore);
+    for (Job job : cluster.jobs.values()) {
+      if (job.waiting()
+          && QueueOrder.starved(job, now)
+          && cluster.admission.allows(job.spec.team(), job.amount)) {
+        reservedFor.merge(job.spec.team(), job, QuotaGate::goesBefore);
       }
     }
   }
 
+  /** The one of two jobs that the queue puts first: by priority, then by age. */
   private static Job goesBefore(Job a, Job b) {
     int order = a.priority().compareTo(b.priority());
     boolean first = order != 0 ? order < 0 : a.submittedAt <= b.submittedAt;
     return first ? a : b;
   }
 
-  /** True if the team's limit has room for one more task beside what is kept below it. */
-  boolean limitAllows(Job j) {
-    Job kept = limitKept.get(j.spec.team());
-    boolean keeps = kept != null && kept != j && !j.priority().beats(kept.priority());
-    return cluster.withinLimit(j.spec.team(), keeps ? j.need.plus(kept.need) : j.need);
+  /** True if the team's limit has room for one more task beside what is reserved. */
+  boolean limitAllows(Job job) {
+    Job starved = reservedFor.get(job.spec.team());
+    boolean reserves =
+        starved != null && starved != job && !job.priority().beats(starved.priority());
+    return cluster.withinLimit(job.spec.team(), reserves ? job.need.plus(starved.need) : job.need);
   }
 
   /** The wait reason for a job that {@link #limitAllows} refused. */
-  String limitReason(Job j) {
-    String team = j.spec.team();
-    if (!cluster.admission.allows(team, j.amount)) {
-      return "a task needs " + j.amount + ", which the stored limits of team " + team + " forbid";
+  String limitReason(Job job) {
+    String team = job.spec.team();
+    if (!cluster.admission.allows(team, job.amount)) {
+      return "a task needs " + job.amount + ", which the stored limits of team " + team + " forbid";
     }
     return "team " + team + " is at its limit";
   }
 
   /** True if nothing of the job's team may be claimed at the moment; sets its wait reason. */
-  boolean obstructed(Job j) {
-    Obstacle obstacle = cluster.admission.obstacle(j.spec.team());
+  boolean obstructed(Job job) {
+    Obstacle obstacle = cluster.admission.obstacle(job.spec.team());
     if (obstacle == null) {
       return false;
     }
     if (obstacle.passing()) {
-      cluster.admission.wantSettled(j.spec.team());
+      cluster.admission.wantSettled(job.spec.team());
     }
-    j.waitReason = obstacle.reason();
+    job.waitReason = obstacle.reason();
     return true;
   }
 }
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -212,7 +212,7 @@
     int left = fillBins(s, n, zones, bins, keep);
     Resources need = Resources.of(s);
     while (left > 0) {
-      boolean patient = deadlines.patient(s);
+      boolean patient = deadlines.mayWaitForSpot(s);
       InstancePool p = pools.cheapest(s, left, zones, patient && onDemandCpusLeft <= 0, now);
       if (p == null) {
         return;
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -83,7 +83,7 @@
       lastPlan = now;
       cluster.dependencies.look(now);
       planner.plan(now);
-      placement.planned(planner.steppingBack(), planner.atLeisure());
+      placement.planned(planner.yieldingToTeammates(), planner.deferrable());
     }
   }
 
