--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -13,175 +12,145 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which jobs wait for which. A job is claimed only once the committed final record of each job that
- * it needs says done; such a record never changes, so no claim can be too early, whoever owns the
- * fleet. A job that needs a cancelled one is cancelled with it: it can't have begun, so this is a
- * matter of records alone, which are written in their own time.
+ * DAG dependencies between jobs: which wait for which. A job is claimed only once the committed
+ * final record of each of its dependencies says done; such a record never changes, so no claim can
+ * be too early, whoever leads. A job that depends on a cancelled one is cancelled with it: it can't
+ * have begun, so this is a matter of records alone, which are written in their own time.
  */
 final class Dependencies {
-  /**
-   * Seconds between the end of a job and the start of one that needs it: report, changes, image.
-   */
-  private static final double STAGE_S = 4;
-
-  /** Seconds between questions for the final record of a needed job that nobody has seen end. */
-  private static final double FIND_ENDS_EVERY_S = 2;
+  /** Seconds between questions for the final record of a dependency that nobody has seen end. */
+  private static final double FETCH_EVERY_S = 2;
 
   /** Final records asked for at once, a batch. */
-  private static final int MOST_FOUND = 200;
+  private static final int MOST_FETCHED = 200;
 
   private final ClusterState cluster;
-  private final ToDoubleFunction<JobSpec> estimate;
+  private final DependencyUrgency urgency;
 
-  /** Live jobs by a job that they wait for. */
+  /** Live jobs by the id of a job that they wait for. */
   private final Map<String, Set<Job>> dependents = new HashMap<>();
 
-  /** Needed jobs that are not live here, and when their final records were last asked for. */
-  private final Map<String, Double> missing = new LinkedHashMap<>();
+  /**
+   * Dependencies that are not live here, and when their final records were last asked for, in
+   * seconds on the leader's clock.
+   */
+  private final Map<String, Double> unresolved = new LinkedHashMap<>();
 
+  /**
+   * Makes the graph of a new leader.
+   *
+   * @param estimate expected run time of a task, in seconds
+   */
   Dependencies(ClusterState cluster, ToDoubleFunction<JobSpec> estimate) {
     this.cluster = cluster;
-    this.estimate = estimate;
+    this.urgency = new DependencyUrgency(cluster, estimate);
   }
 
-  /** A job has come. Returns the jobs that are cancelled with one that they need. */
-  List<Job> added(Job j) {
-    missing.remove(j.spec.id());
+  /** A job has come. Returns the jobs that are cancelled with one that they depend on. */
+  List<Job> added(Job job) {
+    unresolved.remove(job.spec.id());
     boolean cancelled = false;
-    for (String need : j.needed) {
-      dependents.computeIfAbsent(need, n -> new LinkedHashSet<>()).add(j);
-      Job n = cluster.jobs.get(need);
-      if (n == null) {
-        missing.putIfAbsent(need, Double.NEGATIVE_INFINITY);
+    for (String id : job.needed) {
+      dependents.computeIfAbsent(id, key -> new LinkedHashSet<>()).add(job);
+      Job dependency = cluster.jobs.get(id);
+      if (dependency == null) {
+        unresolved.putIfAbsent(id, Double.NEGATIVE_INFINITY);
       }
-      cancelled |= n != null && n.stop;
+      cancelled |= dependency != null && dependency.stop;
     }
-    for (Job d : dependents.getOrDefault(j.spec.id(), Set.of())) {
-      press(d);
+    for (Job dependent : dependents.getOrDefault(job.spec.id(), Set.of())) {
+      urgency.propagate(dependent);
     }
-    press(j);
-    return cancelled ? withDependents(Set.of(j)) : List.of();
+    urgency.propagate(job);
+    return cancelled ? withDependents(Set.of(job)) : List.of();
   }
 
-  /** Priority and deadline of a job act on those that it needs, through all levels. */
-  private void press(Job last) {
-    Deque<Job> next = new ArrayDeque<>();
-    next.add(last);
-    while (!next.isEmpty()) {
-      Job d = next.poll();
-      double by = d.dueAt() - estimate.applyAsDouble(d.spec) - STAGE_S;
-      for (String need : d.needed) {
-        Job n = cluster.jobs.get(need);
-        if (n == null) {
-          continue;
-        }
-        boolean sooner = by < n.neededBy;
-        n.neededBy = Math.min(n.neededBy, by);
-        if (n.raise(d.wanted()) | sooner) {
-          next.add(n);
-        }
-      }
-    }
-  }
-
-  /** These jobs and all that need them, directly or through others, that are not stopped yet. */
+  /** These jobs and all that depend on them, at any depth, that are not stopped yet. */
   private List<Job> withDependents(Set<Job> first) {
     Set<Job> all = new LinkedHashSet<>();
     Deque<Job> next = new ArrayDeque<>(first);
     while (!next.isEmpty()) {
-      Job j = next.poll();
-      if (!j.stop && all.add(j)) {
-        next.addAll(dependents.getOrDefault(j.spec.id(), Set.of()));
+      Job job = next.poll();
+      if (!job.stop && all.add(job)) {
+        next.addAll(dependents.getOrDefault(job.spec.id(), Set.of()));
       }
     }
     return List.copyOf(all);
   }
 
-  /** A job was cancelled: those that are cancelled with it. */
+  /** A job was cancelled. Returns the jobs that are cancelled with it. */
   List<Job> cancelledWith(String id) {
     return withDependents(dependents.getOrDefault(id, Set.of()));
   }
 
-  /** A job's final record says that it is done. Returns the jobs that wait for no other. */
+  /**
+   * A job's final record says that it is done. Returns the jobs that now wait for no other.
+   *
+   * @param at when it ended, in seconds on the leader's clock
+   */
   List<Job> done(String id, double at) {
-    missing.remove(id);
+    unresolved.remove(id);
     Set<Job> waiting = dependents.remove(id);
     List<Job> ready = new ArrayList<>();
-    for (Job d : waiting == null ? Set.<Job>of() : waiting) {
-      d.needed.remove(id);
-      d.neededUntil = Math.max(d.neededUntil, at);
-      if (d.needed.isEmpty() && !d.stop) {
-        ready.add(d);
+    for (Job dependent : waiting == null ? Set.<Job>of() : waiting) {
+      dependent.needed.remove(id);
+      dependent.neededUntil = Math.max(dependent.neededUntil, at);
+      if (dependent.needed.isEmpty() && !dependent.stop) {
+        ready.add(dependent);
       }
     }
     return ready;
   }
 
-  /** A job's final record says that it is cancelled. Returns the jobs that are so with it. */
+  /** A job's final record says that it is cancelled. Returns the jobs cancelled with it. */
   List<Job> cancelled(String id) {
-    missing.remove(id);
+    unresolved.remove(id);
     List<Job> all = cancelledWith(id);
     dependents.remove(id);
     return all;
   }
 
-  private void press(Job j, double now) {
-    Double wantedWaitS = cluster.policy.startObjectivesS().get(j.spec.jobClass());
-    j.press(estimate.applyAsDouble(j.spec), wantedWaitS, now);
-  }
-
-  /** Looks which of the needed jobs press; to be called now and then. */
-  void look(double now) {
+  /** Works out anew which dependencies are urgent; to be called now and then. */
+  void updateUrgency(double now) {
     for (String id : dependents.keySet()) {
-      Job j = cluster.jobs.get(id);
-      if (j != null) {
-        press(j, now);
+      Job dependency = cluster.jobs.get(id);
+      if (dependency != null) {
+        urgency.update(dependency, now);
       }
     }
   }
 
-  /** The same for those that a job which has just come needs, each once, through all levels. */
-  void look(Job j, double now) {
-    Set<Job> seen = new HashSet<>();
-    Deque<Job> next = new ArrayDeque<>();
-    next.add(j);
-    while (!next.isEmpty()) {
-      for (String need : next.poll().needed) {
-        Job n = cluster.jobs.get(need);
-        if (n != null && seen.add(n)) {
-          press(n, now);
-          next.add(n);
-        }
-      }
-    }
+  /** The same for the dependencies of a job that has just come, at any depth. */
+  void updateUrgency(Job job, double now) {
+    urgency.updateDependenciesOf(job, now);
   }
 
-  /** True if somebody waits for this job. */
-  boolean needed(String id) {
+  /** True if a job that is known here waits for this one. */
+  boolean hasDependents(String id) {
     return dependents.containsKey(id);
   }
 
-  /** The job's record is gone: what its final record says is to be found out if it is needed. */
-  void gone(Job j) {
-    for (String need : j.needed) {
-      Set<Job> others = dependents.get(need);
-      if (others != null && others.remove(j) && others.isEmpty()) {
-        dependents.remove(need);
-        missing.remove(need);
+  /** The job's record is gone; if another job waits for it, its final record has to be fetched. */
+  void removed(Job job) {
+    for (String id : job.needed) {
+      Set<Job> others = dependents.get(id);
+      if (others != null && others.remove(job) && others.isEmpty()) {
+        dependents.remove(id);
+        unresolved.remove(id);
       }
     }
-    if (needed(j.spec.id())) {
-      missing.put(j.spec.id(), Double.NEGATIVE_INFINITY);
+    if (hasDependents(job.spec.id())) {
+      unresolved.put(job.spec.id(), Double.NEGATIVE_INFINITY);
     }
   }
 
-  /** The needed jobs whose final records should be asked for now. */
-  List<String> toFind(double now) {
+  /** The jobs whose final records should be fetched from the store now. */
+  List<String> finalRecordsToFetch(double now) {
     List<String> ids = new ArrayList<>();
-    for (var e : missing.entrySet()) {
-      if (now - e.getValue() > FIND_ENDS_EVERY_S && ids.size() < MOST_FOUND) {
-        e.setValue(now);
-        ids.add(e.getKey());
+    for (var entry : unresolved.entrySet()) {
+      if (now - entry.getValue() > FETCH_EVERY_S && ids.size() < MOST_FETCHED) {
+        entry.setValue(now);
+        ids.add(entry.getKey());
       }
     }
     return ids;
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -30,7 +30,7 @@
         planner.onArrival(spec, submittedAt);
       }
       cluster.dependencies.added(j).forEach(d -> cancelWithNeeded(d, now));
-      cluster.dependencies.look(j, now);
+      cluster.dependencies.updateUrgency(j, now);
       // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
     } else if (revision > j.revision) {
@@ -78,7 +78,7 @@
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   void onEnd(String job, boolean cancelled, double at, double now) {
-    if (!cluster.dependencies.needed(job)) {
+    if (!cluster.dependencies.hasDependents(job)) {
       return;
     }
     if (cancelled) {
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -71,7 +71,7 @@
 
   /** Asks the store for the final records of DAG dependencies whose end is not known yet. */
   private void askForEnds(double now) {
-    List<String> find = cluster.dependencies.toFind(now);
+    List<String> find = cluster.dependencies.finalRecordsToFetch(now);
     if (!find.isEmpty()) {
       cluster.out.add(new Action.FindEnds(find));
     }
@@ -81,7 +81,7 @@
   private void planIfDue(double now) {
     if (now - lastPlan >= PLAN_EVERY_S && !cluster.loading) {
       lastPlan = now;
-      cluster.dependencies.look(now);
+      cluster.dependencies.updateUrgency(now);
       planner.plan(now);
       placement.planned(planner.yieldingToTeammates(), planner.deferrable());
     }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -134,7 +134,7 @@
     }
     cluster.jobs.remove(j.spec.id());
     cluster.admission.committed().removeJob(j.spec.id());
-    cluster.dependencies.gone(j);
+    cluster.dependencies.removed(j);
     cluster.stopped.remove(j);
     cluster.maybeOver.remove(j);
     cluster.dirty = true;
