--- a/src/main/java/graderelay/core/JobSpec.java
+++ b/src/main/java/graderelay/core/JobSpec.java
@@ -6,10 +6,25 @@
  * The terms of a job as its user gave them. They never change after acceptance, so a claim that was
  * decided on them stays valid until the record itself changes.
  *
+ * @param id the name of the job
+ * @param jobClass the class of jobs that share objectives and typical run times
+ * @param team the team whose quota it counts against
+ * @param tasks tasks of an array, or replicas of a service
+ * @param cpus CPUs that each task needs
+ * @param gpus GPUs that each task needs
+ * @param memGb memory that each task needs, in gigabytes
+ * @param image the image that each task runs
+ * @param imageGb size of that image, in gigabytes
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
+ * @param oneZone whether all tasks have to be in one zone
+ * @param spread whether tasks have to be spread over zones
+ * @param spot whether tasks may run on spot instances
+ * @param estimateS the user's estimate of a task's run time in seconds, 0 if there is none
+ * @param checkpointS seconds between checkpoints of a task, 0 if it makes none
+ * @param saveS seconds that a task takes to save its progress when it is stopped
  * @param deadlineS seconds from submission, or null
- * @param submittedMs time of day at acceptance
+ * @param submittedMs time of day at acceptance, in milliseconds since 1970
  * @param batchCapacity tasks in one task batch; fixed at acceptance, so that stored task batches
  *     keep their place
  * @param dependencies jobs that have to be done before any task of this one starts (DAG
@@ -50,7 +65,7 @@
   }
 
   /** The same job with other dependencies: those that are done need not be kept. */
-  public JobSpec needing(List<String> others) {
+  public JobSpec needing(List<String> newDependencies) {
     return new JobSpec(
         id,
         jobClass,
@@ -74,7 +89,7 @@
         deadlineS,
         submittedMs,
         batchCapacity,
-        List.copyOf(others));
+        List.copyOf(newDependencies));
   }
 
   /** The most tasks that may be in one zone: half of them rounded up when they are to be spread. */
@@ -97,6 +112,7 @@
     return Math.min(batchCapacity, tasks - index * batchCapacity);
   }
 
+  /** True for replicas that run until cancelled, false for a job array. */
   public boolean isService() {
     return kind == Kind.SERVICE;
   }
--- a/src/main/java/graderelay/core/Priority.java
+++ b/src/main/java/graderelay/core/Priority.java
@@ -7,7 +7,7 @@
   NORMAL,
   LOW;
 
-  /** True if work of this priority may push work of the other one off a machine. */
+  /** True if work of this priority may preempt work of the other one. */
   public boolean beats(Priority other) {
     return compareTo(other) < 0;
   }
--- a/src/main/java/graderelay/core/PriorityCounts.java
+++ b/src/main/java/graderelay/core/PriorityCounts.java
@@ -1,20 +1,22 @@
 package graderelay.core;
 
-/** Claims by priority, so that a look for work to stop costs nothing where there is none. */
+/** Counts of claims by priority, so that a search for work to preempt costs nothing without any. */
 final class PriorityCounts {
   private final int[] counts = new int[Priority.values().length];
 
-  void add(Priority p) {
-    counts[p.ordinal()]++;
+  /** Counts a claim of this priority. */
+  void add(Priority priority) {
+    counts[priority.ordinal()]++;
   }
 
-  void remove(Priority p) {
-    counts[p.ordinal()]--;
+  /** Takes a claim of this priority out of the counts. */
+  void remove(Priority priority) {
+    counts[priority.ordinal()]--;
   }
 
-  /** True if work that this priority may stop is among them. */
-  boolean hasBelow(Priority p) {
-    for (int i = p.ordinal() + 1; i < counts.length; i++) {
+  /** True if claims that work of this priority may preempt are among them. */
+  boolean hasBelow(Priority priority) {
+    for (int i = priority.ordinal() + 1; i < counts.length; i++) {
       if (counts[i] > 0) {
         return true;
       }
--- a/src/main/java/graderelay/core/Team.java
+++ b/src/main/java/graderelay/core/Team.java
@@ -3,7 +3,14 @@
 import graderelay.quota.Amount;
 import graderelay.quota.TeamQuota;
 
-/** A team's guarantee and limit; 0 means none. */
+/**
+ * A team's quota; 0 means none.
+ *
+ * @param cpus guaranteed CPUs
+ * @param cpusMax the limit of CPUs
+ * @param gpus guaranteed GPUs
+ * @param gpusMax the limit of GPUs
+ */
 public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
   /** The team with a stored quota. */
   public static Team of(String name, TeamQuota quota) {
