--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -11,31 +11,44 @@
  */
 final class DemandHistory {
   /** Seconds between records of the recent demand, for the next leader. */
-  private static final double KEEP_DEMAND_EVERY_S = 10;
+  private static final double STORE_EVERY_S = 10;
 
   /**
-   * Arrivals of one class kept in that record for each thousand machines, at some 20 bytes each.
+   * Arrivals of one class stored in that record for each thousand machines, at some 20 bytes each.
    * The oldest are left out where they don't fit a value.
    */
-  private static final int KEPT_ARRIVALS_PER_THOUSAND = 24;
+  private static final int STORED_ARRIVALS_PER_THOUSAND = 24;
 
-  /** Classes kept in that record. */
-  private static final int KEPT_CLASSES = 12;
+  /** Classes stored in that record. */
+  private static final int STORED_CLASSES = 12;
 
   /** Seconds over which arrivals are averaged at the least: a few say little of the next ones. */
-  private static final double LEAST_SPAN_S = 60;
+  private static final double LEAST_AVERAGING_S = 60;
+
+  /** Times the mean of arrivals in a boot time that spare room is kept for. */
+  private static final double MEAN_FACTOR = 1.5;
+
+  /** Jobs of the largest size that spare room for arrays is kept for, beside the mean. */
+  private static final int BURST_JOBS = 2;
+
+  /** Seconds by which the times of one arrival may differ between two leaders' records. */
+  private static final double SAME_ARRIVAL_S = 0.5;
 
   /** Seconds for which arrivals are remembered to size the spare room. */
   private static final double ARRIVAL_MEMORY_S = 300;
 
-  /** So many tasks of a job of this spec arrived at this time (seconds). */
+  /**
+   * The submission of a job.
+   *
+   * @param at when, in seconds on the leader's clock
+   */
   record Arrival(double at, JobSpec spec, int tasks) {}
 
   private final ClusterState cluster;
   private final double startedAt;
   private final List<Arrival> arrivals = new ArrayList<>();
-  private boolean newArrivals;
-  private double lastKept = Double.NEGATIVE_INFINITY;
+  private boolean changedSinceStored;
+  private double lastStored = Double.NEGATIVE_INFINITY;
 
   DemandHistory(ClusterState cluster, double startedAt) {
     this.cluster = cluster;
@@ -47,62 +60,76 @@
     return arrivals;
   }
 
+  /** A job of this spec was submitted at that time (seconds on the leader's clock). */
   void onArrival(JobSpec spec, double at) {
     arrivals.add(new Arrival(at, spec, spec.tasks()));
-    newArrivals = true;
+    changedSinceStored = true;
   }
 
-  /** What an earlier leader remembered; jobs that are still live were counted already. */
-  void onDemand(Action.Demand d, double now) {
+  /**
+   * Takes over what an earlier leader remembered of a class; jobs that are still live were counted
+   * already.
+   */
+  void onDemand(Action.Demand remembered, double now) {
     List<Arrival> live = new ArrayList<>();
-    for (Arrival a : arrivals) {
-      if (a.spec().jobClass().equals(d.latest().jobClass())) {
-        live.add(a);
+    for (Arrival arrival : arrivals) {
+      if (arrival.spec().jobClass().equals(remembered.latest().jobClass())) {
+        live.add(arrival);
       }
     }
-    for (double[] a : d.arrivals()) {
-      double at = now - a[0];
+    for (double[] arrival : remembered.arrivals()) {
+      double at = now - arrival[0];
+      int tasks = (int) arrival[1];
       boolean known =
-          live.stream().anyMatch(x -> Math.abs(x.at() - at) < 0.5 && x.tasks() == (int) a[1]);
+          live.stream()
+              .anyMatch(
+                  other -> Math.abs(other.at() - at) < SAME_ARRIVAL_S && other.tasks() == tasks);
       if (!known) {
-        arrivals.add(new Arrival(at, d.latest(), (int) a[1]));
+        arrivals.add(new Arrival(at, remembered.latest(), tasks));
       }
     }
   }
 
   /** A job fails on every machine: it is no sign of what is to come, nor does it scale out. */
   void onBroken(JobSpec spec) {
-    arrivals.removeIf(a -> a.spec().id().equals(spec.id()));
-    newArrivals = true;
+    arrivals.removeIf(arrival -> arrival.spec().id().equals(spec.id()));
+    changedSinceStored = true;
   }
 
   /** Forgets what arrived longer ago than the memory of arrivals. */
   void forgetOld(double now) {
-    arrivals.removeIf(a -> a.at() < now - ARRIVAL_MEMORY_S);
+    arrivals.removeIf(arrival -> arrival.at() < now - ARRIVAL_MEMORY_S);
   }
 
-  /** Stores the latest arrivals of each class for the next leader, now and then. */
-  void keepDemand(double now) {
-    if (!newArrivals || now - lastKept < KEEP_DEMAND_EVERY_S) {
+  /**
+   * Writes the latest arrivals of each class for the next leader, if they changed; now and then.
+   */
+  void store(double now) {
+    if (!changedSinceStored || now - lastStored < STORE_EVERY_S) {
       return;
     }
-    lastKept = now;
-    newArrivals = false;
+    lastStored = now;
+    changedSinceStored = false;
+    cluster.out.add(new Action.KeepDemand(latestByClass(now)));
+  }
+
+  /** The latest arrivals of each class, as far as they fit the record. */
+  private List<Action.Demand> latestByClass(double now) {
     Map<String, Action.Demand> classes = new HashMap<>();
-    int kept = KEPT_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
-    for (int i = arrivals.size() - 1; i >= 0; i--) {
-      Arrival a = arrivals.get(i);
-      Action.Demand d =
+    int mostStored = STORED_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
+    for (int index = arrivals.size() - 1; index >= 0; index--) {
+      Arrival arrival = arrivals.get(index);
+      Action.Demand classDemand =
           classes.computeIfAbsent(
-              a.spec().jobClass(), c -> new Action.Demand(a.spec(), new ArrayList<>()));
-      if (d.arrivals().size() < kept) {
-        d.arrivals().add(new double[] {now - a.at(), a.tasks()});
+              arrival.spec().jobClass(), c -> new Action.Demand(arrival.spec(), new ArrayList<>()));
+      if (classDemand.arrivals().size() < mostStored) {
+        classDemand.arrivals().add(new double[] {now - arrival.at(), arrival.tasks()});
       }
-      if (classes.size() > KEPT_CLASSES) {
+      if (classes.size() > STORED_CLASSES) {
         break;
       }
     }
-    cluster.out.add(new Action.KeepDemand(List.copyOf(classes.values())));
+    return List.copyOf(classes.values());
   }
 
   /**
@@ -112,34 +139,35 @@
    */
   Map<JobSpec, Integer> spareRoom(double now) {
     Map<String, List<Arrival>> byClass = new HashMap<>();
-    for (Arrival a : arrivals) {
-      byClass.computeIfAbsent(a.spec().jobClass(), c -> new ArrayList<>()).add(a);
+    for (Arrival arrival : arrivals) {
+      byClass.computeIfAbsent(arrival.spec().jobClass(), c -> new ArrayList<>()).add(arrival);
     }
-    double boot = BootTimes.slowestNominal(cluster);
+    double bootS = BootTimes.slowestNominal(cluster);
     Map<JobSpec, Integer> spare = new HashMap<>();
-    for (var e : byClass.entrySet()) {
-      Double wait = cluster.policy.startObjectivesS().get(e.getKey());
-      if (wait == null || wait > boot) {
+    for (var classArrivals : byClass.entrySet()) {
+      Double startObjectiveS = cluster.policy.startObjectivesS().get(classArrivals.getKey());
+      if (startObjectiveS == null || startObjectiveS > bootS) {
         continue;
       }
-      List<Arrival> ofClass = e.getValue();
+      List<Arrival> ofClass = classArrivals.getValue();
       JobSpec typical = ofClass.get(ofClass.size() - 1).spec();
-      spare.put(typical, (int) Math.ceil(spareTasks(ofClass, typical, boot, now)));
+      spare.put(typical, (int) Math.ceil(spareTasks(ofClass, typical, bootS, now)));
     }
     return spare;
   }
 
-  private double spareTasks(List<Arrival> ofClass, JobSpec typical, double boot, double now) {
-    int sum = 0;
+  /** Tasks of one class to keep room for, given its arrivals and a boot time in seconds. */
+  private double spareTasks(List<Arrival> ofClass, JobSpec typical, double bootS, double now) {
+    int tasks = 0;
     int largest = 0;
-    for (Arrival a : ofClass) {
-      sum += a.tasks();
-      largest = Math.max(largest, a.tasks());
+    for (Arrival arrival : ofClass) {
+      tasks += arrival.tasks();
+      largest = Math.max(largest, arrival.tasks());
     }
-    double span = Math.max(LEAST_SPAN_S, Math.min(ARRIVAL_MEMORY_S, now - startedAt));
-    double mean = sum / span * boot * 1.5;
+    double spanS = Math.max(LEAST_AVERAGING_S, Math.min(ARRIVAL_MEMORY_S, now - startedAt));
+    double mean = tasks / spanS * bootS * MEAN_FACTOR;
     // Arrays come in lumps, and several at once on a bad day.
-    double lump = typical.isService() ? Math.max(mean, largest) : mean + 2 * largest;
-    return lump * cluster.policy.tuning().spareFactor();
+    double wanted = typical.isService() ? Math.max(mean, largest) : mean + BURST_JOBS * largest;
+    return wanted * cluster.policy.tuning().spareFactor();
   }
 }
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -113,7 +113,7 @@
     consolidation.close(availableCpus - neededCpus, spareRoomMachines, now);
     scaleOut.request(toRequest, now);
     scaleIn.scaleIn(spareRoomMachines, now);
-    demand.keepDemand(now);
-    images.keepImages(now);
+    demand.store(now);
+    images.store(now);
   }
 }
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 
 /**
- * Stores which images each machine has, in records of a part of the fleet each, so that the next
+ * Stores which images each machine has, in records of a shard of the fleet each, so that the next
  * leader after a failover knows where work starts warm.
  */
 final class ImageRecords {
   /** Seconds between records of the images on machines, each a hint for the next leader. */
-  private static final double KEEP_IMAGES_EVERY_S = 15;
+  private static final double STORE_EVERY_S = 15;
 
   /**
-   * Such records written at one time, each a change of the state service: a bound on a batch. The
-   * others follow in turn at the next times.
+   * Such records written at one time, each a change of the store: a bound on a batch. The others
+   * follow in turn at the next times.
    */
-  private static final int IMAGE_PARTS_AT_ONCE = 24;
+  private static final int PARTS_AT_ONCE = 24;
 
   private final ClusterState cluster;
   private final double startedAt;
-  private double lastKept;
+  private double lastStored;
   private int nextPart;
 
   ImageRecords(ClusterState cluster, double startedAt) {
@@ -32,40 +32,41 @@
    * Writes only the records of which a machine has got an image that they don't name, and at most
    * so many at a time, in turn.
    */
-  void keepImages(double now) {
-    if (now - Math.max(startedAt, lastKept) < KEEP_IMAGES_EVERY_S) {
+  void store(double now) {
+    if (now - Math.max(startedAt, lastStored) < STORE_EVERY_S) {
       return;
     }
-    lastKept = now;
-    int wanted = cluster.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(cluster);
-    if (wanted > cluster.imageParts) {
-      cluster.imageParts(wanted); // It does not shrink with the fleet, or it would go to and fro.
+    lastStored = now;
+    int partCount = cluster.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(cluster);
+    if (partCount > cluster.imageParts) {
+      // It does not shrink with the fleet, or it would go to and fro.
+      cluster.imageParts(partCount);
     }
     Map<Integer, Map<String, List<String>>> parts = changedParts();
     if (parts.isEmpty()) {
       return;
     }
-    for (Machine m : cluster.machines.values()) {
-      Map<String, List<String>> part = parts.get(m.imagePart(cluster.imageParts));
+    for (Machine machine : cluster.machines.values()) {
+      Map<String, List<String>> part = parts.get(machine.imagePart(cluster.imageParts));
       if (part == null) {
         continue;
       }
-      m.imagesChanged = false;
-      if (!m.images.isEmpty() && !m.returning) {
-        part.put(m.name, List.copyOf(m.images.keySet()));
+      machine.imagesChanged = false;
+      if (!machine.images.isEmpty() && !machine.returning) {
+        part.put(machine.name, List.copyOf(machine.images.keySet()));
       }
     }
-    parts.forEach((i, machines) -> cluster.out.add(new Action.KeepImages(i, machines)));
+    parts.forEach((part, images) -> cluster.out.add(new Action.KeepImages(part, images)));
   }
 
-  /** The records to write now, empty as yet: the next in turn of those that are out of date. */
+  /** The records to write now by number, empty as yet: the next of those that are out of date. */
   private Map<Integer, Map<String, List<String>>> changedParts() {
     boolean[] changed = new boolean[cluster.imageParts];
-    for (Machine m : cluster.machines.values()) {
-      changed[m.imagePart(cluster.imageParts)] |= m.imagesChanged;
+    for (Machine machine : cluster.machines.values()) {
+      changed[machine.imagePart(cluster.imageParts)] |= machine.imagesChanged;
     }
     Map<Integer, Map<String, List<String>>> parts = new HashMap<>();
-    for (int i = 0; i < changed.length && parts.size() < IMAGE_PARTS_AT_ONCE; i++) {
+    for (int i = 0; i < changed.length && parts.size() < PARTS_AT_ONCE; i++) {
       int part = nextPart % changed.length;
       nextPart = part + 1;
       if (changed[part]) {
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -9,19 +9,27 @@
  * each time up to a longest pause.
  */
 final class PoolChooser {
-  /** Seconds; first pause after the cloud called a pool empty. */
-  private static final double EMPTY_POOL_PAUSE_S = 6;
+  /** Seconds; first backoff after the cloud called a pool empty. */
+  private static final double FIRST_BACKOFF_S = 6;
 
-  /** Seconds; longest such pause: capacity comes back without a sign. */
-  private static final double LONGEST_EMPTY_POOL_PAUSE_S = 24;
+  /** Seconds; longest such backoff: capacity comes back without a sign. */
+  private static final double LONGEST_BACKOFF_S = 24;
 
-  /** Times its price that such a type counts as when another could be rented instead. */
-  private static final double STALLED_PRICE = 3;
+  /** Times its price that a type whose boots stall counts as, when another could be had instead. */
+  private static final double STALLED_PRICE_FACTOR = 3;
+
+  /** Spot machines before on-demand ones, where both cost the same. */
+  private static final boolean[] SPOT_FIRST = {true, false};
 
   /** A pool that had no capacity of late: not asked again until {@code until} (seconds). */
   private static final class PoolBackoff {
-    double until;
-    double pause = EMPTY_POOL_PAUSE_S;
+    private double until;
+    private double pauseS = FIRST_BACKOFF_S;
+
+    void start(double now) {
+      until = now + pauseS;
+      pauseS = Math.min(LONGEST_BACKOFF_S, pauseS * 2);
+    }
   }
 
   private final ClusterState cluster;
@@ -35,9 +43,7 @@
 
   /** The pool gave fewer machines than asked for, or none. */
   void noCapacity(InstancePool pool, double now) {
-    PoolBackoff b = backoffs.computeIfAbsent(pool, p -> new PoolBackoff());
-    b.until = now + b.pause;
-    b.pause = Math.min(LONGEST_EMPTY_POOL_PAUSE_S, b.pause * 2);
+    backoffs.computeIfAbsent(pool, p -> new PoolBackoff()).start(now);
   }
 
   /** The pool gave all machines asked for. */
@@ -46,62 +52,69 @@
   }
 
   /** True if machines of the pool can take tasks of the spec. */
-  boolean suits(JobSpec s, InstancePool p) {
-    MachineType t = cluster.types.get(p.type());
-    return t != null
-        && s.fits(t)
-        && (s.zone() == null || s.zone().equals(p.zone()))
-        && (s.spot() || !p.spot());
+  boolean suits(JobSpec spec, InstancePool pool) {
+    MachineType type = cluster.types.get(pool.type());
+    return type != null
+        && spec.fits(type)
+        && (spec.zone() == null || spec.zone().equals(pool.zone()))
+        && (spec.spot() || !pool.spot());
   }
 
   /**
-   * The pool with the least price for each task that it would really hold, or null.
+   * The pool with the least price for each task that a machine of it would really hold, or null.
    *
-   * @param left tasks still without a bin
-   * @param zones room left by zone for spread work, or null
+   * @param tasks tasks still without a bin
+   * @param zones how many more of them each zone may take
    * @param spotOnly whether on-demand machines are left out where a spot price exists
    */
-  InstancePool cheapest(JobSpec s, int left, ZoneRoom zones, boolean spotOnly, double now) {
-    InstancePool best = null;
-    double bestPrice = Double.MAX_VALUE;
-    for (MachineType t : cluster.types.values()) {
-      int slots =
-          Math.min(
-              left,
-              Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(t).times(Resources.of(s))));
+  InstancePool cheapest(JobSpec spec, int tasks, ZoneRoom zones, boolean spotOnly, double now) {
+    InstancePool cheapest = null;
+    double leastPrice = Double.MAX_VALUE;
+    for (MachineType type : cluster.types.values()) {
+      int slots = Math.min(tasks, slots(type, spec));
       if (slots <= 0) {
         continue;
       }
-      for (String zone : t.zones()) {
-        for (boolean spot : new boolean[] {true, false}) {
-          InstancePool p = new InstancePool(t.name(), zone, spot);
-          if (!mayRequest(s, p, t, zones, spotOnly, now)) {
-            continue;
-          }
-          double price = t.priceOf(spot) / slots;
-          price *= boots.stalled(t.name()) ? STALLED_PRICE : 1;
-          if (price < bestPrice) {
-            bestPrice = price;
-            best = p;
+      for (String zone : type.zones()) {
+        for (boolean spot : SPOT_FIRST) {
+          InstancePool pool = new InstancePool(type.name(), zone, spot);
+          double price = pricePerTask(type, spot, slots);
+          if (price < leastPrice && mayRequest(spec, pool, zones, spotOnly, now)) {
+            leastPrice = price;
+            cheapest = pool;
           }
         }
       }
     }
-    return best;
+    return cheapest;
+  }
+
+  /** Tasks of the spec that an empty machine of the type holds. */
+  private static int slots(MachineType type, JobSpec spec) {
+    return Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(type).times(Resources.of(spec)));
+  }
+
+  private double pricePerTask(MachineType type, boolean spot, int slots) {
+    double price = type.priceOf(spot) / slots;
+    return price * (boots.stalled(type.name()) ? STALLED_PRICE_FACTOR : 1);
   }
 
   private boolean mayRequest(
-      JobSpec s, InstancePool p, MachineType t, ZoneRoom zones, boolean spotOnly, double now) {
-    PoolBackoff b = backoffs.get(p);
-    return suits(s, p)
-        && (zones == null || zones.left(p.zone()) != 0)
-        && !(spotOnly && !p.spot() && spotExists(t))
-        && !(p.spot() && !cluster.policy.tuning().spotAllowed())
-        && !(b != null && now < b.until);
+      JobSpec spec, InstancePool pool, ZoneRoom zones, boolean spotOnly, double now) {
+    return suits(spec, pool)
+        && zones.left(pool.zone()) != 0
+        && !(spotOnly && !pool.spot() && spotExists(pool.type()))
+        && !(pool.spot() && !cluster.policy.tuning().spotAllowed())
+        && !backsOff(pool, now);
+  }
+
+  private boolean backsOff(InstancePool pool, double now) {
+    PoolBackoff backoff = backoffs.get(pool);
+    return backoff != null && now < backoff.until;
   }
 
   /** A type without a spot price can't be waited for. */
-  private boolean spotExists(MachineType t) {
-    return t.spotPrice() > 0 && cluster.policy.tuning().spotAllowed();
+  private boolean spotExists(String type) {
+    return cluster.types.get(type).spotPrice() > 0 && cluster.policy.tuning().spotAllowed();
   }
 }
--- /dev/null
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -0,0 +1,133 @@
+package graderelay.core;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Moves services off closing machines, a few at a time, to where there is room and their image: a
+ * replica is asked to stop, and placement starts it again elsewhere.
+ */
+final class ServiceMoves {
+  /** Share of a machine up to which services are moved off it. */
+  private static final double MOST_SERVICE_SHARE = 0.5;
+
+  /** Seconds between moves of replicas, each of which is away for a moment. */
+  private static final double MOVE_EVERY_S = 2;
+
+  private final ClusterState cluster;
+  private double lastMove = Double.NEGATIVE_INFINITY;
+
+  ServiceMoves(ClusterState cluster) {
+    this.cluster = cluster;
+  }
+
+  /** True if the machine's services fit on the other on-demand machines that stay. */
+  boolean canMoveServicesOff(Machine machine, List<Machine> onDemand, double now) {
+    if (machine.services.cpus() > MOST_SERVICE_SHARE * machine.room.cpus()) {
+      return false;
+    }
+    Map<Machine, Resources> free = new LinkedHashMap<>();
+    for (Machine other : onDemand) {
+      if (other != machine && !other.closing && cluster.usable(other, now)) {
+        free.put(other, other.room.minus(other.services));
+      }
+    }
+    for (Claim claim : machine.claims.values()) {
+      if (!claim.job.spec.isService()) {
+        continue;
+      }
+      Machine target = firstWithRoom(claim, free);
+      if (target == null) {
+        return false;
+      }
+      free.merge(target, claim.room(), Resources::minus);
+    }
+    return true;
+  }
+
+  private static Machine firstWithRoom(Claim claim, Map<Machine, Resources> free) {
+    for (var entry : free.entrySet()) {
+      if (entry.getValue().holds(claim.room()) && suits(claim, entry.getKey())) {
+        return entry.getKey();
+      }
+    }
+    return null;
+  }
+
+  /** Zone rules make moves of some services delicate; those stay where they are. */
+  private static boolean suits(Claim claim, Machine target) {
+    JobSpec spec = claim.job.spec;
+    return target.warm(spec.image())
+        && (spec.types() == null || spec.types().contains(target.type))
+        && (spec.zone() == null || spec.zone().equals(target.zone))
+        && !spec.oneZone()
+        && (!spec.spread() || spec.tasks() == 1);
+  }
+
+  /** Asks at most so many settled services on closing machines to stop, where room waits. */
+  void moveOffClosing(List<Machine> onDemand, int most, double now) {
+    if (now - lastMove < MOVE_EVERY_S) {
+      return;
+    }
+    int left = most;
+    Map<Machine, Resources> promised = new HashMap<>();
+    for (Machine machine : onDemand) {
+      if (!machine.closing) {
+        continue;
+      }
+      for (Claim claim : machine.claims.values()) {
+        Machine target =
+            settled(claim, now) ? target(claim, machine, onDemand, promised, now) : null;
+        if (target == null) {
+          continue;
+        }
+        cluster.askStop(claim, now);
+        lastMove = now;
+        promised.merge(target, claim.room(), Resources::plus);
+        cluster.note("move " + claim.taskId() + " off " + machine.name);
+        if (--left <= 0) {
+          return;
+        }
+      }
+    }
+  }
+
+  /** True for a service that has run for a while and was not asked to stop. */
+  private static boolean settled(Claim claim, double now) {
+    return claim.phase == Claim.Phase.HELD
+        && !claim.stopAsked
+        && claim.job.spec.isService()
+        && claim.runningSince > 0
+        && now - claim.runningSince > FleetConsolidation.CHARGED_AT_LEAST_S;
+  }
+
+  /**
+   * The first machine that takes the service, or null.
+   *
+   * @param promised what other moves of this plan will take there
+   */
+  private Machine target(
+      Claim claim,
+      Machine from,
+      List<Machine> onDemand,
+      Map<Machine, Resources> promised,
+      double now) {
+    for (Machine target : onDemand) {
+      if (target != from
+          && !target.closing
+          && target.holds(claim.room())
+          && suits(claim, target)
+          && cluster.usable(target, now)
+          && freeBeside(promised, target).holds(claim.room())) {
+        return target;
+      }
+    }
+    return null;
+  }
+
+  private static Resources freeBeside(Map<Machine, Resources> promised, Machine machine) {
+    return machine.free().minus(promised.getOrDefault(machine, Resources.NONE));
+  }
+}
--- a/src/main/java/graderelay/core/ZoneRoom.java
+++ b/src/main/java/graderelay/core/ZoneRoom.java
@@ -3,31 +3,37 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many more tasks each zone may take, for work that has to be spread over zones. */
+/** How many more tasks each zone may take; a limit only for work to be spread over zones. */
 final class ZoneRoom {
   private final Map<String, Integer> taken = new HashMap<>();
-  private final int most;
+  private final int mostPerZone;
 
-  private ZoneRoom(int most, Map<String, Integer> claims) {
-    this.most = most;
-    taken.putAll(claims);
+  private ZoneRoom(int mostPerZone, Map<String, Integer> taken) {
+    this.mostPerZone = mostPerZone;
+    this.taken.putAll(taken);
   }
 
+  /** Tasks that the zone may still take. */
   int left(String zone) {
-    return Math.max(0, most - taken.getOrDefault(zone, 0));
+    return Math.max(0, mostPerZone - taken.getOrDefault(zone, 0));
   }
 
-  void take(String zone, int n) {
-    taken.merge(zone, n, Integer::sum);
+  /** The zone takes so many more tasks. */
+  void take(String zone, int tasks) {
+    taken.merge(zone, tasks, Integer::sum);
   }
 
-  /** For a job, or null if any zone may take all of it. */
-  static ZoneRoom of(Job j) {
-    return j.spec.spread() ? new ZoneRoom(j.spec.zoneLimit(), j.zoneClaims) : null;
+  /** For the open tasks of a job, beside its claims. */
+  static ZoneRoom of(Job job) {
+    return job.spec.spread() ? new ZoneRoom(job.spec.zoneLimit(), job.zoneClaims) : unlimited();
   }
 
-  /** For spare room that such work will want half of in each of two zones, or null. */
-  static ZoneRoom of(JobSpec s, int n) {
-    return s.spread() ? new ZoneRoom((n + 1) / 2, Map.of()) : null;
+  /** For spare room for so many tasks: work to be spread will want half in each of two zones. */
+  static ZoneRoom ofSpareRoom(JobSpec spec, int tasks) {
+    return spec.spread() ? new ZoneRoom((tasks + 1) / 2, Map.of()) : unlimited();
+  }
+
+  private static ZoneRoom unlimited() {
+    return new ZoneRoom(Integer.MAX_VALUE, Map.of());
   }
 }
