--- a/src/main/java/graderelay/core/AnswerLossDetector.java
+++ b/src/main/java/graderelay/core/AnswerLossDetector.java
@@ -63,7 +63,8 @@
   private boolean leaseExpiredDespiteAnswer(Machine machine, Heartbeat heartbeat, double now) {
     return now - machine.lastAnsweredAt < cluster.policy.leaseS() / 2
         && (heartbeat.term() >= cluster.firstTerm
-            || machine.lastAnsweredAt - machine.firstAnsweredAt > cluster.policy.reportS() / 2);
+            || machine.lastAnsweredAt - machine.firstAnsweredAt
+                > cluster.policy.heartbeatIntervalS() / 2);
   }
 
   /** True if the heartbeat shows that something of ours has reached the worker. */
--- a/src/main/java/graderelay/core/ClaimReconciliation.java
+++ b/src/main/java/graderelay/core/ClaimReconciliation.java
@@ -135,7 +135,7 @@
       case "error" -> failureAttribution.onFailure(machine, claim, now);
       case "no_room" -> {
         // Something runs there that we don't know of yet; the next heartbeats will show it.
-        double pauseUntil = now + cluster.policy.reportS();
+        double pauseUntil = now + cluster.policy.heartbeatIntervalS();
         machine.quarantineUntil = Math.max(machine.quarantineUntil, pauseUntil);
       }
       case "unknown" -> claim.job.notBefore = now + FailureAttribution.JOB_BACKOFF_S;
--- a/src/main/java/graderelay/core/DirectCommandRate.java
+++ b/src/main/java/graderelay/core/DirectCommandRate.java
@@ -21,7 +21,7 @@
   DirectCommandRate(ClusterState cluster) {
     this.cluster = cluster;
     this.filledAt = cluster.leaderSince;
-    this.tokens = cluster.policy.directPerS();
+    this.tokens = cluster.policy.directCommandsPerS();
   }
 
   /**
@@ -30,7 +30,7 @@
    * @param reserve share of a second's tokens that is kept for more urgent commands
    */
   boolean tryAcquire(double now, double reserve) {
-    double rate = cluster.policy.directPerS();
+    double rate = cluster.policy.directCommandsPerS();
     tokens = Math.min(rate, tokens + (now - filledAt) * rate);
     filledAt = now;
     if (tokens < 1 + reserve * rate) {
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -164,7 +164,7 @@
     this.cancelRequested = cancelRequested;
     this.waitingSince = now;
     this.priority = spec.priority();
-    this.pendingDependencies.addAll(spec.needs());
+    this.pendingDependencies.addAll(spec.dependencies());
     this.openTasks = new BitSet(spec.tasks());
     this.openTasks.set(0, spec.tasks());
   }
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -30,7 +30,7 @@
         planner.onArrival(spec, submittedAt);
       }
       cluster.dependencies.added(job).forEach(dependent -> cancelWithNeeded(dependent, now));
-      cluster.dependencies.look(job, now);
+      cluster.dependencies.updateUrgency(job, now);
       // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
     } else if (revision > job.revision) {
@@ -82,7 +82,7 @@
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   void onEnd(String id, boolean cancelled, double at, double now) {
-    if (!cluster.dependencies.needed(id)) {
+    if (!cluster.dependencies.hasDependents(id)) {
       return;
     }
     if (cancelled) {
--- a/src/main/java/graderelay/core/MachineAvailability.java
+++ b/src/main/java/graderelay/core/MachineAvailability.java
@@ -39,6 +39,6 @@
   }
 
   private static double silentAfter(ClusterState cluster) {
-    return cluster.policy.reportS() * SILENT_AFTER_INTERVALS;
+    return cluster.policy.heartbeatIntervalS() * SILENT_AFTER_INTERVALS;
   }
 }
--- a/src/main/java/graderelay/core/SilentWorkerProbes.java
+++ b/src/main/java/graderelay/core/SilentWorkerProbes.java
@@ -50,12 +50,12 @@
   private boolean isUnheard(Machine machine, double now) {
     return !machine.heartbeatReceived
         && !machine.claims.isEmpty()
-        && now - cluster.leaderSince > cluster.policy.reportS() / 2;
+        && now - cluster.leaderSince > cluster.policy.heartbeatIntervalS() / 2;
   }
 
   private boolean isSilent(Machine machine, double now) {
     return machine.heartbeatReceived
-        && now - machine.lastHeartbeatAt > cluster.policy.reportS() * SILENT_INTERVALS;
+        && now - machine.lastHeartbeatAt > cluster.policy.heartbeatIntervalS() * SILENT_INTERVALS;
   }
 
   private void probe(Machine machine, double now) {
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -144,7 +144,7 @@
     }
     cluster.jobs.remove(job.spec.id());
     cluster.admission.committed().removeJob(job.spec.id());
-    cluster.dependencies.gone(job);
+    cluster.dependencies.removed(job);
     cluster.cancelledJobs.remove(job);
     cluster.maybeEndedJobs.remove(job);
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -38,7 +38,7 @@
     Deque<JobSpec> next = new ArrayDeque<>();
     next.add(job);
     while (!next.isEmpty()) {
-      for (String id : next.poll().needs()) {
+      for (String id : next.poll().dependencies()) {
         if (!seen.add(id)) {
           continue;
         }
@@ -59,7 +59,7 @@
 
   /** Decides for a job whose record has just been caught up with. */
   public void decide(JobEntry e, Consumer<Verdict> then) {
-    if (e.spec.needs().isEmpty()) {
+    if (e.spec.dependencies().isEmpty()) {
       then.accept(Verdict.NOT_CANCELLED);
       return;
     }
