--- a/src/test/java/graderelay/core/LateMachinesTest.java
+++ b/src/test/java/graderelay/core/LateMachinesTest.java
@@ -8,23 +8,6 @@
 
 /** Machines that come up late, never, or at once. */
 class LateMachinesTest {
-  /** Machines rented in one plan, answered with new names; returns them. */
-  private static List<String> scaledOut(Scheduler s, double now) {
-    List<String> names = new ArrayList<>();
-    for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.ScaleOut h) {
-        SchedulerFixture.taken(s).remove(a);
-        List<String> some = new ArrayList<>();
-        for (int i = 0; i < h.count(); i++) {
-          some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
-        }
-        s.onScaleOutAnswered(h.id(), some, false, now);
-        names.addAll(some);
-      }
-    }
-    return names;
-  }
-
   private static List<String> scaledIn(Scheduler s) {
     List<String> names = new ArrayList<>();
     for (Action a : SchedulerFixture.taken(s)) {
@@ -40,7 +23,7 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = scaledOut(s, 1.2);
+    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
     assertThat(first).hasSizeGreaterThanOrEqualTo(6);
     // All but one are up in the usual five seconds, and one never comes.
     long seq = 1;
@@ -52,7 +35,7 @@
       seq++;
       s.tick(now);
       SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
-      more += scaledOut(s, now + 0.2).size();
+      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
     }
     assertThat(more).isEqualTo(1);
     assertThat(scaledIn(s)).isEmpty(); // It may still come.
@@ -65,11 +48,11 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = scaledOut(s, 1.2);
+    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
     int more = 0;
     for (double now = 2; now < 100; now += 1) {
       s.tick(now); // Twenty times the nominal five seconds.
-      more += scaledOut(s, now + 0.2).size();
+      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
     }
     assertThat(scaledIn(s)).isEmpty();
     assertThat(more).isLessThan(first.size());
@@ -91,7 +74,7 @@
     SchedulerFixture.machine(s, "n-1", 1, 1, 1.3);
     SchedulerFixture.commitAll(s, 10, 1.4);
     assertThat(SchedulerFixture.launches(s)).isEqualTo(4);
-    scaledOut(s, 2); // And what the answer names beside it is known as well.
+    SchedulerFixture.scaledOut(s, 2); // And what the answer names beside it is known as well.
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(4);
   }
 }
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -2,8 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import java.util.ArrayList;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Whose tasks are stopped for whom, and for whom room is kept. */
@@ -22,23 +20,6 @@
     }
   }
 
-  /** Machines rented in one plan, answered with new names; returns them. */
-  private static List<String> scaledOut(Scheduler s, double now) {
-    List<String> names = new ArrayList<>();
-    for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.ScaleOut h) {
-        SchedulerFixture.taken(s).remove(a);
-        List<String> some = new ArrayList<>();
-        for (int i = 0; i < h.count(); i++) {
-          some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
-        }
-        s.onScaleOutAnswered(h.id(), some, false, now);
-        names.addAll(some);
-      }
-    }
-    return names;
-  }
-
   /**
    * A full fleet of five machines below the limit, most of it work of one array and little of a
    * lower one.
@@ -108,7 +89,7 @@
     }
     s.tick(3);
     // And the plan knows it: for what is left it rents as many machines as that takes.
-    assertThat(scaledOut(s, 3.1)).hasSizeGreaterThanOrEqualTo(6);
+    assertThat(SchedulerFixture.scaledOut(s, 3.1)).hasSizeGreaterThanOrEqualTo(6);
   }
 
   @Test
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -206,6 +206,23 @@
     return all;
   }
 
+  /** Answers all scale outs of one plan with new machine names and returns these. */
+  public static List<String> scaledOut(Scheduler s, double now) {
+    List<String> names = new ArrayList<>();
+    for (Action a : new ArrayList<>(taken(s))) {
+      if (a instanceof Action.ScaleOut h) {
+        taken(s).remove(a);
+        List<String> some = new ArrayList<>();
+        for (int i = 0; i < h.count(); i++) {
+          some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
+        }
+        s.onScaleOutAnswered(h.id(), some, false, now);
+        names.addAll(some);
+      }
+    }
+    return names;
+  }
+
   /** Returns the texts of all notes so far. */
   public static List<String> notes(Scheduler s) {
     List<String> notes = new ArrayList<>();
--- a/src/test/java/graderelay/features/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/features/RollingUpgradeTest.java
@@ -1,109 +1,34 @@
 package graderelay.features;
 
+import static graderelay.features.UpgradeSteps.LATEST;
+import static graderelay.features.UpgradeSteps.SOAK_S;
+import static graderelay.features.UpgradeSteps.allEnd;
+import static graderelay.features.UpgradeSteps.change;
+import static graderelay.features.UpgradeSteps.level;
+import static graderelay.features.UpgradeSteps.levelled;
+import static graderelay.features.UpgradeSteps.manual;
+import static graderelay.features.UpgradeSteps.pinned;
+import static graderelay.features.UpgradeSteps.production;
+import static graderelay.features.UpgradeSteps.show;
+import static graderelay.features.UpgradeSteps.steadyJobs;
+import static graderelay.features.UpgradeSteps.upgrade;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.config.Options;
 import graderelay.sim.Rules;
-import graderelay.sim.ScenarioSteps;
 import graderelay.sim.SimWorld;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
 import graderelay.wire.StateCodec;
-import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Controllers that are upgraded one at a time, and feature levels that wait for all of them. */
+/** Controllers that are upgraded one at a time, and a feature level that waits for all of them. */
 class RollingUpgradeTest {
-  private static final double SOAK_S = 10;
-  private static final int LATEST = 3;
-
-  private static Options pinned(int max) {
-    return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, max));
-  }
-
-  private static Options manual(int max) {
-    return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, max));
-  }
-
-  /** Controllers of the version in production, with a service and a stream of short arrays. */
-  private static SimWorld production(long seed, int size) {
-    SimWorld w = SimWorld.inProduction(seed, SimWorld.Shape.of(size), SimWorld.SAME);
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
-  }
-
-  /** Controllers that support so much, none of which has raised the level. */
-  private static SimWorld levelled(long seed, int size, Options options) {
-    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size));
-    w.judgeLevels();
-    for (int i = 0; i < size; i++) {
-      w.replace(i, options);
-      w.crash(i);
-      w.start(i);
-    }
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
-  }
-
-  private static SimWorld finalized(long seed, int size) {
-    SimWorld w = levelled(seed, size, pinned(LATEST));
-    w.loop.run(SOAK_S + 5);
-    assertThat(level(w)).isEqualTo(LATEST);
-    return w;
-  }
-
-  /** The level that is stored. */
-  private static int level(SimWorld w) {
-    JsonNode record = w.state.value(FeatureCodec.LEVEL);
-    return record == null ? 0 : record.path("level").asInt();
-  }
-
-  private static List<Rules.Known> steadyJobs(SimWorld w, double seconds) {
-    List<Rules.Known> jobs = new ArrayList<>();
-    for (int i = 0; i < seconds / 2; i++) {
-      Rules.Known job = w.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
-      jobs.add(job);
-      int node = i % w.size;
-      w.loop.after(2 * i, () -> w.submit(node, job));
-      if (i % 5 == 4) {
-        w.loop.after(2 * i + 1.3, () -> w.cancel((node + 1) % w.size, job));
-      }
-    }
-    return jobs;
-  }
-
-  private static void upgrade(SimWorld w, int controller, Options options) {
-    w.replace(controller, options);
-    w.crash(controller);
-    w.loop.run(2);
-    w.start(controller);
-    w.loop.run(4);
-  }
-
-  private static JsonNode change(SimWorld w, int node, String what, int level) {
-    byte[] body = Json.write(Json.object().put("level", level));
-    return w.answer(node, "POST", "/admin/features/" + what, body);
-  }
-
-  private static JsonNode show(SimWorld w, int node) {
-    return w.answer(node, "GET", "/admin/features", null);
-  }
-
-  private static void allEnd(SimWorld w, List<Rules.Known> jobs) {
-    w.loop.run(60);
-    ScenarioSteps.allOver(w, jobs);
-  }
-
-  // ---------------------------------------------------------------- the way up
-
   @ParameterizedTest
   @CsvSource({"3, 201", "5, 202"})
   void theLevelRisesOnlyOnceAllControllersAreNewAndHaveBeenUpForTheSoakTime(int size, long seed) {
@@ -312,238 +237,4 @@
     assertThat(w.stage(2, "j-000620")).isEqualTo("running");
     allEnd(w, jobs);
   }
-
-  // ---------------------------------------------------------------- processes that come too late
-
-  @ParameterizedTest
-  @CsvSource({"true, 211", "false, 212"})
-  void suspendedOlderControllerThatReturnsAfterTheSwitchLeavesAndDoesNoHarm(
-      boolean asLeader, long seed) {
-    SimWorld w = levelled(seed, 3, manual(0));
-    w.submit(0, w.job("j-000630", 3, 1, 0, false));
-    w.loop.run(15);
-    int old = asLeader ? w.leader() : (w.leader() + 1) % 3;
-    for (int i = 0; i < 3; i++) {
-      if (i != old) {
-        upgrade(w, i, manual(LATEST));
-      }
-    }
-    // The last one is replaced too, but its process was only suspended and not ended.
-    w.suspend(old);
-    w.loop.run(0.5);
-    Rules.Known late = w.job("j-000631", 1, 1, 1, true);
-    // Its user gives up; the process takes it up when it goes on, and must not write it.
-    w.resubmit(old, late);
-    w.loop.run(6);
-    w.loseTrackOf(old);
-    w.replace(old, manual(LATEST));
-    w.start(old);
-    w.loop.run(SOAK_S + 4);
-    JsonNode answer = change(w, w.leader(), "finalize", LATEST);
-    assertThat(answer.path("http").asInt()).as(answer.toString()).isEqualTo(200);
-    w.loop.run(1);
-    final int starts = w.rules.starts;
-    w.resumeLost(old);
-    w.loop.run(10);
-    assertThat(w.left).containsKey("m-" + old);
-    assertThat(w.lostNode(old).leader()).isFalse();
-    assertThat(w.lostNode(old).speaks()).isFalse();
-    assertThat(w.lostNode(old).ready()).isFalse();
-    // It may have handed the late submission on to a peer that supports the level.
-    assertThat(w.rules.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
-    assertThat(w.stage(old, "j-000630")).isEqualTo("running");
-    fine(w);
-  }
-
-  @Test
-  void suspendedOlderControllerKeepsTheLevelFromRising() {
-    SimWorld w = levelled(213, 3, pinned(LATEST));
-    int still = (w.leader() + 1) % 3;
-    w.suspend(still);
-    w.loop.run(3 * SOAK_S);
-    assertThat(level(w)).isZero();
-    w.resume(still);
-    w.loop.run(SOAK_S + 6);
-    assertThat(level(w)).isEqualTo(LATEST);
-    fine(w);
-  }
-
-  @Test
-  void anOlderProgramRefusesToBecomeReadyAndSaysWhy() {
-    SimWorld w = finalized(214, 3);
-    int old = (w.leader() + 1) % 3;
-    w.replace(old, manual(0));
-    w.crash(old);
-    w.start(old);
-    w.loop.run(10);
-    JsonNode ready = w.answer(old, "GET", "/ready", null);
-    assertThat(ready.path("http").asInt()).isEqualTo(503);
-    assertThat(ready.path("error").asText())
-        .contains("feature level is " + LATEST)
-        .contains("0 to 0");
-    assertThat(w.answer(old, "GET", "/v1/jobs/j-000001", null).path("http").asInt()).isEqualTo(503);
-    assertThat(show(w, old).path("out_of_service").asText()).contains("0 to 0");
-    assertThat(w.left).isEmpty(); // Ended, it would be started again and again.
-    fine(w);
-  }
-
-  @Test
-  void versionInProductionNeitherLeadsNorConfirmsCancellationsAfterTheSwitch() {
-    SimWorld w = finalized(215, 3);
-    Rules.Known job = w.job("j-000640", 2, 1, 0, false);
-    w.submit(0, job);
-    w.loop.run(15);
-    final int starts = w.rules.starts;
-    w.crashAll();
-    w.rollBack(1);
-    w.start(1);
-    w.loop.run(45); // Longer than a suspended controller waits when all others are gone.
-    assertThat(w.leader()).isEqualTo(-1);
-    JsonNode cancelled = w.answer(1, "POST", "/v1/jobs/j-000640/withdraw", null);
-    assertThat(cancelled.path("http").asInt()).isEqualTo(503);
-    w.start(0);
-    w.start(2);
-    w.loop.run(40);
-    assertThat(w.leader()).isIn(0, 2);
-    assertThat(w.rules.starts).isGreaterThanOrEqualTo(starts);
-    fine(w);
-  }
-
-  // ---------------------------------------------------------------- the way down
-
-  @ParameterizedTest
-  @CsvSource({"1, 216", "0, 217"})
-  void downgradeRemovesTheNewFormsBeforeTheLevelFalls(int target, long seed) {
-    SimWorld w = finalized(seed, 3);
-    w.submit(0, w.job("j-000650", 3, 1, 0, false));
-    w.loop.run(40);
-    assertThat(w.state.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    final int starts = w.rules.starts;
-    assertThat(change(w, w.leader(), "downgrade", target).path("http").asInt()).isEqualTo(200);
-    w.loop.run(10);
-    assertThat(level(w)).isEqualTo(target);
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    w.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
-    assertThat(level(w)).isEqualTo(target);
-    assertThat(w.rules.starts).isEqualTo(starts);
-    if (target == 0) {
-      assertThat(w.state.value(FeatureCodec.LEADER)).isNull();
-      assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.BARS));
-      upgradeToProduction(w);
-    }
-    fine(w);
-  }
-
-  /** The version in production leads again. */
-  private static void upgradeToProduction(SimWorld w) {
-    for (int i = 0; i < w.size; i++) {
-      w.rollBack(i);
-      w.crash(i);
-      w.loop.run(1);
-      w.start(i);
-      w.loop.run(5);
-    }
-    assertThat(w.leader()).isNotNegative();
-    assertThat(w.stage(0, "j-000650")).isEqualTo("running");
-  }
-
-  @ParameterizedTest
-  @CsvSource({"1, 218", "2, 219", "3, 220", "4, 221", "5, 222", "6, 223"})
-  void downgradeInterruptedAfterAnyStepGoesOnUnderTheNextLeader(int step, long seed) {
-    SimWorld w = finalized(seed, 3);
-    final List<Rules.Known> jobs = steadyJobs(w, 30);
-    w.loop.run(40);
-    int[] steps = {0};
-    int leader = w.leader();
-    w.state.loseAnswer =
-        t -> {
-          String changes = t.path("then").toString();
-          boolean ofTheDowngrade =
-              changes.contains(FeatureCodec.LEVEL)
-                  || changes.contains("\"drop\":\"" + FeatureCodec.HINTS)
-                  || changes.contains("\"drop\":\"" + StateCodec.BARS);
-          if (ofTheDowngrade && ++steps[0] == step) {
-            w.loop.after(0, () -> w.crash(leader));
-            return true;
-          }
-          return false;
-        };
-    change(w, leader, "downgrade", 0);
-    w.loop.run(8);
-    w.state.loseAnswer = t -> false;
-    if (!w.isUp(leader)) {
-      w.start(leader);
-    }
-    w.loop.run(25);
-    assertThat(level(w)).as("after step " + step + " of " + steps[0]).isZero();
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    assertThat(w.leader()).isNotNegative();
-    allEnd(w, jobs);
-  }
-
-  // ---------------------------------------------------------------- operators
-
-  @Test
-  void heldLevelRisesOnlyOnceTheHoldIsTakenBack() {
-    SimWorld w = levelled(224, 3, pinned(LATEST));
-    assertThat(w.answer(0, "POST", "/admin/features/hold", null).path("http").asInt())
-        .isEqualTo(200);
-    w.loop.run(3 * SOAK_S);
-    assertThat(level(w)).isZero();
-    assertThat(show(w, 1).path("held").asBoolean()).isTrue();
-    assertThat(w.answer(2, "POST", "/admin/features/release", null).path("http").asInt())
-        .isEqualTo(200);
-    w.loop.run(3);
-    assertThat(level(w)).isEqualTo(LATEST);
-    fine(w);
-  }
-
-  @Test
-  void finalizationThatNotAllSupportNamesTheController() {
-    SimWorld w = levelled(225, 3, manual(LATEST));
-    upgrade(w, 1, manual(1));
-    w.loop.run(SOAK_S + 4);
-    JsonNode refused = change(w, 0, "finalize", LATEST);
-    assertThat(refused.path("http").asInt()).isEqualTo(409);
-    assertThat(refused.path("error").asText()).contains("m-1 supports feature levels 0 to 1");
-    assertThat(change(w, 0, "finalize", 9).path("http").asInt()).isEqualTo(400);
-    JsonNode raised = change(w, 0, "finalize", 1);
-    assertThat(raised.path("http").asInt()).as(raised.toString()).isEqualTo(200);
-    assertThat(level(w)).isEqualTo(1);
-    fine(w);
-  }
-
-  @ParameterizedTest
-  @CsvSource({"'{\"level\":\"two\"}', 226", "'{\"level\":-1}', 227", "'{}', 228"})
-  void malformedLevelRecordStopsEverybodyUntilItIsMended(String record, long seed) {
-    SimWorld w = finalized(seed, 3);
-    w.state.overwrite(FeatureCodec.LEVEL, Json.read(record.getBytes()));
-    w.loop.run(15);
-    for (int i = 0; i < 3; i++) {
-      JsonNode ready = w.answer(i, "GET", "/ready", null);
-      assertThat(ready.path("http").asInt()).isEqualTo(503);
-      assertThat(ready.path("error").asText()).contains("malformed").contains("level");
-    }
-    assertThat(w.left).isEmpty();
-    w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", LATEST));
-    w.loop.run(10);
-    assertThat(w.leader()).isNotNegative();
-    Rules.Known job = w.job("j-000660", 1, 1, 2, true);
-    w.submit(0, job);
-    w.loop.run(30);
-    assertThat(w.stage(1, job.id)).isEqualTo("done");
-    fine(w);
-  }
-
-  @Test
-  void unknownFutureLevelIsRefusedWithMessage() {
-    SimWorld w = new SimWorld(229, SimWorld.Shape.of(3));
-    w.crashAll();
-    w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
-    w.startAll();
-    w.loop.run(10);
-    assertThat(w.leader()).isEqualTo(-1);
-    assertThat(w.left).isEmpty();
-    assertThat(w.answer(0, "GET", "/ready", null).path("error").asText()).contains("99");
-  }
 }
--- a/src/test/java/graderelay/sim/WorldAssertions.java
+++ b/src/test/java/graderelay/sim/WorldAssertions.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.List;
+
 /** Checks that tests of whole simulated controllers share. */
 public final class WorldAssertions {
   private WorldAssertions() {}
@@ -14,6 +16,14 @@
     return w;
   }
 
+  /** A world whose zones have these letters for names. */
+  public static SimWorld zoned(long seed, int size, String zones) {
+    List<String> names = List.of(zones.split("(?<=.)"));
+    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size).fleet(8, names));
+    w.loop.run(3);
+    return w;
+  }
+
   /** No rule was broken. */
   public static void fine(SimWorld w) {
     assertThat(w.rules.broken).isEmpty();
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -26,15 +26,7 @@
   }
 
   private static SimWorld oneZone(long seed, int size) {
-    return zoned(seed, size, "a");
-  }
-
-  /** A world whose zones have these letters for names. */
-  private static SimWorld zoned(long seed, int size, String zones) {
-    List<String> names = List.of(zones.split("(?<=.)"));
-    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size).fleet(8, names));
-    w.loop.run(3);
-    return w;
+    return WorldAssertions.zoned(seed, size, "a");
   }
 
   @ParameterizedTest
@@ -45,7 +37,7 @@
   })
   void cancellationTheLeaderCouldNotReadIsCarriedOutThroughTotalOutage(
       int size, String zones, double cancelAfter, double outageAfter, double length) {
-    SimWorld w = zoned(301, size, zones);
+    SimWorld w = WorldAssertions.zoned(301, size, zones);
     Rules.Known[] jobs = running(w, 3);
     int leader = w.leader();
     refuse(w, leader, size > 1);
@@ -66,7 +58,7 @@
   @ParameterizedTest
   @CsvSource({"3, ab", "3, a", "5, ab", "5, a"})
   void tasksOfJobCancelledAtAnotherControllerStopWithinTheOutage(int size, String zones) {
-    SimWorld w = zoned(302, size, zones);
+    SimWorld w = WorldAssertions.zoned(302, size, zones);
     Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
     refuse(w, leader, true);
@@ -94,7 +86,7 @@
   @CsvSource({"a, 0.05, -1", "ab, 0.05, -1", "a, 0.05, 2", "ab, 1, 8", "a, 1, 0.2"})
   void peerThatEndsRightAfterConfirmingTakesItsKnowledgeWithIt(
       String zones, double endsAfter, double backAfter) {
-    SimWorld w = zoned(303, 3, zones);
+    SimWorld w = WorldAssertions.zoned(303, 3, zones);
     final Rules.Known[] jobs = running(w, 2);
     int leader = w.leader();
     final int gateway = other(w, leader);
--- a/src/test/java/graderelay/state/LeaderChangeTest.java
+++ b/src/test/java/graderelay/state/LeaderChangeTest.java
@@ -24,15 +24,7 @@
   }
 
   private static SimWorld oneZone(long seed, int size) {
-    return zoned(seed, size, "a");
-  }
-
-  /** A world whose zones have these letters for names. */
-  private static SimWorld zoned(long seed, int size, String zones) {
-    List<String> names = List.of(zones.split("(?<=.)"));
-    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size).fleet(8, names));
-    w.loop.run(3);
-    return w;
+    return WorldAssertions.zoned(seed, size, "a");
   }
 
   @ParameterizedTest
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -5,12 +5,7 @@
 import static graderelay.sim.WorldAssertions.secondsToNextStart;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.core.Action;
-import graderelay.core.Scheduler;
-import graderelay.core.SchedulerFixture;
 import graderelay.sim.SimWorld;
-import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -24,29 +19,6 @@
     return w;
   }
 
-  /** Ordinary machines rented for twenty tasks of 10 s while there are no others to be had. */
-  private static int ordinary(double wait, double deadline) {
-    return ordinary(wait, deadline, 0);
-  }
-
-  private static int ordinary(double wait, double deadline, double submittedAt) {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(wait)));
-    s.loaded(0);
-    s.onJob(SchedulerFixture.due("j-1", 20, deadline), false, 5, submittedAt, 0);
-    int ordinary = 0;
-    for (int i = 1; i < 4; i++) {
-      s.tick(i);
-      for (Action a : s.take()) {
-        if (a instanceof Action.ScaleOut h && h.spot()) {
-          s.onScaleOutAnswered(h.id(), null, true, i);
-        } else if (a instanceof Action.ScaleOut h) {
-          ordinary += h.count();
-        }
-      }
-    }
-    return ordinary;
-  }
-
   /** A service whose replicas run in both zones, by the time that everybody has settled. */
   private static SimWorld spread(long seed) {
     SimWorld w = world(seed, SimWorld.Shape.of(5));
@@ -130,10 +102,4 @@
     assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S - 2, SimWorld.LEASE_S + 10);
     fine(w);
   }
-
-  @Test
-  void overdueWorkOfClassWithWantedStartStillScalesOut() {
-    // All that was wanted of it is over, and it still has to run.
-    assertThat(ordinary(150, 400, -500)).isEqualTo(2);
-  }
 }
