--- a/src/test/java/graderelay/sim/WorldAssertions.java
+++ b/src/test/java/graderelay/sim/WorldAssertions.java
@@ -2,6 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.List;
+
 /** Checks that tests of whole simulated controllers share. */
 public final class WorldAssertions {
   private WorldAssertions() {}
@@ -14,9 +16,17 @@
     return w;
   }
 
-  /** No rule was broken. */
+  /** A world whose zones have these letters for names. */
+  public static SimWorld zoned(long seed, int size, String zones) {
+    List<String> names = List.of(zones.split("(?<=.)"));
+    SimWorld w = new SimWorld(seed, WorldShape.of(size).fleet(8, names));
+    w.loop.run(3);
+    return w;
+  }
+
+  /** No invariant was violated. */
   public static void fine(SimWorld w) {
-    assertThat(w.rules.broken).isEmpty();
+    assertThat(w.invariants.violations).isEmpty();
   }
 
   /** The machine that runs a task. */
@@ -30,9 +40,9 @@
 
   /** Seconds until the next start of a task, or a minute if there is none by then. */
   public static double secondsToNextStart(SimWorld w) {
-    int starts = w.rules.starts;
+    int starts = w.invariants.starts;
     double from = w.loop.now();
-    while (w.rules.starts == starts && w.loop.now() < from + 60) {
+    while (w.invariants.starts == starts && w.loop.now() < from + 60) {
       w.loop.run(0.1);
     }
     return w.loop.now() - from;
