--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -7,70 +7,150 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What passes between the cloud and controllers. */
+/**
+ * What passes between the cloud and controllers. The cloud's own words stand in the doc comments of
+ * the keys below.
+ */
 public final class CloudCodec {
+  /** Wire name "rigs": the machine types. */
+  private static final String MACHINE_TYPES = "rigs";
+
+  /** Wire name "sku": the name of a machine type. */
+  private static final String TYPE_NAME = "sku";
+
+  private static final String CPUS = "cpus";
+
+  /** Wire name "cards": GPUs. */
+  private static final String GPUS = "cards";
+
+  private static final String MEMORY_GB = "mem_gb";
+
+  /** Wire name "pull_gb_per_s": the rate at which a machine fetches images. */
+  private static final String IMAGE_FETCH_GB_PER_S = "pull_gb_per_s";
+
+  private static final String ON_DEMAND_PRICE = "price";
+
+  /** Wire name "market_price": the present price of a spot instance. */
+  private static final String SPOT_PRICE = "market_price";
+
+  /** Wire name "ready_s": the nominal boot time in seconds. */
+  private static final String BOOT_S = "ready_s";
+
+  /** Wire name "yards": the zones that offer a machine type. */
+  private static final String ZONES = "yards";
+
+  /** Wire name "saws": machines. */
+  private static final String MACHINES = "saws";
+
+  /** Wire name "ref": the name of a machine. */
+  private static final String MACHINE_NAME = "ref";
+
+  private static final String ADDRESS = "address";
+
+  /** Wire name "rig": the type of a machine. */
+  private static final String MACHINE_TYPE = "rig";
+
+  /** Wire name "yard": the zone of a machine. */
+  private static final String ZONE = "yard";
+
+  /** Wire name "borrowed": true for a spot instance. */
+  private static final String SPOT = "borrowed";
+
+  private static final String STAGE = "stage";
+
+  /** Wire name "age_s": seconds since the request that rented the machine. */
+  private static final String AGE_S = "age_s";
+
+  /** Wire name that tells whether machines follow after this page. */
+  private static final String TRUNCATED = "truncated";
+
+  /** Wire name "hire": the name of a scale-out request, which makes it idempotent. */
+  private static final String SCALE_OUT_NAME = "hire";
+
+  /** Wire name "how_many": how many machines a scale-out request asks for. */
+  private static final String COUNT = "how_many";
+
+  private static final String ERROR = "error";
+
+  /** The error of a scale-out request for a type, zone and kind that has no machine left. */
+  private static final String NO_CAPACITY = "no capacity";
+
   private CloudCodec() {}
 
+  /** The machine types that the cloud offers, with their present prices. */
   public static List<MachineType> decodeMachineTypes(JsonNode n) {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode t : n.path("rigs")) {
+    for (JsonNode t : n.path(MACHINE_TYPES)) {
       List<String> zones = new ArrayList<>();
-      t.path("yards").forEach(z -> zones.add(z.asText()));
+      t.path(ZONES).forEach(z -> zones.add(z.asText()));
       types.add(
           new MachineType(
-              t.path("sku").asText(),
-              t.path("cpus").asDouble(),
-              t.path("cards").asDouble(),
-              t.path("mem_gb").asDouble(),
-              t.path("pull_gb_per_s").asDouble(),
-              t.path("price").asDouble(),
-              t.path("market_price").asDouble(),
-              t.path("ready_s").asDouble(),
+              t.path(TYPE_NAME).asText(),
+              t.path(CPUS).asDouble(),
+              t.path(GPUS).asDouble(),
+              t.path(MEMORY_GB).asDouble(),
+              t.path(IMAGE_FETCH_GB_PER_S).asDouble(),
+              t.path(ON_DEMAND_PRICE).asDouble(),
+              t.path(SPOT_PRICE).asDouble(),
+              t.path(BOOT_S).asDouble(),
               List.copyOf(zones)));
     }
     return types;
   }
 
+  /** One page of the list of machines, in the order of their names. */
   public static List<Listed> decodeMachines(JsonNode n) {
     List<Listed> list = new ArrayList<>();
-    for (JsonNode m : n.path("saws")) {
+    for (JsonNode m : n.path(MACHINES)) {
       list.add(
           new Listed(
-              m.path("ref").asText(),
-              m.path("address").asText(),
-              m.path("rig").asText(),
-              m.path("yard").asText(),
-              m.path("borrowed").asBoolean(),
-              m.path("stage").asText(),
-              m.path("age_s").asDouble()));
+              m.path(MACHINE_NAME).asText(),
+              m.path(ADDRESS).asText(),
+              m.path(MACHINE_TYPE).asText(),
+              m.path(ZONE).asText(),
+              m.path(SPOT).asBoolean(),
+              m.path(STAGE).asText(),
+              m.path(AGE_S).asDouble()));
     }
     return list;
   }
 
+  /** True if machines follow after this page of the list. */
   public static boolean decodeTruncated(JsonNode n) {
-    return n.path("truncated").asBoolean(false);
+    return n.path(TRUNCATED).asBoolean(false);
   }
 
+  /**
+   * A request to scale out by {@code count} machines. {@code name} must never be used for another
+   * request: repeating it rents nothing more.
+   */
   public static ObjectNode encodeScaleOut(
       String name, String type, String zone, boolean spot, int count) {
     return Json.object()
-        .put("hire", name)
-        .put("rig", type)
-        .put("yard", zone)
-        .put("borrowed", spot)
-        .put("how_many", count);
+        .put(SCALE_OUT_NAME, name)
+        .put(MACHINE_TYPE, type)
+        .put(ZONE, zone)
+        .put(SPOT, spot)
+        .put(COUNT, count);
   }
 
+  /** The machines that a scale-out request has rented. */
   public static List<String> decodeMachineNames(JsonNode n) {
     List<String> names = new ArrayList<>();
-    n.path("saws").forEach(m -> names.add(m.asText()));
+    n.path(MACHINES).forEach(m -> names.add(m.asText()));
     return names;
   }
 
+  /** A request to delete these machines. */
   public static ObjectNode encodeMachineNames(List<String> names) {
     ObjectNode n = Json.object();
-    var a = n.putArray("saws");
+    var a = n.putArray(MACHINES);
     names.forEach(a::add);
     return n;
   }
+
+  /** True if a refusal of a scale-out request says that no such machine is left; null is none. */
+  public static boolean decodeNoCapacity(JsonNode refusal) {
+    return refusal != null && refusal.path(ERROR).asText().equals(NO_CAPACITY);
+  }
 }
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** What passes between users and controllers. */
+/** What passes between users and controllers: submissions and the state of jobs. */
 public final class UserCodec {
   /** Jobs that a submission may name; a request has at most 64 KiB. */
   public static final int MOST_DEPENDENCIES = 2000;
@@ -23,13 +23,80 @@
   /** Machine types that a submission may name, for the same reason. */
   private static final int MOST_TYPES = 32;
 
-  /** The field of a submission that names the jobs it waits for. */
+  /** Wire name "awaits": the jobs that a submitted job waits for (DAG dependencies). */
   public static final String DEPENDENCIES = "awaits";
 
+  /** Wire name "ref": the id of a job. */
+  private static final String JOB_ID = "ref";
+
+  /** Wire name "lot": the class of jobs that a job belongs to. */
+  private static final String JOB_CLASS = "lot";
+
+  /** Wire name "crew": the team whose quota applies. */
+  private static final String TEAM = "crew";
+
+  /** Wire name "cut": the kind of a job, {@link #ARRAY} or {@link #SERVICE}. */
+  private static final String KIND = "cut";
+
+  private static final String ARRAY = "array";
+
+  /** Wire name "standing": a job whose tasks are replicas that run until it is cancelled. */
+  private static final String SERVICE = "standing";
+
+  /** Wire name "urgency": the priority. */
+  private static final String PRIORITY = "urgency";
+
+  /** Wire name "boards": the number of tasks. */
+  private static final String TASKS = "boards";
+
+  private static final String CPUS = "cpus";
+
+  /** Wire name "cards": GPUs of a task. */
+  private static final String GPUS = "cards";
+
+  private static final String MEMORY_GB = "mem_gb";
+
+  /** Wire name "blade": the image of the tasks. */
+  private static final String IMAGE = "blade";
+
+  /** Wire name "pull_gb": the size of the image. */
+  private static final String IMAGE_GB = "pull_gb";
+
+  /** Wire name "rigs": the allowed machine types. */
+  private static final String MACHINE_TYPES = "rigs";
+
+  /** Wire name "yard": the only allowed zone. */
+  private static final String ZONE = "yard";
+
+  private static final String ONE_ZONE = "one_zone";
+
+  /** Wire name "apart": tasks must be spread over zones. */
+  private static final String SPREAD = "apart";
+
+  /** Wire name "borrowed": spot instances are allowed. */
+  private static final String SPOT = "borrowed";
+
+  /** Wire name "expected_s": the estimated run time of a task in seconds. */
+  private static final String ESTIMATE_S = "expected_s";
+
+  /** Wire name "stack_s": the interval between checkpoints in seconds. */
+  private static final String CHECKPOINT_S = "stack_s";
+
+  /** Wire name "stack_write_s": seconds that a task needs to write a checkpoint. */
+  private static final String CHECKPOINT_SAVE_S = "stack_write_s";
+
+  /** Wire name "ship_s": the deadline in seconds after the submission. */
+  private static final String DEADLINE_S = "ship_s";
+
+  private static final String STAGE = "stage";
+  private static final String DONE_TASKS = "done";
+  private static final String RUNNING_TASKS = "running";
+
   private static final Pattern ID = Pattern.compile("j-[0-9]{1,20}");
 
   private UserCodec() {}
 
+  /** True if a text has the form of a job id, like j-000412. */
   public static boolean isId(String s) {
     return ID.matcher(s).matches();
   }
@@ -38,45 +105,48 @@
   public static JobSpec decodeSubmission(JsonNode body, long nowMs, int batchCapacity)
       throws BadRequest {
     Fields f = new Fields(body);
-    String id = f.text("ref");
+    String id = f.text(JOB_ID);
     if (!isId(id)) {
-      throw new BadRequest("ref must look like j-000412");
+      throw new BadRequest(JOB_ID + " must look like j-000412");
     }
-    String cut = f.text("cut");
-    Kind kind =
-        switch (cut) {
-          case "array" -> Kind.ARRAY;
-          case "standing" -> Kind.SERVICE;
-          default -> throw new BadRequest("cut must be array or standing");
-        };
+    // Before the other fields: of several mistakes, this one is told.
+    Kind kind = kind(f.text(KIND));
     return new JobSpec(
         id,
-        f.text("lot"),
-        f.text("crew"),
+        f.text(JOB_CLASS),
+        f.text(TEAM),
         kind,
-        priority(f.text("urgency")),
-        f.count("boards", 1, MOST_TASKS),
-        f.amount("cpus", false),
-        f.amount("cards", true),
-        f.amount("mem_gb", true),
-        f.text("blade"),
-        f.amount("pull_gb", true),
-        types(f.raw("rigs")),
-        f.textOrNull("yard"),
-        f.flag("one_zone"),
-        f.flag("apart"),
-        f.flag("borrowed"),
-        f.amount("expected_s", true),
-        f.amount("stack_s", true),
-        f.amount("stack_write_s", true),
-        f.amountOrNull("ship_s"),
+        priority(f.text(PRIORITY)),
+        f.count(TASKS, 1, MOST_TASKS),
+        f.amount(CPUS, false),
+        f.amount(GPUS, true),
+        f.amount(MEMORY_GB, true),
+        f.text(IMAGE),
+        f.amount(IMAGE_GB, true),
+        types(f.raw(MACHINE_TYPES)),
+        f.textOrNull(ZONE),
+        f.flag(ONE_ZONE),
+        f.flag(SPREAD),
+        f.flag(SPOT),
+        f.amount(ESTIMATE_S, true),
+        f.amount(CHECKPOINT_S, true),
+        f.amount(CHECKPOINT_SAVE_S, true),
+        f.amountOrNull(DEADLINE_S),
         nowMs,
         batchCapacity,
-        needs(f.raw(DEPENDENCIES), id));
+        dependencies(f.raw(DEPENDENCIES), id));
+  }
+
+  private static Kind kind(String s) throws BadRequest {
+    return switch (s) {
+      case ARRAY -> Kind.ARRAY;
+      case SERVICE -> Kind.SERVICE;
+      default -> throw new BadRequest(KIND + " must be array or standing");
+    };
   }
 
   /** The jobs that this one waits for, each once. */
-  private static List<String> needs(JsonNode n, String id) throws BadRequest {
+  private static List<String> dependencies(JsonNode n, String id) throws BadRequest {
     if (n == null) {
       return List.of();
     }
@@ -86,17 +156,17 @@
     if (n.size() > MOST_DEPENDENCIES) {
       throw new BadRequest(DEPENDENCIES + " has more than " + MOST_DEPENDENCIES + " entries");
     }
-    Set<String> needs = new LinkedHashSet<>();
-    for (JsonNode need : n) {
-      if (!need.isTextual() || !isId(need.textValue())) {
+    Set<String> ids = new LinkedHashSet<>();
+    for (JsonNode dependency : n) {
+      if (!dependency.isTextual() || !isId(dependency.textValue())) {
         throw new BadRequest(DEPENDENCIES + " must hold ids like j-000412");
       }
-      if (need.textValue().equals(id)) {
+      if (dependency.textValue().equals(id)) {
         throw new BadRequest(DEPENDENCIES + " must not name the job itself");
       }
-      needs.add(need.textValue());
+      ids.add(dependency.textValue());
     }
-    return List.copyOf(needs);
+    return List.copyOf(ids);
   }
 
   /**
@@ -120,7 +190,7 @@
       case "urgent" -> Priority.URGENT;
       case "normal" -> Priority.NORMAL;
       case "low" -> Priority.LOW;
-      default -> throw new BadRequest("urgency must be prod, urgent, normal or low");
+      default -> throw new BadRequest(PRIORITY + " must be prod, urgent, normal or low");
     };
   }
 
@@ -129,26 +199,28 @@
       return null;
     }
     if (!n.isArray()) {
-      throw new BadRequest("rigs must be null or a list of machine types");
+      throw new BadRequest(MACHINE_TYPES + " must be null or a list of machine types");
     }
     if (n.size() > MOST_TYPES) {
-      throw new BadRequest("rigs has more than " + MOST_TYPES + " entries");
+      throw new BadRequest(MACHINE_TYPES + " has more than " + MOST_TYPES + " entries");
     }
     List<String> types = new ArrayList<>();
     for (JsonNode t : n) {
       if (!t.isTextual() || t.textValue().length() > Fields.MOST_NAME) {
-        throw new BadRequest("rigs must hold strings of at most " + Fields.MOST_NAME);
+        throw new BadRequest(MACHINE_TYPES + " must hold strings of at most " + Fields.MOST_NAME);
       }
       types.add(t.textValue());
     }
     return List.copyOf(types);
   }
 
+  /** A job and its stage, the answer to a submission and to a cancellation. */
   public static ObjectNode encodeStage(String id, String stage) {
-    return Json.object().put("ref", id).put("stage", stage);
+    return Json.object().put(JOB_ID, id).put(STAGE, stage);
   }
 
+  /** A job with its stage and its numbers of done and running tasks, the answer to a poll. */
   public static ObjectNode encodeStatus(String id, String stage, int done, int running) {
-    return encodeStage(id, stage).put("done", done).put("running", running);
+    return encodeStage(id, stage).put(DONE_TASKS, done).put(RUNNING_TASKS, running);
   }
 }
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -8,11 +8,75 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What passes between workers and controllers. */
+/** What passes between workers and controllers: heartbeats ("checkins") and worker commands. */
 public final class WorkerCodec {
+  /** Wire name "saw": the machine that a worker runs on. */
+  private static final String MACHINE = "saw";
+
+  private static final String ADDRESS = "address";
+
+  /** Wire name "rig": the machine's type. */
+  private static final String MACHINE_TYPE = "rig";
+
+  /** Wire name "yard": the machine's zone. */
+  private static final String ZONE = "yard";
+
+  /** Wire name "borrowed": true on a spot instance. */
+  private static final String SPOT = "borrowed";
+
+  /** Wire name "shift": the agent's incarnation, which grows when the worker's lease expires. */
+  private static final String INCARNATION = "shift";
+
+  /** Wire name "tally": the number of the heartbeat within its incarnation. */
+  private static final String SEQUENCE_NUMBER = "tally";
+
+  /** Wire name "foreman": the term, which fences worker commands. */
+  private static final String TERM = "foreman";
+
+  /** Wire name "foreman_at": the controller that the worker should report to. */
+  private static final String LEADER = "foreman_at";
+
+  /** Wire name "recall_s": seconds until the cloud preempts the spot instance. */
+  private static final String PREEMPTION_NOTICE_S = "recall_s";
+
+  /** Wire name "boards": the tasks on a machine. */
+  private static final String TASKS = "boards";
+
+  /** Wire name "board": the id of a task. */
+  private static final String TASK = "board";
+
+  /** Wire name "pass": the attempt of a task. */
+  private static final String ATTEMPT = "pass";
+
+  private static final String STAGE = "stage";
+  private static final String RUNNING = "running";
+  private static final String SAVING = "saving";
+  private static final String EXITED = "exited";
+
+  /** Wire name "cause": why a task exited. */
+  private static final String EXIT_CAUSE = "cause";
+
+  /** Wire name "saved": true if a task that was stopped has written its checkpoint. */
+  private static final String CHECKPOINT_SAVED = "saved";
+
+  /** Wire name "orders": the worker commands. */
+  private static final String COMMANDS = "orders";
+
+  /** Wire name "order": the kind of a worker command. */
+  private static final String COMMAND = "order";
+
+  private static final String LAUNCH = "launch";
+  private static final String KILL = "kill";
+
+  /** Wire name "reap": removes an exited task from the worker's heartbeats. */
+  private static final String REMOVE = "reap";
+
+  /** Wire name "wind_down_s": the grace period of a kill in seconds. */
+  private static final String GRACE_S = "wind_down_s";
+
   private WorkerCodec() {}
 
-  private static boolean texts(JsonNode n, String... names) {
+  private static boolean haveTexts(JsonNode n, String... names) {
     for (String name : names) {
       if (!n.path(name).isTextual() || n.path(name).textValue().isEmpty()) {
         return false;
@@ -21,7 +85,7 @@
     return true;
   }
 
-  private static boolean counts(JsonNode n, String... names) {
+  private static boolean haveCounts(JsonNode n, String... names) {
     for (String name : names) {
       JsonNode v = n.path(name);
       if (!v.isIntegralNumber() || v.bigIntegerValue().signum() < 0) {
@@ -31,92 +95,110 @@
     return true;
   }
 
-  /** True if a report has what every report has; a list that is empty may be left out. */
+  /** True if a heartbeat has what every heartbeat has; a list that is empty may be left out. */
   private static boolean wellFormed(JsonNode n) {
-    JsonNode boards = n == null ? null : n.path("boards");
+    JsonNode tasks = n == null ? null : n.path(TASKS);
     if (n == null
-        || !texts(n, "saw", "address", "rig", "yard")
-        || !counts(n, "shift", "tally", "foreman")
-        || !(boards.isArray() || boards.isMissingNode() || boards.isNull())) {
+        || !haveTexts(n, MACHINE, ADDRESS, MACHINE_TYPE, ZONE)
+        || !haveCounts(n, INCARNATION, SEQUENCE_NUMBER, TERM)
+        || !(tasks.isArray() || tasks.isMissingNode() || tasks.isNull())) {
       return false;
     }
-    for (JsonNode t : boards) {
-      if (!texts(t, "board", "stage") || !counts(t, "pass")) {
+    for (JsonNode t : tasks) {
+      if (!haveTexts(t, TASK, STAGE) || !haveCounts(t, ATTEMPT)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Reads a report; null if it is none. */
+  /** Reads a heartbeat; null if the body is none. */
   public static Heartbeat decodeHeartbeat(JsonNode n) {
     if (!wellFormed(n)) {
       return null;
     }
     List<Heartbeat.Entry> tasks = new ArrayList<>();
-    for (JsonNode t : n.path("boards")) {
-      Heartbeat.Stage stage =
-          switch (t.path("stage").asText()) {
-            case "running" -> Heartbeat.Stage.RUNNING;
-            case "saving" -> Heartbeat.Stage.SAVING;
-            case "exited" -> Heartbeat.Stage.EXITED;
-            default -> Heartbeat.Stage.FETCHING;
-          };
-      tasks.add(
-          new Heartbeat.Entry(
-              t.path("board").asText(),
-              t.path("pass").asInt(),
-              stage,
-              t.path("cause").asText(""),
-              t.path("saved").asBoolean(false)));
+    for (JsonNode task : n.path(TASKS)) {
+      tasks.add(decodeTask(task));
     }
-    JsonNode notice = n.path("recall_s");
+    JsonNode notice = n.path(PREEMPTION_NOTICE_S);
     return new Heartbeat(
-        n.path("saw").asText(),
-        n.path("address").asText(),
-        n.path("rig").asText(),
-        n.path("yard").asText(),
-        n.path("borrowed").asBoolean(),
-        n.path("shift").asLong(),
-        n.path("tally").asLong(),
-        n.path("foreman").asLong(),
+        n.path(MACHINE).asText(),
+        n.path(ADDRESS).asText(),
+        n.path(MACHINE_TYPE).asText(),
+        n.path(ZONE).asText(),
+        n.path(SPOT).asBoolean(),
+        n.path(INCARNATION).asLong(),
+        n.path(SEQUENCE_NUMBER).asLong(),
+        n.path(TERM).asLong(),
         notice.isNumber() ? notice.asDouble() : null,
         tasks);
   }
 
-  private static ArrayNode orders(List<WorkerCommand> orders, int most) {
-    ArrayNode a = Json.array();
-    for (WorkerCommand o : orders) {
-      if (a.size() >= most) {
-        break; // The rest follows with the next report.
+  private static Heartbeat.Entry decodeTask(JsonNode task) {
+    return new Heartbeat.Entry(
+        task.path(TASK).asText(),
+        task.path(ATTEMPT).asInt(),
+        decodeStage(task.path(STAGE).asText()),
+        task.path(EXIT_CAUSE).asText(""),
+        task.path(CHECKPOINT_SAVED).asBoolean(false));
+  }
+
+  /** A stage that this version doesn't know counts as fetching: the task takes its resources. */
+  private static Heartbeat.Stage decodeStage(String stage) {
+    return switch (stage) {
+      case RUNNING -> Heartbeat.Stage.RUNNING;
+      case SAVING -> Heartbeat.Stage.SAVING;
+      case EXITED -> Heartbeat.Stage.EXITED;
+      default -> Heartbeat.Stage.FETCHING;
+    };
+  }
+
+  private static ArrayNode encodeList(List<WorkerCommand> commands, int most) {
+    ArrayNode list = Json.array();
+    for (WorkerCommand command : commands) {
+      if (list.size() >= most) {
+        break; // The rest follows with the next heartbeat.
       }
-      ObjectNode n = a.addObject();
-      if (o instanceof WorkerCommand.Kill k) {
-        n.put("order", "kill").put("board", o.task()).put("pass", o.attempt());
-        n.put("wind_down_s", k.graceS());
-      } else {
-        n.put("order", o instanceof WorkerCommand.Launch ? "launch" : "reap");
-        n.put("board", o.task()).put("pass", o.attempt());
+      ObjectNode n = list.addObject().put(COMMAND, kindOf(command));
+      n.put(TASK, command.task()).put(ATTEMPT, command.attempt());
+      if (command instanceof WorkerCommand.Kill kill) {
+        n.put(GRACE_S, kill.graceS());
       }
     }
-    return a;
+    return list;
+  }
+
+  private static String kindOf(WorkerCommand command) {
+    if (command instanceof WorkerCommand.Kill) {
+      return KILL;
+    }
+    return command instanceof WorkerCommand.Launch ? LAUNCH : REMOVE;
   }
 
+  /**
+   * The answer to a heartbeat, with at most {@code most} of the commands. The worker drops an
+   * answer whose term is lower than one that it has seen.
+   */
   public static ObjectNode encodeHeartbeatResponse(
-      long term, List<WorkerCommand> orders, int most) {
-    ObjectNode n = Json.object().put("foreman", term);
-    n.set("orders", orders(orders, most));
+      long term, List<WorkerCommand> commands, int most) {
+    ObjectNode n = Json.object().put(TERM, term);
+    n.set(COMMANDS, encodeList(commands, most));
     return n;
   }
 
-  public static ObjectNode encodeCommands(long term, long session, List<WorkerCommand> orders) {
-    ObjectNode n = Json.object().put("foreman", term).put("shift", session);
-    n.set("orders", orders(orders, Integer.MAX_VALUE));
+  /**
+   * Commands that are sent straight to a worker, for the incarnation {@code session} of it only.
+   */
+  public static ObjectNode encodeCommands(long term, long session, List<WorkerCommand> commands) {
+    ObjectNode n = Json.object().put(TERM, term).put(INCARNATION, session);
+    n.set(COMMANDS, encodeList(commands, Integer.MAX_VALUE));
     return n;
   }
 
+  /** Sends a worker to another controller, or to any other if {@code member} is null. */
   public static ObjectNode encodeRedirect(String member) {
     ObjectNode n = Json.object();
-    return member == null ? n : n.put("foreman_at", member);
+    return member == null ? n : n.put(LEADER, member);
   }
 }
