--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -129,9 +129,7 @@
         r -> {
           if (r.ok() && r.body() != null) {
             done.accept(new ScaledOut(CloudCodec.decodeMachineNames(r.body()), false));
-          } else if (r.status() == 503
-              && r.body() != null
-              && r.body().path("error").asText().equals("no capacity")) {
+          } else if (r.status() == 503 && CloudCodec.decodeNoCapacity(r.body())) {
             done.accept(new ScaledOut(null, true));
           } else if (tries > 1) {
             loop.after(
