--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureStore.java
@@ -18,6 +18,7 @@
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
 import graderelay.wire.StateCodec;
+import graderelay.wire.StoreCodec;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -133,7 +134,9 @@
             return;
           }
           List<String> keys = new ArrayList<>();
-          pages.forEach(p -> p.path("items").forEach(i -> keys.add(i.path("key").asText())));
+          pages.forEach(
+              page ->
+                  StoreCodec.decodeRange(page).entries().forEach(entry -> keys.add(entry.key())));
           done.accept(keys);
         });
   }
