--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -241,12 +241,13 @@
 
   /** A lease delegate's record was released. */
   void onLeaseDelegateFreed(String member, JsonNode n) {
+    StateCodec.DelegateRelease release = StateCodec.decodeDelegateRelease(n);
     core.onDelegateReleased(
         member,
-        n.path("self").asText(),
-        n.path("n").asLong(),
-        n.path("of").asLong(),
-        n.path("alone").asDouble(),
+        release.incarnation(),
+        release.releasedUpTo(),
+        release.grantedBy(),
+        release.aloneS(),
         loop.now());
   }
 
