--- a/src/main/java/graderelay/wire/CompactHints.java
+++ b/src/main/java/graderelay/wire/CompactHints.java
@@ -36,7 +36,7 @@
     byte[] cbor = decompressed(packed);
     JsonNode plain = Json.readCbor(cbor);
     if (plain == null || !plain.isObject()) {
-      throw new MalformedRecord(PACKED + " does not hold a record");
+      throw new MalformedRecord(PACKED, "does not hold a record");
     }
     return plain;
   }
@@ -45,7 +45,7 @@
     try {
       return Base64.getDecoder().decode(text.asText());
     } catch (IllegalArgumentException e) {
-      throw new MalformedRecord(PACKED + " is not in base 64");
+      throw new MalformedRecord(PACKED, "is not in base 64");
     }
   }
 
@@ -53,13 +53,13 @@
     try {
       long size = ZstdDecompressor.getDecompressedSize(packed, 0, packed.length);
       if (size < 0 || size > MOST_HINT_BYTES) {
-        throw new MalformedRecord(PACKED + " would take " + size + " bytes");
+        throw new MalformedRecord(PACKED, "would take " + size + " bytes");
       }
       byte[] cbor = new byte[(int) size];
       new ZstdDecompressor().decompress(packed, 0, packed.length, cbor, 0, cbor.length);
       return cbor;
     } catch (MalformedInputException | IndexOutOfBoundsException | IllegalArgumentException e) {
-      throw new MalformedRecord(PACKED + " can't be decompressed: " + e.getMessage());
+      throw new MalformedRecord(PACKED, "can't be decompressed: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -59,7 +59,7 @@
     int level = count(n, "level");
     int target = n.has("target") ? count(n, "target") : level;
     if (target > level) {
-      throw new MalformedRecord("target is " + target + ", above level " + level);
+      throw new MalformedRecord("target", "is " + target + ", above level " + level);
     }
     return new ClusterLevel(level, target);
   }
@@ -81,11 +81,11 @@
     int min = count(n, "min");
     int max = count(n, "max");
     if (min > max) {
-      throw new MalformedRecord("min is " + min + ", above max " + max);
+      throw new MalformedRecord("min", "is " + min + ", above max " + max);
     }
     JsonNode began = n.path("began");
     if (!began.isIntegralNumber()) {
-      throw new MalformedRecord("began must be a time of day in milliseconds");
+      throw new MalformedRecord("began", "must be a time of day in milliseconds");
     }
     return new Member(
         name,
@@ -99,7 +99,7 @@
   private static int count(JsonNode n, String field) throws MalformedRecord {
     JsonNode v = n.path(field);
     if (!v.isInt() || v.intValue() < Feature.BASE_LEVEL) {
-      throw new MalformedRecord(field + " must be a feature level of at least 0");
+      throw new MalformedRecord(field, "must be a feature level of at least 0");
     }
     return v.intValue();
   }
@@ -107,7 +107,7 @@
   private static String text(JsonNode n, String field) throws MalformedRecord {
     JsonNode v = n.path(field);
     if (!v.isTextual() || v.textValue().isEmpty() || v.textValue().length() > LONGEST_TEXT) {
-      throw new MalformedRecord(field + " must be a text of 1 to " + LONGEST_TEXT + " characters");
+      throw new MalformedRecord(field, "must be a text of 1 to " + LONGEST_TEXT + " characters");
     }
     return v.textValue();
   }
--- a/src/main/java/graderelay/wire/Fields.java
+++ b/src/main/java/graderelay/wire/Fields.java
@@ -22,7 +22,7 @@
   private JsonNode need(String name) throws BadRequest {
     JsonNode v = n.get(name);
     if (v == null || v.isNull()) {
-      throw new BadRequest(name + " is missing");
+      throw new BadRequest(name, "is missing");
     }
     return v;
   }
@@ -30,10 +30,10 @@
   String text(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isTextual() || v.textValue().isEmpty()) {
-      throw new BadRequest(name + " must be a string that is not empty");
+      throw new BadRequest(name, "must be a string that is not empty");
     }
     if (v.textValue().length() > MOST_NAME) {
-      throw new BadRequest(name + " is longer than " + MOST_NAME + " characters");
+      throw new BadRequest(name, "is longer than " + MOST_NAME + " characters");
     }
     return v.textValue();
   }
@@ -46,7 +46,7 @@
   boolean flag(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isBoolean()) {
-      throw new BadRequest(name + " must be true or false");
+      throw new BadRequest(name, "must be true or false");
     }
     return v.booleanValue();
   }
@@ -54,11 +54,11 @@
   int count(String name, int least, int most) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isIntegralNumber() || !v.canConvertToLong()) {
-      throw new BadRequest(name + " must be an integer");
+      throw new BadRequest(name, "must be an integer");
     }
     long l = v.longValue();
     if (l < least || l > most) {
-      throw new BadRequest(name + " must be between " + least + " and " + most);
+      throw new BadRequest(name, "must be between " + least + " and " + most);
     }
     return (int) l;
   }
@@ -67,8 +67,7 @@
     JsonNode v = need(name);
     double d = v.isNumber() ? v.doubleValue() : Double.NaN;
     if (!(d >= 0) || d > MOST_AMOUNT || (d == 0 && !zeroAllowed)) {
-      throw new BadRequest(
-          name + " must be a number " + (zeroAllowed ? "of at least 0" : "above 0"));
+      throw new BadRequest(name, "must be a number " + (zeroAllowed ? "of at least 0" : "above 0"));
     }
     return d;
   }
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -98,7 +98,7 @@
     JsonNode v = n.path(field);
     boolean whole = v.isIntegralNumber() && v.canConvertToLong();
     if (!whole || v.longValue() < 0 || v.longValue() > MOST_MILLIS) {
-      throw new MalformedRecord(field + " must be a number of thousandths of at least 0");
+      throw new MalformedRecord(field, "must be a number of thousandths of at least 0");
     }
     return v.longValue();
   }
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -107,7 +107,7 @@
     Fields f = new Fields(body);
     String id = f.text(JOB_ID);
     if (!isId(id)) {
-      throw new BadRequest(JOB_ID + " must look like j-000412");
+      throw new BadRequest(JOB_ID, "must look like j-000412");
     }
     // Before the other fields: of several mistakes, this one is told.
     Kind kind = kind(f.text(KIND));
@@ -141,7 +141,7 @@
     return switch (s) {
       case ARRAY -> Kind.ARRAY;
       case SERVICE -> Kind.SERVICE;
-      default -> throw new BadRequest(KIND + " must be array or standing");
+      default -> throw new BadRequest(KIND, "must be array or standing");
     };
   }
 
@@ -151,18 +151,18 @@
       return List.of();
     }
     if (!n.isArray()) {
-      throw new BadRequest(DEPENDENCIES + " must be null or a list of job ids");
+      throw new BadRequest(DEPENDENCIES, "must be null or a list of job ids");
     }
     if (n.size() > MOST_DEPENDENCIES) {
-      throw new BadRequest(DEPENDENCIES + " has more than " + MOST_DEPENDENCIES + " entries");
+      throw new BadRequest(DEPENDENCIES, "has more than " + MOST_DEPENDENCIES + " entries");
     }
     Set<String> ids = new LinkedHashSet<>();
     for (JsonNode dependency : n) {
       if (!dependency.isTextual() || !isId(dependency.textValue())) {
-        throw new BadRequest(DEPENDENCIES + " must hold ids like j-000412");
+        throw new BadRequest(DEPENDENCIES, "must hold ids like j-000412");
       }
       if (dependency.textValue().equals(id)) {
-        throw new BadRequest(DEPENDENCIES + " must not name the job itself");
+        throw new BadRequest(DEPENDENCIES, "must not name the job itself");
       }
       ids.add(dependency.textValue());
     }
@@ -190,7 +190,7 @@
       case "urgent" -> Priority.URGENT;
       case "normal" -> Priority.NORMAL;
       case "low" -> Priority.LOW;
-      default -> throw new BadRequest(PRIORITY + " must be prod, urgent, normal or low");
+      default -> throw new BadRequest(PRIORITY, "must be prod, urgent, normal or low");
     };
   }
 
@@ -199,15 +199,15 @@
       return null;
     }
     if (!n.isArray()) {
-      throw new BadRequest(MACHINE_TYPES + " must be null or a list of machine types");
+      throw new BadRequest(MACHINE_TYPES, "must be null or a list of machine types");
     }
     if (n.size() > MOST_TYPES) {
-      throw new BadRequest(MACHINE_TYPES + " has more than " + MOST_TYPES + " entries");
+      throw new BadRequest(MACHINE_TYPES, "has more than " + MOST_TYPES + " entries");
     }
     List<String> types = new ArrayList<>();
     for (JsonNode t : n) {
       if (!t.isTextual() || t.textValue().length() > Fields.MOST_NAME) {
-        throw new BadRequest(MACHINE_TYPES + " must hold strings of at most " + Fields.MOST_NAME);
+        throw new BadRequest(MACHINE_TYPES, "must hold strings of at most " + Fields.MOST_NAME);
       }
       types.add(t.textValue());
     }
