--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -45,53 +45,71 @@
   /** Stands in {@link StateCodec#LEADER} once elections are sealed; no controller is called so. */
   public static final String SEALED_LEADER = "sealed:feature-levels";
 
+  private static final String LEVEL_NUMBER = "level";
+
+  /** The level that the cluster is being lowered to; absent unless it is being lowered. */
+  private static final String TARGET_LEVEL = "target";
+
+  private static final String VERSION = "version";
+  private static final String MIN_LEVEL = "min";
+  private static final String MAX_LEVEL = "max";
+  private static final String INCARNATION = "incarnation";
+
+  /** Stored name "began": the time of day in milliseconds at which the process began. */
+  private static final String BEGAN_MS = "began";
+
+  /** Characters of a text in a member's record; more is a mistake. */
   private static final int LONGEST_TEXT = 128;
 
   private FeatureCodec() {}
 
+  /** The cluster's level; the target is left out unless the level is being lowered. */
   public static ObjectNode encodeLevel(ClusterLevel l) {
-    ObjectNode n = Json.object().put("level", l.level());
-    return l.lowering() ? n.put("target", l.target()) : n;
+    ObjectNode n = Json.object().put(LEVEL_NUMBER, l.level());
+    return l.lowering() ? n.put(TARGET_LEVEL, l.target()) : n;
   }
 
   /** Reads the record; a level that this program does not know is no mistake of the record. */
   public static ClusterLevel decodeLevel(JsonNode n) throws MalformedRecord {
-    int level = count(n, "level");
-    int target = n.has("target") ? count(n, "target") : level;
+    int level = count(n, LEVEL_NUMBER);
+    int target = n.has(TARGET_LEVEL) ? count(n, TARGET_LEVEL) : level;
     if (target > level) {
-      throw new MalformedRecord("target", "is " + target + ", above level " + level);
+      throw new MalformedRecord(TARGET_LEVEL, "is " + target + ", above level " + level);
     }
     return new ClusterLevel(level, target);
   }
 
+  /** The key of what controller {@code member} has published of itself. */
   public static String memberKey(String member) {
     return MEMBERS + member;
   }
 
+  /** What a controller publishes of itself. */
   public static ObjectNode encodeMember(Member m) {
     return Json.object()
-        .put("version", m.version())
-        .put("min", m.range().min())
-        .put("max", m.range().max())
-        .put("incarnation", m.incarnation())
-        .put("began", m.beganMs());
+        .put(VERSION, m.version())
+        .put(MIN_LEVEL, m.range().min())
+        .put(MAX_LEVEL, m.range().max())
+        .put(INCARNATION, m.incarnation())
+        .put(BEGAN_MS, m.beganMs());
   }
 
+  /** Controller {@code name} from its record and the record's revision. */
   public static Member decodeMember(String name, JsonNode n, long revision) throws MalformedRecord {
-    int min = count(n, "min");
-    int max = count(n, "max");
+    int min = count(n, MIN_LEVEL);
+    int max = count(n, MAX_LEVEL);
     if (min > max) {
-      throw new MalformedRecord("min", "is " + min + ", above max " + max);
+      throw new MalformedRecord(MIN_LEVEL, "is " + min + ", above max " + max);
     }
-    JsonNode began = n.path("began");
+    JsonNode began = n.path(BEGAN_MS);
     if (!began.isIntegralNumber()) {
-      throw new MalformedRecord("began", "must be a time of day in milliseconds");
+      throw new MalformedRecord(BEGAN_MS, "must be a time of day in milliseconds");
     }
     return new Member(
         name,
-        text(n, "version"),
+        text(n, VERSION),
         new FeatureRange(min, max),
-        text(n, "incarnation"),
+        text(n, INCARNATION),
         began.longValue(),
         revision);
   }
--- a/src/main/java/graderelay/wire/Fields.java
+++ b/src/main/java/graderelay/wire/Fields.java
@@ -10,23 +10,24 @@
   /** Largest amount of a resource or of seconds in a submission: more is a mistake. */
   private static final double MOST_AMOUNT = 1e9;
 
-  private final JsonNode n;
+  private final JsonNode body;
 
-  Fields(JsonNode n) throws BadRequest {
-    if (n == null || !n.isObject()) {
+  Fields(JsonNode body) throws BadRequest {
+    if (body == null || !body.isObject()) {
       throw new BadRequest("the body must be a JSON object");
     }
-    this.n = n;
+    this.body = body;
   }
 
   private JsonNode need(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     if (v == null || v.isNull()) {
       throw new BadRequest(name, "is missing");
     }
     return v;
   }
 
+  /** A string that is not empty and not too long. */
   String text(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isTextual() || v.textValue().isEmpty()) {
@@ -38,11 +39,13 @@
     return v.textValue();
   }
 
+  /** The same, or null if the field is absent or null. */
   String textOrNull(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : text(name);
   }
 
+  /** True or false. */
   boolean flag(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isBoolean()) {
@@ -51,6 +54,7 @@
     return v.booleanValue();
   }
 
+  /** An integer from {@code least} to {@code most}. */
   int count(String name, int least, int most) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isIntegralNumber() || !v.canConvertToLong()) {
@@ -63,6 +67,7 @@
     return (int) l;
   }
 
+  /** A decimal number up to a billion: of at least 0, or above 0 unless zero is allowed. */
   double amount(String name, boolean zeroAllowed) throws BadRequest {
     JsonNode v = need(name);
     double d = v.isNumber() ? v.doubleValue() : Double.NaN;
@@ -72,13 +77,15 @@
     return d;
   }
 
+  /** A number of at least 0, or null if the field is absent or null. */
   Double amountOrNull(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : amount(name, true);
   }
 
+  /** The field unchecked, or null if it is absent or null. */
   JsonNode raw(String name) {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : v;
   }
 }
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -41,6 +41,7 @@
 
   private JobRecordCodec() {}
 
+  /** A job's record. */
   static ObjectNode encode(JobSpec s, boolean stopRequested) {
     ObjectNode n = Json.object();
     n.put(CLASS, s.jobClass()).put(TEAM, s.team()).put(KIND, s.kind().name());
@@ -70,10 +71,12 @@
     return n;
   }
 
+  /** True if the job's user asked to stop it. */
   static boolean decodeStopRequested(JsonNode n) {
     return n.path(STOP_REQUESTED).asBoolean(false);
   }
 
+  /** The terms of job {@code id} from its record. */
   static JobSpec decode(String id, JsonNode n) {
     List<String> types = null;
     if (n.has(MACHINE_TYPES)) {
--- a/src/main/java/graderelay/wire/Json.java
+++ b/src/main/java/graderelay/wire/Json.java
@@ -17,12 +17,17 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final ObjectMapper CBOR = new CBORMapper();
 
+  /** Wire name of the text that says what went wrong. */
+  private static final String ERROR = "error";
+
   private Json() {}
 
+  /** A new, empty JSON object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** A new, empty JSON list. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
@@ -37,6 +42,7 @@
     }
   }
 
+  /** The JSON text of a tree, as UTF-8. */
   public static byte[] write(JsonNode n) {
     try {
       return JSON.writeValueAsBytes(n);
@@ -55,6 +61,7 @@
     }
   }
 
+  /** The CBOR bytes of a tree. */
   public static byte[] writeCbor(JsonNode n) {
     try {
       return CBOR.writeValueAsBytes(n);
@@ -63,7 +70,8 @@
     }
   }
 
+  /** The body of an answer that says what went wrong. */
   public static byte[] error(String text) {
-    return write(object().put("error", text));
+    return write(object().put(ERROR, text));
   }
 }
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -110,6 +110,7 @@
     return n;
   }
 
+  /** The images of each machine, from the names and the bit masks. */
   static Map<String, List<String>> decodeImages(JsonNode n) {
     Map<String, List<String>> machines = new HashMap<>();
     JsonNode names = n.path(IMAGE_NAMES);
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -28,15 +28,36 @@
   /** Present once the limits of the settings have been stored as a whole. */
   public static final String SEEDED = "g/term/quota/seeded";
 
+  /** Stored name "cpus": thousandths of CPUs of a guarantee or of an account. */
+  private static final String CPU_MILLIS = "cpus";
+
+  private static final String CPU_LIMIT_MILLIS = "cpus_max";
+
+  /** Stored name "gpus": thousandths of GPUs of a guarantee or of an account. */
+  private static final String GPU_MILLIS = "gpus";
+
+  private static final String GPU_LIMIT_MILLIS = "gpus_max";
+
+  /** Stored name "by": who changed the limits. */
+  private static final String CHANGED_BY = "by";
+
+  /** Stored name "at": the time of day of the change in milliseconds. */
+  private static final String CHANGED_AT_MS = "at";
+
+  /** Tells which write of which process an account comes from. */
+  private static final String WRITER = "writer";
+
   /** Thousandths; a sum of some billions of them is still exact. */
   private static final long MOST_MILLIS = 1_000_000_000_000L;
 
   private QuotaCodec() {}
 
+  /** The key of a team's guarantee and limit. */
   public static String limitKey(String team) {
     return LIMITS + encoded(team);
   }
 
+  /** The key of a team's account. */
   public static String accountKey(String team) {
     return ACCOUNTS + encoded(team);
   }
@@ -51,14 +72,15 @@
     return URLDecoder.decode(key.substring(prefix.length()), StandardCharsets.UTF_8);
   }
 
+  /** A team's guarantee and limit, with who changed them and when. */
   public static ObjectNode encodeLimits(TeamQuota quota, String changedBy, long nowMs) {
     return Json.object()
-        .put("cpus", quota.guarantee().cpuMillis())
-        .put("cpus_max", quota.limit().cpuMillis())
-        .put("gpus", quota.guarantee().gpuMillis())
-        .put("gpus_max", quota.limit().gpuMillis())
-        .put("by", changedBy)
-        .put("at", nowMs);
+        .put(CPU_MILLIS, quota.guarantee().cpuMillis())
+        .put(CPU_LIMIT_MILLIS, quota.limit().cpuMillis())
+        .put(GPU_MILLIS, quota.guarantee().gpuMillis())
+        .put(GPU_LIMIT_MILLIS, quota.limit().gpuMillis())
+        .put(CHANGED_BY, changedBy)
+        .put(CHANGED_AT_MS, nowMs);
   }
 
   /** Reads the record; one that can't be read stops its team and nobody else. */
@@ -66,29 +88,31 @@
     try {
       TeamQuota quota =
           new TeamQuota(
-              new Amount(millis(n, "cpus"), millis(n, "gpus")),
-              new Amount(millis(n, "cpus_max"), millis(n, "gpus_max")));
+              new Amount(millis(n, CPU_MILLIS), millis(n, GPU_MILLIS)),
+              new Amount(millis(n, CPU_LIMIT_MILLIS), millis(n, GPU_LIMIT_MILLIS)));
       if (!quota.isConsistent()) {
         throw new MalformedRecord("the guarantee is above the limit");
       }
-      return LimitRecord.of(quota, revision, n.path("by").asText(), n.path("at").asLong());
+      return LimitRecord.of(
+          quota, revision, n.path(CHANGED_BY).asText(), n.path(CHANGED_AT_MS).asLong());
     } catch (MalformedRecord e) {
       return LimitRecord.malformed(e.getMessage(), revision);
     }
   }
 
+  /** What the committed claims of a team take, and which write this is. */
   public static ObjectNode encodeAccount(Amount use, String writer) {
     return Json.object()
-        .put("cpus", use.cpuMillis())
-        .put("gpus", use.gpuMillis())
-        .put("writer", writer);
+        .put(CPU_MILLIS, use.cpuMillis())
+        .put(GPU_MILLIS, use.gpuMillis())
+        .put(WRITER, writer);
   }
 
   /** Reads the record; one that can't be read stops its team and nobody else. */
   public static Account decodeAccount(JsonNode n, long revision) {
     try {
-      Amount use = new Amount(millis(n, "cpus"), millis(n, "gpus"));
-      return Account.of(use, n.path("writer").asText(), revision);
+      Amount use = new Amount(millis(n, CPU_MILLIS), millis(n, GPU_MILLIS));
+      return Account.of(use, n.path(WRITER).asText(), revision);
     } catch (MalformedRecord e) {
       return Account.malformed(e.getMessage(), revision);
     }
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -31,6 +31,7 @@
 
   private TaskBatchRecordCodec() {}
 
+  /** A task batch in the form that fits its state. */
   static ObjectNode encode(TaskBatchRecord r) {
     if (r.doneCount() == r.size()) {
       return Json.object().put(ALL_DONE, r.size());
@@ -95,6 +96,7 @@
     return n;
   }
 
+  /** A task batch from any of its forms. */
   static TaskBatchRecord decode(JsonNode n) {
     if (n.has(ALL_DONE)) {
       int size = n.get(ALL_DONE).asInt();
