--- a/src/main/java/graderelay/wire/Fields.java
+++ b/src/main/java/graderelay/wire/Fields.java
@@ -10,76 +10,82 @@
   /** Largest amount of a resource or of seconds in a submission: more is a mistake. */
   private static final double MOST_AMOUNT = 1e9;
 
-  private final JsonNode n;
+  private final JsonNode body;
 
-  Fields(JsonNode n) throws BadRequest {
-    if (n == null || !n.isObject()) {
+  Fields(JsonNode body) throws BadRequest {
+    if (body == null || !body.isObject()) {
       throw new BadRequest("the body must be a JSON object");
     }
-    this.n = n;
+    this.body = body;
   }
 
   private JsonNode need(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     if (v == null || v.isNull()) {
-      throw new BadRequest(name + " is missing");
+      throw new BadRequest(name, "is missing");
     }
     return v;
   }
 
+  /** A string that is not empty and not too long. */
   String text(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isTextual() || v.textValue().isEmpty()) {
-      throw new BadRequest(name + " must be a string that is not empty");
+      throw new BadRequest(name, "must be a string that is not empty");
     }
     if (v.textValue().length() > MOST_NAME) {
-      throw new BadRequest(name + " is longer than " + MOST_NAME + " characters");
+      throw new BadRequest(name, "is longer than " + MOST_NAME + " characters");
     }
     return v.textValue();
   }
 
+  /** The same, or null if the field is absent or null. */
   String textOrNull(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : text(name);
   }
 
+  /** True or false. */
   boolean flag(String name) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isBoolean()) {
-      throw new BadRequest(name + " must be true or false");
+      throw new BadRequest(name, "must be true or false");
     }
     return v.booleanValue();
   }
 
+  /** An integer from {@code least} to {@code most}. */
   int count(String name, int least, int most) throws BadRequest {
     JsonNode v = need(name);
     if (!v.isIntegralNumber() || !v.canConvertToLong()) {
-      throw new BadRequest(name + " must be an integer");
+      throw new BadRequest(name, "must be an integer");
     }
     long l = v.longValue();
     if (l < least || l > most) {
-      throw new BadRequest(name + " must be between " + least + " and " + most);
+      throw new BadRequest(name, "must be between " + least + " and " + most);
     }
     return (int) l;
   }
 
+  /** A decimal number up to a billion: of at least 0, or above 0 unless zero is allowed. */
   double amount(String name, boolean zeroAllowed) throws BadRequest {
     JsonNode v = need(name);
     double d = v.isNumber() ? v.doubleValue() : Double.NaN;
     if (!(d >= 0) || d > MOST_AMOUNT || (d == 0 && !zeroAllowed)) {
-      throw new BadRequest(
-          name + " must be a number " + (zeroAllowed ? "of at least 0" : "above 0"));
+      throw new BadRequest(name, "must be a number " + (zeroAllowed ? "of at least 0" : "above 0"));
     }
     return d;
   }
 
+  /** A number of at least 0, or null if the field is absent or null. */
   Double amountOrNull(String name) throws BadRequest {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : amount(name, true);
   }
 
+  /** The field unchecked, or null if it is absent or null. */
   JsonNode raw(String name) {
-    JsonNode v = n.get(name);
+    JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : v;
   }
 }
