--- a/src/test/java/graderelay/api/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import graderelay.config.Settings;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.wire.Json;
 import org.assertj.core.api.Assertions;
@@ -26,7 +26,7 @@
     if (revision != null) {
       n.put("mark", revision);
     }
-    return w.answer(node, "PUT", "/admin/settings", Json.write(n));
+    return w.users.answer(node, "PUT", "/admin/settings", Json.write(n));
   }
 
   @Test
@@ -45,7 +45,7 @@
   @Test
   void settingChangedOnOneControllerHoldsOnAllAndLostRaceIsConflict() {
     SimWorld w = world(2);
-    long revision = w.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
+    long revision = w.users.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
     assertThat(put(w, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
     w.loop.run(1);
     JsonNode late = put(w, 1, "{\"idle_s\":9}", revision);
@@ -58,47 +58,48 @@
   @Test
   void pausedClaimsStartNothingUntilTheyAreResumed() {
     SimWorld w = world(3);
-    assertThat(w.answer(1, "POST", "/admin/claims/pause", null).path("http").asInt())
+    assertThat(w.users.answer(1, "POST", "/admin/claims/pause", null).path("http").asInt())
         .isEqualTo(200);
-    Rules.Known j = w.job("j-000001", 2, 1, 2, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000001", 2, 1, 2, true);
+    w.users.submit(0, j);
     w.loop.run(20);
-    assertThat(w.rules.starts).isZero();
-    w.answer(2, "POST", "/admin/claims/resume", null);
+    assertThat(w.invariants.starts).isZero();
+    w.users.answer(2, "POST", "/admin/claims/resume", null);
     w.loop.run(20);
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
   }
 
   @Test
   void drainedMachineIsEmptiedAndStaysSoOverFailover() {
     SimWorld w = world(4);
-    Rules.Known j = w.job("j-000002", 2, 2, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000002", 2, 2, 0, false);
+    w.users.submit(0, j);
     w.loop.run(15);
     String machine =
         w.workers.values().stream().filter(x -> !x.running().isEmpty()).findFirst().get().name;
-    w.answer(1, "POST", "/admin/machines/" + machine + "/drain", null);
+    w.users.answer(1, "POST", "/admin/machines/" + machine + "/drain", null);
     w.crash(w.leader());
     w.loop.run(30);
     assertThat(w.workers.get(machine).running()).isEmpty();
-    assertThat(w.stage(w.leader(), j.id)).isEqualTo("running");
-    assertThat(w.rules.broken).isEmpty();
+    assertThat(w.users.stage(w.leader(), j.id)).isEqualTo("running");
+    assertThat(w.invariants.violations).isEmpty();
   }
 
   @Test
   void anyControllerAnswersWhatOnlyTheLeaderKnows() {
     SimWorld w = world(5);
-    Rules.Known j = w.job("j-000003", 30, 4, 50, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000003", 30, 4, 50, true);
+    w.users.submit(0, j);
     w.loop.run(20);
     for (int i = 0; i < 3; i++) {
-      JsonNode a = w.answer(i, "GET", "/admin/jobs/" + j.id, null);
+      JsonNode a = w.users.answer(i, "GET", "/admin/jobs/" + j.id, null);
       assertThat(a.path("waits_because").asText()).isNotEmpty();
       assertThat(a.path("claims").size()).isPositive();
-      assertThat(w.answer(i, "GET", "/admin/machines", null).path("machines").size()).isPositive();
-      JsonNode team = w.answer(i, "GET", "/admin/teams", null).path("teams").path(0);
+      assertThat(w.users.answer(i, "GET", "/admin/machines", null).path("machines").size())
+          .isPositive();
+      JsonNode team = w.users.answer(i, "GET", "/admin/teams", null).path("teams").path(0);
       assertThat(team.path("cpus_used").asDouble()).isBetween(4.0, SimWorld.LIMIT);
-      assertThat(w.answer(i, "GET", "/admin/status", null).path("owner").asText())
+      assertThat(w.users.answer(i, "GET", "/admin/status", null).path("owner").asText())
           .isEqualTo("m-" + w.leader());
     }
   }
@@ -106,7 +107,7 @@
   @Test
   void theMetricsTellOfCallsTasksAndTheFleet() {
     SimWorld w = world(6);
-    w.submit(0, w.job("j-000004", 2, 1, 2, true));
+    w.users.submit(0, w.users.job("j-000004", 2, 1, 2, true));
     w.loop.run(20);
     String[] text = {""};
     w.nodes[w.leader()].handle(
@@ -188,7 +189,7 @@
   @Test
   void fleetIsListedInPagesAndByStateFromAnyController() {
     SimWorld w = world(8);
-    w.submit(0, w.job("j-000090", 5, 4, 0, false));
+    w.users.submit(0, w.users.job("j-000090", 5, 4, 0, false));
     w.loop.run(15);
     int known = w.workers.size();
     assertThat(known).isGreaterThan(3);
@@ -197,7 +198,7 @@
       int seen = 0;
       JsonNode page;
       do {
-        page = w.answer(node, "GET", "/admin/machines?most=2&after=" + after, null);
+        page = w.users.answer(node, "GET", "/admin/machines?most=2&after=" + after, null);
         assertThat(page.path("machines").size()).isBetween(1, 2);
         for (JsonNode m : page.path("machines")) {
           assertThat(m.path("name").asText()).isGreaterThan(after);
@@ -207,12 +208,13 @@
       } while (page.path("truncated").asBoolean());
       assertThat(seen).isEqualTo(page.path("known").asInt()).isGreaterThanOrEqualTo(known);
     }
-    JsonNode up = w.answer(1, "GET", "/admin/machines?state=up", null);
+    JsonNode up = w.users.answer(1, "GET", "/admin/machines?state=up", null);
     assertThat(up.path("machines").size()).isEqualTo(up.path("states").path("up").asInt());
-    JsonNode none = w.answer(1, "GET", "/admin/machines?zone=nowhere", null);
+    JsonNode none = w.users.answer(1, "GET", "/admin/machines?zone=nowhere", null);
     assertThat(none.path("machines").size()).isZero();
-    assertThat(w.answer(1, "GET", "/admin/machines?most=x", null).path("http").asInt())
+    assertThat(w.users.answer(1, "GET", "/admin/machines?most=x", null).path("http").asInt())
         .isEqualTo(400);
-    assertThat(w.answer(0, "GET", "/admin/jobs?team=nobody", null).path("jobs").size()).isZero();
+    assertThat(w.users.answer(0, "GET", "/admin/jobs?team=nobody", null).path("jobs").size())
+        .isZero();
   }
 }
--- a/src/test/java/graderelay/api/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -7,8 +7,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.sim.RandomDay;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.Json;
 import graderelay.wire.UserCodec;
 import java.util.List;
@@ -33,15 +34,15 @@
   /** A world with an array that is done, one that runs and a service. */
   private static final class Jobs {
     final SimWorld world = world(451, 3);
-    final Rules.Known over = world.job("j-000601", 1, 1, 1, true);
-    final Rules.Known live = world.job("j-000602", 1, 1, 500, true);
-    final Rules.Known service = world.job("j-000603", 1, 1, 0, false);
+    final SimJob over = world.users.job("j-000601", 1, 1, 1, true);
+    final SimJob live = world.users.job("j-000602", 1, 1, 500, true);
+    final SimJob service = world.users.job("j-000603", 1, 1, 0, false);
 
     Jobs() {
-      List.of(over, live, service).forEach(job -> world.submit(0, job));
+      List.of(over, live, service).forEach(job -> world.users.submit(0, job));
       world.loop.run(30);
-      assertThat(world.stage(1, over.id)).isEqualTo("done");
-      assertThat(world.stage(1, live.id)).isEqualTo("running");
+      assertThat(world.users.stage(1, over.id)).isEqualTo("done");
+      assertThat(world.users.stage(1, live.id)).isEqualTo("running");
     }
 
     /** Brings a controller into that state and returns which it is. */
@@ -67,13 +68,13 @@
     }
 
     ObjectNode submission(String names) {
-      ObjectNode body = world.body(world.job(OWN_ID, 1, 1, 2, true));
+      ObjectNode body = world.users.body(world.users.job(OWN_ID, 1, 1, 2, true));
       body.set("awaits", Json.read(names.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
       return body;
     }
 
     JsonNode submit(int node, ObjectNode body) {
-      return world.answer(node, "POST", "/v1/jobs", Json.write(body));
+      return world.users.answer(node, "POST", "/v1/jobs", Json.write(body));
     }
   }
 
@@ -125,7 +126,7 @@
     }
     jobs.world.state.outage(false);
     jobs.world.loop.run(20);
-    assertThat(jobs.world.stage(node, OWN_ID)).isEmpty();
+    assertThat(jobs.world.users.stage(node, OWN_ID)).isEmpty();
     fine(jobs.world);
   }
 
@@ -146,7 +147,7 @@
     jobs.world.loop.run(20);
     assertThat(jobs.submit(node, body).path("http").asInt()).isIn(200, 201);
     jobs.world.loop.run(20);
-    assertThat(jobs.world.stage(node, OWN_ID)).isEqualTo("done");
+    assertThat(jobs.world.users.stage(node, OWN_ID)).isEqualTo("done");
     fine(jobs.world);
   }
 
@@ -156,7 +157,7 @@
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[\"" + jobs.live.id + "\"]");
     assertThat(jobs.submit(0, body).path("http").asInt()).isEqualTo(201);
-    jobs.world.cancel(1, jobs.live);
+    jobs.world.users.cancel(1, jobs.live);
     jobs.world.loop.run(20);
     int node = jobs.bring(how);
     int status = jobs.submit(node, body).path("http").asInt();
@@ -186,18 +187,18 @@
   /** What is done need not be kept; of what is not over yet, a record holds only so many names. */
   @Test
   void moreLiveDependenciesThanOneRecordHoldsAreRefusedWithReason() {
-    SimWorld w = new SimWorld(452, SimWorld.Shape.of(3), RandomDay.LOWER);
+    SimWorld w = new SimWorld(452, WorldShape.of(3), RandomDay.LOWER);
     w.loop.run(3);
-    w.answer(0, "POST", "/admin/claims/pause", null);
-    ObjectNode body = w.body(w.job(OWN_ID, 1, 1, 2, true));
+    w.users.answer(0, "POST", "/admin/claims/pause", null);
+    ObjectNode body = w.users.body(w.users.job(OWN_ID, 1, 1, 2, true));
     for (int i = 0; i < 180; i++) {
-      Rules.Known k = w.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
-      w.submit(i % 3, k);
+      SimJob k = w.users.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
+      w.users.submit(i % 3, k);
       body.withArray("awaits").add(k.id);
     }
     w.loop.run(10);
     for (int i = 0; i < w.size; i++) {
-      assertRefused(w.answer(i, "POST", "/v1/jobs", Json.write(body)), 400, "not over");
+      assertRefused(w.users.answer(i, "POST", "/v1/jobs", Json.write(body)), 400, "not over");
     }
     fine(w);
   }
--- a/src/test/java/graderelay/api/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/api/DependencySubmissionTest.java
@@ -9,8 +9,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.config.Settings;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,24 +20,24 @@
 
 /** Submissions that name other jobs. */
 class DependencySubmissionTest {
-  private static Rules.Known job(SimWorld w, int n, int tasks, double runS, Rules.Known... needs) {
-    Rules.Known j = w.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
-    j.needs = List.of(needs);
+  private static SimJob job(SimWorld w, int n, int tasks, double runS, SimJob... needs) {
+    SimJob j = w.users.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
+    j.dependencies = List.of(needs);
     return j;
   }
 
   private static int http(SimWorld w, int node, JsonNode body) {
-    return w.answer(node, "POST", "/v1/jobs", Json.write(body)).path("http").asInt();
+    return w.users.answer(node, "POST", "/v1/jobs", Json.write(body)).path("http").asInt();
   }
 
   @Test
   void dependenciesAreCheckedAgainstTheStoreOnEveryController() {
     SimWorld w = world(409, 3);
-    Rules.Known first = job(w, 0, 1, 2);
-    Rules.Known service = w.job("j-000790", 1, 1, 0, false);
+    SimJob first = job(w, 0, 1, 2);
+    SimJob service = w.users.job("j-000790", 1, 1, 0, false);
     accept(w, 0, first);
     accept(w, 0, service);
-    ObjectNode body = w.body(job(w, 1, 1, 2, first));
+    ObjectNode body = w.users.body(job(w, 1, 1, 2, first));
     for (int i = 0; i < 3; i++) {
       assertThat(http(w, i, named(body, "j-999999"))).isEqualTo(422);
       assertThat(http(w, i, named(body, first.id, "j-999999"))).isEqualTo(422);
@@ -51,12 +52,12 @@
     assertThat(http(w, 2, named(body, "j-999999"))).isEqualTo(200); // A retry, whatever it names.
     w.state.outage(true);
     w.loop.run(5);
-    ObjectNode other = w.body(job(w, 2, 1, 2));
+    ObjectNode other = w.users.body(job(w, 2, 1, 2));
     assertThat(http(w, 0, named(other, first.id))).isEqualTo(503);
     w.state.outage(false);
     w.loop.run(15);
-    assertThat(w.stage(0, "j-000701")).isEqualTo("done");
-    assertThat(w.stage(0, "j-000702")).isEmpty();
+    assertThat(w.users.stage(0, "j-000701")).isEqualTo("done");
+    assertThat(w.users.stage(0, "j-000702")).isEmpty();
   }
 
   private static ObjectNode named(ObjectNode body, String... ids) {
@@ -68,24 +69,24 @@
 
   @Test
   void manyDependenciesWorkAndMoreThanOneRecordHoldsAreRefused() {
-    SimWorld w = new SimWorld(410, SimWorld.Shape.of(3), new Settings.StateLimits(200, 2, 4));
+    SimWorld w = new SimWorld(410, WorldShape.of(3), new Settings.StateLimits(200, 2, 4));
     w.loop.run(3);
-    List<Rules.Known> over = new ArrayList<>();
+    List<SimJob> over = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       over.add(job(w, i, 1, 1));
-      w.submit(i % 3, over.get(i));
+      w.users.submit(i % 3, over.get(i));
     }
     w.loop.run(40);
     everywhere(w, over, "done");
-    Rules.Known j = job(w, 90, 1, 2, over.toArray(new Rules.Known[0]));
+    SimJob j = job(w, 90, 1, 2, over.toArray(new SimJob[0]));
     accept(w, 0, j); // What is done need not be kept.
     w.loop.run(20);
     everywhere(w, List.of(j), "done");
-    ObjectNode body = w.body(job(w, 91, 1, 2));
-    w.answer(0, "POST", "/admin/claims/pause", null);
+    ObjectNode body = w.users.body(job(w, 91, 1, 2));
+    w.users.answer(0, "POST", "/admin/claims/pause", null);
     for (int i = 0; i < 180; i++) {
-      Rules.Known k = w.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
-      w.submit(i % 3, k);
+      SimJob k = w.users.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
+      w.users.submit(i % 3, k);
       body.withArray("awaits").add(k.id);
     }
     w.loop.run(5);
--- a/src/test/java/graderelay/api/RequestStormTest.java
+++ b/src/test/java/graderelay/api/RequestStormTest.java
@@ -6,7 +6,7 @@
 import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
@@ -23,10 +23,10 @@
   @Test
   void stormOfPollsForUnknownAndOldJobsCostsFewRequestsAndAllAreAnswered() {
     SimWorld w = world(81, 3);
-    List<Rules.Known> old = new ArrayList<>();
+    List<SimJob> old = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      old.add(w.job(String.format("j-%06d", 810 + i), 1, 1, 1, false));
-      w.submit(i % 3, old.get(i));
+      old.add(w.users.job(String.format("j-%06d", 810 + i), 1, 1, 1, false));
+      w.users.submit(i % 3, old.get(i));
     }
     w.loop.run(60);
     int node = (w.leader() + 1) % 3;
@@ -38,7 +38,7 @@
     for (int i = 0; i < 400; i++) {
       String id = i < 20 ? old.get(i).id : String.format("j-%06d", 900000 + i);
       int wanted = i < 20 ? 200 : 404;
-      w.ask(
+      w.users.ask(
           node, "GET", "/v1/jobs/" + id, null, (r, n) -> answered[r.status() == wanted ? 0 : 1]++);
     }
     w.loop.run(2);
@@ -52,15 +52,15 @@
     SimWorld w = world(82, 3);
     int leader = w.leader();
     final long before = w.state.revision();
-    // More than the node may write in two seconds: the rest is told at once to come back.
+    // More than the controller may write in two seconds: the rest is told at once to come back.
     int[] status = new int[600];
     for (int i = 0; i < 600; i++) {
-      Rules.Known j = w.job(String.format("j-%06d", 820000 + i), 1, 1, 1, false);
-      w.ask(
+      SimJob j = w.users.job(String.format("j-%06d", 820000 + i), 1, 1, 1, false);
+      w.users.ask(
           (leader + 1) % 3,
           "POST",
           "/v1/jobs",
-          Json.write(w.body(j)),
+          Json.write(w.users.body(j)),
           (r, n) -> {
             status[r.status()]++;
             j.accepted |= r.status() == 201;
@@ -79,18 +79,18 @@
   void swarmOfSingleTaskJobsOneQuarterCancelledIsAnsweredAndServed() {
     SimWorld w = world(351, 3);
     w.cloud.capacity = 8;
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 480; i++) {
-      Rules.Known j = w.job(String.format("j-%06d", 5000 + i), 1, 1, 4, true);
+      SimJob j = w.users.job(String.format("j-%06d", 5000 + i), 1, 1, 4, true);
       jobs.add(j);
       int node = i % 3;
-      w.loop.after(i * 0.25, () -> w.submit(node, j));
+      w.loop.after(i * 0.25, () -> w.users.submit(node, j));
       if (i % 4 == 3) {
-        w.loop.after(i * 0.25 + 0.3 + i % 16, () -> w.cancel(other(w, node), j));
+        w.loop.after(i * 0.25 + 0.3 + i % 16, () -> w.users.cancel(other(w, node), j));
       }
     }
     w.loop.run(200);
-    for (Rules.Known j : jobs) {
+    for (SimJob j : jobs) {
       assertThat(j.accepted).isTrue();
     }
     allOver(w, jobs);
--- a/src/test/java/graderelay/api/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/api/SubmissionBurstTest.java
@@ -4,7 +4,7 @@
 import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,16 +27,16 @@
     if (onePeerIsDown) {
       w.crash((w.leader() + 2) % w.size);
     }
-    List<Rules.Known> burst = new ArrayList<>();
+    List<SimJob> burst = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      Rules.Known job = w.job(String.format("j-%06d", i), 1, 1, 1, true);
+      SimJob job = w.users.job(String.format("j-%06d", i), 1, 1, 1, true);
       burst.add(job);
-      w.submit(follower, job);
+      w.users.submit(follower, job);
     }
     w.loop.run(SOON_S);
     assertThat(burst).allMatch(job -> job.accepted);
     w.loop.run(90);
-    burst.forEach(job -> assertThat(w.stage(follower, job.id)).isEqualTo("done"));
+    burst.forEach(job -> assertThat(w.users.stage(follower, job.id)).isEqualTo("done"));
     fine(w);
   }
 }
--- a/src/test/java/graderelay/api/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
@@ -33,11 +33,11 @@
   @Test
   void pollAfterAnotherControllerSaidDoneIsNeverOlder() {
     SimWorld w = world(13);
-    Rules.Known j = w.job("j-000015", 2, 1, 2, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000015", 2, 1, 2, true);
+    w.users.submit(0, j);
     int node = 0;
     for (int i = 0; i < 300; i++) {
-      w.poll(node = (node + 1) % 3, j);
+      w.users.poll(node = (node + 1) % 3, j);
       w.loop.run(0.1);
     }
     assertThat(j.lastStage).isEqualTo("done");
@@ -47,23 +47,25 @@
   @Test
   void retryOfAcceptedJobWhoseMachineTypeVanishedIsStillKnown() {
     SimWorld w = world(14);
-    Rules.Known j = w.job("j-000016", 1, 1, 2, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000016", 1, 1, 2, true);
+    w.users.submit(0, j);
     w.loop.run(30);
-    byte[] tooBig = Json.write(w.body(j).put("cpus", 512.0));
-    assertThat(w.answer(1, "POST", "/v1/jobs", tooBig).path("http").asInt()).isEqualTo(200);
-    byte[] other = Json.write(w.body(w.job("j-000017", 1, 1, 2, true)).put("cpus", 512.0));
-    assertThat(w.answer(1, "POST", "/v1/jobs", other).path("http").asInt()).isEqualTo(422);
+    byte[] tooBig = Json.write(w.users.body(j).put("cpus", 512.0));
+    assertThat(w.users.answer(1, "POST", "/v1/jobs", tooBig).path("http").asInt()).isEqualTo(200);
+    byte[] other =
+        Json.write(w.users.body(w.users.job("j-000017", 1, 1, 2, true)).put("cpus", 512.0));
+    assertThat(w.users.answer(1, "POST", "/v1/jobs", other).path("http").asInt()).isEqualTo(422);
     fine(w);
   }
 
   @Test
   void unknownJobsPathsAndMethodsAreToldApart() {
     SimWorld w = world(15);
-    assertThat(w.answer(0, "GET", "/v1/jobs/j-999999", null).path("http").asInt()).isEqualTo(404);
-    assertThat(w.answer(0, "GET", "/v1/nothing", null).path("http").asInt()).isEqualTo(404);
-    assertThat(w.answer(0, "DELETE", "/v1/jobs", null).path("http").asInt()).isEqualTo(405);
-    assertThat(w.answer(0, "POST", "/v1/jobs", "[]".getBytes()).path("http").asInt())
+    assertThat(w.users.answer(0, "GET", "/v1/jobs/j-999999", null).path("http").asInt())
+        .isEqualTo(404);
+    assertThat(w.users.answer(0, "GET", "/v1/nothing", null).path("http").asInt()).isEqualTo(404);
+    assertThat(w.users.answer(0, "DELETE", "/v1/jobs", null).path("http").asInt()).isEqualTo(405);
+    assertThat(w.users.answer(0, "POST", "/v1/jobs", "[]".getBytes()).path("http").asInt())
         .isEqualTo(400);
   }
 
@@ -72,8 +74,8 @@
       strings = {"nothing", "refused", "lostAnswers", "slowState", "ownerEnds", "handover", "late"})
   void noNodeAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
     SimWorld w = world(311, 3);
-    w.lookClosely();
-    final List<Rules.Known> jobs = arrays(w, 24, 0.7, 2);
+    w.users.lookClosely();
+    final List<SimJob> jobs = arrays(w, 24, 0.7, 2);
     w.loop.run(6);
     int leader = w.leader();
     switch (trouble) {
@@ -107,21 +109,21 @@
   void cancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
       double after, boolean leaderEnds) {
     SimWorld w = world(312, 3);
-    w.lookClosely();
-    List<Rules.Known> jobs = new ArrayList<>();
+    w.users.lookClosely();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      Rules.Known j = w.job(String.format("j-0004%02d", i), 1 + i % 2, 1, 2 + i % 5, true);
+      SimJob j = w.users.job(String.format("j-0004%02d", i), 1 + i % 2, 1, 2 + i % 5, true);
       jobs.add(j);
-      w.submit(i % 3, j);
+      w.users.submit(i % 3, j);
     }
-    w.rules.onComplete =
+    w.invariants.onComplete =
         j ->
             w.loop.after(
                 after,
                 () -> {
-                  w.cancel(w.random.nextInt(3), j);
-                  w.resubmit(w.random.nextInt(3), j);
-                  w.poll(w.random.nextInt(3), j);
+                  w.users.cancel(w.random.nextInt(3), j);
+                  w.users.resubmit(w.random.nextInt(3), j);
+                  w.users.poll(w.random.nextInt(3), j);
                   if (leaderEnds && w.leader() >= 0) {
                     int leader = w.leader();
                     w.crash(leader);
@@ -135,9 +137,9 @@
   @Test
   void transactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
     SimWorld w = world(313, 3);
-    w.lookClosely();
+    w.users.lookClosely();
     w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
-    final List<Rules.Known> jobs = arrays(w, 20, 1, 3);
+    final List<SimJob> jobs = arrays(w, 20, 1, 3);
     w.loop.run(40);
     w.state.loseAnswer = t -> false;
     w.loop.run(60);
@@ -148,8 +150,9 @@
   void jobsThatCannotRunOrLackFieldsAreRefusedByEveryControllerInEveryState() {
     SimWorld w = world(314, 3);
     running(w, 1);
-    byte[] tooBig = Json.write(w.body(w.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
-    ObjectNode lacks = w.body(w.job("j-000492", 1, 1, 2, true));
+    byte[] tooBig =
+        Json.write(w.users.body(w.users.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
+    ObjectNode lacks = w.users.body(w.users.job("j-000492", 1, 1, 2, true));
     lacks.remove("mem_gb");
     List<Runnable> states =
         List.of(
@@ -166,8 +169,9 @@
       for (int k = 0; k < 4; k++) {
         w.loop.run(0.3);
         for (int i = 0; i < 3; i++) {
-          assertThat(w.answer(i, "POST", "/v1/jobs", tooBig).path("http").asInt()).isIn(422, 503);
-          assertThat(w.answer(i, "POST", "/v1/jobs", Json.write(lacks)).path("http").asInt())
+          assertThat(w.users.answer(i, "POST", "/v1/jobs", tooBig).path("http").asInt())
+              .isIn(422, 503);
+          assertThat(w.users.answer(i, "POST", "/v1/jobs", Json.write(lacks)).path("http").asInt())
               .isIn(400, 503);
         }
       }
@@ -178,7 +182,8 @@
       refuse(w, i, false);
     }
     w.loop.run(20);
-    assertThat(w.answer(1, "GET", "/v1/jobs/j-000491", null).path("http").asInt()).isEqualTo(404);
+    assertThat(w.users.answer(1, "GET", "/v1/jobs/j-000491", null).path("http").asInt())
+        .isEqualTo(404);
     fine(w);
   }
 }
--- a/src/test/java/graderelay/cli/History.java
+++ b/src/test/java/graderelay/cli/History.java
@@ -41,7 +41,7 @@
   private final IntFunction<String> address;
   private final int controllers;
   private final Map<String, Job> jobs = new LinkedHashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private int refused;
   private int late;
   private int turn;
@@ -58,8 +58,8 @@
   }
 
   /** What the user was told that contradicts itself; to be read once the thread has ended. */
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   /** Submissions that were answered with another status than 200 and 201, or not at all. */
@@ -188,16 +188,16 @@
 
   private void told(String id, Job job, int status, String stage) {
     if (job.accepted && (status == 404 || status == 400 || status == 422)) {
-      broken.add(id + " was accepted and is forgotten: " + status);
+      violations.add(id + " was accepted and is forgotten: " + status);
     }
     if (status != 200 && status != 201) {
       return;
     }
     if (job.over() && !stage.equals(job.last)) {
-      broken.add(id + " goes back from " + job.last + " to " + stage);
+      violations.add(id + " goes back from " + job.last + " to " + stage);
     }
     if (stage.equals("cancelled") && !job.cancelAsked) {
-      broken.add(id + " was cancelled by nobody");
+      violations.add(id + " was cancelled by nobody");
     }
     job.last = stage;
   }
--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -4,7 +4,7 @@
 import graderelay.net.Exchange;
 import graderelay.net.HttpServer;
 import graderelay.net.NettyLoop;
-import graderelay.sim.SimState;
+import graderelay.sim.SimStore;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Controllers as processes of their own on loopback, with stand-ins for the state service, the
- * cloud and its workers.
+ * Controllers as processes of their own on loopback, with stand-ins for the store, the cloud and
+ * its workers.
  */
 final class LocalDeployment implements AutoCloseable {
   private static final int TXN_OPS = 12;
@@ -34,7 +34,7 @@
   private final Process[] controllers;
   private final List<String> addresses = new CopyOnWriteArrayList<>();
   private final List<String> peerAddresses = new ArrayList<>();
-  private final SimState store;
+  private final SimStore store;
   private final LoopbackFleet fleet;
   private final String state;
   private final String cloud;
@@ -66,7 +66,7 @@
     this.controllers = new Process[size];
     var loop = group.next();
     var clock = new NettyLoop(loop);
-    store = new SimState(clock, TXN_OPS);
+    store = new SimStore(clock, TXN_OPS);
     state = listen(loop, clock, store.forNode(new boolean[1]));
     fleet = new LoopbackFleet(loop, clock, addresses, machines);
     cloud = listen(loop, clock, fleet);
--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -24,7 +24,7 @@
  * once, and each task runs for a moment. It notes what ran where; everything is on one event loop.
  */
 final class LoopbackFleet implements Exchange.Handler {
-  private static final double REPORT_S = 1;
+  private static final double HEARTBEAT_S = 1;
   private static final double LEASE_S = 12;
   private static final double RUN_S = 0.7;
   private static final int CONNECTIONS = 50;
@@ -38,7 +38,7 @@
   private final Map<String, ArrayNode> scaleOuts = new LinkedHashMap<>();
   private final Map<String, String> runningOn = new LinkedHashMap<>();
   private final Set<String> done = new HashSet<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private int mostRunning;
 
   /** The addresses are read when a worker reports, so they may change. */
@@ -51,8 +51,8 @@
   }
 
   /** Tasks that ran on two machines at a time, or once more after they were done. */
-  synchronized List<String> broken() {
-    return List.copyOf(broken);
+  synchronized List<String> violations() {
+    return List.copyOf(violations);
   }
 
   /** Tasks that have completed. */
@@ -69,10 +69,10 @@
     String other = runningOn.put(task, worker);
     mostRunning = Math.max(mostRunning, runningOn.size());
     if (other != null) {
-      broken.add(task + " runs on " + other + " and " + worker);
+      violations.add(task + " runs on " + other + " and " + worker);
     }
     if (done.contains(task)) {
-      broken.add(task + " runs again after it was done");
+      violations.add(task + " runs again after it was done");
     }
   }
 
@@ -248,7 +248,7 @@
             JsonNode n = r.body().length == 0 ? Json.object() : Json.read(r.body());
             if (r.status() == 200) {
               taken(n, of, sentAt);
-              clock.after(REPORT_S, this::report);
+              clock.after(HEARTBEAT_S, this::report);
             } else {
               int at = r.status() == 421 ? index(n.path("foreman_at").asText()) : -1;
               boolean pointed = at >= 0 && at != controller;
--- a/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
@@ -70,8 +70,8 @@
           d.fleet().mostRunning(), LIMIT, history.accepted());
       assertThat(d.fleet().mostRunning()).isLessThanOrEqualTo(LIMIT);
       assertThat(history.accepted()).isGreaterThan(20);
-      assertThat(history.broken()).isEmpty();
-      assertThat(d.fleet().broken()).isEmpty();
+      assertThat(history.violations()).isEmpty();
+      assertThat(d.fleet().violations()).isEmpty();
     }
   }
 
--- a/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
@@ -59,8 +59,8 @@
           "upgraded under load: finalized after %.1f s, %d accepted, %d refused, %d late%n",
           seconds, history.accepted(), history.refused(), history.late());
       assertThat(history.accepted()).isGreaterThan(20);
-      assertThat(history.broken()).isEmpty();
-      assertThat(d.fleet().broken()).isEmpty();
+      assertThat(history.violations()).isEmpty();
+      assertThat(d.fleet().violations()).isEmpty();
       for (String job : history.doneJobs()) {
         assertThat(d.fleet().done()).contains(job + "/0", job + "/1");
       }
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -5,8 +5,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.sim.RandomDay;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import java.util.HashSet;
@@ -17,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards of dependencies and of the lower limits that no story of a whole pipeline misses. */
+/** Guards of dependencies and of the lower limits that no test of a whole pipeline misses. */
 class DependencyGuardsTest {
   private static final String CANCELLED = "j-000001";
   private static final String DEPENDENT = "j-000002";
@@ -117,10 +118,10 @@
   @Test
   void slicesOfNewJobsFitTheLowerLimitsInThePlainForm() {
     SimWorld world =
-        new SimWorld(431, SimWorld.Shape.of(3).fleet(30, List.of("a", "b")), RandomDay.LOWER);
+        new SimWorld(431, WorldShape.of(3).fleet(30, List.of("a", "b")), RandomDay.LOWER);
     world.loop.run(3);
-    Rules.Known job = world.job("j-000780", 900, 0.2, 6, true);
-    world.submit(0, job);
+    SimJob job = world.users.job("j-000780", 900, 0.2, 6, true);
+    world.users.submit(0, job);
     int plain = 0;
     for (int i = 0; i < 200; i++) {
       world.loop.run(0.2);
--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -4,7 +4,7 @@
 import static graderelay.sim.WorldAssertions.world;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import java.util.ArrayList;
 import java.util.List;
@@ -143,7 +143,7 @@
     SchedulerFixture.commitAll(s, 10, 0.2);
     end(s, "error", 2, 0.5);
     s.tick(1);
-    // Sound work takes all the room, so that the broken job would have to rent or to preempt.
+    // Sound work takes all the room, so that the broken job would have to scale out or to preempt.
     s.onJob(SchedulerFixture.array("j-2", 24), false, 6, 1.1, 1.1);
     SchedulerFixture.commitAll(s, 11, 1.2);
     SchedulerFixture.taken(s).clear();
@@ -160,23 +160,24 @@
   @Test
   void failingJobIsFoundByTheToolsAndItsCancellationFreesItsRoom() {
     SimWorld w = world(61, 3);
-    Rules.Known broken = w.job("j-000061", 12, 1, 20, false);
-    broken.mistake = true;
-    final Rules.Known sound = w.job("j-000062", 8, 1, 10, false);
-    w.submit(0, broken);
+    SimJob broken = w.users.job("j-000061", 12, 1, 20, false);
+    broken.failing = true;
+    final SimJob sound = w.users.job("j-000062", 8, 1, 10, false);
+    w.users.submit(0, broken);
     w.loop.run(25);
-    assertThat(w.answer(1, "GET", "/admin/jobs/j-000061", null).path("waits_because").asText())
+    assertThat(
+            w.users.answer(1, "GET", "/admin/jobs/j-000061", null).path("waits_because").asText())
         .contains("fails on every machine");
-    w.submit(1, sound);
+    w.users.submit(1, sound);
     w.loop.run(30);
-    assertThat(w.stage(2, sound.id)).isEqualTo("done");
-    assertThat(w.stage(2, broken.id)).isIn("pending", "running");
-    w.cancel(0, broken);
+    assertThat(w.users.stage(2, sound.id)).isEqualTo("done");
+    assertThat(w.users.stage(2, broken.id)).isIn("pending", "running");
+    w.users.cancel(0, broken);
     w.loop.run(3);
-    assertThat(w.stage(1, broken.id)).isEqualTo("cancelled");
-    int starts = w.rules.starts;
+    assertThat(w.users.stage(1, broken.id)).isEqualTo("cancelled");
+    int starts = w.invariants.starts;
     w.loop.run(60);
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 }
--- a/src/test/java/graderelay/core/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The largest jobs, and reports of a wrong form. */
+/** The largest jobs, and malformed heartbeats. */
 class LargeJobsTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
@@ -54,13 +54,13 @@
       "{\"saw\":1," + good.substring(good.indexOf(',') + 1) + ",\"shift\":1,\"tally\":1}"
     };
     for (String b : bad) {
-      assertThat(w.answer(leader, "POST", "/checkin", b.getBytes()).path("http").asInt())
+      assertThat(w.users.answer(leader, "POST", "/checkin", b.getBytes()).path("http").asInt())
           .as(b)
           .isEqualTo(400);
     }
     assertThat(w.nodes[leader].core().machines(0)).noneMatch(m -> m.name().equals("n-9"));
     String right = "{" + good + ",\"shift\":1,\"tally\":1,\"boards\":null,\"recall_s\":null}";
-    assertThat(w.answer(leader, "POST", "/checkin", right.getBytes()).path("http").asInt())
+    assertThat(w.users.answer(leader, "POST", "/checkin", right.getBytes()).path("http").asInt())
         .isEqualTo(200);
   }
 }
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -88,7 +88,7 @@
       assertThat(SchedulerFixture.claimsOf(s, "n-" + i)).isEqualTo(SchedulerLimits.MOST_ON_MACHINE);
     }
     s.tick(3);
-    // And the plan knows it: for what is left it rents as many machines as that takes.
+    // And the plan knows it: for what is left it scales out as many machines as that takes.
     assertThat(SchedulerFixture.scaledOut(s, 3.1)).hasSizeGreaterThanOrEqualTo(6);
   }
 
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -37,7 +37,7 @@
   }
 
   /**
-   * A needed job of low priority goes by the priority of the job that needs it from some time
+   * A job with dependents of low priority goes by the priority of its dependent from some time
    * before its class's wanted wait is over, although its deadline is far away.
    */
   @Test
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -42,7 +42,7 @@
             List.of(new Team("team", 8, 24, 0, 0)),
             Map.of(),
             0,
-            SimWorld.REPORT_S,
+            SimWorld.HEARTBEAT_S,
             SimWorld.LEASE_S,
             3,
             SimWorld.TXN_OPS,
@@ -132,6 +132,7 @@
         List.of());
   }
 
+  /** A service of so many replicas. */
   public static JobSpec service(String id, int tasks) {
     return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, false);
   }
@@ -183,7 +184,7 @@
         machine, machine + ":9000", "small", "a", false, session, seq, term, null, List.of(tasks));
   }
 
-  /** A report that is answered. */
+  /** A heartbeat that is answered. */
   public static void machine(Scheduler s, String name, long session, long seq, double now) {
     s.onReport(report(name, session, seq, s.term()), now);
     s.answered(name, now);
@@ -276,7 +277,7 @@
     s.step(now + 0.05);
   }
 
-  /** Answers the latest direct orders with a report that refuses them. */
+  /** Answers the latest direct commands with a heartbeat that refuses them. */
   public static void answerDirect(Scheduler s, Heartbeat r, double now) {
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Command c) {
@@ -290,8 +291,8 @@
       new java.util.WeakHashMap<>();
 
   /**
-   * The machine takes what it was told to start, in two reports of which the second shows it; up to
-   * so many of its tasks are done by then.
+   * The machine takes what it was told to start, in two heartbeats of which the second shows it; up
+   * to so many of its tasks are done by then.
    */
   public static void work(Scheduler s, String machine, long seq, int done, double now) {
     Map<String, Integer> running =
--- a/src/test/java/graderelay/core/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -5,7 +5,7 @@
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import graderelay.wire.StateCodec;
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What reports, rounds and writes cost, in looks and in changes. */
+/** What heartbeats, rounds and writes cost, in looks and in changes. */
 class SchedulingCostTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
@@ -128,11 +128,11 @@
   @Test
   void recordsOfFinishedJobAreGoneAlsoWithFiveControllers() {
     SimWorld w = world(36);
-    Rules.Known j = w.job("j-000080", 9, 2, 3, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000080", 9, 2, 3, true);
+    w.users.submit(0, j);
     w.loop.run(60);
     for (int i = 0; i < w.size; i++) {
-      assertThat(w.stage(i, j.id)).isEqualTo("done");
+      assertThat(w.users.stage(i, j.id)).isEqualTo("done");
     }
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
--- a/src/test/java/graderelay/core/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/core/SpreadPlacementTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -11,14 +12,15 @@
 class SpreadPlacementTest {
   /** A service whose replicas run in both zones, by the time that everybody has settled. */
   private static SimWorld spread(long seed) {
-    SimWorld w = world(seed, SimWorld.Shape.of(5));
-    w.submit(0, w.job("j-000110", 6, 1, 0, false, true));
+    SimWorld w = world(seed, WorldShape.of(5));
+    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(6); // A machine was rented in each of them for it.
+    assertThat(w.invariants.starts)
+        .isEqualTo(6); // A machine was scaled out in each of them for it.
     return w;
   }
 
-  private static SimWorld world(long seed, SimWorld.Shape shape) {
+  private static SimWorld world(long seed, WorldShape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
     assertThat(w.leader()).isNotNegative();
--- a/src/test/java/graderelay/features/DowngradeTest.java
+++ b/src/test/java/graderelay/features/DowngradeTest.java
@@ -9,7 +9,7 @@
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.StateCodec;
@@ -23,17 +23,17 @@
   @CsvSource({"1, 216", "0, 217"})
   void downgradeRemovesTheNewFormsBeforeTheLevelFalls(int target, long seed) {
     SimWorld w = finalized(seed, 3);
-    w.submit(0, w.job("j-000650", 3, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000650", 3, 1, 0, false));
     w.loop.run(40);
     assertThat(w.state.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     assertThat(change(w, w.leader(), "downgrade", target).path("http").asInt()).isEqualTo(200);
     w.loop.run(10);
     assertThat(level(w)).isEqualTo(target);
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
     w.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
     assertThat(level(w)).isEqualTo(target);
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     if (target == 0) {
       assertThat(w.state.value(FeatureCodec.LEADER)).isNull();
       assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.BARS));
@@ -52,14 +52,14 @@
       w.loop.run(5);
     }
     assertThat(w.leader()).isNotNegative();
-    assertThat(w.stage(0, "j-000650")).isEqualTo("running");
+    assertThat(w.users.stage(0, "j-000650")).isEqualTo("running");
   }
 
   @ParameterizedTest
   @CsvSource({"1, 218", "2, 219", "3, 220", "4, 221", "5, 222", "6, 223"})
   void downgradeInterruptedAfterAnyStepGoesOnUnderTheNextLeader(int step, long seed) {
     SimWorld w = finalized(seed, 3);
-    final List<Rules.Known> jobs = steadyJobs(w, 30);
+    final List<SimJob> jobs = steadyJobs(w, 30);
     w.loop.run(40);
     int[] steps = {0};
     int leader = w.leader();
--- a/src/test/java/graderelay/features/FeatureLevelAdminTest.java
+++ b/src/test/java/graderelay/features/FeatureLevelAdminTest.java
@@ -14,8 +14,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import org.junit.jupiter.api.Test;
@@ -27,12 +28,12 @@
   @Test
   void heldLevelRisesOnlyOnceTheHoldIsTakenBack() {
     SimWorld w = levelled(224, 3, pinned(LATEST));
-    assertThat(w.answer(0, "POST", "/admin/features/hold", null).path("http").asInt())
+    assertThat(w.users.answer(0, "POST", "/admin/features/hold", null).path("http").asInt())
         .isEqualTo(200);
     w.loop.run(3 * SOAK_S);
     assertThat(level(w)).isZero();
     assertThat(show(w, 1).path("held").asBoolean()).isTrue();
-    assertThat(w.answer(2, "POST", "/admin/features/release", null).path("http").asInt())
+    assertThat(w.users.answer(2, "POST", "/admin/features/release", null).path("http").asInt())
         .isEqualTo(200);
     w.loop.run(3);
     assertThat(level(w)).isEqualTo(LATEST);
@@ -61,7 +62,7 @@
     w.state.overwrite(FeatureCodec.LEVEL, Json.read(record.getBytes()));
     w.loop.run(15);
     for (int i = 0; i < 3; i++) {
-      JsonNode ready = w.answer(i, "GET", "/ready", null);
+      JsonNode ready = w.users.answer(i, "GET", "/ready", null);
       assertThat(ready.path("http").asInt()).isEqualTo(503);
       assertThat(ready.path("error").asText()).contains("malformed").contains("level");
     }
@@ -69,22 +70,22 @@
     w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", LATEST));
     w.loop.run(10);
     assertThat(w.leader()).isNotNegative();
-    Rules.Known job = w.job("j-000660", 1, 1, 2, true);
-    w.submit(0, job);
+    SimJob job = w.users.job("j-000660", 1, 1, 2, true);
+    w.users.submit(0, job);
     w.loop.run(30);
-    assertThat(w.stage(1, job.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, job.id)).isEqualTo("done");
     fine(w);
   }
 
   @Test
   void unknownFutureLevelIsRefusedWithMessage() {
-    SimWorld w = new SimWorld(229, SimWorld.Shape.of(3));
+    SimWorld w = new SimWorld(229, WorldShape.of(3));
     w.crashAll();
     w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
     w.startAll();
     w.loop.run(10);
     assertThat(w.leader()).isEqualTo(-1);
     assertThat(w.left).isEmpty();
-    assertThat(w.answer(0, "GET", "/ready", null).path("error").asText()).contains("99");
+    assertThat(w.users.answer(0, "GET", "/ready", null).path("error").asText()).contains("99");
   }
 }
--- a/src/test/java/graderelay/features/IncompatibleProcessTest.java
+++ b/src/test/java/graderelay/features/IncompatibleProcessTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,7 +27,7 @@
   void suspendedOlderControllerThatReturnsAfterTheSwitchLeavesAndDoesNoHarm(
       boolean asLeader, long seed) {
     SimWorld w = levelled(seed, 3, manual(0));
-    w.submit(0, w.job("j-000630", 3, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000630", 3, 1, 0, false));
     w.loop.run(15);
     int old = asLeader ? w.leader() : (w.leader() + 1) % 3;
     for (int i = 0; i < 3; i++) {
@@ -38,9 +38,9 @@
     // The last one is replaced too, but its process was only suspended and not ended.
     w.suspend(old);
     w.loop.run(0.5);
-    Rules.Known late = w.job("j-000631", 1, 1, 1, true);
+    SimJob late = w.users.job("j-000631", 1, 1, 1, true);
     // Its user gives up; the process takes it up when it goes on, and must not write it.
-    w.resubmit(old, late);
+    w.users.resubmit(old, late);
     w.loop.run(6);
     w.loseTrackOf(old);
     w.replace(old, manual(LATEST));
@@ -49,7 +49,7 @@
     JsonNode answer = change(w, w.leader(), "finalize", LATEST);
     assertThat(answer.path("http").asInt()).as(answer.toString()).isEqualTo(200);
     w.loop.run(1);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     w.resumeLost(old);
     w.loop.run(10);
     assertThat(w.left).containsKey("m-" + old);
@@ -57,8 +57,8 @@
     assertThat(w.lostNode(old).speaks()).isFalse();
     assertThat(w.lostNode(old).ready()).isFalse();
     // It may have handed the late submission on to a peer that supports the level.
-    assertThat(w.rules.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
-    assertThat(w.stage(old, "j-000630")).isEqualTo("running");
+    assertThat(w.invariants.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
+    assertThat(w.users.stage(old, "j-000630")).isEqualTo("running");
     fine(w);
   }
 
@@ -83,12 +83,13 @@
     w.crash(old);
     w.start(old);
     w.loop.run(10);
-    JsonNode ready = w.answer(old, "GET", "/ready", null);
+    JsonNode ready = w.users.answer(old, "GET", "/ready", null);
     assertThat(ready.path("http").asInt()).isEqualTo(503);
     assertThat(ready.path("error").asText())
         .contains("feature level is " + LATEST)
         .contains("0 to 0");
-    assertThat(w.answer(old, "GET", "/v1/jobs/j-000001", null).path("http").asInt()).isEqualTo(503);
+    assertThat(w.users.answer(old, "GET", "/v1/jobs/j-000001", null).path("http").asInt())
+        .isEqualTo(503);
     assertThat(show(w, old).path("out_of_service").asText()).contains("0 to 0");
     assertThat(w.left).isEmpty(); // Ended, it would be started again and again.
     fine(w);
@@ -97,22 +98,22 @@
   @Test
   void versionInProductionNeitherLeadsNorConfirmsCancellationsAfterTheSwitch() {
     SimWorld w = finalized(215, 3);
-    Rules.Known job = w.job("j-000640", 2, 1, 0, false);
-    w.submit(0, job);
+    SimJob job = w.users.job("j-000640", 2, 1, 0, false);
+    w.users.submit(0, job);
     w.loop.run(15);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     w.crashAll();
     w.rollBack(1);
     w.start(1);
     w.loop.run(45); // Longer than a suspended controller waits when all others are gone.
     assertThat(w.leader()).isEqualTo(-1);
-    JsonNode cancelled = w.answer(1, "POST", "/v1/jobs/j-000640/withdraw", null);
+    JsonNode cancelled = w.users.answer(1, "POST", "/v1/jobs/j-000640/withdraw", null);
     assertThat(cancelled.path("http").asInt()).isEqualTo(503);
     w.start(0);
     w.start(2);
     w.loop.run(40);
     assertThat(w.leader()).isIn(0, 2);
-    assertThat(w.rules.starts).isGreaterThanOrEqualTo(starts);
+    assertThat(w.invariants.starts).isGreaterThanOrEqualTo(starts);
     fine(w);
   }
 }
--- a/src/test/java/graderelay/features/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/features/RollingUpgradeTest.java
@@ -16,8 +16,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
@@ -33,7 +34,7 @@
   @CsvSource({"3, 201", "5, 202"})
   void theLevelRisesOnlyOnceAllControllersAreNewAndHaveBeenUpForTheSoakTime(int size, long seed) {
     SimWorld w = production(seed, size);
-    final List<Rules.Known> jobs = steadyJobs(w, 80);
+    final List<SimJob> jobs = steadyJobs(w, 80);
     for (int i = 0; i < size; i++) {
       assertThat(level(w)).isZero();
       upgrade(w, i, pinned(LATEST));
@@ -51,7 +52,7 @@
   @Test
   void nothingNewIsStoredBeforeFinalizationSoThatRollbackLosesNothing() {
     SimWorld w = production(203, 3);
-    final List<Rules.Known> jobs = steadyJobs(w, 80);
+    final List<SimJob> jobs = steadyJobs(w, 80);
     upgrade(w, 0, pinned(LATEST));
     upgrade(w, 1, pinned(LATEST));
     w.loop.run(2 * SOAK_S);
@@ -78,7 +79,7 @@
   @Test
   void theLeaderMayEndInAnUpgradeThatIsRolledBack() {
     SimWorld w = production(204, 3);
-    final List<Rules.Known> jobs = steadyJobs(w, 80);
+    final List<SimJob> jobs = steadyJobs(w, 80);
     upgrade(w, 0, pinned(LATEST));
     upgrade(w, 1, pinned(LATEST));
     int leader = w.leader();
@@ -137,7 +138,7 @@
           return raises;
         };
     w.state.delayS = 6;
-    w.ask(
+    w.users.ask(
         leader,
         "POST",
         "/admin/features/finalize",
@@ -158,7 +159,7 @@
   @Test
   void finalizationWhoseAnswerIsLostIsFoundOutFromTheRecords() {
     SimWorld w = levelled(207, 3, manual(LATEST));
-    final List<Rules.Known> jobs = steadyJobs(w, 40);
+    final List<SimJob> jobs = steadyJobs(w, 40);
     w.loop.run(SOAK_S + 3);
     w.state.loseAnswer = t -> t.path("then").toString().contains(FeatureCodec.LEVEL);
     int before = w.leader();
@@ -174,28 +175,28 @@
   @Test
   void storeMayBeAwayInTheMiddle() {
     SimWorld w = levelled(208, 3, pinned(LATEST));
-    w.submit(0, w.job("j-000600", 3, 1, 0, false));
-    final List<Rules.Known> jobs = steadyJobs(w, 60);
+    w.users.submit(0, w.users.job("j-000600", 3, 1, 0, false));
+    final List<SimJob> jobs = steadyJobs(w, 60);
     w.loop.run(SOAK_S - 6); // All are up, but not for long enough yet.
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     w.state.outage(true);
     w.loop.run(8);
     w.state.outage(false);
     assertThat(level(w)).isZero();
     w.loop.run(3 * SOAK_S);
     assertThat(level(w)).isEqualTo(LATEST);
-    assertThat(w.rules.starts).isGreaterThanOrEqualTo(starts);
+    assertThat(w.invariants.starts).isGreaterThanOrEqualTo(starts);
     w.state.outage(true); // And again right after it.
     w.loop.run(8);
     w.state.outage(false);
     w.loop.run(3);
-    assertThat(w.stage(1, "j-000600")).isEqualTo("running");
+    assertThat(w.users.stage(1, "j-000600")).isEqualTo("running");
     allEnd(w, jobs);
   }
 
   @Test
   void controllerTheStoreRefusesAloneKeepsTheLevelDownUntilServedAgain() {
-    SimWorld w = new SimWorld(209, SimWorld.Shape.of(3));
+    SimWorld w = new SimWorld(209, WorldShape.of(3));
     w.loop.run(4);
     int refused = (w.leader() + 1) % 3;
     for (int i = 0; i < 3; i++) {
@@ -210,20 +211,20 @@
     w.loop.run(SOAK_S + 8);
     assertThat(level(w)).isEqualTo(LATEST);
     w.refused[refused][0] = true; // Refused alone once more, it still knows the level.
-    Rules.Known job = w.job("j-000610", 2, 1, 5, true);
-    w.submit(refused, job);
+    SimJob job = w.users.job("j-000610", 2, 1, 5, true);
+    w.users.submit(refused, job);
     w.loop.run(30);
     w.refused[refused][0] = false;
     w.loop.run(5);
-    assertThat(w.stage(refused, job.id)).isEqualTo("done");
+    assertThat(w.users.stage(refused, job.id)).isEqualTo("done");
     fine(w);
   }
 
   @Test
   void allControllersMayRestartAtOnceJustAfterTheFinalization() {
     SimWorld w = levelled(210, 3, pinned(LATEST));
-    w.submit(0, w.job("j-000620", 3, 1, 0, false));
-    final List<Rules.Known> jobs = steadyJobs(w, 40);
+    w.users.submit(0, w.users.job("j-000620", 3, 1, 0, false));
+    final List<SimJob> jobs = steadyJobs(w, 40);
     for (int i = 0; i < 600 && level(w) == 0; i++) {
       w.loop.run(0.05);
     }
@@ -234,7 +235,7 @@
     w.loop.run(10);
     assertThat(w.leader()).isNotNegative();
     assertThat(w.left).isEmpty();
-    assertThat(w.stage(2, "j-000620")).isEqualTo("running");
+    assertThat(w.users.stage(2, "j-000620")).isEqualTo("running");
     allEnd(w, jobs);
   }
 }
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -4,9 +4,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.config.Options;
-import graderelay.sim.Rules;
 import graderelay.sim.ScenarioSteps;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import java.util.ArrayList;
@@ -34,7 +35,7 @@
 
   /** Controllers of the version in production, with a service and a stream of short arrays. */
   static SimWorld production(long seed, int size) {
-    SimWorld w = SimWorld.inProduction(seed, SimWorld.Shape.of(size), SimWorld.SAME);
+    SimWorld w = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
     w.loop.run(4);
     assertThat(w.leader()).isNotNegative();
     return w;
@@ -42,8 +43,8 @@
 
   /** Controllers that support so much, none of which has raised the level. */
   static SimWorld levelled(long seed, int size, Options options) {
-    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size));
-    w.judgeLevels();
+    SimWorld w = new SimWorld(seed, WorldShape.of(size));
+    w.checkLevels();
     for (int i = 0; i < size; i++) {
       w.replace(i, options);
       w.crash(i);
@@ -69,15 +70,15 @@
   }
 
   /** Arrays that come every two seconds, of which every fifth is cancelled soon after. */
-  static List<Rules.Known> steadyJobs(SimWorld w, double seconds) {
-    List<Rules.Known> jobs = new ArrayList<>();
+  static List<SimJob> steadyJobs(SimWorld w, double seconds) {
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < seconds / 2; i++) {
-      Rules.Known job = w.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
+      SimJob job = w.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
       jobs.add(job);
       int node = i % w.size;
-      w.loop.after(2 * i, () -> w.submit(node, job));
+      w.loop.after(2 * i, () -> w.users.submit(node, job));
       if (i % 5 == 4) {
-        w.loop.after(2 * i + 1.3, () -> w.cancel((node + 1) % w.size, job));
+        w.loop.after(2 * i + 1.3, () -> w.users.cancel((node + 1) % w.size, job));
       }
     }
     return jobs;
@@ -95,16 +96,16 @@
   /** Asks a controller as an operator to change the level. */
   static JsonNode change(SimWorld w, int node, String what, int level) {
     byte[] body = Json.write(Json.object().put("level", level));
-    return w.answer(node, "POST", "/admin/features/" + what, body);
+    return w.users.answer(node, "POST", "/admin/features/" + what, body);
   }
 
   /** Asks a controller as an operator for the level. */
   static JsonNode show(SimWorld w, int node) {
-    return w.answer(node, "GET", "/admin/features", null);
+    return w.users.answer(node, "GET", "/admin/features", null);
   }
 
   /** Runs the world for a minute, by whose end every job is over at every controller. */
-  static void allEnd(SimWorld w, List<Rules.Known> jobs) {
+  static void allEnd(SimWorld w, List<SimJob> jobs) {
     w.loop.run(60);
     ScenarioSteps.allOver(w, jobs);
   }
--- a/src/test/java/graderelay/quota/AdmissionControlTest.java
+++ b/src/test/java/graderelay/quota/AdmissionControlTest.java
@@ -49,7 +49,7 @@
     TwoClaimers claimers = new TwoClaimers(Mutation.NONE);
     steps.forEach(claimers::play);
     claimers.settleDown();
-    assertThat(claimers.broken).isEmpty();
+    assertThat(claimers.violations).isEmpty();
     assertThat(claimers.claims().times(2).covers(claimers.account().use())).isTrue();
     assertThat(claimers.account().use().covers(claimers.claims())).isTrue();
   }
@@ -85,7 +85,7 @@
     int claims = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
       TwoClaimers day = randomDay(seed, mutation);
-      found += day.broken.isEmpty() ? 0 : 1;
+      found += day.violations.isEmpty() ? 0 : 1;
       claims += day.committedClaims;
     }
     System.out.printf("%s: found by %d of %d random days%n", mutation, found, SEEDS);
--- a/src/test/java/graderelay/quota/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -14,7 +14,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.sim.QuotaRecorder;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
@@ -36,7 +36,7 @@
 
   private static String metrics(SimWorld w) {
     String[] text = {""};
-    w.ask(w.leader(), "GET", "/metrics", null, (r, n) -> text[0] = new String(r.body()));
+    w.users.ask(w.leader(), "GET", "/metrics", null, (r, n) -> text[0] = new String(r.body()));
     w.loop.run(0.5);
     return text[0];
   }
@@ -47,20 +47,20 @@
     final QuotaRecorder recorder = new QuotaRecorder(w);
     burst(w, "team", "30", 100, 0.1, 2, 12);
     w.loop.run(20);
-    assertThat(w.rules.running("team")).isEqualTo(SimWorld.LIMIT);
-    int starts = w.rules.starts;
+    assertThat(w.invariants.running("team")).isEqualTo(SimWorld.LIMIT);
+    int starts = w.invariants.starts;
     assertThat(status(set(w, 1, "team", "{\"cpus_max\":10}"))).isEqualTo(200);
-    while (w.rules.running("team") > 10) {
+    while (w.invariants.running("team") > 10) {
       w.loop.run(0.1);
-      assertThat(w.rules.starts).isLessThanOrEqualTo(starts + 2); // What was claimed before.
+      assertThat(w.invariants.starts).isLessThanOrEqualTo(starts + 2); // What was claimed before.
     }
     assertThat(metrics(w)).contains("graderelay_quota_differences{team=\"team\"} 1");
     w.loop.run(30);
-    assertThat(w.rules.running("team")).isLessThanOrEqualTo(10);
-    starts = w.rules.starts;
+    assertThat(w.invariants.running("team")).isLessThanOrEqualTo(10);
+    starts = w.invariants.starts;
     assertThat(status(set(w, 2, "team", "{\"cpus_max\":20}"))).isEqualTo(200);
     w.loop.run(RAISED_S);
-    assertThat(w.rules.starts).isGreaterThan(starts);
+    assertThat(w.invariants.starts).isGreaterThan(starts);
     w.loop.run(200);
     kept(w, recorder);
   }
@@ -69,7 +69,7 @@
   void claimDecidedUnderEarlierLimitsFails() {
     SimWorld w = stored(502, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
+    final List<SimJob> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
     w.loop.run(14);
     final int conflicts = w.state.conflicts;
     w.state.delayS = 1;
@@ -88,7 +88,7 @@
   void limitChangedDuringFailoverHoldsForTheNextLeader(long seed) {
     SimWorld w = stored(seed, 5);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
+    final List<SimJob> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
     w.loop.run(12);
     int leader = w.leader();
     w.crash(leader);
@@ -110,7 +110,7 @@
     for (int i = 0; i < 2; i++) {
       int node = i;
       byte[] body = ("{\"cpus_max\":" + (10 + i) + ",\"by\":\"operator-" + i + "\"}").getBytes();
-      w.ask(
+      w.users.ask(
           node,
           "PUT",
           "/admin/quota/team",
@@ -178,23 +178,23 @@
     final QuotaRecorder recorder = new QuotaRecorder(w);
     String path = "/admin/quota/night+shift";
     byte[] body = "{\"cpus\":2,\"cpus_max\":4}".getBytes();
-    Rules.Known job = w.job("j-004001", 2, 2, 15, true);
+    SimJob job = w.users.job("j-004001", 2, 2, 15, true);
     job.team = "night shift";
-    JsonNode unknown = w.answer(1, "POST", "/v1/jobs", Json.write(w.body(job)));
+    JsonNode unknown = w.users.answer(1, "POST", "/v1/jobs", Json.write(w.users.body(job)));
     assertThat(status(unknown)).isEqualTo(422);
-    assertThat(status(w.answer(0, "POST", path, body))).isEqualTo(200);
-    assertThat(status(w.answer(1, "POST", path, body))).isEqualTo(409);
-    w.submit(1, job);
+    assertThat(status(w.users.answer(0, "POST", path, body))).isEqualTo(200);
+    assertThat(status(w.users.answer(1, "POST", path, body))).isEqualTo(409);
+    w.users.submit(1, job);
     w.loop.run(20);
     assertThat(shown(w, "night+shift").path("cpus_used").asDouble()).isEqualTo(4);
-    JsonNode refused = w.answer(2, "DELETE", path, null);
+    JsonNode refused = w.users.answer(2, "DELETE", path, null);
     assertThat(status(refused)).isEqualTo(409);
     assertThat(refused.path("error").asText()).contains("1 live jobs");
     w.loop.run(30);
-    assertThat(w.stage(0, job.id)).isEqualTo("done");
-    assertThat(status(w.answer(2, "DELETE", path, null))).isEqualTo(200);
+    assertThat(w.users.stage(0, job.id)).isEqualTo("done");
+    assertThat(status(w.users.answer(2, "DELETE", path, null))).isEqualTo(200);
     assertThat(w.state.items.keySet()).noneMatch(key -> key.contains("night"));
-    assertThat(status(w.answer(0, "GET", path, null))).isEqualTo(404);
+    assertThat(status(w.users.answer(0, "GET", path, null))).isEqualTo(404);
     w.loop.run(5);
     assertThat(metrics(w)).doesNotContain("graderelay_quota_differences");
     kept(w, recorder);
@@ -208,21 +208,26 @@
     int behind = (w.leader() + 1) % 3;
     set(w, w.leader(), "team", "{\"cpus\":1,\"cpus_max\":2}");
     w.loop.run(1);
-    Rules.Known job = w.job("j-004010", 1, 3, 5, true);
-    JsonNode refused = w.answer(behind, "POST", "/v1/jobs", Json.write(w.body(job)));
+    SimJob job = w.users.job("j-004010", 1, 3, 5, true);
+    JsonNode refused = w.users.answer(behind, "POST", "/v1/jobs", Json.write(w.users.body(job)));
     assertThat(status(refused)).isEqualTo(422);
     w.state.holdWatches = true; // What it knows of the limits stays as it is.
     w.loop.run(0.2);
     TeamQuota raised = new TeamQuota(Amount.granted(1, 0), Amount.granted(8, 0));
     w.state.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.limits(raised, "operator", 1));
     int[] answered = {0};
-    w.ask(behind, "POST", "/v1/jobs", Json.write(w.body(job)), (r, n) -> answered[0] = r.status());
+    w.users.ask(
+        behind,
+        "POST",
+        "/v1/jobs",
+        Json.write(w.users.body(job)),
+        (r, n) -> answered[0] = r.status());
     w.loop.run(1);
     assertThat(answered[0]).isNotIn(422, 400);
     w.state.holdWatches = false;
-    w.submit(behind, job);
+    w.users.submit(behind, job);
     w.loop.run(40);
-    assertThat(w.stage(behind, job.id)).isEqualTo("done");
+    assertThat(w.users.stage(behind, job.id)).isEqualTo("done");
   }
 
   @Test
@@ -230,23 +235,24 @@
     SimWorld w = stored(552, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
     set(w, 0, "team", "{\"cpus\":1,\"cpus_max\":4}");
-    Rules.Known first = w.job("j-004020", 1, 4, 30, true);
-    w.submit(0, first);
+    SimJob first = w.users.job("j-004020", 1, 4, 30, true);
+    w.users.submit(0, first);
     w.loop.run(15);
-    Rules.Known large = w.job("j-004021", 1, 3, 5, true);
-    w.submit(1, large);
+    SimJob large = w.users.job("j-004021", 1, 3, 5, true);
+    w.users.submit(1, large);
     w.loop.run(1);
     set(w, 2, "team", "{\"cpus_max\":2}");
     w.loop.run(60);
-    assertThat(w.stage(0, first.id)).isEqualTo("done");
-    assertThat(w.stage(1, large.id)).isEqualTo("pending");
-    String why = w.answer(0, "GET", "/admin/jobs/" + large.id, null).path("waits_because").asText();
+    assertThat(w.users.stage(0, first.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, large.id)).isEqualTo("pending");
+    String why =
+        w.users.answer(0, "GET", "/admin/jobs/" + large.id, null).path("waits_because").asText();
     assertThat(why).contains("needs 3 CPUs").contains("stored limits of team team");
-    JsonNode again = w.answer(2, "POST", "/v1/jobs", Json.write(w.body(large)));
+    JsonNode again = w.users.answer(2, "POST", "/v1/jobs", Json.write(w.users.body(large)));
     assertThat(status(again)).isEqualTo(200);
     set(w, 2, "team", "{\"cpus_max\":3}");
     w.loop.run(30);
-    assertThat(w.stage(1, large.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, large.id)).isEqualTo("done");
     kept(w, recorder);
   }
 
@@ -255,27 +261,27 @@
   @Test
   void malformedAccountStopsItsTeamAloneUntilOperatorsHaveItRecomputed() {
     SimWorld w = stored(561, 3);
-    final List<Rules.Known> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
-    final List<Rules.Known> others = burst(w, "other", "37", 30, 1, 2, 3);
+    final List<SimJob> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
+    final List<SimJob> others = burst(w, "other", "37", 30, 1, 2, 3);
     w.loop.run(15);
     w.state.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
     w.loop.run(6);
-    int running = (int) w.rules.running("team");
+    int running = (int) w.invariants.running("team");
     assertThat(running).isZero();
-    assertThat(w.rules.running("other")).isPositive();
+    assertThat(w.invariants.running("other")).isPositive();
     assertThat(shown(w, "team").path("stopped_because").asText()).contains("malformed");
     assertThat(metrics(w))
         .contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1")
         .contains("graderelay_quota_differences{team=\"team\"}");
     w.crash(w.leader()); // The next leader does not mend it in silence either.
     w.loop.run(20);
-    assertThat(w.rules.running("team")).isZero();
-    JsonNode done = w.answer(w.leader(), "POST", "/admin/quota/team/recompute", null);
+    assertThat(w.invariants.running("team")).isZero();
+    JsonNode done = w.users.answer(w.leader(), "POST", "/admin/quota/team/recompute", null);
     assertThat(status(done)).isEqualTo(200);
     w.loop.run(80);
     jobs.addAll(others);
-    for (Rules.Known job : jobs) {
-      assertThat(w.stage(w.leader(), job.id)).as(job.id).isEqualTo("done");
+    for (SimJob job : jobs) {
+      assertThat(w.users.stage(w.leader(), job.id)).as(job.id).isEqualTo("done");
     }
     WorldAssertions.fine(w);
   }
@@ -285,12 +291,12 @@
     SimWorld w = stored(564, 3);
     int leader = w.leader();
     w.suspend(leader); // The request is the first thing that it finds when it wakes.
-    w.ask(leader, "POST", "/admin/quota/team/recompute", null, (r, n) -> {});
+    w.users.ask(leader, "POST", "/admin/quota/team/recompute", null, (r, n) -> {});
     w.loop.run(9);
     w.resume(leader);
     w.loop.run(5);
     assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(status(w.answer(leader, "GET", "/ready", null))).isEqualTo(200);
+    assertThat(status(w.users.answer(leader, "GET", "/ready", null))).isEqualTo(200);
     WorldAssertions.fine(w);
   }
 
@@ -299,32 +305,32 @@
     SimWorld w = stored(562, 3);
     w.state.overwrite(QuotaCodec.limitKey("team"), Json.array());
     w.loop.run(1);
-    final List<Rules.Known> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
-    List<Rules.Known> others = burst(w, "other", "39", 5, 0.1, 2, 3);
+    final List<SimJob> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
+    List<SimJob> others = burst(w, "other", "39", 5, 0.1, 2, 3);
     w.loop.run(40);
-    assertThat(w.rules.running("team")).isZero();
-    assertThat(w.stage(0, others.get(0).id)).isEqualTo("done");
-    assertThat(w.stage(0, jobs.get(0).id)).isEqualTo("pending");
+    assertThat(w.invariants.running("team")).isZero();
+    assertThat(w.users.stage(0, others.get(0).id)).isEqualTo("done");
+    assertThat(w.users.stage(0, jobs.get(0).id)).isEqualTo("pending");
     assertThat(shown(w, "team").path("stopped_because").asText()).contains("malformed");
     assertThat(metrics(w)).contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1");
     assertThat(status(set(w, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(409);
     String all = "{\"cpus\":1,\"cpus_max\":9,\"gpus\":0,\"gpus_max\":0}";
     assertThat(status(set(w, 0, "team", all))).isEqualTo(200);
     w.loop.run(40);
-    assertThat(w.stage(0, jobs.get(4).id)).isEqualTo("done");
+    assertThat(w.users.stage(0, jobs.get(4).id)).isEqualTo("done");
     WorldAssertions.fine(w);
   }
 
   @Test
   void anAccountThatSomebodyChangesIsToldOfAndPassesNoLimit() {
     SimWorld w = stored(563, 3);
-    final List<Rules.Known> jobs = burst(w, "team", "35", 60, 0.2, 2, 4);
+    final List<SimJob> jobs = burst(w, "team", "35", 60, 0.2, 2, 4);
     w.loop.run(14);
     overwriteAccount(w, "team", 0);
     w.loop.run(3);
     assertThat(metrics(w)).contains("graderelay_quota_differences{team=\"team\"}");
     w.loop.run(60);
-    assertThat(w.stage(0, jobs.get(59).id)).isEqualTo("done");
+    assertThat(w.users.stage(0, jobs.get(59).id)).isEqualTo("done");
     w.loop.run(8);
     assertThat(account(w, "team")).isZero();
     WorldAssertions.fine(w);
@@ -335,7 +341,7 @@
     SimWorld w = stored(571, 3);
     set(w, 0, "team", "{\"cpus_max\":20}");
     w.loop.run(1);
-    JsonNode all = w.answer(1, "GET", "/admin/quota", null);
+    JsonNode all = w.users.answer(1, "GET", "/admin/quota", null);
     assertThat(all.path("stored").asBoolean()).isTrue();
     assertThat(all.path("teams").size()).isEqualTo(3);
     assertThat(all.path("settings_differ").toString()).contains("team team").contains("24 CPUs");
--- a/src/test/java/graderelay/quota/QuotaMeasurement.java
+++ b/src/test/java/graderelay/quota/QuotaMeasurement.java
@@ -1,7 +1,8 @@
 package graderelay.quota;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import java.lang.management.ManagementFactory;
 import java.util.List;
 import java.util.Locale;
@@ -19,9 +20,7 @@
   /** Seconds after the last start until every end has been written. */
   private static final double SETTLE_S = 30;
 
-  /**
-   * Seconds that each answer of the state service takes longer than usual: some 15 times as long.
-   */
+  /** Seconds that each answer of the store takes longer than usual: some 15 times as long. */
   private static final double SLOW_S = 0.15;
 
   private static final long MOST_MS = 3_600_000;
@@ -92,8 +91,8 @@
   }
 
   private static Result burst(Setup setup, boolean on, int seed) {
-    SimWorld.Shape shape =
-        new SimWorld.Shape(3, 4, 22, List.of("a", "b"), setup.machines(), 3.0 * setup.machines());
+    WorldShape shape =
+        new WorldShape(3, 4, 22, List.of("a", "b"), setup.machines(), 3.0 * setup.machines());
     SimWorld w = new SimWorld(seed, shape);
     w.requestsPerS = setup.requestsPerS();
     w.changesPerS = setup.changesPerS();
@@ -108,7 +107,7 @@
     final long changes = w.state.changesMade;
     final double from = w.loop.now();
     double everyS = setup.burstS() / setup.jobs();
-    List<Rules.Known> jobs = QuotaSteps.burst(w, "team", "60", setup.jobs(), everyS, 1, RUN_S);
+    List<SimJob> jobs = QuotaSteps.burst(w, "team", "60", setup.jobs(), everyS, 1, RUN_S);
     while (w.loop.now() < from + MOST_S && jobs.stream().anyMatch(j -> !began(j))) {
       w.loop.run(0.5);
     }
@@ -117,7 +116,7 @@
     w.loop.run(SETTLE_S);
     Histogram waits = new Histogram(MOST_MS, DIGITS);
     for (int i = 0; i < jobs.size(); i++) {
-      Rules.Known job = jobs.get(i);
+      SimJob job = jobs.get(i);
       double waited = (began(job) ? job.firstStart : from + MOST_S) - from - i * everyS;
       waits.recordValue((long) Math.max(0, waited * 1000));
     }
@@ -129,16 +128,16 @@
         (processorNanos() - cpu) / 1e9);
   }
 
-  private static boolean began(Rules.Known job) {
+  private static boolean began(SimJob job) {
     return !Double.isNaN(job.firstStart);
   }
 
   /** Machines are up and have the image, with a guest's work on them that yields to the team's. */
   private static void fill(SimWorld w, int machines) {
-    Rules.Known guests = w.job("j-610000", machines, 3, 10_000, true);
+    SimJob guests = w.users.job("j-610000", machines, 3, 10_000, true);
     guests.guest = true;
-    w.submit(0, guests);
-    for (int i = 0; i < 300 && w.rules.running("guest") < 3 * machines; i++) {
+    w.users.submit(0, guests);
+    for (int i = 0; i < 300 && w.invariants.running("guest") < 3 * machines; i++) {
       w.loop.run(1);
     }
   }
--- a/src/test/java/graderelay/quota/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -8,8 +8,9 @@
 import graderelay.features.FeatureRange;
 import graderelay.features.UpgradePolicy;
 import graderelay.sim.QuotaRecorder;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
@@ -31,12 +32,12 @@
 
   /** A world that stores limits. */
   static SimWorld stored(long seed, int size) {
-    return stored(new SimWorld(seed, SimWorld.Shape.of(size)));
+    return stored(new SimWorld(seed, WorldShape.of(size)));
   }
 
   /** The same world once it stores limits. */
   static SimWorld stored(SimWorld w) {
-    w.judgeLevels();
+    w.checkLevels();
     startWith(w, upTo(LEVEL));
     for (int i = 0; i < 30 && w.state.value(QuotaCodec.SEEDED) == null; i++) {
       w.loop.run(1);
@@ -48,7 +49,7 @@
 
   /** A world that does not, and otherwise is the same. */
   static SimWorld plain(long seed, int size) {
-    return plain(new SimWorld(seed, SimWorld.Shape.of(size)));
+    return plain(new SimWorld(seed, WorldShape.of(size)));
   }
 
   /** The same world once it has the level before stored limits. */
@@ -68,15 +69,15 @@
   }
 
   /** Arrays of one team, submitted at all controllers in turn. */
-  static List<Rules.Known> burst(
+  static List<SimJob> burst(
       SimWorld w, String team, String prefix, int count, double everyS, double cpus, double runS) {
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Rules.Known job = w.job(String.format("j-%s%04d", prefix, i), 1, cpus, runS, true);
+      SimJob job = w.users.job(String.format("j-%s%04d", prefix, i), 1, cpus, runS, true);
       job.team = team;
       jobs.add(job);
       int node = i % w.size;
-      w.loop.after(i * everyS, () -> w.submit(node, job));
+      w.loop.after(i * everyS, () -> w.users.submit(node, job));
     }
     return jobs;
   }
@@ -92,11 +93,11 @@
 
   /** Operators change a team's limits at a controller. */
   static JsonNode set(SimWorld w, int node, String team, String fields) {
-    return w.answer(node, "PUT", "/admin/quota/" + team, fields.getBytes());
+    return w.users.answer(node, "PUT", "/admin/quota/" + team, fields.getBytes());
   }
 
   static JsonNode shown(SimWorld w, String team) {
-    JsonNode answer = w.answer(Math.max(0, w.leader()), "GET", "/admin/quota/" + team, null);
+    JsonNode answer = w.users.answer(Math.max(0, w.leader()), "GET", "/admin/quota/" + team, null);
     return answer.path("teams").path(0);
   }
 
@@ -110,23 +111,23 @@
     w.state.overwrite(QuotaCodec.accountKey(team), value);
   }
 
-  /** All are done, no rule was broken, and no limit was passed on the way. */
-  static void allDone(SimWorld w, QuotaRecorder recorder, List<Rules.Known> jobs) {
-    for (Rules.Known job : jobs) {
+  /** All are done, no invariant was violated, and no limit was passed on the way. */
+  static void allDone(SimWorld w, QuotaRecorder recorder, List<SimJob> jobs) {
+    for (SimJob job : jobs) {
       assertThat(job.accepted).as(job.id).isTrue();
-      assertThat(w.stage(0, job.id)).as(job.id).isEqualTo("done");
+      assertThat(w.users.stage(0, job.id)).as(job.id).isEqualTo("done");
     }
     kept(w, recorder);
   }
 
   static void kept(SimWorld w, QuotaRecorder recorder) {
-    assertThat(w.rules.broken).isEmpty();
-    assertThat(recorder.broken).isEmpty();
+    assertThat(w.invariants.violations).isEmpty();
+    assertThat(recorder.violations).isEmpty();
   }
 
   /** Every job began within so many seconds of its acceptance. */
-  static void beganWithin(List<Rules.Known> jobs, double seconds) {
-    for (Rules.Known job : jobs) {
+  static void beganWithin(List<SimJob> jobs, double seconds) {
+    for (SimJob job : jobs) {
       assertThat(job.firstStart - job.acceptedAt).as(job.id).isLessThanOrEqualTo(seconds);
     }
   }
--- a/src/test/java/graderelay/quota/StoredLimitsTest.java
+++ b/src/test/java/graderelay/quota/StoredLimitsTest.java
@@ -11,8 +11,9 @@
 
 import graderelay.sim.QuotaRecorder;
 import graderelay.sim.RandomDay;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.QuotaCodec;
 import graderelay.wire.StateCodec;
@@ -27,11 +28,11 @@
 class StoredLimitsTest {
   private static final double LIMIT = SimWorld.LIMIT;
 
-  /** Seconds within which work within its team's guarantee begins, troubles included. */
+  /** Seconds within which work within its team's guarantee begins, faults included. */
   private static final double GUARANTEED_S = 15;
 
   /** Work of the other team that fits its guarantee of 8 CPUs at any moment. */
-  private static List<Rules.Known> guaranteed(SimWorld w, int count) {
+  private static List<SimJob> guaranteed(SimWorld w, int count) {
     return burst(w, "other", "77", count, 3, 2, 4);
   }
 
@@ -46,9 +47,9 @@
     SimWorld w = stored(seed, size);
     final QuotaRecorder recorder = new QuotaRecorder(w);
     w.loop.run(5);
-    final List<Rules.Known> others = guaranteed(w, 20);
+    final List<SimJob> others = guaranteed(w, 20);
     w.loop.run(25); // Machines are up.
-    final List<Rules.Known> jobs = burst(w, "team", "10", 1000, 0.01, 1, 1);
+    final List<SimJob> jobs = burst(w, "team", "10", 1000, 0.01, 1, 1);
     w.loop.run(4);
     int leader = w.leader();
     w.isolate(leader, true);
@@ -66,7 +67,7 @@
   void claimCarriedOutLateFailsOnceTheNextLeaderHasClaimed(long seed, double lateS) {
     SimWorld w = stored(seed, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "11", 60, 0.2, 2, 6);
+    final List<SimJob> jobs = burst(w, "team", "11", 60, 0.2, 2, 6);
     w.loop.run(8);
     w.state.delayS = lateS;
     w.state.delay = t -> isClaim(t);
@@ -89,7 +90,7 @@
   void suspendedLeaderThatResumesBesideItsSuccessorAddsNothing(long seed) {
     SimWorld w = stored(seed, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "12", 80, 0.15, 2, 4);
+    final List<SimJob> jobs = burst(w, "team", "12", 80, 0.15, 2, 4);
     w.loop.run(6 + seed % 4 * 0.37);
     int leader = w.leader();
     w.suspend(leader);
@@ -104,7 +105,7 @@
   void leaderThatChangesTwiceInTenSecondsPassesNoLimit() {
     SimWorld w = stored(331, 5);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "13", 80, 0.2, 2, 5);
+    final List<SimJob> jobs = burst(w, "team", "13", 80, 0.2, 2, 5);
     w.loop.run(7);
     endNow(w, w.leader());
     w.loop.run(5);
@@ -118,14 +119,14 @@
   void teamAtItsLimitStaysThereWhileMachinesHangJobsAreCancelledAndTheLeaderEnds(long seed) {
     SimWorld w = stored(seed, 3);
     QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "14", 70, 0.1, 2, 8);
+    final List<SimJob> jobs = burst(w, "team", "14", 70, 0.1, 2, 8);
     w.loop.run(14);
     assertThat(recorder.claims("team").cpus()).isEqualTo(LIMIT);
     w.workers.values().stream().limit(2).forEach(worker -> worker.hang(20));
-    List<Rules.Known> cancelled = new ArrayList<>();
+    List<SimJob> cancelled = new ArrayList<>();
     for (int i = 0; i < jobs.size(); i += 4) {
       cancelled.add(jobs.get(i));
-      w.cancel(i % 3, jobs.get(i));
+      w.users.cancel(i % 3, jobs.get(i));
     }
     endNow(w, w.leader());
     w.loop.run(200);
@@ -137,7 +138,7 @@
   void outageOfTheStorePassesNoLimitAndItsAccountsGoOn() {
     SimWorld w = stored(351, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "15", 60, 0.2, 2, 5);
+    final List<SimJob> jobs = burst(w, "team", "15", 60, 0.2, 2, 5);
     w.loop.run(8);
     w.state.loseAnswer = t -> isClaim(t);
     w.loop.run(0.5);
@@ -153,10 +154,10 @@
 
   @Test
   void lowerLimitsOfTheStoreAreKept() {
-    SimWorld w = stored(new SimWorld(361, SimWorld.Shape.of(3), RandomDay.LOWER));
+    SimWorld w = stored(new SimWorld(361, WorldShape.of(3), RandomDay.LOWER));
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> others = guaranteed(w, 10);
-    final List<Rules.Known> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
+    final List<SimJob> others = guaranteed(w, 10);
+    final List<SimJob> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
     w.loop.run(5);
     w.state.lower(RandomDay.LOWER.valueKb(), RandomDay.LOWER.txnOps());
     w.loop.run(90);
@@ -169,7 +170,7 @@
   void anEndOfAllControllersLeavesTheAccountsToTheNextLeader() {
     SimWorld w = stored(371, 3);
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "17", 60, 0.1, 2, 6);
+    final List<SimJob> jobs = burst(w, "team", "17", 60, 0.1, 2, 6);
     w.loop.run(9);
     w.crashAll();
     w.loop.run(1);
@@ -181,9 +182,9 @@
   @Test
   void upgradeToTheLevelAndDowngradeFromItUnderLoadPassNoLimit() {
     SimWorld w = plain(381, 3);
-    w.judgeLevels();
+    w.checkLevels();
     final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<Rules.Known> jobs = burst(w, "team", "18", 200, 0.3, 2, 4);
+    final List<SimJob> jobs = burst(w, "team", "18", 200, 0.3, 2, 4);
     w.loop.run(10);
     for (int i = 0; i < 3; i++) {
       w.replace(i, QuotaSteps.upTo(QuotaSteps.LEVEL));
@@ -195,7 +196,7 @@
     w.loop.run(6);
     assertThat(w.state.value(QuotaCodec.accountKey("team"))).isNotNull();
     byte[] two = "{\"level\":2}".getBytes();
-    assertThat(w.answer(0, "POST", "/admin/features/downgrade", two).path("http").asInt())
+    assertThat(w.users.answer(0, "POST", "/admin/features/downgrade", two).path("http").asInt())
         .isEqualTo(200);
     w.loop.run(10);
     assertThat(w.state.value(FeatureCodec.LEVEL).path("level").asInt()).isEqualTo(2);
@@ -213,15 +214,15 @@
     burst(w, "team", "19", 120, 2, 1, 5);
     burst(w, "team", "29", 120, 2, 1, 7.3); // Never do all that run end at once.
     w.loop.run(20);
-    Rules.Known large = w.job("j-990001", 1, 4, 5, true);
-    w.submit(1, large);
+    SimJob large = w.users.job("j-990001", 1, 4, 5, true);
+    w.users.submit(1, large);
     w.loop.run(110);
-    Rules.Known service = w.job("j-990002", 4, 1, 0, false); // All of it fits the limit, just.
-    w.submit(2, service);
+    SimJob service = w.users.job("j-990002", 4, 1, 0, false); // All of it fits the limit, just.
+    w.users.submit(2, service);
     w.loop.run(30);
     beganWithin(List.of(large), 100);
     beganWithin(List.of(service), 20);
-    assertThat(w.stage(0, large.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, large.id)).isEqualTo("done");
     kept(w, recorder);
   }
 
@@ -231,16 +232,16 @@
 
   /** Less than the machines of one zone hold, so that either zone alone can fill the limit. */
   private static SimWorld roomy(long seed) {
-    SimWorld.Shape shape = SimWorld.Shape.of(3);
+    WorldShape shape = WorldShape.of(3);
     return new SimWorld(
         seed,
-        new SimWorld.Shape(
-            3, shape.reportS(), shape.leaseS(), shape.zones(), shape.machines(), LIMIT / 2));
+        new WorldShape(
+            3, shape.heartbeatS(), shape.leaseS(), shape.zones(), shape.machines(), LIMIT / 2));
   }
 
   /**
-   * The state service takes every condition on leader and term for met, and claims of a leader that
-   * ends are carried out late, among those of the next one.
+   * The store takes every condition on leader and term for met, and claims of a leader that ends
+   * are carried out late, among those of the next one.
    */
   private static List<String> withoutTheTermsCondition(SimWorld w, long seed) {
     final QuotaRecorder recorder = new QuotaRecorder(w);
@@ -261,7 +262,7 @@
     // The next leader can't claim the same tasks of this zone again, and fills the other one.
     w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(x -> x.hang(20));
     w.loop.run(40);
-    return recorder.broken;
+    return recorder.violations;
   }
 
   @Test
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -87,7 +87,7 @@
   private double now;
 
   /** What was found wrong. */
-  final List<String> broken = new ArrayList<>();
+  final List<String> violations = new ArrayList<>();
 
   int committedClaims;
 
@@ -271,13 +271,13 @@
 
   private void judge(boolean claimed) {
     if (claimed && !limit.quota().allows(claims())) {
-      broken.add("claims of " + claims() + " with a limit of " + limit.quota().limit());
+      violations.add("claims of " + claims() + " with a limit of " + limit.quota().limit());
     }
     if (!tampered && !account.use().covers(claims())) {
-      broken.add("claims of " + claims() + " with an account of " + account.use());
+      violations.add("claims of " + claims() + " with an account of " + account.use());
     }
     if (account.use().isNegative()) {
-      broken.add("the account is negative: " + account.use());
+      violations.add("the account is negative: " + account.use());
     }
   }
 
--- a/src/test/java/graderelay/scenario/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -11,7 +11,7 @@
 import graderelay.core.Priority;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
@@ -21,19 +21,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that need others: never too early, waiting, cancelled together. */
+/** Jobs that depend on others: never too early, waiting, cancelled together. */
 class DependenciesTest {
-  private static Rules.Known job(SimWorld w, int n, int tasks, double runS, Rules.Known... needs) {
-    Rules.Known j = w.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
-    j.needs = List.of(needs);
+  private static SimJob job(SimWorld w, int n, int tasks, double runS, SimJob... needs) {
+    SimJob j = w.users.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
+    j.dependencies = List.of(needs);
     return j;
   }
 
   /** Submitted one after the other, each as soon as the one before it is accepted. */
-  private static List<Rules.Known> chain(SimWorld w, int stages, double runS) {
-    List<Rules.Known> all = new ArrayList<>();
+  private static List<SimJob> chain(SimWorld w, int stages, double runS) {
+    List<SimJob> all = new ArrayList<>();
     for (int i = 0; i < stages; i++) {
-      Rules.Known j = i == 0 ? job(w, 0, 2, runS) : job(w, i, 2, runS, all.get(i - 1));
+      SimJob j = i == 0 ? job(w, 0, 2, runS) : job(w, i, 2, runS, all.get(i - 1));
       all.add(j);
       accept(w, i % w.size, j);
     }
@@ -43,25 +43,25 @@
   @Test
   void stagesOfChainRunOneAfterTheOther() {
     SimWorld w = world(401, 3);
-    List<Rules.Known> jobs = chain(w, 4, 3);
-    assertThat(w.stage(1, jobs.get(3).id)).isEqualTo("pending");
+    List<SimJob> jobs = chain(w, 4, 3);
+    assertThat(w.users.stage(1, jobs.get(3).id)).isEqualTo("pending");
     w.loop.run(50);
     everywhere(w, jobs, "done");
-    assertThat(w.rules.starts).isEqualTo(8);
+    assertThat(w.invariants.starts).isEqualTo(8);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"crash", "lostAnswers", "late", "outage", "isolate", "blink", "handover"})
   void noStageBeginsTooEarlyInAnyTrouble(String trouble) {
     SimWorld w = world(402, 3);
-    w.lookClosely();
-    Rules.Known first = job(w, 0, 3, 4);
-    Rules.Known second = job(w, 1, 2, 5);
+    w.users.lookClosely();
+    SimJob first = job(w, 0, 3, 4);
+    SimJob second = job(w, 1, 2, 5);
     accept(w, 0, first);
     accept(w, 1, second);
-    Rules.Known join = job(w, 2, 3, 3, first, second);
+    SimJob join = job(w, 2, 3, 3, first, second);
     accept(w, 2, join);
-    Rules.Known last = job(w, 3, 1, 2, join, first);
+    SimJob last = job(w, 3, 1, 2, join, first);
     accept(w, 0, last);
     for (int i = 0; i < 8; i++) {
       int leader = w.leader();
@@ -111,7 +111,7 @@
     SchedulerFixture.commitAll(s, 10, 0.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     SchedulerFixture.work(s, "n-1", 2, 1, 5);
-    s.step(5.7); // The end is on its way to the state service, no more.
+    s.step(5.7); // The end is on its way to the store, no more.
     SchedulerFixture.work(s, "n-1", 4, 0, 6);
     s.step(6.7);
     assertThat(s.whyWaiting("j-2")).contains("j-1");
@@ -123,14 +123,14 @@
   @Test
   void newLeaderFindsTheEndsThatItNeverSaw() {
     SimWorld w = world(403, 3);
-    Rules.Known first = job(w, 0, 1, 3);
-    Rules.Known slow = job(w, 1, 1, 25);
+    SimJob first = job(w, 0, 1, 3);
+    SimJob slow = job(w, 1, 1, 25);
     accept(w, 0, first);
     accept(w, 0, slow);
-    Rules.Known both = job(w, 2, 1, 3, first, slow);
+    SimJob both = job(w, 2, 1, 3, first, slow);
     accept(w, 1, both);
     w.loop.run(18);
-    assertThat(w.stage(0, first.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, first.id)).isEqualTo("done");
     w.crashAll();
     w.loop.run(1);
     w.startAll(); // Nobody remembers the first job now.
@@ -195,12 +195,15 @@
   @CsvSource({"0, 0", "1, 1", "2, 2", "0, 6", "1, 13"})
   void cancelledJobCancelsAllItsDependents(int which, double after) {
     SimWorld w = world(405, 3);
-    w.lookClosely();
-    List<Rules.Known> jobs = chain(w, 4, 4);
+    w.users.lookClosely();
+    List<SimJob> jobs = chain(w, 4, 4);
     w.loop.run(after);
     String answer =
-        w.answer(which % 3, "GET", "/v1/jobs/" + jobs.get(which).id, null).path("stage").asText();
-    w.cancel(which % 3, jobs.get(which));
+        w.users
+            .answer(which % 3, "GET", "/v1/jobs/" + jobs.get(which).id, null)
+            .path("stage")
+            .asText();
+    w.users.cancel(which % 3, jobs.get(which));
     w.loop.run(1);
     if (!answer.equals("done")) {
       everywhere(
@@ -208,7 +211,7 @@
     }
     w.loop.run(60);
     everywhere(w, jobs.subList(0, which), "done");
-    for (Rules.Known j : jobs) {
+    for (SimJob j : jobs) {
       assertThat(w.state.value(StateCodec.endKey(j.id))).isNotNull();
     }
     fine(w);
@@ -218,12 +221,12 @@
   @ValueSource(booleans = {true, false})
   void cancellationThatMeetsTheEndWinsForAllOrForNone(boolean leaderEnds) {
     SimWorld w = world(406, 3);
-    w.lookClosely();
-    List<Rules.Known> jobs = chain(w, 3, 3);
-    w.rules.onComplete =
+    w.users.lookClosely();
+    List<SimJob> jobs = chain(w, 3, 3);
+    w.invariants.onComplete =
         j -> {
           if (j == jobs.get(0)) {
-            w.cancel(w.random.nextInt(3), j);
+            w.users.cancel(w.random.nextInt(3), j);
             if (leaderEnds) {
               int leader = w.leader();
               w.crash(leader);
@@ -232,7 +235,7 @@
           }
         };
     w.loop.run(70);
-    String stage = w.stage(0, jobs.get(0).id);
+    String stage = w.users.stage(0, jobs.get(0).id);
     assertThat(stage).isIn("done", "cancelled");
     everywhere(w, jobs, stage);
   }
@@ -240,36 +243,36 @@
   @Test
   void jobThatDependsOnCancelledOneIsAcceptedAndCancelled() {
     SimWorld w = world(407, 3);
-    Rules.Known first = job(w, 0, 1, 30);
+    SimJob first = job(w, 0, 1, 30);
     accept(w, 0, first);
     w.loop.run(10);
-    w.cancel(1, first);
+    w.users.cancel(1, first);
     w.loop.run(0.2);
-    Rules.Known soon = job(w, 1, 1, 3, first);
+    SimJob soon = job(w, 1, 1, 3, first);
     accept(w, 2, soon);
     everywhere(w, List.of(first, soon), "cancelled");
     w.loop.run(20); // Only its final record is left.
-    Rules.Known late = job(w, 2, 1, 3, first);
+    SimJob late = job(w, 2, 1, 3, first);
     accept(w, 0, late);
     everywhere(w, List.of(first, soon, late), "cancelled");
     w.loop.run(20);
     assertThat(w.state.value(StateCodec.jobKey(late.id))).isNull();
-    assertThat(w.rules.starts).isEqualTo(1);
+    assertThat(w.invariants.starts).isEqualTo(1);
   }
 
   @Test
   void wideFanIsCancelledWithItsRootWhateverIsWritten() {
     SimWorld w = world(408, 3);
-    Rules.Known root = job(w, 0, 1, 300);
+    SimJob root = job(w, 0, 1, 300);
     accept(w, 0, root);
-    List<Rules.Known> fan = new ArrayList<>();
+    List<SimJob> fan = new ArrayList<>();
     for (int i = 1; i < 80; i++) {
-      Rules.Known j = job(w, i, 1, 3, root);
+      SimJob j = job(w, i, 1, 3, root);
       fan.add(j);
-      w.submit(i % 3, j);
+      w.users.submit(i % 3, j);
     }
     w.loop.run(15);
-    w.cancel(1, root);
+    w.users.cancel(1, root);
     w.loop.run(0.3);
     everywhere(w, fan, "cancelled");
     int before = w.state.requests;
--- a/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -8,8 +8,9 @@
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -20,29 +21,29 @@
 class FleetOfThousandsTest {
   private static final int MACHINES = 4000;
   private static final int REPLICAS = 100;
-  private static final double REPORT_S = 4;
+  private static final double HEARTBEAT_S = 4;
   private static final double LEASE_S = 22;
   private static final double CPUS_OF_A_MACHINE = 4;
 
   private static SimWorld fleet() {
-    SimWorld.Shape shape =
-        new SimWorld.Shape(
-            5, REPORT_S, LEASE_S, List.of("a", "b"), MACHINES, CPUS_OF_A_MACHINE * MACHINES);
+    WorldShape shape =
+        new WorldShape(
+            5, HEARTBEAT_S, LEASE_S, List.of("a", "b"), MACHINES, CPUS_OF_A_MACHINE * MACHINES);
     return new SimWorld(70, shape);
   }
 
-  private static List<Rules.Known> replicasOnEveryMachine(SimWorld w) {
-    List<Rules.Known> jobs = new ArrayList<>();
+  private static List<SimJob> replicasOnEveryMachine(SimWorld w) {
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < MACHINES / REPLICAS; i++) {
-      Rules.Known job =
-          w.job(String.format("j-0070%02d", i), REPLICAS, CPUS_OF_A_MACHINE, 0, false);
+      SimJob job =
+          w.users.job(String.format("j-0070%02d", i), REPLICAS, CPUS_OF_A_MACHINE, 0, false);
       jobs.add(job);
-      w.submit(i % w.size, job);
+      w.users.submit(i % w.size, job);
     }
-    for (int i = 0; i < 180 && w.rules.starts < MACHINES; i++) {
+    for (int i = 0; i < 180 && w.invariants.starts < MACHINES; i++) {
       w.loop.run(1);
     }
-    assertThat(w.rules.starts).isEqualTo(MACHINES);
+    assertThat(w.invariants.starts).isEqualTo(MACHINES);
     return jobs;
   }
 
@@ -50,7 +51,7 @@
   void goesThroughFailoverAndZonePartitionWithoutLosingAnyTask() {
     SimWorld w = fleet();
     w.loop.run(4);
-    final List<Rules.Known> jobs = replicasOnEveryMachine(w);
+    final List<SimJob> jobs = replicasOnEveryMachine(w);
     w.loop.run(15);
 
     int leader = w.leader();
@@ -63,15 +64,15 @@
     w.loop.run(6);
     w.start(leader);
     w.loop.run(LEASE_S + 10);
-    assertThat(w.rules.starts).as(w.rules.trace().toString()).isEqualTo(MACHINES);
+    assertThat(w.invariants.starts).as(w.invariants.trace().toString()).isEqualTo(MACHINES);
 
     w.net.cutZone("b", true);
     w.loop.run(LEASE_S + 2);
     w.net.cutZone("b", false);
     w.loop.run(LEASE_S);
-    assertThat(w.rules.starts).as(w.rules.trace().toString()).isEqualTo(MACHINES);
-    for (Rules.Known job : jobs) {
-      assertThat(w.stage(0, job.id)).as(job.id).isEqualTo("running");
+    assertThat(w.invariants.starts).as(w.invariants.trace().toString()).isEqualTo(MACHINES);
+    for (SimJob job : jobs) {
+      assertThat(w.users.stage(0, job.id)).as(job.id).isEqualTo("running");
     }
     assertThat(w.workers).hasSize(MACHINES);
     fine(w);
--- a/src/test/java/graderelay/scenario/RandomDayTest.java
+++ b/src/test/java/graderelay/scenario/RandomDayTest.java
@@ -49,7 +49,7 @@
       long seed, BiFunction<Long, List<Fault>, Verdict> player) {
     List<Fault> faults = Fault.day(seed, RandomDay.DAY_S);
     Verdict verdict = player.apply(seed, faults);
-    while (!verdict.broken().isEmpty()) {
+    while (!verdict.violations().isEmpty()) {
       List<Fault> fewer = withoutOneThatDoesNotMatter(seed, faults, player);
       if (fewer == null) {
         break;
@@ -57,18 +57,18 @@
       faults = fewer;
       verdict = player.apply(seed, faults);
     }
-    assertThat(verdict.broken())
+    assertThat(verdict.violations())
         .as("seed %s, faults %s, trace:%n%s", seed, faults, String.join("\n", verdict.trace()))
         .isEmpty();
   }
 
-  /** The same troubles but one, which break a rule as well, or null if every one is needed. */
+  /** The same faults but one, which break a rule as well, or null if every one is needed. */
   private static List<Fault> withoutOneThatDoesNotMatter(
       long seed, List<Fault> faults, BiFunction<Long, List<Fault>, Verdict> player) {
     for (int i = 0; i < faults.size(); i++) {
       List<Fault> fewer = new ArrayList<>(faults);
       fewer.remove(i);
-      if (!player.apply(seed, fewer).broken().isEmpty()) {
+      if (!player.apply(seed, fewer).violations().isEmpty()) {
         return fewer;
       }
     }
--- a/src/test/java/graderelay/sim/Fault.java
+++ b/src/test/java/graderelay/sim/Fault.java
@@ -5,10 +5,10 @@
 import java.util.SplittableRandom;
 
 /**
- * One trouble of a random day.
+ * One fault of a random day.
  *
  * @param at seconds from the day's beginning
- * @param length seconds, for troubles that last
+ * @param length seconds, for faults that last
  * @param pick a number that chooses whom and how
  */
 public record Fault(Kind kind, double at, double length, int pick) {
@@ -32,7 +32,7 @@
     STATE_REFUSES_LEADER,
     MANY_TRANSACTIONS_LATE,
     MACHINE_DEAF,
-    REPORTS_COPIED,
+    HEARTBEATS_COPIED,
     CONTROLLER_ISOLATED,
     LEADER_ISOLATED,
     RESTART_AMID_ELECTION,
@@ -42,12 +42,12 @@
     SLOW_BOOTS,
     FAILED_BOOTS,
     INSTANT_BOOTS,
-    QUESTION_STORM,
-    /** The leader is refused, jobs are cancelled elsewhere, then the state service is out. */
+    POLL_STORM,
+    /** The leader is refused, jobs are cancelled elsewhere, then the store is out. */
     CANCELLED_BETWEEN_REFUSAL_AND_OUTAGE,
     SOME_TRANSACTIONS_LATE,
     TRANSACTION_ANSWERS_LOST,
-    REPORTS_KEPT_FOR_NEXT_LEADER,
+    HEARTBEATS_KEPT_FOR_NEXT_LEADER,
     MACHINES_MUTE,
     MACHINES_HANG,
     JOBS_CANCELLED,
@@ -78,7 +78,7 @@
           Kind.STATE_REFUSES_LEADER,
           Kind.MANY_TRANSACTIONS_LATE,
           Kind.MACHINE_DEAF,
-          Kind.REPORTS_COPIED,
+          Kind.HEARTBEATS_COPIED,
           Kind.CONTROLLER_ISOLATED,
           Kind.LEADER_ISOLATED,
           Kind.RESTART_AMID_ELECTION,
@@ -90,12 +90,12 @@
           Kind.SLOW_BOOTS,
           Kind.FAILED_BOOTS,
           Kind.INSTANT_BOOTS,
-          Kind.QUESTION_STORM,
+          Kind.POLL_STORM,
           Kind.CANCELLED_BETWEEN_REFUSAL_AND_OUTAGE,
           Kind.CANCELLED_BETWEEN_REFUSAL_AND_OUTAGE,
           Kind.SOME_TRANSACTIONS_LATE,
           Kind.TRANSACTION_ANSWERS_LOST,
-          Kind.REPORTS_KEPT_FOR_NEXT_LEADER,
+          Kind.HEARTBEATS_KEPT_FOR_NEXT_LEADER,
           Kind.MACHINES_MUTE,
           Kind.MACHINES_HANG,
           Kind.JOBS_CANCELLED,
@@ -105,7 +105,7 @@
           Kind.LEADERS_CHANGE,
           Kind.STATE_SLOW);
 
-  /** The troubles of a day of so many seconds, some of them in pairs that meet. */
+  /** The faults of a day of so many seconds, some of them in pairs that meet. */
   public static List<Fault> day(long seed, double seconds) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Fault> faults = new ArrayList<>();
--- a/src/test/java/graderelay/sim/LevelChanges.java
+++ b/src/test/java/graderelay/sim/LevelChanges.java
@@ -106,14 +106,14 @@
   }
 
   private void upgrade(int controller) {
-    world.rules.log("upgrade of m-" + controller);
+    world.invariants.log("upgrade of m-" + controller);
     world.replace(controller, options(LATEST - random.nextInt(2) * random.nextInt(2)));
     restart(controller, 0.2 + random.nextDouble() * 5);
   }
 
   /** Also below the level, as an operator may by mistake: it must refuse to serve then. */
   private void rollBack(int controller) {
-    world.rules.log("rollback of m-" + controller);
+    world.invariants.log("rollback of m-" + controller);
     if (fromProduction && random.nextBoolean()) {
       world.rollBack(controller);
     } else {
@@ -138,8 +138,8 @@
     world.suspend(controller);
     world.loseTrackOf(controller);
     for (int i = 0; i < 3; i++) {
-      Rules.Known job = world.job(String.format("j-08%02d%02d", controller, i), 1, 1, 2, true);
-      world.resubmit(controller, job);
+      SimJob job = world.users.job(String.format("j-08%02d%02d", controller, i), 1, 1, 2, true);
+      world.users.resubmit(controller, job);
     }
     for (int i = 0; i < world.size; i++) {
       if (i != controller) {
@@ -159,12 +159,12 @@
   private void operator(String what, int level) {
     int node = random.nextInt(world.size);
     byte[] body = Json.write(Json.object().put("level", level));
-    world.ask(
+    world.users.ask(
         node,
         "POST",
         "/admin/features/" + what,
         body,
-        (r, n) -> world.rules.log(what + " " + level + ": " + r.status() + " " + n));
+        (r, n) -> world.invariants.log(what + " " + level + ": " + r.status() + " " + n));
   }
 
   private void finish() {
@@ -173,7 +173,7 @@
       world.loop.after(
           4 * i,
           () -> {
-            world.rules.log("latest version for m-" + controller);
+            world.invariants.log("latest version for m-" + controller);
             world.replace(controller, options(LATEST));
             if (world.isUp(controller)) {
               world.crash(controller);
--- a/src/test/java/graderelay/sim/LevelRules.java
+++ b/src/test/java/graderelay/sim/LevelChecker.java
@@ -12,10 +12,10 @@
 import java.util.function.IntPredicate;
 
 /**
- * Judges every transaction that commits by the feature level that stood at that moment: its process
+ * Checks every transaction that commits by the feature level that stood at that moment: its process
  * must support it, and the level may rise only while no older process is up.
  */
-final class LevelRules {
+final class LevelChecker {
   private static final String PROCESS = "process";
 
   /** Seconds for which a process may be up before the leader can know that it has changed. */
@@ -30,7 +30,7 @@
   private final IntPredicate isUp;
   private long next = 1;
 
-  LevelRules(SimWorld world, IntPredicate isUp) {
+  LevelChecker(SimWorld world, IntPredicate isUp) {
     this.world = world;
     this.isUp = isUp;
   }
@@ -69,12 +69,12 @@
     }
     int level = level();
     if (p.range() != null && !p.range().supports(level)) {
-      world.rules.breaks("level " + level + ", written to by " + p + ": " + changes);
+      world.invariants.breaks("level " + level + ", written to by " + p + ": " + changes);
     }
     for (JsonNode change : changes) {
       String key = change.path("put").asText();
       if (p.range() == null && level > 0 && (key.equals(StateCodec.TERM) || stops(change, key))) {
-        world.rules.breaks("level " + level + ", led or confirmed by " + p + ": " + change);
+        world.invariants.breaks("level " + level + ", led or confirmed by " + p + ": " + change);
       }
       if (key.equals(FeatureCodec.LEVEL)) {
         raised(level, change.path("data").path("level").asInt());
@@ -87,12 +87,12 @@
   }
 
   private void raised(int from, int to) {
-    world.rules.log("level " + from + " to " + to);
+    world.invariants.log("level " + from + " to " + to);
     for (Process p : latest.values()) {
       boolean supports = p.range() != null && p.range().supports(to);
       boolean known = world.loop.now() - p.startedAt() > UNNOTICED_S;
       if (to > from && !supports && known && isUp.test(p.controller())) {
-        world.rules.breaks("raised to " + to + " while " + p + " is up");
+        world.invariants.breaks("raised to " + to + " while " + p + " is up");
       }
     }
   }
--- a/src/test/java/graderelay/sim/ProductionVersion.java
+++ b/src/test/java/graderelay/sim/ProductionVersion.java
@@ -19,10 +19,10 @@
  * ProductionFormatsTest} checks against that version's own bytes.
  */
 final class ProductionVersion {
-  private final Rules rules;
+  private final InvariantChecker invariants;
 
-  ProductionVersion(Rules rules) {
-    this.rules = rules;
+  ProductionVersion(InvariantChecker invariants) {
+    this.invariants = invariants;
   }
 
   /** A user's request as this version understands it. */
@@ -35,7 +35,7 @@
     return e;
   }
 
-  /** The way to the outside, on which the state service's records are those of this version. */
+  /** The way to the outside, on which the store's records are those of this version. */
   Transport transport(Transport outside, String stateAddress) {
     return (address, method, path, body, timeoutS, done) -> {
       if (!address.equals(stateAddress)) {
@@ -114,7 +114,7 @@
     } else if (key.startsWith(StateCodec.ENDS)) {
       record.remove("at");
     } else if (key.startsWith(StateCodec.TASK_BATCHES) && !record.has("done") && !record.has("a")) {
-      rules.unreadable(key);
+      invariants.unreadable(key);
     }
   }
 }
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -18,9 +18,9 @@
 import java.util.Set;
 
 /**
- * Compares teams with their limits at every commit of the state service and at every start on a
- * machine: what is claimed never exceeds the limit that is stored at that moment, what runs never
- * exceeds what is claimed, and no account is below the claims.
+ * Compares teams with their limits at every commit of the store and at every start on a machine:
+ * what is claimed never exceeds the limit that is stored at that moment, what runs never exceeds
+ * what is claimed, and no account is below the claims.
  */
 public final class QuotaRecorder {
   private record BatchClaims(String team, Amount amount) {}
@@ -32,19 +32,19 @@
   private final Map<String, Double> peaks = new HashMap<>();
 
   /** What was above its limit, or below its claims. */
-  public final List<String> broken = new ArrayList<>();
+  public final List<String> violations = new ArrayList<>();
 
   /**
    * The part of it that happened while stored limits counted. Before that, claims of cancelled jobs
    * that are proven gone make room before their records say so.
    */
-  public final List<String> brokenWhileStored = new ArrayList<>();
+  public final List<String> violationsWhileStored = new ArrayList<>();
 
   /** Starts to compare at every commit and every start of this world. */
   public QuotaRecorder(SimWorld world) {
     this.world = world;
     world.state.onCommitted = this::committed;
-    world.rules.onStart = this::started;
+    world.invariants.onStart = this::started;
   }
 
   /** The most CPUs that a team has run at once. */
@@ -57,11 +57,12 @@
     return claims.getOrDefault(team, Amount.NONE);
   }
 
-  private void started(Rules.Known job) {
-    double running = world.rules.running(job.crew());
-    peaks.merge(job.crew(), running, Math::max);
-    if (running > claims(job.crew()).cpus() + 1e-6) {
-      breaks(job.crew() + " runs " + running + " with claims of " + claims(job.crew()));
+  private void started(SimJob job) {
+    double running = world.invariants.running(job.chargedTeam());
+    peaks.merge(job.chargedTeam(), running, Math::max);
+    if (running > claims(job.chargedTeam()).cpus() + 1e-6) {
+      breaks(
+          job.chargedTeam() + " runs " + running + " with claims of " + claims(job.chargedTeam()));
     }
   }
 
@@ -150,10 +151,10 @@
   }
 
   private void breaks(String what) {
-    world.rules.log("LIMIT " + what);
-    broken.add(what);
+    world.invariants.log("LIMIT " + what);
+    violations.add(what);
     if (inForce()) {
-      brokenWhileStored.add(what);
+      violationsWhileStored.add(what);
     }
   }
 }
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -6,13 +6,13 @@
 import java.util.SplittableRandom;
 
 /**
- * A random day: controllers, network, machines and state service fail in random ways while users
- * submit, poll and cancel. Every rule is judged as it goes.
+ * A random day: controllers, network, machines and store fail in random ways while users submit,
+ * poll and cancel. Every invariant is checked as it goes.
  */
 public final class RandomDay {
   public static final double DAY_S = 150;
 
-  /** What the state service allows once it has lowered its limits. */
+  /** What the store allows once it has lowered its limits. */
   public static final Settings.StateLimits LOWER = new Settings.StateLimits(200, 2, 4);
 
   private static final double CALM_S = 150;
@@ -33,16 +33,16 @@
   private static final int MOST_TOO_LARGE = 40;
 
   /** What came of a day: the rules that it broke, and what happened last. */
-  public record Verdict(List<String> broken, List<String> trace) {}
+  public record Verdict(List<String> violations, List<String> trace) {}
 
   private final SimWorld world;
   private final SplittableRandom random;
-  private final List<Rules.Known> all = new ArrayList<>();
-  private final List<Rules.Known> mustEnd = new ArrayList<>();
+  private final List<SimJob> all = new ArrayList<>();
+  private final List<SimJob> mustEnd = new ArrayList<>();
   private final Rollout rollout;
   private int mostTooLarge;
 
-  /** No job needs others. */
+  /** No job depends on others. */
   private boolean plainJobs;
 
   private RandomDay(SimWorld world, long seed, boolean rollsOut) {
@@ -53,7 +53,7 @@
 
   /** A day on which all controllers are of the present version. */
   public static Verdict play(long seed, List<Fault> faults) {
-    // On every third day the state service will allow less from some moment on.
+    // On every third day the store will allow less from some moment on.
     boolean lowers = seed % 3 == 1;
     SimWorld world = new SimWorld(seed, shape(seed), lowers ? LOWER : SimWorld.SAME);
     RandomDay day = new RandomDay(world, seed, false);
@@ -67,7 +67,7 @@
 
   /**
    * A day that begins with the version in production, whose controllers are replaced a few at a
-   * time. Jobs that need others, and lower limits of the state service, come once all are new.
+   * time. Jobs that depend on others, and lower limits of the store, come once all are new.
    */
   public static Verdict playRollout(long seed, List<Fault> faults) {
     SimWorld world = SimWorld.inProduction(seed, shape(seed), LOWER);
@@ -91,10 +91,10 @@
         seed % 2 == 0
             ? SimWorld.inProduction(seed, shape(seed), limits)
             : new SimWorld(seed, shape(seed), limits);
-    world.judgeLevels();
+    world.checkLevels();
     final QuotaRecorder recorder = new QuotaRecorder(world);
     RandomDay day = new RandomDay(world, seed, false);
-    day.plainJobs = seed % 2 == 0; // That version knows no jobs that need others.
+    day.plainJobs = seed % 2 == 0; // That version knows no jobs that depend on others.
     day.users();
     new FaultInjector(world).schedule(faults);
     LevelChanges changes = new LevelChanges(world, seed, DAY_S);
@@ -105,18 +105,18 @@
     }
     Verdict verdict = day.run();
     if (!changes.levelIsSupported()) {
-      verdict.broken().add("the level that is stored is none");
+      verdict.violations().add("the level that is stored is none");
     }
-    verdict.broken().addAll(recorder.brokenWhileStored);
+    verdict.violations().addAll(recorder.violationsWhileStored);
     return verdict;
   }
 
   /**
    * Deployments like the users' own: few machines whose workers report often, or many more whose
-   * reports lie as far apart as a worker waits for an answer, in one to three zones.
+   * heartbeats lie as far apart as a worker waits for an answer, in one to three zones.
    */
-  private static SimWorld.Shape shape(long seed) {
-    SimWorld.Shape shape = SimWorld.Shape.of(seed % 2 == 0 ? 3 : 5);
+  private static WorldShape shape(long seed) {
+    WorldShape shape = WorldShape.of(seed % 2 == 0 ? 3 : 5);
     List<String> zones = List.of("a", "b", "c").subList(0, 1 + (int) (seed / 3 % 3));
     return switch ((int) (seed / 2 % 4)) {
       case 0 -> shape;
@@ -127,20 +127,20 @@
   }
 
   private void lowerLimits() {
-    world.rules.log("the state service lowers its limits");
+    world.invariants.log("the state service lowers its limits");
     world.state.lower(LOWER.valueKb(), LOWER.txnOps());
   }
 
   private Verdict run() {
     // Stops at the first broken rule, so that the trace ends with it.
-    for (int i = 0; i < DAY_S + CALM_S && world.rules.broken.isEmpty(); i++) {
+    for (int i = 0; i < DAY_S + CALM_S && world.invariants.violations.isEmpty(); i++) {
       world.loop.run(1);
     }
-    List<String> broken = new ArrayList<>(world.rules.broken);
-    if (broken.isEmpty()) {
-      broken.addAll(leftBehind());
+    List<String> violations = new ArrayList<>(world.invariants.violations);
+    if (violations.isEmpty()) {
+      violations.addAll(leftBehind());
     }
-    return new Verdict(broken, world.rules.trace());
+    return new Verdict(violations, world.invariants.trace());
   }
 
   // ---------------------------------------------------------------- users
@@ -150,20 +150,21 @@
    */
   private void largeJob() {
     SplittableRandom r = new SplittableRandom(random.nextLong());
-    Rules.Known job =
-        world.job("j-000099", 260 + r.nextInt(240), 0.1, 1 + r.nextDouble() * 10, r.nextBoolean());
+    SimJob job =
+        world.users.job(
+            "j-000099", 260 + r.nextInt(240), 0.1, 1 + r.nextDouble() * 10, r.nextBoolean());
     all.add(job);
     mustEnd.add(job);
     mostTooLarge = MOST_TOO_LARGE;
-    world.loop.after(1 + r.nextDouble() * 8, () -> world.submit(r.nextInt(world.size), job));
+    world.loop.after(1 + r.nextDouble() * 8, () -> world.users.submit(r.nextInt(world.size), job));
     polls(job, 0);
   }
 
   private void users() {
     for (int i = 0; i < JOBS; i++) {
       boolean service = random.nextInt(3) == 0;
-      Rules.Known job =
-          world.job(
+      SimJob job =
+          world.users.job(
               String.format("j-%06d", i),
               1 + random.nextInt(service ? 3 : 9),
               1 + random.nextInt(3),
@@ -171,15 +172,15 @@
               !service && random.nextBoolean(),
               random.nextInt(3) == 0);
       job.guest = !service && random.nextInt(4) == 0;
-      job.mistake = !service && random.nextInt(8) == 0;
+      job.failing = !service && random.nextInt(8) == 0;
       int node = random.nextInt(world.size);
       if (!service && random.nextInt(3) == 0) {
-        job.needs = plainJobs ? List.of() : needs();
+        job.dependencies = plainJobs ? List.of() : needs();
       }
       all.add(job);
       double at = 1 + random.nextDouble() * (DAY_S - 20);
       world.loop.after(at, () -> submitOnceItMayBe(node, job));
-      if (service || job.mistake || random.nextInt(4) == 0) {
+      if (service || job.failing || random.nextInt(4) == 0) {
         world.loop.after(
             at + random.nextDouble() * 60, () -> cancelIfAccepted(random.nextInt(world.size), job));
       } else {
@@ -190,9 +191,9 @@
   }
 
   /** One or two of the earlier arrays. */
-  private List<Rules.Known> needs() {
-    List<Rules.Known> some = new ArrayList<>();
-    for (Rules.Known earlier : all) {
+  private List<SimJob> needs() {
+    List<SimJob> some = new ArrayList<>();
+    for (SimJob earlier : all) {
       if (!earlier.service() && some.size() < 2 && random.nextInt(3) == 0) {
         some.add(earlier);
       }
@@ -200,28 +201,28 @@
     return some;
   }
 
-  private void submitOnceItMayBe(int node, Rules.Known job) {
-    boolean known = rollout == null || rollout.allAreNew() || job.needs.isEmpty();
-    if (known && job.needs.stream().allMatch(needed -> needed.accepted)) {
-      world.submit(node, job);
+  private void submitOnceItMayBe(int node, SimJob job) {
+    boolean known = rollout == null || rollout.allAreNew() || job.dependencies.isEmpty();
+    if (known && job.dependencies.stream().allMatch(needed -> needed.accepted)) {
+      world.users.submit(node, job);
     } else {
       world.loop.after(1, () -> submitOnceItMayBe(node, job));
     }
   }
 
-  private void cancelIfAccepted(int node, Rules.Known job) {
+  private void cancelIfAccepted(int node, SimJob job) {
     if (job.accepted) {
-      world.cancel(node, job);
+      world.users.cancel(node, job);
     } else {
       world.loop.after(2, () -> cancelIfAccepted(node, job));
     }
   }
 
-  private void polls(Rules.Known job, int node) {
+  private void polls(SimJob job, int node) {
     if (job.accepted) {
-      world.poll(node, job);
+      world.users.poll(node, job);
       if (world.random.nextInt(8) == 0) {
-        world.resubmit(world.random.nextInt(world.size), job);
+        world.users.resubmit(world.random.nextInt(world.size), job);
       }
     }
     world.loop.after(2.3, () -> polls(job, (node + 1) % world.size));
@@ -229,38 +230,38 @@
 
   // ---------------------------------------------------------------- at the end
 
-  /** What has not happened although all troubles have been over for long. */
+  /** What has not happened although all faults have been over for long. */
   private List<String> leftBehind() {
-    List<String> broken = new ArrayList<>();
-    for (Rules.Known job : mustEnd) {
+    List<String> violations = new ArrayList<>();
+    for (SimJob job : mustEnd) {
       if (job.accepted && !job.cancelWanted() && !job.lastStage.equals("done")) {
-        broken.add("never done: " + job.id + ", owner " + world.leader());
+        violations.add("never done: " + job.id + ", owner " + world.leader());
       }
     }
-    broken.addAll(unanswered());
+    violations.addAll(unanswered());
     if (world.state.tooLarge > mostTooLarge) {
-      broken.add("too large for the state service: " + world.state.tooLarge);
+      violations.add("too large for the state service: " + world.state.tooLarge);
     }
-    for (Rules.Known job : all) {
+    for (SimJob job : all) {
       // Also the largest: a job that is never begun, or only after that, has been passed over.
       boolean late = !(job.firstStart - job.acceptedAt <= BEGIN_S);
-      if (job.accepted && !job.cancelAsked && job.needs.isEmpty() && late) {
-        broken.add("not begun in time: " + job.id + " at " + job.firstStart);
+      if (job.accepted && !job.cancelAsked && job.dependencies.isEmpty() && late) {
+        violations.add("not begun in time: " + job.id + " at " + job.firstStart);
       }
     }
     if (rollout != null && !rollout.allAreNew()) {
-      broken.add("the rollout did not end");
+      violations.add("the rollout did not end");
     }
-    return broken;
+    return violations;
   }
 
   /** Every controller answers for every job, within what a user waits. */
   private List<String> unanswered() {
     List<String> missing = new ArrayList<>();
-    for (Rules.Known job : all) {
+    for (SimJob job : all) {
       for (int i = 0; i < world.size && job.accepted; i++) {
         double asked = world.loop.now();
-        int status = world.answer(i, "GET", "/v1/jobs/" + job.id, null).path("http").asInt();
+        int status = world.users.answer(i, "GET", "/v1/jobs/" + job.id, null).path("http").asInt();
         if (status != 200 || world.loop.now() - asked > POLL_S) {
           missing.add("forgotten: " + job.id + " on m-" + i + ": " + status);
         }
--- a/src/test/java/graderelay/sim/Rollout.java
+++ b/src/test/java/graderelay/sim/Rollout.java
@@ -55,7 +55,7 @@
   }
 
   private void replace(int controller) {
-    world.rules.log("new version for m-" + controller);
+    world.invariants.log("new version for m-" + controller);
     world.replace(controller);
     if (world.isUp(controller)) {
       world.crash(controller);
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -34,10 +34,10 @@
   private int next = 1;
   public int capacity = 8;
 
-  /** Times its usual time that a machine rented now takes to boot. */
+  /** Times its usual time that a machine scaled out now takes to boot. */
   public double bootFactor = 1;
 
-  /** Chance that a machine rented now never comes up. */
+  /** Chance that a machine scaled out now never comes up. */
   public double bootFail;
 
   public boolean noTypes;
--- a/src/test/java/graderelay/sim/SimNet.java
+++ b/src/test/java/graderelay/sim/SimNet.java
@@ -25,6 +25,8 @@
   private final Map<String, String> hostOf = new HashMap<>();
   private final Set<String> cuts = new HashSet<>();
   private final Set<String> down = new HashSet<>();
+  private final Map<String, String> zones = new HashMap<>();
+  private final Set<String> cutZones = new HashSet<>();
   private final Map<String, List<Runnable>> held = new LinkedHashMap<>();
 
   /** If set, no call needs a new connection, so that a cut holds it instead of refusing it. */
@@ -38,10 +40,10 @@
 
   private record Kept(String method, String path, String query, byte[] body) {}
 
-  /** Copies of reports that wait for the next leader, or null while none are made. */
+  /** Copies of heartbeats that wait for the next leader, or null while none are made. */
   private List<Kept> kept;
 
-  /** Chance that a report is delivered a second time, after up to {@link #copyDelayS}. */
+  /** Chance that a heartbeat is delivered a second time, after up to {@link #copyDelayS}. */
   public double copies;
 
   public double copyDelayS;
@@ -69,9 +71,6 @@
     hosts.remove(address);
   }
 
-  private final Map<String, String> zones = new HashMap<>();
-  private final Set<String> cutZones = new HashSet<>();
-
   /** The host stands in a zone; hosts that nobody placed belong to none. */
   public void stands(String host, String zone) {
     zones.put(host, zone);
@@ -112,6 +111,12 @@
     cuts.add(pair(a, b));
   }
 
+  /** Cuts the connection between two hosts for so many seconds. */
+  void cutFor(String a, String b, double seconds) {
+    cut(a, b);
+    loop.after(seconds, () -> heal(a, b));
+  }
+
   /** Heals a cut and lets go what it held. */
   public void heal(String a, String b) {
     if (cuts.remove(pair(a, b))) {
@@ -137,12 +142,12 @@
     }
   }
 
-  /** From now on a copy of each report is kept. */
+  /** From now on a copy of each heartbeat is kept. */
   public void keepHeartbeats() {
     kept = new ArrayList<>();
   }
 
-  /** The copies come to all of these, in the order in which the reports were sent. */
+  /** The copies come to all of these, in the order in which the heartbeats were sent. */
   public void deliverKept(String... addresses) {
     List<Kept> all = kept == null ? List.of() : kept;
     kept = null;
--- a/src/test/java/graderelay/sim/SimState.java
+++ b/src/test/java/graderelay/sim/SimStore.java
@@ -6,35 +6,21 @@
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
+import graderelay.net.Query;
 import graderelay.wire.Json;
-import java.net.URLDecoder;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The state service, written from the published protocol. */
-public final class SimState implements Exchange.Handler {
-  /** One stored key. */
-  public record Item(JsonNode value, long revision, long hold) {}
+/** The key-value store of a simulated world, written from the published protocol. */
+public final class SimStore implements Exchange.Handler {
+  /** One stored key; {@code lease} is 0 for a key that stays. */
+  public record Item(JsonNode value, long revision, long lease) {}
 
-  private record Change(String key, JsonNode value, long revision) {}
-
-  private record Watcher(
-      String prefix, long after, Exchange e, boolean[] over, boolean[] refused) {}
-
-  private static final class Hold {
-    double until;
-    double life;
-    Loop.Timer timer;
-    final Set<String> keys = new HashSet<>();
-  }
+  private static final int LIST_ENTRIES = 1000;
 
   private final Loop loop;
   private int txnOps;
@@ -45,11 +31,9 @@
   public int tooLarge;
 
   public final TreeMap<String, Item> items = new TreeMap<>();
-  private final List<Change> changes = new ArrayList<>();
-  private final Map<Long, Hold> holds = new HashMap<>();
-  private final List<Watcher> watchers = new ArrayList<>();
+  private final StoreLeases leases;
+  private final StoreWatches watches;
   private long revision;
-  private long nextHold = 1;
   private boolean outage;
 
   /** Transactions for which this is true commit, but their answer is lost. */
@@ -90,26 +74,28 @@
   public final Set<String> everWritten = new HashSet<>();
 
   /** Creates an empty store that takes at most {@code txnOps} changes in a transaction. */
-  public SimState(Loop loop, int txnOps) {
+  public SimStore(Loop loop, int txnOps) {
     this.loop = loop;
     this.txnOps = txnOps;
+    leases = new StoreLeases(loop, this::removeAll);
+    watches = new StoreWatches(this, loop);
   }
 
-  /** Nobody is served; at its end every hold has its full time again. */
+  /** Nobody is served; at its end every lease has its whole time again. */
   public void outage(boolean on) {
     outage = on;
-    for (var h : new ArrayList<>(holds.entrySet())) {
-      if (on) {
-        h.getValue().timer.cancel();
-      } else {
-        arm(h.getKey(), h.getValue());
-      }
-    }
-    if (!on) {
-      wake();
+    if (on) {
+      leases.pause();
+    } else {
+      leases.resume();
+      watches.wake();
     }
   }
 
+  boolean isOut() {
+    return outage;
+  }
+
   /** From now on less is allowed; what is stored stays readable. */
   public void lower(double valueKb, int ops) {
     lowered = true;
@@ -141,15 +127,16 @@
   public void overwrite(String key, JsonNode value) {
     revision++;
     items.put(key, new Item(value, revision, 0));
-    changes.add(new Change(key, value, revision));
-    wake();
+    watches.changed(key, value, revision);
+    watches.wake();
   }
 
-  /** Handler for one node, which may be refused alone. */
+  /** Handler for one controller, which may be refused alone. */
   public Exchange.Handler forNode(boolean[] refused) {
     return e -> {
       if (e.path().equals("/watch")) {
-        watch(e, refused); // Its open watches wait, as in an outage.
+        requests++;
+        watches.open(e, refused); // Its open watches wait, as in an outage.
       } else if (refused[0]) {
         e.to().accept(Answer.json(503, Json.error("not now")));
       } else if (slowS > 0) {
@@ -177,26 +164,8 @@
       } else {
         multi(e, t);
       }
-    } else if (p.equals("/holds")) {
-      Hold h = new Hold();
-      h.life = Json.read(e.body()).path("life_ms").asLong() / 1000.0;
-      long id = nextHold++;
-      holds.put(id, h);
-      arm(id, h);
-      answer(e, 200, Json.object().put("permit", id));
-    } else if (p.endsWith("/extend")) {
-      long id = Long.parseLong(p.substring(7, p.length() - 7));
-      Hold h = holds.get(id);
-      if (h == null) {
-        answer(e, 404, Json.object());
-      } else {
-        arm(id, h);
-        answer(e, 200, Json.object());
-      }
-    } else if (p.startsWith("/holds/")) {
-      long id = Long.parseLong(p.substring(7));
-      answer(e, holds.containsKey(id) ? 200 : 404, Json.object());
-      end(id);
+    } else if (p.startsWith("/holds")) {
+      lease(e, p);
     } else {
       answer(e, 400, Json.object());
     }
@@ -206,43 +175,36 @@
     e.to().accept(Answer.json(status, Json.write(n)));
   }
 
-  private void arm(long id, Hold h) {
-    if (h.timer != null) {
-      h.timer.cancel();
-    }
-    h.until = loop.now() + h.life;
-    h.timer = loop.after(h.life, () -> end(id));
-  }
-
-  private void end(long id) {
-    Hold h = holds.remove(id);
-    if (h != null && h.timer != null) {
-      h.timer.cancel();
-    }
-    if (h != null && !h.keys.isEmpty()) {
-      revision++;
-      for (String k : h.keys) {
-        items.remove(k);
-        changes.add(new Change(k, null, revision));
-      }
-      wake();
+  /** Creates, renews or revokes a lease. */
+  private void lease(Exchange e, String path) {
+    if (path.equals("/holds")) {
+      double lifeS = Json.read(e.body()).path("life_ms").asLong() / 1000.0;
+      answer(e, 200, Json.object().put("permit", leases.create(lifeS)));
+    } else if (path.endsWith("/extend")) {
+      long id = Long.parseLong(path.substring(7, path.length() - 7));
+      answer(e, leases.renew(id) ? 200 : 404, Json.object());
+    } else {
+      long id = Long.parseLong(path.substring(7));
+      answer(e, leases.isLive(id) ? 200 : 404, Json.object());
+      leases.revoke(id);
     }
   }
 
-  private static Map<String, String> params(Exchange e) {
-    Map<String, String> m = new HashMap<>();
-    for (String s : e.query().split("&")) {
-      String[] kv = s.split("=", 2);
-      m.put(kv[0], kv.length > 1 ? URLDecoder.decode(kv[1], StandardCharsets.UTF_8) : "");
+  /** Deletes the keys of a lease that has ended, as one change of the store. */
+  private void removeAll(Set<String> keys) {
+    revision++;
+    for (String key : keys) {
+      items.remove(key);
+      watches.changed(key, null, revision);
     }
-    return m;
+    watches.wake();
   }
 
   private static void show(ObjectNode n, String key, Item i) {
     n.put("key", key).put("mark", i.revision());
     n.set("data", i.value());
-    if (i.hold() > 0) {
-      n.put("permit", i.hold());
+    if (i.lease() > 0) {
+      n.put("permit", i.lease());
     }
   }
 
@@ -258,14 +220,14 @@
   }
 
   private void list(Exchange e) {
-    Map<String, String> p = params(e);
+    Map<String, String> p = Query.parse(e.query());
     String under = p.getOrDefault("under", "");
     if (under.equals(refusedList)) {
       e.to().accept(Answer.json(503, Json.error("not now")));
       return;
     }
     String after = p.getOrDefault("after", "");
-    int most = Math.min(1000, Integer.parseInt(p.getOrDefault("most", "1000")));
+    int most = Math.min(LIST_ENTRIES, Integer.parseInt(p.getOrDefault("most", "" + LIST_ENTRIES)));
     ObjectNode n = Json.object();
     ArrayNode a = n.putArray("items");
     boolean more = false;
@@ -291,22 +253,11 @@
       }
       return;
     }
-    for (JsonNode c : t.path("then")) {
-      if (c.has("permit") && !holds.containsKey(c.get("permit").asLong())) {
-        answer(e, 400, Json.object().put("error", "no such lease"));
-        return;
-      }
-    }
-    ArrayNode failed = Json.array();
-    for (JsonNode c : t.path("if")) {
-      Item i = items.get(c.path("key").asText());
-      if (ignoredCondition.test(c.path("key").asText())) {
-        continue;
-      }
-      if ((i == null ? 0 : i.revision()) != c.path("mark").asLong()) {
-        failed.add(c.path("key").asText());
-      }
+    if (!leasesAreLive(t)) {
+      answer(e, 400, Json.object().put("error", "no such lease"));
+      return;
     }
+    ArrayNode failed = failedConditions(t);
     if (!failed.isEmpty()) {
       conflicts += t.path("then").isEmpty() ? 0 : 1;
       ObjectNode n = Json.object().put("ledger", revision);
@@ -314,82 +265,63 @@
       answer(e, 409, n);
       return;
     }
-    onCommit.accept(t);
-    revision++;
-    for (JsonNode c : t.path("then")) {
-      String key = c.has("put") ? c.get("put").asText() : c.get("drop").asText();
-      Item old = items.remove(key);
-      if (old != null && old.hold() > 0 && holds.containsKey(old.hold())) {
-        holds.get(old.hold()).keys.remove(key);
-      }
-      if (c.has("put")) {
-        long hold = c.path("permit").asLong(0);
-        everWritten.add(key);
-        items.put(key, new Item(c.get("data"), revision, hold));
-        if (hold > 0) {
-          holds.get(hold).keys.add(key);
-        }
-      }
-      changes.add(new Change(key, c.get("data"), revision));
-    }
-    changesMade += t.path("then").size();
-    onCommitted.accept(t);
+    commit(t);
     if (!loseAnswer.test(t)) {
       answer(e, 200, Json.object().put("ledger", revision));
     }
-    wake();
+    watches.wake();
   }
 
-  private void watch(Exchange e, boolean[] refused) {
-    requests++;
-    Map<String, String> p = params(e);
-    Watcher w =
-        new Watcher(
-            p.get("under"), Long.parseLong(p.get("after")), e, new boolean[] {false}, refused);
-    double block = Integer.parseInt(p.getOrDefault("block_ms", "0")) / 1000.0;
-    if (!tell(w, block == 0)) {
-      watchers.add(w);
-      loop.after(
-          block,
-          () -> {
-            if (!outage && tell(w, true)) {
-              watchers.remove(w);
-            }
-          });
+  private boolean leasesAreLive(JsonNode t) {
+    for (JsonNode change : t.path("then")) {
+      if (change.has("permit") && !leases.isLive(change.get("permit").asLong())) {
+        return false;
+      }
     }
+    return true;
   }
 
-  private boolean tell(Watcher w, boolean anyway) {
-    if (w.over[0]) {
-      return true;
-    }
-    if (outage || holdWatches || w.refused()[0]) {
-      return false;
-    }
-    ObjectNode n = Json.object().put("ledger", revision);
-    ArrayNode news = n.putArray("news");
-    for (Change c : changes) {
-      if (c.revision() > w.after() && c.key().startsWith(w.prefix())) {
-        if (c.value() == null) {
-          news.addObject().put("drop", c.key()).put("mark", c.revision());
-        } else {
-          news.addObject().put("put", c.key()).put("mark", c.revision()).set("data", c.value());
-        }
+  /** Returns the keys whose revision is not the one that the transaction asks for. */
+  private ArrayNode failedConditions(JsonNode t) {
+    ArrayNode failed = Json.array();
+    for (JsonNode condition : t.path("if")) {
+      String key = condition.path("key").asText();
+      if (ignoredCondition.test(key)) {
+        continue;
+      }
+      Item item = items.get(key);
+      if ((item == null ? 0 : item.revision()) != condition.path("mark").asLong()) {
+        failed.add(key);
       }
     }
-    if (news.isEmpty() && !anyway) {
-      return false;
+    return failed;
+  }
+
+  private void commit(JsonNode t) {
+    onCommit.accept(t);
+    revision++;
+    for (JsonNode change : t.path("then")) {
+      apply(change);
     }
-    w.over[0] = true;
-    answer(w.e, 200, n);
-    return true;
+    changesMade += t.path("then").size();
+    onCommitted.accept(t);
   }
 
-  private void wake() {
-    for (Watcher w : new ArrayList<>(watchers)) {
-      if (tell(w, false)) {
-        watchers.remove(w);
+  /** Puts or deletes one key. */
+  private void apply(JsonNode change) {
+    String key = change.has("put") ? change.get("put").asText() : change.get("drop").asText();
+    Item old = items.remove(key);
+    if (old != null && old.lease() > 0) {
+      leases.detach(old.lease(), key);
+    }
+    if (change.has("put")) {
+      long lease = change.path("permit").asLong(0);
+      everWritten.add(key);
+      items.put(key, new Item(change.get("data"), revision, lease));
+      if (lease > 0) {
+        leases.attach(lease, key);
       }
     }
+    watches.changed(key, change.get("data"), revision);
   }
 }
--- a/src/test/java/graderelay/sim/SimWorker.java
+++ b/src/test/java/graderelay/sim/SimWorker.java
@@ -1,41 +1,16 @@
 package graderelay.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
-import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
 import graderelay.wire.Json;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
 /** A machine's worker, written from the published protocol. */
 public final class SimWorker {
-  /** One attempt on the machine. */
-  public static final class Task {
-    final String id;
-    final int attempt;
-    String stage;
-    String why = "";
-    boolean saved;
-    Loop.Timer timer;
-
-    Task(String id, int attempt, String stage) {
-      this.id = id;
-      this.attempt = attempt;
-      this.stage = stage;
-    }
-
-    boolean exited() {
-      return stage.equals("exited");
-    }
-  }
-
   public final String name;
   public final String type;
   public final String zone;
@@ -43,10 +18,10 @@
   private final SimLoop loop;
   private final SimWorld world;
   private final Transport transport;
-  private final double reportS;
+  private final double heartbeatS;
   private final double leaseS;
   private final String[] nodes;
-  private final Map<String, Task> tasks = new LinkedHashMap<>();
+  private final SimTasks tasks;
   private final boolean[] dead = {false};
   private long session = 1;
   private long seq;
@@ -58,7 +33,7 @@
   public boolean failsEverything;
 
   /** Until then it executes nothing and takes nothing in; its lease goes on running out. */
-  private double hungUntil = Double.NEGATIVE_INFINITY;
+  double hungUntil = Double.NEGATIVE_INFINITY;
 
   SimWorker(
       SimWorld world,
@@ -66,7 +41,7 @@
       String type,
       String zone,
       boolean spot,
-      double reportS,
+      double heartbeatS,
       double leaseS,
       String[] nodes) {
     this.world = world;
@@ -75,11 +50,12 @@
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.reportS = reportS;
+    this.heartbeatS = heartbeatS;
     this.leaseS = leaseS;
     this.nodes = nodes;
     this.transport = world.net.from(name, dead);
     this.leaseFrom = loop.now();
+    this.tasks = new SimTasks(this, world);
     world.net.listen(address(), name, this::handle);
     node = world.random.nextInt(nodes.length);
     beat();
@@ -94,8 +70,7 @@
   /** The machine is gone with everything on it. */
   public void kill() {
     dead[0] = true;
-    tasks.values().forEach(t -> leave(t));
-    tasks.clear();
+    tasks.dropAll();
     world.net.close(address());
   }
 
@@ -103,21 +78,13 @@
     return dead[0];
   }
 
-  private void leave(Task t) {
-    if (t.timer != null) {
-      t.timer.cancel();
-    }
-    if (!t.exited()) {
-      world.rules.left(t.id, name);
-    }
-  }
-
   /** It hangs for a while, and then goes on with all that has come meanwhile. */
   public void hang(double seconds) {
     hungUntil = loop.now() + seconds;
   }
 
-  private boolean hung() {
+  /** True while it executes nothing and takes nothing in. */
+  boolean hung() {
     return loop.now() < hungUntil;
   }
 
@@ -126,7 +93,7 @@
       return;
     }
     report();
-    loop.after(reportS * (0.75 + world.random.nextDouble() / 2), this::beat);
+    loop.after(heartbeatS * (0.75 + world.random.nextDouble() / 2), this::beat);
   }
 
   private void lease() {
@@ -134,16 +101,16 @@
       return;
     }
     if (loop.now() > leaseFrom + leaseS) {
-      tasks.values().forEach(this::leave);
-      tasks.clear();
+      tasks.dropAll();
       session++;
       leaseFrom = loop.now();
-      world.rules.log("lease over on " + name);
+      world.invariants.log("lease over on " + name);
     }
     loop.after(0.1, this::lease);
   }
 
-  private void changed() {
+  /** Sends the next heartbeat soon, half a second after the last one at the earliest. */
+  void changed() {
     double wait = Math.max(0, lastSent + 0.5 - loop.now());
     loop.after(wait, this::report);
   }
@@ -152,14 +119,7 @@
     ObjectNode n = Json.object();
     n.put("saw", name).put("address", address()).put("rig", type).put("yard", zone);
     n.put("borrowed", spot).put("shift", session).put("tally", ++seq).put("foreman", token);
-    ArrayNode a = n.putArray("boards");
-    for (Task t : tasks.values()) {
-      ObjectNode o = a.addObject().put("board", t.id).put("pass", t.attempt);
-      o.put("stage", t.stage);
-      if (t.exited()) {
-        o.put("cause", t.why);
-      }
-    }
+    tasks.show(n.putArray("boards"));
     return n;
   }
 
@@ -252,81 +212,16 @@
     for (JsonNode o : orders) {
       String id = o.path("board").asText();
       int attempt = o.path("pass").asInt();
-      String key = id + "#" + attempt;
-      Task t = tasks.get(key);
       switch (o.path("order").asText()) {
-        case "launch" -> {
-          if (t == null) {
-            launch(id, attempt, key);
-          }
-        }
-        case "kill" -> {
-          if (t != null && !t.exited()) {
-            exit(t, "stopped");
-          }
-        }
-        default -> {
-          if (t != null && t.exited()) {
-            tasks.remove(key);
-          }
-        }
+        case "launch" -> tasks.launch(id, attempt);
+        case "kill" -> tasks.stop(id, attempt);
+        default -> tasks.forget(id, attempt);
       }
     }
   }
 
-  private void launch(String id, int attempt, String key) {
-    Task t = new Task(id, attempt, "pulling");
-    tasks.put(key, t);
-    for (Task other : tasks.values()) {
-      if (other != t && other.id.equals(id) && !other.exited()) {
-        t.stage = "exited";
-        t.why = "busy";
-        changed();
-        return;
-      }
-    }
-    t.timer = loop.after(0.3, () -> begin(t));
-    changed();
-  }
-
-  private void begin(Task t) {
-    if (hung()) {
-      t.timer = loop.at(hungUntil, () -> begin(t));
-      return;
-    }
-    t.stage = "running";
-    world.rules.started(t.id, name, type, zone, spot);
-    changed();
-    boolean fails = failsEverything || world.rules.mistaken(t.id);
-    double run = fails ? 0.1 : world.rules.runTime(t.id);
-    if (run > 0) {
-      t.timer = loop.after(run, () -> exit(t, fails ? "error" : "done"));
-    }
-  }
-
-  private void exit(Task t, String why) {
-    if (hung()) {
-      t.timer = loop.at(hungUntil, () -> exit(t, why));
-      return;
-    }
-    if (t.stage.equals("running")) {
-      world.rules.left(t.id, name);
-      if (why.equals("done")) {
-        world.rules.completed(t.id);
-      }
-    }
-    if (t.timer != null) {
-      t.timer.cancel();
-    }
-    t.stage = "exited";
-    t.why = why;
-    changed();
-  }
-
   /** Returns the tasks that run now, in the order of their launch. */
   public List<String> running() {
-    List<String> ids = new ArrayList<>();
-    tasks.values().stream().filter(t -> t.stage.equals("running")).forEach(t -> ids.add(t.id));
-    return ids;
+    return tasks.running();
   }
 }
--- a/src/test/java/graderelay/sim/WorldAssertions.java
+++ b/src/test/java/graderelay/sim/WorldAssertions.java
@@ -19,14 +19,14 @@
   /** A world whose zones have these letters for names. */
   public static SimWorld zoned(long seed, int size, String zones) {
     List<String> names = List.of(zones.split("(?<=.)"));
-    SimWorld w = new SimWorld(seed, SimWorld.Shape.of(size).fleet(8, names));
+    SimWorld w = new SimWorld(seed, WorldShape.of(size).fleet(8, names));
     w.loop.run(3);
     return w;
   }
 
-  /** No rule was broken. */
+  /** No invariant was violated. */
   public static void fine(SimWorld w) {
-    assertThat(w.rules.broken).isEmpty();
+    assertThat(w.invariants.violations).isEmpty();
   }
 
   /** The machine that runs a task. */
@@ -40,9 +40,9 @@
 
   /** Seconds until the next start of a task, or a minute if there is none by then. */
   public static double secondsToNextStart(SimWorld w) {
-    int starts = w.rules.starts;
+    int starts = w.invariants.starts;
     double from = w.loop.now();
-    while (w.rules.starts == starts && w.loop.now() < from + 60) {
+    while (w.invariants.starts == starts && w.loop.now() < from + 60) {
       w.loop.run(0.1);
     }
     return w.loop.now() - from;
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -7,9 +7,10 @@
 import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import graderelay.wire.StateCodec;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that are cancelled before or in an outage of the state service. */
+/** Jobs that are cancelled before or in an outage of the store. */
 class CancellationInOutageTest {
   private static final List<String> ONE_ZONE = List.of("a");
 
@@ -38,12 +39,12 @@
   void cancellationTheLeaderCouldNotReadIsCarriedOutThroughTotalOutage(
       int size, String zones, double cancelAfter, double outageAfter, double length) {
     SimWorld w = WorldAssertions.zoned(301, size, zones);
-    Rules.Known[] jobs = running(w, 3);
+    SimJob[] jobs = running(w, 3);
     int leader = w.leader();
     refuse(w, leader, size > 1);
     w.loop.run(cancelAfter);
-    for (Rules.Known j : jobs) {
-      w.cancel(other(w, leader), j);
+    for (SimJob j : jobs) {
+      w.users.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter - cancelAfter);
     w.state.outage(true);
@@ -59,10 +60,10 @@
   @CsvSource({"3, ab", "3, a", "5, ab", "5, a"})
   void tasksOfJobCancelledAtAnotherControllerStopWithinTheOutage(int size, String zones) {
     SimWorld w = WorldAssertions.zoned(302, size, zones);
-    Rules.Known[] jobs = running(w, 2);
+    SimJob[] jobs = running(w, 2);
     int leader = w.leader();
     refuse(w, leader, true);
-    w.cancel(other(w, leader), jobs[0]);
+    w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     w.state.outage(true);
     w.loop.run(0.5);
@@ -73,12 +74,12 @@
     assertThat(runner(w, jobs[1].id + "/0")).isNotNull();
     w.loop.run(2 * SimWorld.CANCEL_S);
     assertThat(runner(w, jobs[1].id + "/1")).isNotNull();
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     w.state.outage(false);
     refuse(w, leader, false);
     w.loop.run(20);
-    assertThat(w.stage(0, jobs[0].id)).isEqualTo("cancelled");
-    assertThat(w.stage(0, jobs[1].id)).isEqualTo("running");
+    assertThat(w.users.stage(0, jobs[0].id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(0, jobs[1].id)).isEqualTo("running");
     fine(w);
   }
 
@@ -87,22 +88,22 @@
   void peerThatEndsRightAfterConfirmingTakesItsKnowledgeWithIt(
       String zones, double endsAfter, double backAfter) {
     SimWorld w = WorldAssertions.zoned(303, 3, zones);
-    final Rules.Known[] jobs = running(w, 2);
+    final SimJob[] jobs = running(w, 2);
     int leader = w.leader();
-    final int gateway = other(w, leader);
+    final int peer = other(w, leader);
     refuse(w, (leader + 2) % 3, true); // So that the third does not read of it either.
     w.loop.run(3);
     refuse(w, leader, true);
-    // The leader and the gateway don't hear each other, so that it can't be told beforehand.
-    w.net.cut("c" + leader, "c" + gateway);
-    w.cancel(gateway, jobs[0]);
+    // The leader and the peer don't hear each other, so that it can't be told beforehand.
+    w.net.cut("c" + leader, "c" + peer);
+    w.users.cancel(peer, jobs[0]);
     w.loop.run(endsAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.state.outage(true);
-    w.crash(gateway);
-    w.net.heal("c" + leader, "c" + gateway);
+    w.crash(peer);
+    w.net.heal("c" + leader, "c" + peer);
     if (backAfter > 0) {
-      w.loop.after(backAfter, () -> w.start(gateway));
+      w.loop.after(backAfter, () -> w.start(peer));
     }
     w.loop.run(2 * SimWorld.CANCEL_S);
     w.state.outage(false);
@@ -117,7 +118,7 @@
   @ValueSource(ints = {3, 5})
   void suspendedMemberConfirmsNoCancellationTheLeaderCannotRead(int size) {
     SimWorld w = oneZone(304, size);
-    final Rules.Known[] jobs = running(w, 2);
+    final SimJob[] jobs = running(w, 2);
     int leader = w.leader();
     int barred = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
@@ -129,18 +130,21 @@
     w.loop.run(3);
     refuse(w, leader, true);
     int told =
-        w.answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null).path("http").asInt();
+        w.users
+            .answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null)
+            .path("http")
+            .asInt();
     assertThat(told).isEqualTo(503);
-    w.loop.run(Leadership.BAR_S - 8); // The leader counts on the bar meanwhile.
+    w.loop.run(Leadership.BAR_S - 8); // The leader counts on the suspension meanwhile.
     assertThat(w.leader()).isEqualTo(leader);
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
   }
 
   @Test
   void suspendedMemberDoesNotRepeatCancellationsOfOthers() {
     SimWorld w = oneZone(305, 3);
-    final Rules.Known[] jobs = running(w, 1);
+    final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
     int barred = other(w, leader);
     w.net.cut("c" + leader, "c" + barred);
@@ -149,12 +153,12 @@
     int third = (leader + 2) % 3;
     w.net.cut("c" + barred, "c" + third);
     w.state.loseAnswer = t -> t.toString().contains("\"stop\":true");
-    w.cancel(third, jobs[0]);
+    w.users.cancel(third, jobs[0]);
     refuse(w, leader, true);
     w.loop.run(0.02);
     refuse(w, third, true);
     w.loop.run(0.5);
-    assertThat(w.answer(barred, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
+    assertThat(w.users.answer(barred, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
         .isEqualTo(503);
     fine(w);
   }
@@ -163,16 +167,16 @@
   @CsvSource({"true, 0.1", "true, 5", "false, 0.1", "false, 5"})
   void leaseDelegateKnowsNoMoreThanItsLeader(boolean leadersZone, double outageAfter) {
     SimWorld w = world(306, 5);
-    final Rules.Known[] jobs = running(w, 3);
+    final SimJob[] jobs = running(w, 3);
     int leader = w.leader();
-    // The leader lives on promises already when the zone is cut.
+    // The leader lives on election pledges already when the zone is cut.
     refuse(w, leader, true);
     for (int i = 0; i < 5; i++) {
       refuse(w, i, i != other(w, leader));
     }
     w.net.cut("c" + leader, "c" + other(w, leader));
-    for (Rules.Known j : jobs) {
-      w.cancel(other(w, leader), j);
+    for (SimJob j : jobs) {
+      w.users.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
@@ -185,13 +189,13 @@
   @Test
   void leasesKeptWithoutLeaderEndTasksOfCancelledJob() {
     SimWorld w = world(308, 3);
-    Rules.Known[] jobs = running(w, 2);
+    SimJob[] jobs = running(w, 2);
     int leader = w.leader();
     refuse(w, leader, true);
     while (w.leader() == leader) {
       w.loop.run(0.001);
     }
-    w.cancel(other(w, leader), jobs[0]);
+    w.users.cancel(other(w, leader), jobs[0]);
     while (Double.isNaN(jobs[0].cancelAnswered)) {
       w.loop.run(0.001);
     }
@@ -201,14 +205,14 @@
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
     w.loop.run(2 * SimWorld.CANCEL_S);
     assertThat(runner(w, jobs[1].id + "/0")).isNotNull();
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
   }
 
   @Test
   void suspensionWrittenDuringCancellationMakesItFail() {
     SimWorld w = oneZone(309, 3);
-    final Rules.Known[] jobs = running(w, 1);
+    final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
     int barred = other(w, leader);
     w.net.cut("c" + leader, "c" + barred);
@@ -216,10 +220,10 @@
     w.loop.run(0.5);
     w.state.delayS = 7;
     w.state.delay = t -> t.toString().contains("\"stop\":true");
-    w.cancel(barred, jobs[0]);
+    w.users.cancel(barred, jobs[0]);
     w.loop.run(Leadership.BAR_AFTER_S + 2);
     assertThat(w.state.value(StateCodec.barKey("m-" + barred))).isNotNull();
-    refuse(w, leader, true); // It has seen the bar stand, and no stop.
+    refuse(w, leader, true); // It has seen the suspension stand, and no stop.
     w.loop.run(4);
     assertThat(w.state.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
     fine(w);
@@ -228,7 +232,7 @@
   @Test
   void peerPledgeIncludesItsOwnCommitsBeforeItHasReadThem() {
     SimWorld w = world(310, 3);
-    Rules.Known[] jobs = running(w, 1);
+    SimJob[] jobs = running(w, 1);
     int leader = w.leader();
     refuse(w, leader, true);
     w.state.loseAnswer =
@@ -236,7 +240,7 @@
           w.state.holdWatches |= t.toString().contains("\"stop\":true");
           return false;
         };
-    w.cancel(other(w, leader), jobs[0]);
+    w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.state.outage(true);
@@ -245,31 +249,29 @@
     fine(w);
   }
 
-  /**
-   * A gateway confirms, ends, and comes back in the outage: its promise is all that it can give.
-   */
+  /** A peer confirms, ends, and comes back in the outage: its pledge is all that it can give. */
   private static SimWorld withForgetfulPeer(int size, List<String> zones) {
-    SimWorld w = new SimWorld(315, SimWorld.Shape.of(size).fleet(8, zones));
+    SimWorld w = new SimWorld(315, WorldShape.of(size).fleet(8, zones));
     w.loop.run(3);
-    final Rules.Known[] jobs = running(w, 3);
+    final SimJob[] jobs = running(w, 3);
     int leader = w.leader();
-    int gateway = other(w, leader);
+    int peer = other(w, leader);
     for (int i = 0; i < size; i++) {
-      refuse(w, i, i != leader && i != gateway);
+      refuse(w, i, i != leader && i != peer);
     }
     w.loop.run(3);
     refuse(w, leader, true);
-    w.net.cut("c" + leader, "c" + gateway);
-    for (Rules.Known j : jobs) {
-      w.cancel(gateway, j);
+    w.net.cut("c" + leader, "c" + peer);
+    for (SimJob j : jobs) {
+      w.users.cancel(peer, j);
     }
     w.loop.run(0.1);
     assertThat(jobs[2].cancelAnswered).isNotNaN();
     w.state.outage(true);
-    w.crash(gateway);
-    w.net.heal("c" + leader, "c" + gateway);
+    w.crash(peer);
+    w.net.heal("c" + leader, "c" + peer);
     w.loop.run(1);
-    w.start(gateway);
+    w.start(peer);
     return w;
   }
 
@@ -301,22 +303,22 @@
     running(w, 1);
     w.state.holdWatches = true;
     w.loop.run(SimWorld.CANCEL_S + 10);
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
   }
 
   @Test
   void leaderThatKnowsTooLittleGivesNoAnswerThatRenewsLeases() {
     SimWorld w = world(307, 3);
-    final Rules.Known[] jobs = running(w, 1);
+    final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
-    int gateway = other(w, leader);
-    // The gateway hears nobody; the third promises all that is asked of it.
-    w.isolate(gateway, true);
-    w.net.heal("c" + gateway, "state");
+    int peer = other(w, leader);
+    // The peer hears nobody; the third pledges all that is asked of it.
+    w.isolate(peer, true);
+    w.net.heal("c" + peer, "state");
     refuse(w, leader, true);
     refuse(w, (leader + 2) % 3, true);
-    w.cancel(gateway, jobs[0]);
+    w.users.cancel(peer, jobs[0]);
     w.loop.run(0.2);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     w.loop.run(SimWorld.CANCEL_S + 10);
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -7,9 +7,10 @@
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -29,7 +30,7 @@
     w.state.outage(true);
     w.loop.run(8);
     for (int i = 0; i < w.size; i++) {
-      assertThat(w.answer(i, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
+      assertThat(w.users.answer(i, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
     }
     w.state.outage(false);
     w.loop.run(5);
@@ -37,18 +38,18 @@
     w.refused[2][0] = true; // Some of their peers are served, so users are better off there.
     w.refused[3][0] = true;
     w.loop.run(8);
-    assertThat(w.answer(1, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.answer(2, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.answer(3, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.answer(0, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
+    assertThat(w.users.answer(1, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(w.users.answer(2, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(w.users.answer(3, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(w.users.answer(0, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
   }
 
   @Test
   void workersOfIsolatedLeaderFindTheNextWithoutLosingTheirLease() {
     SimWorld w = world(33);
-    w.submit(0, w.job("j-000064", 4, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000064", 4, 1, 0, false));
     w.loop.run(20);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     int leader = w.leader();
     w.isolate(leader, true);
     w.loop.run(40);
@@ -56,16 +57,16 @@
     assertThat(w.nodes[leader].leader()).isFalse();
     w.isolate(leader, false);
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 
   @Test
   void leaderBackAtOnceAndAnotherThatRestartsInTheElectionCostNoLease() {
     SimWorld w = world(34);
-    w.submit(0, w.job("j-000065", 4, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000065", 4, 1, 0, false));
     w.loop.run(20);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     int leader = w.leader();
     w.crash(leader);
     w.loop.run(0.2);
@@ -79,21 +80,21 @@
     }
     w.loop.run(30);
     assertThat(w.leader()).isNotNegative();
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 
   @Test
   void leaderThatStillReadsTheRecordsKeepsLeasesAliveAndCommandsNothing() {
     // In one zone, since lease delegates elsewhere use the time that a cancellation leaves.
-    SimWorld w = new SimWorld(37, SimWorld.Shape.of(5).fleet(8, List.of("a")));
+    SimWorld w = new SimWorld(37, WorldShape.of(5).fleet(8, List.of("a")));
     w.loop.run(4);
-    w.submit(0, w.job("j-000066", 4, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000066", 4, 1, 0, false));
     w.loop.run(20);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     w.crashAll();
     w.loop.run(5);
-    // Reading all takes longer than the leases last; who owned the fleet is known at once.
+    // Reading all takes longer than the leases last; who leads is known at once.
     w.state.refusedList = StateCodec.JOBS;
     w.startAll();
     w.loop.run(9);
@@ -102,21 +103,21 @@
     w.state.refusedList = null;
     w.loop.run(20);
     assertThat(w.nodes[w.leader()].core()).isNotNull();
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 
   @Test
   void whenFaultsEndEveryJobIsAnsweredOnEveryControllerAtOnce() {
     SimWorld w = world(35);
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      Rules.Known j = w.job("j-00007" + i, 1 + i, 1, i % 2 == 0 ? 0 : 4, false);
+      SimJob j = w.users.job("j-00007" + i, 1 + i, 1, i % 2 == 0 ? 0 : 4, false);
       jobs.add(j);
-      w.submit(i % w.size, j);
+      w.users.submit(i % w.size, j);
     }
     w.loop.run(15);
-    // Watches, lists and catch-up reads die on the way, on some nodes for long.
+    // Watches, lists and catch-up reads die on the way, on some controllers for long.
     w.net.cut("c1", "state");
     w.refused[2][0] = true;
     w.net.loseAnswers = 0.4;
@@ -128,10 +129,10 @@
     w.refused[2][0] = false;
     w.net.heal("c1", "state");
     w.loop.run(5);
-    for (Rules.Known j : jobs) {
+    for (SimJob j : jobs) {
       for (int i = 0; i < w.size; i++) {
         double asked = w.loop.now();
-        assertThat(w.answer(i, "GET", "/v1/jobs/" + j.id, null).path("http").asInt())
+        assertThat(w.users.answer(i, "GET", "/v1/jobs/" + j.id, null).path("http").asInt())
             .as(j.id + " on m-" + i)
             .isEqualTo(200);
         assertThat(w.loop.now() - asked).isLessThan(1);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -8,7 +8,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
@@ -22,21 +22,21 @@
   @Test
   void failoverAdoptsWhatRunsAndStartsNothingTwice() {
     SimWorld w = world(7);
-    Rules.Known j = w.job("j-000007", 4, 1, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000007", 4, 1, 0, false);
+    w.users.submit(0, j);
     w.loop.run(15);
-    int starts = w.rules.starts;
+    int starts = w.invariants.starts;
     w.crash(w.leader());
     w.loop.run(30);
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 
   @Test
   void missingTaskIsRequeuedOnlyAfterItsWorkersLease() {
     SimWorld w = world(8);
-    Rules.Known j = w.job("j-000008", 1, 4, 300, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000008", 1, 4, 300, false);
+    w.users.submit(0, j);
     w.loop.run(15);
     String machine = runner(w, "j-000008/0");
     int leader = w.leader();
@@ -50,16 +50,16 @@
   @Test
   void silentMachineWithServicesIsScaledInAndItsReplicasStartElsewhereBeforeItsLeaseEnds() {
     SimWorld w = world(8);
-    Rules.Known j = w.job("j-000020", 1, 3, 0, false);
-    w.submit(0, w.job("j-000021", 4, 3, 300, false));
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000020", 1, 3, 0, false);
+    w.users.submit(0, w.users.job("j-000021", 4, 3, 300, false));
+    w.users.submit(0, j);
     w.loop.run(20);
     String machine = runner(w, "j-000020/0");
     w.cutOff(machine);
     w.loop.run(SimWorld.LEASE_S - 2);
     assertThat(w.cloud.names()).doesNotContain(machine); // Deleted, which proves the task gone.
     w.loop.run(15);
-    assertThat(w.stage(0, j.id)).isEqualTo("running");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
     assertThat(runner(w, "j-000020/0")).isNotEqualTo(machine);
     fine(w);
   }
@@ -85,8 +85,8 @@
   @Test
   void leaderReachedOnlyByItsWorkersFallsSilentBeforeAnotherMayFollow() {
     SimWorld w = world(24);
-    Rules.Known j = w.job("j-000050", 3, 1, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000050", 3, 1, 0, false);
+    w.users.submit(0, j);
     w.loop.run(15);
     int leader = w.leader();
     w.net.cut("c" + leader, "state");
--- a/src/test/java/graderelay/state/LeaderChangeTest.java
+++ b/src/test/java/graderelay/state/LeaderChangeTest.java
@@ -8,7 +8,7 @@
 import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import java.util.List;
@@ -43,8 +43,8 @@
   })
   void jobsCancelledWhileTheFleetChangesHandsAreGoneInTime(String how, double cancelAfter) {
     SimWorld w = world(321, 3);
-    w.lookClosely();
-    Rules.Known[] jobs = running(w, 3);
+    w.users.lookClosely();
+    SimJob[] jobs = running(w, 3);
     int leader = w.leader();
     switch (how) {
       case "crash" -> w.crash(leader);
@@ -57,7 +57,7 @@
     }
     w.loop.run(cancelAfter);
     for (int i = 0; i < 3; i++) {
-      w.cancel((leader + 1 + i) % 3, jobs[i]);
+      w.users.cancel((leader + 1 + i) % 3, jobs[i]);
     }
     w.loop.run(8);
     if (how.equals("isolate")) {
@@ -72,7 +72,7 @@
   @ValueSource(booleans = {true, false})
   void tenChangesOfOwnerInTwoMinutesAlsoInAnOutageCostNoJob(boolean blinks) {
     SimWorld w = world(322, 3);
-    List<Rules.Known> jobs = arrays(w, 24, 4, 9);
+    List<SimJob> jobs = arrays(w, 24, 4, 9);
     for (int i = 0; i < 10; i++) {
       w.loop.run(10);
       if (i % 4 == 2) {
@@ -92,7 +92,7 @@
   @Test
   void theFleetIsHandedOverAndBackAndAllEndAndOneReturnsAtOnce() {
     SimWorld w = oneZone(323, 3);
-    Rules.Known[] jobs = running(w, 2);
+    SimJob[] jobs = running(w, 2);
     for (int i = 0; i < 3; i++) {
       int leader = w.leader();
       refuse(w, leader, true);
@@ -101,7 +101,7 @@
       refuse(w, leader, false);
       w.loop.run(2);
     }
-    w.cancel(0, jobs[0]);
+    w.users.cancel(0, jobs[0]);
     w.loop.run(0.1);
     w.crashAll();
     w.loop.run(0.4);
@@ -111,22 +111,22 @@
     w.start(2);
     w.loop.run(10);
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
-    assertThat(w.stage(1, jobs[1].id)).isEqualTo("running");
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.users.stage(1, jobs[1].id)).isEqualTo("running");
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
   }
 
   @Test
   void allControllersAreAwayForLongerThanOneLeaseAfterCancellation() {
     SimWorld w = world(324, 3);
-    Rules.Known[] jobs = running(w, 2);
-    w.cancel(0, jobs[0]);
+    SimJob[] jobs = running(w, 2);
+    w.users.cancel(0, jobs[0]);
     w.loop.run(0.05);
     w.crashAll();
     w.loop.run(SimWorld.LEASE_S + 5);
     w.startAll();
     w.loop.run(30);
-    assertThat(w.stage(2, jobs[0].id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(2, jobs[0].id)).isEqualTo("cancelled");
     assertThat(runner(w, jobs[1].id + "/0")).isNotNull(); // It began anew.
     fine(w);
   }
@@ -135,8 +135,8 @@
   void tasksThatEndFarApartAcrossLeaderChangeEndTheirJob() {
     SimWorld w = world(325, 3);
     w.cloud.capacity = 1; // One task after the other.
-    Rules.Known j = w.job("j-000480", 3, 4, 9, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000480", 3, 4, 9, false);
+    w.users.submit(0, j);
     for (int i = 0; i < 3; i++) {
       w.loop.run(12);
       int leader = w.leader();
@@ -144,8 +144,8 @@
       w.loop.after(0.5 + i * 3, () -> w.start(leader));
     }
     w.loop.run(40);
-    assertThat(w.rules.starts).isEqualTo(3);
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.invariants.starts).isEqualTo(3);
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
     fine(w);
   }
 }
--- a/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -9,8 +9,9 @@
 import graderelay.core.JobSpec;
 import graderelay.core.TaskBatchRecord;
 import graderelay.net.Exchange;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
@@ -21,20 +22,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A state service that lowers its limits, and records from before. */
+/** A store that lowers its limits, and records from before. */
 class LoweredStoreLimitsTest {
-  private static Rules.Known job(SimWorld w, int n, int tasks, double runS, Rules.Known... needs) {
-    Rules.Known j = w.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
-    j.needs = List.of(needs);
+  private static SimJob job(SimWorld w, int n, int tasks, double runS, SimJob... needs) {
+    SimJob j = w.users.job(String.format("j-0007%02d", n), tasks, 1, runS, true);
+    j.dependencies = List.of(needs);
     return j;
   }
 
   /** A job as the version before accepted it, with task batches that fit the limits of its time. */
-  private static void acceptedBefore(SimWorld w, Rules.Known j) {
+  private static void acceptedBefore(SimWorld w, SimJob j) {
     JobSpec spec;
     try {
       spec =
-          UserCodec.submission(w.body(j), (long) (w.loop.now() * 1000) + 1_700_000_000_000L, 500);
+          UserCodec.submission(
+              w.users.body(j), (long) (w.loop.now() * 1000) + 1_700_000_000_000L, 500);
     } catch (BadRequest e) {
       throw new AssertionError(e);
     }
@@ -60,17 +62,17 @@
     SimWorld w =
         new SimWorld(
             411,
-            SimWorld.Shape.of(3).fleet(machines, List.of("a", "b")),
+            WorldShape.of(3).fleet(machines, List.of("a", "b")),
             new Settings.StateLimits(200, 2, 4));
     w.cloud.capacity = machines;
     w.loop.run(3);
-    Rules.Known old = w.job("j-000780", tasks, cpus, 12, true);
+    SimJob old = w.users.job("j-000780", tasks, cpus, 12, true);
     acceptedBefore(w, old);
     w.loop.run(16);
-    assertThat(w.rules.starts).isGreaterThan(50);
+    assertThat(w.invariants.starts).isGreaterThan(50);
     w.state.lower(2, 4);
-    Rules.Known young = w.job("j-000781", 30, 0.5, 6, true);
-    w.submit(1, young);
+    SimJob young = w.users.job("j-000781", 30, 0.5, 6, true);
+    w.users.submit(1, young);
     w.loop.run(4);
     if (leaderEnds) {
       w.crash(w.leader());
@@ -78,8 +80,8 @@
     w.loop.run(150);
     // Each leader has to find it out; task batches of 300 fit as they are.
     assertThat(w.state.tooLarge).isBetween(tasks > 300 ? 1 : 0, 20);
-    assertThat(w.stage(w.leader(), young.id)).isEqualTo("done");
-    assertThat(w.stage(w.leader(), old.id)).isEqualTo("done");
+    assertThat(w.users.stage(w.leader(), young.id)).isEqualTo("done");
+    assertThat(w.users.stage(w.leader(), old.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -88,17 +90,17 @@
     SimWorld w =
         new SimWorld(
             412,
-            SimWorld.Shape.of(3).fleet(30, List.of("a", "b")),
+            WorldShape.of(3).fleet(30, List.of("a", "b")),
             new Settings.StateLimits(200, 2, 4));
     w.cloud.capacity = 30;
     w.loop.run(3);
-    Rules.Known j = w.job("j-000780", 300, 0.4, 6, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000780", 300, 0.4, 6, true);
+    w.users.submit(0, j);
     w.loop.run(14);
     w.state.lower(2, 4);
     w.loop.run(100);
     assertThat(w.state.tooLarge).isZero();
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
     fine(w);
   }
 
--- a/src/test/java/graderelay/state/StateOutageTest.java
+++ b/src/test/java/graderelay/state/StateOutageTest.java
@@ -4,16 +4,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import graderelay.wire.Json;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** An outage of the state service, and restarts in it. */
+/** An outage of the store, and restarts in it. */
 class StateOutageTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
@@ -21,22 +22,22 @@
 
   @Test
   void runningTasksOutliveRestartOfAllControllersInOutageAsLongAsCancellationAllows() {
-    SimWorld w = new SimWorld(25, SimWorld.Shape.of(3).fleet(8, List.of("a")));
+    SimWorld w = new SimWorld(25, WorldShape.of(3).fleet(8, List.of("a")));
     w.loop.run(3);
-    w.submit(0, w.job("j-000051", 3, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000051", 3, 1, 0, false));
     w.loop.run(15);
-    final int starts = w.rules.starts;
+    final int starts = w.invariants.starts;
     w.state.outage(true);
     w.loop.run(3);
     w.crashAll();
     w.loop.run(6);
     w.startAll();
-    // A lease, and what processes that know nothing may give away, but for a report's interval.
+    // A lease, and what processes that know nothing may give away, but for a heartbeat's interval.
     w.loop.run(SimWorld.LEASE_S + w.settings(0).beginnersS() - 3);
     w.state.outage(false);
     w.loop.run(20);
     assertThat(w.leader()).isNotNegative();
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
 
@@ -45,14 +46,14 @@
   @CsvSource({"a, 3, 6", "a, 0.1, 6", "a, 0.1, 11", "a, 9, 6", "ab, 0.1, 6", "ab, 3, 0.2"})
   void cancellationJustBeforeAnOutageIsCarriedOutThoughAllControllersRestart(
       String zones, double until, double away) {
-    SimWorld w = new SimWorld(25, SimWorld.Shape.of(3).fleet(8, List.of(zones.split("(?<=.)"))));
+    SimWorld w = new SimWorld(25, WorldShape.of(3).fleet(8, List.of(zones.split("(?<=.)"))));
     w.loop.run(3);
-    Rules.Known j = w.job("j-000051", 3, 1, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000051", 3, 1, 0, false);
+    w.users.submit(0, j);
     w.loop.run(15);
     int other = (w.leader() + 1) % 3;
     w.refused[w.leader()][0] = true;
-    w.cancel(other, j);
+    w.users.cancel(other, j);
     w.loop.run(0.05);
     assertThat(j.cancelAnswered).isNotNaN();
     w.state.outage(true);
@@ -71,21 +72,21 @@
   @Test
   void withTheStoreAwayUsersAreAnsweredAtOnceAndNothingIsForgotten() {
     SimWorld w = world(16);
-    Rules.Known j = w.job("j-000018", 2, 1, 4, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000018", 2, 1, 4, true);
+    w.users.submit(0, j);
     w.loop.run(30);
     w.state.outage(true);
     w.loop.run(6);
     double asked = w.loop.now();
-    Rules.Known k = w.job("j-000019", 1, 1, 2, true);
-    JsonNode a = w.answer(0, "POST", "/v1/jobs", Json.write(w.body(k)));
+    SimJob k = w.users.job("j-000019", 1, 1, 2, true);
+    JsonNode a = w.users.answer(0, "POST", "/v1/jobs", Json.write(w.users.body(k)));
     assertThat(a.path("http").asInt()).isEqualTo(503);
     assertThat(w.loop.now() - asked).isLessThan(0.2);
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
     w.state.outage(false);
-    w.submit(0, k);
+    w.users.submit(0, k);
     w.loop.run(60);
-    assertThat(w.stage(1, k.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, k.id)).isEqualTo("done");
     fine(w);
   }
 }
--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -14,11 +14,11 @@
   /** A service runs, and a controller that is not the leader has been down for a while. */
   private static SimWorld withOneDown(long seed, int size) {
     SimWorld w = world(seed, size);
-    w.submit(w.leader(), w.job("j-000070", 3, 1, 0, false));
+    w.users.submit(w.leader(), w.users.job("j-000070", 3, 1, 0, false));
     w.loop.run(20);
     w.crash((w.leader() + 1) % size);
     w.loop.run(10);
-    assertThat(w.rules.starts).isEqualTo(3);
+    assertThat(w.invariants.starts).isEqualTo(3);
     return w;
   }
 
@@ -31,8 +31,8 @@
     w.loop.run(SimWorld.LEASE_S + 10);
     w.state.outage(false);
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(3);
-    assertThat(w.rules.trace()).noneMatch(x -> x.contains("lease over"));
+    assertThat(w.invariants.starts).isEqualTo(3);
+    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     w.start((leader + 1) % size);
     w.loop.run(10);
     fine(w);
@@ -50,7 +50,7 @@
     w.loop.run(8);
     assertThat(w.leader()).isEqualTo(back);
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(3);
+    assertThat(w.invariants.starts).isEqualTo(3);
     fine(w);
   }
 
@@ -81,7 +81,7 @@
     int leader = w.leader();
     int other = (leader + 2) % 3;
     int back = (leader + 1) % 3;
-    // The leader and the third are refused alone; the barred one comes back and is served.
+    // The leader and the third are refused alone; the suspended one comes back and is served.
     w.refused[leader][0] = true;
     w.refused[other][0] = true;
     w.net.cut("c" + leader, "c" + back);
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -8,9 +8,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import graderelay.wire.Json;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -21,8 +22,8 @@
 
 /**
  * Controllers of different versions: a message that a peer does not know, or an answer that lacks a
- * field, grants nothing. In an outage of the state service the leader then lets the workers' leases
- * end, as if the peer had not answered.
+ * field, grants nothing. In an outage of the store the leader then lets the workers' leases end, as
+ * if the peer had not answered.
  */
 class UngrantedPledgesTest {
   private static final double OUTAGE_S = 30;
@@ -40,10 +41,10 @@
   @EnumSource(PeerAnswer.class)
   void leasesOutliveAnOutageOnlyIfPeersGrantIt(PeerAnswer how) {
     // In one zone there is no lease delegate, so only what the peers grant keeps the leases.
-    SimWorld w = new SimWorld(441, SimWorld.Shape.of(3).fleet(8, List.of("a")));
+    SimWorld w = new SimWorld(441, WorldShape.of(3).fleet(8, List.of("a")));
     w.loop.run(3);
-    Rules.Known service = w.job("j-000001", 1, 1, 0, false);
-    w.submit(0, service);
+    SimJob service = w.users.job("j-000001", 1, 1, 0, false);
+    w.users.submit(0, service);
     w.loop.run(15);
     final String machine = WorldAssertions.runner(w, "j-000001/0");
     int leader = w.leader();
@@ -59,7 +60,7 @@
     assertThat(runs).isEqualTo(how == PeerAnswer.AS_USUAL);
     w.state.outage(false);
     w.loop.run(30);
-    assertThat(w.stage(0, service.id)).isEqualTo("running");
+    assertThat(w.users.stage(0, service.id)).isEqualTo("running");
     fine(w);
   }
 
--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -7,7 +7,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
 import graderelay.core.TaskBatchKey;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import graderelay.wire.Json;
@@ -32,11 +32,11 @@
   @Test
   void arrayRunsToItsEndAndStaysDoneOnEveryController() {
     SimWorld w = world(1);
-    Rules.Known j = w.job("j-000001", 6, 2, 3, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000001", 6, 2, 3, true);
+    w.users.submit(0, j);
     w.loop.run(40);
     for (int i = 0; i < 3; i++) {
-      assertThat(w.stage(i, j.id)).isEqualTo("done");
+      assertThat(w.users.stage(i, j.id)).isEqualTo("done");
     }
     assertThat(w.state.value(StateCodec.jobKey(j.id))).isNull();
     assertThat(w.state.value(StateCodec.endKey(j.id))).isNotNull();
@@ -47,53 +47,53 @@
   @Test
   void cancelBeforeClaimKeepsTheTaskFromStarting() {
     SimWorld w = world(2);
-    Rules.Known j = w.job("j-000002", 2, 2, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000002", 2, 2, 0, false);
+    w.users.submit(0, j);
     w.loop.run(1);
-    w.cancel(1, j); // No machine is up yet, so nothing is claimed.
+    w.users.cancel(1, j); // No machine is up yet, so nothing is claimed.
     w.loop.run(30);
-    assertThat(w.rules.starts).isZero();
-    assertThat(w.stage(2, j.id)).isEqualTo("cancelled");
+    assertThat(w.invariants.starts).isZero();
+    assertThat(w.users.stage(2, j.id)).isEqualTo("cancelled");
     fine(w);
   }
 
   @Test
   void cancelThatCommitsDuringClaimMakesTheClaimFail() {
     SimWorld w = world(21);
-    w.submit(0, w.job("j-000030", 1, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000030", 1, 1, 0, false));
     w.loop.run(15); // A machine is up.
-    Rules.Known j = w.job("j-000031", 2, 1, 0, false);
+    SimJob j = w.users.job("j-000031", 2, 1, 0, false);
     int[] left = {1};
     w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 0.5;
-    w.submit(0, j);
+    w.users.submit(0, j);
     w.loop.run(0.1);
-    w.cancel(1, j);
+    w.users.cancel(1, j);
     w.loop.run(0.1);
-    assertThat(w.stage(2, j.id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(2, j.id)).isEqualTo("cancelled");
     w.loop.run(3);
     assertThat(w.state.everWritten).doesNotContain(StateCodec.TASK_BATCHES + j.id + "/0");
-    assertThat(w.rules.starts).isEqualTo(1);
+    assertThat(w.invariants.starts).isEqualTo(1);
     fine(w);
   }
 
   @Test
   void formerLeadersClaimFailsEvenWhenNobodyElseTouchedTheRecord() {
     SimWorld w = world(22);
-    w.submit(0, w.job("j-000032", 1, 1, 0, false));
+    w.users.submit(0, w.users.job("j-000032", 1, 1, 0, false));
     w.loop.run(15);
     int leader = w.leader();
-    Rules.Known j = w.job("j-000033", 2, 1, 5, true);
+    SimJob j = w.users.job("j-000033", 2, 1, 5, true);
     int[] left = {1};
     w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 20;
-    w.submit((leader + 1) % 3, j);
+    w.users.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
     }
     w.crash(leader);
     // The next leader claims nothing, so that only the leader record stands in the way.
-    w.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
+    w.users.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
     w.loop.run(30);
     assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
     assertThat(w.state.value(StateCodec.TASK_BATCHES + j.id + "/0")).isNull();
@@ -103,11 +103,11 @@
   @Test
   void cancelAfterClaimIsStopRequestThatTheLeaderCarriesOut() {
     SimWorld w = world(3);
-    Rules.Known j = w.job("j-000003", 2, 2, 0, false);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000003", 2, 2, 0, false);
+    w.users.submit(0, j);
     w.loop.run(15);
-    assertThat(w.stage(0, j.id)).isEqualTo("running");
-    w.cancel(1, j);
+    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
+    w.users.cancel(1, j);
     w.loop.run(5);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
     assertThat(w.state.value(StateCodec.endKey(j.id)).path("end").asText()).isEqualTo("cancelled");
@@ -117,46 +117,46 @@
   @Test
   void claimWhoseAnswerIsLostIsNeitherForgottenNorMadeTwice() {
     SimWorld w = world(4);
-    Rules.Known j = w.job("j-000004", 3, 1, 5, true);
+    SimJob j = w.users.job("j-000004", 3, 1, 5, true);
     int[] left = {1};
     w.state.loseAnswer = t -> writesBatch(t) && left[0]-- > 0;
-    w.submit(0, j);
+    w.users.submit(0, j);
     w.loop.run(40);
     assertThat(left[0]).isLessThan(1);
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
-    assertThat(w.rules.starts).isEqualTo(3);
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.invariants.starts).isEqualTo(3);
     fine(w);
   }
 
   @Test
   void claimAppliedLateIsNotLaunchedBesidesItsRival() {
     SimWorld w = world(5);
-    Rules.Known j = w.job("j-000005", 3, 1, 5, true);
+    SimJob j = w.users.job("j-000005", 3, 1, 5, true);
     int[] left = {1};
     w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 3;
-    w.submit(0, j);
+    w.users.submit(0, j);
     w.loop.run(40);
-    assertThat(w.stage(0, j.id)).isEqualTo("done");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
     fine(w);
   }
 
   @Test
   void formerLeadersLateWriteFails() {
     SimWorld w = world(6);
-    Rules.Known j = w.job("j-000006", 4, 1, 30, true);
+    SimJob j = w.users.job("j-000006", 4, 1, 30, true);
     int leader = w.leader();
     int[] left = {1};
     w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
     w.state.delayS = 20;
-    w.submit((leader + 1) % 3, j);
+    w.users.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
     }
     w.crash(leader);
     w.loop.run(70);
     assertThat(w.leader()).isNotEqualTo(leader);
-    assertThat(w.stage(w.leader(), j.id)).isEqualTo("done");
+    assertThat(w.users.stage(w.leader(), j.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -178,12 +178,13 @@
   @Test
   void teamLimitHoldsWhileOneMachineIsCutOff() {
     SimWorld w = world(11);
-    Rules.Known j = w.job("j-000011", 12, 4, 0, false);
-    w.submit(0, w.job("j-000012", 5, 4, 30, true));
+    SimJob j = w.users.job("j-000011", 12, 4, 0, false);
+    w.users.submit(0, w.users.job("j-000012", 5, 4, 30, true));
     w.loop.run(16);
-    assertThat(w.answer(0, "POST", "/v1/jobs", Json.write(w.body(j))).path("http").asInt())
+    assertThat(
+            w.users.answer(0, "POST", "/v1/jobs", Json.write(w.users.body(j))).path("http").asInt())
         .isEqualTo(422); // A service must fit the limit as a whole.
-    w.submit(0, w.job("j-000013", 20, 4, 10, true));
+    w.users.submit(0, w.users.job("j-000013", 20, 4, 10, true));
     w.loop.run(10);
     String machine = w.workers.keySet().iterator().next();
     w.cutOff(machine);
@@ -194,10 +195,10 @@
   @Test
   void jobOfMoreTaskBatchesThanOneTransactionHoldsEnds() {
     SimWorld w = world(12);
-    Rules.Known j = w.job("j-000014", 7000, 0.01, 1, true);
-    w.submit(0, j);
+    SimJob j = w.users.job("j-000014", 7000, 0.01, 1, true);
+    w.users.submit(0, j);
     w.loop.run(200);
-    assertThat(w.stage(1, j.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, j.id)).isEqualTo("done");
     assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
--- a/src/test/java/graderelay/worker/DeafMachinesTest.java
+++ b/src/test/java/graderelay/worker/DeafMachinesTest.java
@@ -8,20 +8,21 @@
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Machines whose reports arrive and that hear nothing. */
+/** Machines whose heartbeats arrive and that hear nothing. */
 class DeafMachinesTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
   }
 
-  private static SimWorld world(long seed, SimWorld.Shape shape) {
+  private static SimWorld world(long seed, WorldShape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
     assertThat(w.leader()).isNotNegative();
@@ -58,9 +59,9 @@
   @Test
   void servicesOfDeafMachineStartElsewhereAndItIsScaledIn() {
     SimWorld w = world(31);
-    Rules.Known j = w.job("j-000060", 1, 3, 0, false);
-    w.submit(0, j);
-    w.submit(1, w.job("j-000061", 4, 3, 300, false));
+    SimJob j = w.users.job("j-000060", 1, 3, 0, false);
+    w.users.submit(0, j);
+    w.users.submit(1, w.users.job("j-000061", 4, 3, 300, false));
     w.loop.run(20);
     String machine = runner(w, "j-000060/0");
     w.net.deaf(machine, true);
@@ -85,14 +86,14 @@
   @ParameterizedTest
   @CsvSource({"2, 12, 3", "2.5, 16, 5", "4, 22, 3", "4, 22, 5", "6, 30, 5"})
   void atEveryIntervalOnlyDeafMachinesAreFoundDeaf(double reportS, double leaseS, int size) {
-    SimWorld w = world(51, SimWorld.Shape.of(size).workers(reportS, leaseS));
-    w.submit(0, w.job("j-000100", 2, 2, 0, false));
-    w.submit(1, w.job("j-000101", 4, 3, 300, false));
+    SimWorld w = world(51, WorldShape.of(size).workers(reportS, leaseS));
+    w.users.submit(0, w.users.job("j-000100", 2, 2, 0, false));
+    w.users.submit(1, w.users.job("j-000101", 4, 3, 300, false));
     w.loop.run(30 + 5 * reportS);
-    assertThat(w.rules.trace()).noneMatch(n -> n.contains("lease over"));
-    int starts = w.rules.starts;
-    w.loop.run(40); // Quiet: nothing is moved, nothing given back.
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.trace()).noneMatch(n -> n.contains("lease over"));
+    int starts = w.invariants.starts;
+    w.loop.run(40); // Quiet: nothing is moved, nothing scaled in.
+    assertThat(w.invariants.starts).isEqualTo(starts);
     String machine = runner(w, "j-000100/0");
     w.net.deaf(machine, true);
     // Each controller that it tries in vain takes it five seconds.
@@ -109,7 +110,7 @@
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
-    // The direct order never left, so the answer to the next report carries the start.
+    // The direct command never left, so the answer to the next heartbeat carries the start.
     for (Action a : SchedulerFixture.taken(s)) {
       if (a instanceof Action.Command c) {
         s.onSent(c, Scheduler.Sent.NEVER_LEFT, null, 0.3);
@@ -135,7 +136,7 @@
   void workerWhoseHeartbeatWasLostIsNotTakenForDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
-    // Its second report found nobody, so it went on to another controller with the third.
+    // Its second heartbeat found nobody, so it went on to another controller with the third.
     s.onReport(SchedulerFixture.report("n-1", 1, 3, 1), "m-2", 9);
     s.answered("n-1", 9);
     assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
