--- a/src/test/java/graderelay/worker/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -15,7 +15,7 @@
 import graderelay.core.Action;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Reports, copies of reports and transactions that arrive late. */
+/** Heartbeats, copies of heartbeats and transactions that arrive late. */
 class LateMessagesTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
@@ -51,7 +51,7 @@
   void answerToHeartbeatOvertakenByDirectCommandStillCountsForTheLease() {
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
-    // The worker's answer to a direct order, sent after its report, comes first.
+    // The worker's answer to a direct command, sent after its heartbeat, comes first.
     var poke = new Action.Command("n-1", "n-1:9000", 1, 1, List.of());
     s.onSent(poke, Scheduler.Sent.EXECUTED, SchedulerFixture.report("n-1", 1, 3, 1), 4);
     s.onReport(SchedulerFixture.report("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
@@ -78,15 +78,15 @@
     SimWorld w = world(32);
     w.net.copies = 1;
     w.net.copyDelayS = 2 * SimWorld.LEASE_S;
-    Rules.Known service = w.job("j-000062", 3, 1, 0, false);
-    Rules.Known array = w.job("j-000063", 8, 2, 6, true);
-    w.submit(0, service);
-    w.submit(1, array);
+    SimJob service = w.users.job("j-000062", 3, 1, 0, false);
+    SimJob array = w.users.job("j-000063", 8, 2, 6, true);
+    w.users.submit(0, service);
+    w.users.submit(1, array);
     w.loop.run(25);
     w.crash(w.leader());
     w.loop.run(40);
-    assertThat(w.stage(w.leader(), array.id)).isEqualTo("done");
-    assertThat(w.stage(w.leader(), service.id)).isEqualTo("running");
+    assertThat(w.users.stage(w.leader(), array.id)).isEqualTo("done");
+    assertThat(w.users.stage(w.leader(), service.id)).isEqualTo("running");
     fine(w);
   }
 
@@ -95,10 +95,12 @@
     SimWorld w = world(40);
     int gateway = (w.leader() + 1) % w.size;
     byte[] report = checkin(5);
-    assertThat(w.answer(gateway, "POST", "/checkin", report).path("http").asInt()).isEqualTo(421);
-    assertThat(w.answer(gateway, "POST", "/checkin", report).path("http").asInt()).isEqualTo(421);
-    // The worker itself is back, so it could not: its report is passed on and answered.
-    assertThat(w.answer(gateway, "POST", "/checkin", checkin(6)).path("http").asInt())
+    assertThat(w.users.answer(gateway, "POST", "/checkin", report).path("http").asInt())
+        .isEqualTo(421);
+    assertThat(w.users.answer(gateway, "POST", "/checkin", report).path("http").asInt())
+        .isEqualTo(421);
+    // The worker itself is back, so it could not: its heartbeat is passed on and answered.
+    assertThat(w.users.answer(gateway, "POST", "/checkin", checkin(6)).path("http").asInt())
         .isEqualTo(200);
   }
 
@@ -107,10 +109,10 @@
     SimWorld w = world(38);
     w.net.copies = 1;
     w.net.copyDelayS = 2 * SimWorld.LEASE_S;
-    w.submit(0, w.job("j-000067", 1, 4, 300, false));
+    w.users.submit(0, w.users.job("j-000067", 1, 4, 300, false));
     w.loop.run(30);
     w.cutOff(runner(w, "j-000067/0"));
-    // A lease, and what it takes to rent a machine and to start again.
+    // A lease, and what it takes to scale out a machine and to start again.
     assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S, SimWorld.LEASE_S + 10);
     fine(w);
   }
@@ -119,10 +121,10 @@
   @CsvSource({"crash, 3", "crash, 8", "handover, 2", "crash, 0.3"})
   void reportsKeptForTheNextOwnerProveAndRenewNothing(String how, double meanwhile) {
     SimWorld w = world(341, 3);
-    Rules.Known[] jobs = running(w, 2);
+    SimJob[] jobs = running(w, 2);
     w.net.keepHeartbeats();
     w.loop.run(5);
-    w.cancel(0, jobs[0]);
+    w.users.cancel(0, jobs[0]);
     String gone = runner(w, jobs[1].id + "/0");
     w.loop.run(3);
     w.cloud.take(gone);
@@ -140,7 +142,7 @@
     w.loop.run(meanwhile);
     refuse(w, leader, false);
     w.loop.run(40);
-    assertThat(w.stage(w.leader(), jobs[0].id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(w.leader(), jobs[0].id)).isEqualTo("cancelled");
     assertThat(runner(w, jobs[1].id + "/0")).isNotEqualTo(gone);
     fine(w);
   }
@@ -148,9 +150,9 @@
   @Test
   void heartbeatHeldUpUntilTheNewLeaderHasActedProvesNothing() {
     SimWorld w = world(342, 3);
-    final Rules.Known[] jobs = running(w, 2);
-    Rules.Known array = w.job("j-000484", 3, 1, 25, false);
-    w.submit(0, array);
+    final SimJob[] jobs = running(w, 2);
+    SimJob array = w.users.job("j-000484", 3, 1, 25, false);
+    w.users.submit(0, array);
     w.loop.run(8);
     w.net.alwaysPooled = true;
     int leader = w.leader();
@@ -161,14 +163,14 @@
     }
     w.crash(leader);
     w.loop.run(9);
-    w.cancel(other(w, leader), jobs[0]);
+    w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(1);
     for (String m : machines) {
       w.net.heal("c" + other(w, leader), m);
       w.net.heal("c" + (leader + 2) % 3, m);
     }
     w.loop.run(80);
-    assertThat(w.stage(other(w, leader), array.id)).isEqualTo("done");
+    assertThat(w.users.stage(other(w, leader), array.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -176,10 +178,10 @@
   void copiesFromAnEarlierSessionOrAttemptProveNothing() {
     SimWorld w = world(343, 3);
     running(w, 2);
-    Rules.Known array = w.job("j-000485", 3, 2, 20, false);
+    SimJob array = w.users.job("j-000485", 3, 2, 20, false);
     w.net.copies = 0.7;
     w.net.copyDelayS = 2.5 * SimWorld.LEASE_S;
-    w.submit(0, array);
+    w.users.submit(0, array);
     w.loop.run(10);
     List<String> machines = new ArrayList<>(w.workers.keySet());
     machines.forEach(w::cutOff);
@@ -190,7 +192,7 @@
       }
     }
     w.loop.run(120);
-    assertThat(w.stage(1, array.id)).isEqualTo("done");
+    assertThat(w.users.stage(1, array.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -198,8 +200,8 @@
   @ValueSource(longs = {344, 345, 346, 347, 348, 349})
   void transactionsCarriedOutLateAfterNewerOnesOfTheSameOwnerBreakNothing(long seed) {
     SimWorld w = world(seed, 3);
-    w.lookClosely();
-    final List<Rules.Known> jobs = arrays(w, 24, 1, 4);
+    w.users.lookClosely();
+    final List<SimJob> jobs = arrays(w, 24, 1, 4);
     w.state.delay =
         t -> {
           w.state.delayS = 2 + w.random.nextDouble() * 10;
--- a/src/test/java/graderelay/worker/LaunchFencingTest.java
+++ b/src/test/java/graderelay/worker/LaunchFencingTest.java
@@ -5,7 +5,7 @@
 import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
@@ -16,20 +16,20 @@
     return WorldAssertions.world(seed, 3);
   }
 
-  /** A direct launch is held by a cut between leader and machine; reports go through a peer. */
+  /** A direct launch is held by a cut between leader and machine; heartbeats go through a peer. */
   private static void heldLaunch(
       double meanwhileAfter,
       double healAfter,
       java.util.function.BiConsumer<SimWorld, String> do1) {
     SimWorld w = world(23);
-    Rules.Known warm = w.job("j-000040", 1, 1, 300, false);
-    w.submit(0, warm);
+    SimJob warm = w.users.job("j-000040", 1, 1, 300, false);
+    w.users.submit(0, warm);
     w.loop.run(15);
     final String machine = runner(w, "j-000040/0");
     int leader = w.leader();
-    Rules.Known j = w.job("j-000041", 1, 1, 300, false);
-    w.net.alwaysPooled = true; // The order goes into an open connection and is held there.
-    w.submit((leader + 1) % 3, j);
+    SimJob j = w.users.job("j-000041", 1, 1, 300, false);
+    w.net.alwaysPooled = true; // The command goes into an open connection and is held there.
+    w.users.submit((leader + 1) % 3, j);
     while (!claimed(w, j)) {
       w.loop.run(0.0005);
     }
@@ -41,30 +41,30 @@
     w.net.heal("c" + leader, machine);
     w.loop.run(40);
     assertThat(w.leader()).isEqualTo(leader);
-    assertThat(w.stage(0, j.id)).isEqualTo("running");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
     fine(w);
   }
 
   @Test
   void launchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
     SimWorld w = world(9);
-    Rules.Known warm = w.job("j-000009", 1, 1, 0, false);
-    w.submit(0, warm);
+    SimJob warm = w.users.job("j-000009", 1, 1, 0, false);
+    w.users.submit(0, warm);
     w.loop.run(15);
     String machine = runner(w, "j-000009/0");
     int leader = w.leader();
-    Rules.Known j = w.job("j-000010", 2, 1, 0, false);
-    w.submit((leader + 1) % 3, j);
+    SimJob j = w.users.job("j-000010", 2, 1, 0, false);
+    w.users.submit((leader + 1) % 3, j);
     while (!claimed(w, j)) {
       w.loop.run(0.001);
     }
     w.net.cut("c" + leader, machine);
     w.loop.run(1);
-    w.cancel((leader + 1) % 3, j);
+    w.users.cancel((leader + 1) % 3, j);
     w.loop.run(9);
     w.net.heal("c" + leader, machine);
     w.loop.run(60);
-    assertThat(w.stage(0, j.id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(0, j.id)).isEqualTo("cancelled");
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains("j-000010/0"));
     fine(w);
   }
@@ -72,7 +72,9 @@
   @Test
   void taskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
     heldLaunch(
-        2.5, 16, (w, m) -> w.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
+        2.5,
+        16,
+        (w, m) -> w.users.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
   }
 
   @Test
--- a/src/test/java/graderelay/worker/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -8,10 +8,11 @@
 import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.sim.Rules;
+import graderelay.sim.SimJob;
 import graderelay.sim.SimWorker;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
+import graderelay.sim.WorldShape;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -28,10 +29,10 @@
   @CsvSource({"2, cancel", "6, cancel", "11, cancel", "20, cancel", "6, owner", "20, owner"})
   void machineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
     SimWorld w = world(331, 3);
-    Rules.Known[] jobs = running(w, 2);
+    SimJob[] jobs = running(w, 2);
     int leader = w.leader();
     w.workers.values().forEach(x -> x.hang(hangS));
-    w.cancel(other(w, leader), jobs[0]);
+    w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.5);
     if (and.equals("owner")) {
       w.crash(leader);
@@ -50,10 +51,10 @@
     String machine = w.workers.keySet().iterator().next();
     int leader = w.leader();
     w.net.cut("c" + leader, machine);
-    Rules.Known j = w.job("j-000481", 3, 1, 30, true);
-    w.submit(other(w, leader), j);
+    SimJob j = w.users.job("j-000481", 3, 1, 30, true);
+    w.users.submit(other(w, leader), j);
     w.loop.run(1.5);
-    w.cancel(other(w, leader), j);
+    w.users.cancel(other(w, leader), j);
     w.loop.run(6);
     w.net.heal("c" + leader, machine);
     w.loop.run(SimWorld.CANCEL_S);
@@ -65,17 +66,17 @@
   @CsvSource({"cut, 6", "cut, 30", "hang, 6", "hang, 30", "deaf, 30", "mute, 30"})
   void teamAtItsLimitStaysWithinItWhileMachinesAreUnreachableAndTheLeaderChanges(
       String how, double length) {
-    SimWorld w = new SimWorld(333, SimWorld.Shape.of(3).fleet(20, List.of("a", "b")));
+    SimWorld w = new SimWorld(333, WorldShape.of(3).fleet(20, List.of("a", "b")));
     w.cloud.capacity = 20;
     w.loop.run(3);
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      Rules.Known j = w.job(String.format("j-0004%02d", i), 4, 3, 300, false);
+      SimJob j = w.users.job(String.format("j-0004%02d", i), 4, 3, 300, false);
       jobs.add(j);
-      w.submit(i % 3, j);
+      w.users.submit(i % 3, j);
     }
     w.loop.run(25);
-    assertThat(w.rules.starts).isEqualTo(20); // 60 of 60 CPUs; four tasks wait for the limit.
+    assertThat(w.invariants.starts).isEqualTo(20); // 60 of 60 CPUs; four tasks wait for the limit.
     List<SimWorker> some = new ArrayList<>(w.workers.values()).subList(0, 5);
     for (SimWorker x : some) {
       switch (how) {
@@ -86,11 +87,11 @@
       }
     }
     int leader = w.leader();
-    w.cancel(other(w, leader), jobs.get(0));
-    w.cancel(other(w, leader), jobs.get(1));
+    w.users.cancel(other(w, leader), jobs.get(0));
+    w.users.cancel(other(w, leader), jobs.get(1));
     w.loop.run(0.3);
     w.crash(leader);
-    w.cancel(other(w, leader), jobs.get(2));
+    w.users.cancel(other(w, leader), jobs.get(2));
     w.loop.run(length);
     for (SimWorker x : some) {
       w.net.deaf(x.name, false);
@@ -102,7 +103,7 @@
     w.start(leader);
     w.loop.run(SimWorld.CANCEL_S + 20);
     for (int i = 3; i < 6; i++) {
-      assertThat(w.stage(0, jobs.get(i).id)).isEqualTo("running");
+      assertThat(w.users.stage(0, jobs.get(i).id)).isEqualTo("running");
     }
     fine(w);
   }
@@ -110,14 +111,14 @@
   @Test
   void workersThatCanOpenNoConnectionLoseTheirLeaseAndTheirTasksRunOnce() {
     SimWorld w = world(334, 3);
-    Rules.Known[] jobs = running(w, 3);
+    SimJob[] jobs = running(w, 3);
     w.workers.keySet().forEach(m -> w.net.mute(m, true));
-    w.cancel(0, jobs[0]);
+    w.users.cancel(0, jobs[0]);
     w.loop.run(SimWorld.LEASE_S + 12);
     w.workers.keySet().forEach(m -> w.net.mute(m, false));
     w.loop.run(40);
-    assertThat(w.stage(1, jobs[0].id)).isEqualTo("cancelled");
-    assertThat(w.stage(1, jobs[1].id)).isEqualTo("running");
+    assertThat(w.users.stage(1, jobs[0].id)).isEqualTo("cancelled");
+    assertThat(w.users.stage(1, jobs[1].id)).isEqualTo("running");
     fine(w);
   }
 
@@ -125,9 +126,9 @@
   @CsvSource({"cut, 8", "cut, 25", "deaf, 8", "deaf, 25"})
   void theOwnerEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
     SimWorld w = world(335, 3);
-    final Rules.Known[] jobs = running(w, 2);
-    Rules.Known longOne = w.job("j-000482", 3, 1, 70, false);
-    w.submit(0, longOne);
+    final SimJob[] jobs = running(w, 2);
+    SimJob longOne = w.users.job("j-000482", 3, 1, 70, false);
+    w.users.submit(0, longOne);
     w.loop.run(10);
     List<String> names = new ArrayList<>(w.workers.keySet());
     for (String m : names) {
@@ -138,7 +139,7 @@
       }
     }
     w.crash(w.leader());
-    w.cancel(w.isUp(0) ? 0 : 1, jobs[0]);
+    w.users.cancel(w.isUp(0) ? 0 : 1, jobs[0]);
     w.loop.run(length);
     for (String m : names) {
       w.net.deaf(m, false);
@@ -147,7 +148,7 @@
       }
     }
     w.loop.run(140);
-    assertThat(w.stage(w.leader(), longOne.id)).isEqualTo("done");
+    assertThat(w.users.stage(w.leader(), longOne.id)).isEqualTo("done");
     fine(w);
   }
 
@@ -158,7 +159,7 @@
     w.cloud.bootFactor = 0.15;
     w.state.delayS = writeS;
     w.state.delay = t -> t.toString().contains("g/slice/");
-    final List<Rules.Known> jobs = arrays(w, 8, 0.1, 6);
+    final List<SimJob> jobs = arrays(w, 8, 0.1, 6);
     w.loop.run(1 + endsAfter);
     int leader = w.leader();
     w.crash(leader);
@@ -173,15 +174,15 @@
   @Test
   void jobsBoundToOneZoneRunAgainAfterItsMachinesWereLost() {
     SimWorld w = world(337, 3);
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      Rules.Known j = w.job(String.format("j-0004%02d", i), 2, 1, i % 2 == 0 ? 0 : 120, false);
+      SimJob j = w.users.job(String.format("j-0004%02d", i), 2, 1, i % 2 == 0 ? 0 : 120, false);
       j.zone = i < 2 ? "a" : "b";
       jobs.add(j);
-      w.submit(i % 3, j);
+      w.users.submit(i % 3, j);
     }
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(8);
+    assertThat(w.invariants.starts).isEqualTo(8);
     for (SimWorker x : new ArrayList<>(w.workers.values())) {
       if (x.zone.equals("a")) {
         w.cloud.take(x.name);
@@ -199,21 +200,21 @@
     SimWorld w = world(338, 3);
     w.net.slow = 50; // An eighth of a second each way, a quarter at most.
     w.cloud.capacity = 3;
-    List<Rules.Known> jobs = new ArrayList<>();
+    List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      Rules.Known j = w.job(String.format("j-0004%02d", i), 4, 1, 8, true);
+      SimJob j = w.users.job(String.format("j-0004%02d", i), 4, 1, 8, true);
       j.guest = i % 2 == 0; // Of the lowest priority.
       jobs.add(j);
-      w.submit(i % 3, j);
+      w.users.submit(i % 3, j);
     }
     w.loop.run(30);
-    Rules.Known service = w.job("j-000483", 2, 2, 0, true);
-    w.submit(0, service);
+    SimJob service = w.users.job("j-000483", 2, 2, 0, true);
+    w.users.submit(0, service);
     w.loop.run(25);
     assertThat(service.firstStart).isNotNaN();
     w.loop.run(120);
-    for (Rules.Known j : jobs) {
-      assertThat(w.stage(1, j.id)).isEqualTo("done");
+    for (SimJob j : jobs) {
+      assertThat(w.users.stage(1, j.id)).isEqualTo("done");
     }
     fine(w);
   }
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -6,13 +6,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
+import graderelay.sim.WorldShape;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A zone that is cut off, and its lease delegates. */
 class ZonePartitionTest {
-  private static SimWorld world(long seed, SimWorld.Shape shape) {
+  private static SimWorld world(long seed, WorldShape shape) {
     SimWorld w = new SimWorld(seed, shape);
     w.loop.run(4);
     assertThat(w.leader()).isNotNegative();
@@ -21,10 +22,11 @@
 
   /** A service whose replicas run in both zones, by the time that everybody has settled. */
   private static SimWorld spread(long seed) {
-    SimWorld w = world(seed, SimWorld.Shape.of(5));
-    w.submit(0, w.job("j-000110", 6, 1, 0, false, true));
+    SimWorld w = world(seed, WorldShape.of(5));
+    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
     w.loop.run(20);
-    assertThat(w.rules.starts).isEqualTo(6); // A machine was rented in each of them for it.
+    assertThat(w.invariants.starts)
+        .isEqualTo(6); // A machine was scaled out in each of them for it.
     return w;
   }
 
@@ -39,8 +41,10 @@
     assertThat(w.leader() == leader).isEqualTo(!leadersZone);
     w.net.cutZone(zone, false);
     w.loop.run(20);
-    assertThat(w.rules.starts).as(w.rules.trace().toString()).isEqualTo(6); // Nothing was lost.
-    assertThat(w.stage(0, "j-000110")).isEqualTo("running");
+    assertThat(w.invariants.starts)
+        .as(w.invariants.trace().toString())
+        .isEqualTo(6); // Nothing was lost.
+    assertThat(w.users.stage(0, "j-000110")).isEqualTo("running");
     fine(w);
   }
 
@@ -48,25 +52,25 @@
   @CsvSource({"2, 12, true", "2, 12, false", "4, 22, true", "4, 22, false", "6, 30, true"})
   void jobCancelledWhileItsZoneIsCutOffIsGoneInTime(
       double reportS, double leaseS, boolean leadersZone) {
-    SimWorld w = world(62, SimWorld.Shape.of(5).workers(reportS, leaseS));
-    w.submit(0, w.job("j-000110", 6, 1, 0, false, true));
+    SimWorld w = world(62, WorldShape.of(5).workers(reportS, leaseS));
+    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
     w.loop.run(30);
-    assertThat(w.rules.starts).isEqualTo(6);
+    assertThat(w.invariants.starts).isEqualTo(6);
     boolean inA = (w.leader() % 2 == 0) == leadersZone;
     w.net.cutZone(inA ? "a" : "b", true);
     w.loop.run(0.1); // The zone's lease delegates can know nothing of it.
-    w.cancel(inA ? 1 : 0, w.rules.jobs.get("j-000110"));
-    w.loop.run(SimWorld.CANCEL_S + 20); // The rules are judged all along.
+    w.users.cancel(inA ? 1 : 0, w.invariants.jobs.get("j-000110"));
+    w.loop.run(SimWorld.CANCEL_S + 20); // The invariants are checked all along.
     w.net.cutZone(inA ? "a" : "b", false);
     w.loop.run(20);
-    assertThat(w.stage(0, "j-000110")).isEqualTo("cancelled");
+    assertThat(w.users.stage(0, "j-000110")).isEqualTo("cancelled");
     fine(w);
   }
 
   @Test
   void whatDiesWithItsWholeZoneStartsElsewhereOnceItsDeputiesGrantIsOver() {
-    SimWorld w = world(63, SimWorld.Shape.of(5));
-    w.submit(0, w.job("j-000111", 1, 4, 300, false));
+    SimWorld w = world(63, WorldShape.of(5));
+    w.users.submit(0, w.users.job("j-000111", 1, 4, 300, false));
     w.loop.run(20);
     String zone = w.workers.get(runner(w, "j-000111/0")).zone;
     for (int i = 0; i < w.size; i++) {
@@ -87,17 +91,17 @@
 
   @Test
   void leaseDelegateThatOnlyTheLeaderCannotReachExtendsNoLease() {
-    SimWorld w = world(64, SimWorld.Shape.of(5));
-    w.submit(0, w.job("j-000112", 1, 4, 300, false));
+    SimWorld w = world(64, WorldShape.of(5));
+    w.users.submit(0, w.users.job("j-000112", 1, 4, 300, false));
     w.loop.run(20);
-    int starts = w.rules.starts;
+    int starts = w.invariants.starts;
     for (int i = 0; i < w.size; i++) {
       if (i != w.leader()) {
         w.net.cut("c" + i, "c" + w.leader());
       }
     }
     w.loop.run(5);
-    assertThat(w.rules.starts).isEqualTo(starts);
+    assertThat(w.invariants.starts).isEqualTo(starts);
     w.cutOff(runner(w, "j-000112/0"));
     assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S - 2, SimWorld.LEASE_S + 10);
     fine(w);
