--- a/src/main/java/graderelay/state/CollectedPledges.java
+++ b/src/main/java/graderelay/state/CollectedPledges.java
@@ -2,30 +2,28 @@
 
 import graderelay.config.Settings;
 import graderelay.core.LeaseTiming;
+import graderelay.net.Loop;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.ToDoubleFunction;
 
 /**
  * Election pledges of one kind that peers gave this controller. All times are of this controller's
  * clock.
  */
 final class CollectedPledges {
+  private final Loop loop;
   private final List<Settings.Peer> peers;
-  private final ToDoubleFunction<String> suspendedUntil;
+  private final PeerSupervisor supervisor;
 
   /** Until when each peer's pledge lasts, by member. */
   private final Map<String, Double> until = new HashMap<>();
 
-  /**
-   * Collects nothing yet.
-   *
-   * @param suspendedUntil until when a peer can't win an election since it is suspended
-   */
-  CollectedPledges(List<Settings.Peer> peers, ToDoubleFunction<String> suspendedUntil) {
+  /** Collects nothing yet; a peer that the supervisor has suspended counts like a pledge. */
+  CollectedPledges(Loop loop, List<Settings.Peer> peers, PeerSupervisor supervisor) {
+    this.loop = loop;
     this.peers = peers;
-    this.suspendedUntil = suspendedUntil;
+    this.supervisor = supervisor;
   }
 
   /** A peer granted a pledge for some seconds; they count from when it was asked for. */
@@ -38,15 +36,17 @@
     until.clear();
   }
 
-  /**
-   * Until when no peer can win an election: each has pledged not to stand, or is suspended. Without
-   * peers nobody has pledged anything, so this is negative infinity.
-   */
-  double noPeerStandsUntil() {
+  /** True if no peer can win an election: each has pledged not to stand, or is suspended. */
+  boolean allHeld() {
+    return loop.now() < earliestEnd();
+  }
+
+  /** The end of the first pledge to end; without peers nobody has pledged anything. */
+  private double earliestEnd() {
     double earliest = Double.POSITIVE_INFINITY;
     for (Settings.Peer peer : peers) {
       double pledged = until.getOrDefault(peer.member(), Double.NEGATIVE_INFINITY);
-      double suspended = suspendedUntil.applyAsDouble(peer.member());
+      double suspended = supervisor.suspendedUntil(peer.member());
       earliest = Math.min(earliest, Math.max(pledged, suspended));
     }
     return peers.isEmpty() ? Double.NEGATIVE_INFINITY : earliest;
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * This node's copy of the records that decide who leads: the leader, the term, and who is suspended
- * from election. The leader and the suspensions have a place of their own once elections are
- * sealed, see {@link graderelay.features.Feature#SEALED_ELECTION}.
+ * This controller's copy of the records that decide who leads: the leader, the term, and who is
+ * suspended from election. The leader and the suspensions have a place of their own once elections
+ * are sealed, see {@link graderelay.features.Feature#SEALED_ELECTION}.
  */
 public final class ElectionRecords {
-  /** One layout of the records that differ. */
+  /** The records whose keys depend on whether elections are sealed, in one of the two layouts. */
   private static final class Layout {
     final String leaderKey;
     final String suspensionPrefix;
@@ -92,6 +92,7 @@
     return layout().leader;
   }
 
+  /** The revision of the leader record, 0 if there is none. */
   public long leaderRevision() {
     return layout().leaderRevision;
   }
@@ -111,10 +112,12 @@
     return open.suspensions.containsKey(member);
   }
 
+  /** The highest term that was ever won. */
   public long term() {
     return term;
   }
 
+  /** The revision of the term record, 0 if there is none. */
   public long termRevision() {
     return termRevision;
   }
@@ -126,14 +129,15 @@
 
   /** Before the records are read anew; {@code watched} if they have been before. */
   void clear(boolean watched) {
-    for (Layout l : new Layout[] {open, sealed}) {
+    for (Layout layout : new Layout[] {open, sealed}) {
       if (watched) {
-        l.clearLeader();
+        layout.clearLeader();
       }
-      l.suspensions.clear();
+      layout.suspensions.clear();
     }
   }
 
+  /** Takes a record as it was written; false if it is none of these. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(StateCodec.TERM)) {
       if (revision > termRevision) {
@@ -146,6 +150,7 @@
     return open.put(key, value, revision) || sealed.put(key, value, revision);
   }
 
+  /** Takes note that a record was deleted; false if it is none of these. */
   boolean drop(String key, long revision) {
     return open.drop(key, revision) || sealed.drop(key, revision);
   }
--- a/src/main/java/graderelay/state/LeaderElection.java
+++ b/src/main/java/graderelay/state/LeaderElection.java
@@ -4,6 +4,7 @@
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.StateCodec;
 import java.util.Optional;
+import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -25,15 +26,6 @@
 
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
-  /** What the election needs of the leadership as a whole. */
-  interface Listener {
-    /** Looks again at who leads, and stands for election if nobody does. */
-    void consider();
-
-    /** This controller is the leader from now on. */
-    void onWon(WonElection won);
-  }
-
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
@@ -43,11 +35,19 @@
   private final LeaderStatus status;
   private final GivenPledges pledges;
   private final OwnSuspension suspension;
-  private final Listener listener;
+  private final Runnable considerLeadership;
+  private final Consumer<WonElection> onWon;
 
   /** An attempt, or the wait for one, is under way. */
   private boolean busy;
 
+  /**
+   * Takes part in no election yet.
+   *
+   * @param leaseS length of a leader's session lease, in seconds
+   * @param considerLeadership looks again at who leads, and stands for election if nobody does
+   * @param onWon makes this controller the leader
+   */
   LeaderElection(
       Loop loop,
       StateClient state,
@@ -57,7 +57,8 @@
       DoubleSupplier random,
       LeaderStatus status,
       GivenPledges pledges,
-      Listener listener) {
+      Runnable considerLeadership,
+      Consumer<WonElection> onWon) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
@@ -67,7 +68,8 @@
     this.status = status;
     this.pledges = pledges;
     this.suspension = new OwnSuspension(loop, state, cache, self);
-    this.listener = listener;
+    this.considerLeadership = considerLeadership;
+    this.onWon = onWon;
   }
 
   /** True while an attempt, or the wait for one, is under way. */
@@ -92,7 +94,7 @@
   /** Looks again at who leads after a random pause, with the records as they are then. */
   void retryLater() {
     afterPause(
-        RETRY_S * (1 + random.getAsDouble()), () -> cache.catchUp(ok -> listener.consider()));
+        RETRY_S * (1 + random.getAsDouble()), () -> cache.catchUp(ok -> considerLeadership.run()));
   }
 
   private void afterPause(double seconds, Runnable next) {
@@ -138,7 +140,7 @@
     }
     double pledgedS = pledges.standsNotBefore(succeedsItself) - loop.now();
     if (pledgedS > 0) {
-      afterPause(pledgedS + AFTER_PLEDGE_S, listener::consider);
+      afterPause(pledgedS + AFTER_PLEDGE_S, considerLeadership);
       return;
     }
     if (suspension.mustBeLeft()) {
@@ -148,7 +150,7 @@
     double suspendedS = suspension.remainingS();
     if (suspendedS > 0) {
       // Looked at again soon: the leader may lift the suspension meanwhile.
-      afterPause(Math.min(suspendedS, SUSPENSION_CHECK_S), listener::consider);
+      afterPause(Math.min(suspendedS, SUSPENSION_CHECK_S), considerLeadership);
       return;
     }
     busy = true;
@@ -175,7 +177,7 @@
       state.endHold(won.get().sessionLease(), ended -> {});
       retryLater();
     } else {
-      listener.onWon(won.get());
+      onWon.accept(won.get());
     }
   }
 }
--- a/src/main/java/graderelay/state/LeaderPledges.java
+++ b/src/main/java/graderelay/state/LeaderPledges.java
@@ -34,7 +34,7 @@
       SessionLeaseRenewal renewal,
       Cancellations cancellations,
       PledgeRequests requests,
-      CollectedPledges pledges,
+      PeerSupervisor supervisor,
       LeaderHandover handover) {
     this.loop = loop;
     this.member = member;
@@ -42,13 +42,13 @@
     this.renewal = renewal;
     this.cancellations = cancellations;
     this.requests = requests;
-    this.pledges = pledges;
+    this.pledges = new CollectedPledges(loop, requests.peers(), supervisor);
     this.handover = handover;
   }
 
-  /** Until when no peer can win an election. */
-  double noPeerStandsUntil() {
-    return pledges.noPeerStandsUntil();
+  /** True if no peer can win an election at the moment. */
+  boolean allHeld() {
+    return pledges.allHeld();
   }
 
   /** The leadership is over: its pledges count no more. */
--- a/src/main/java/graderelay/state/LeaderTenure.java
+++ b/src/main/java/graderelay/state/LeaderTenure.java
@@ -1,6 +1,5 @@
 package graderelay.state;
 
-import graderelay.net.Loop;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -8,10 +7,9 @@
 final class LeaderTenure {
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
-  private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final Candidate self;
+  private final String member;
   private final LeaderStatus status;
   private final SessionLeaseRenewal renewal;
   private final LeaderPledges pledges;
@@ -25,20 +23,18 @@
    * @param standAgain takes part in elections again, once the leadership is lost
    */
   LeaderTenure(
-      Loop loop,
       StateClient state,
       Cache cache,
-      Candidate self,
+      String member,
       LeaderStatus status,
       SessionLeaseRenewal renewal,
       LeaderPledges pledges,
       PeerSupervisor supervisor,
       Leadership.Listener listener,
       Runnable standAgain) {
-    this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.self = self;
+    this.member = member;
     this.status = status;
     this.renewal = renewal;
     this.pledges = pledges;
@@ -54,14 +50,14 @@
   boolean mayAct() {
     return status.isLeader()
         && cache.features().gate().isOpen()
-        && (loop.now() < renewal.heldUntil() || loop.now() < pledges.noPeerStandsUntil());
+        && (renewal.isLeaseHeld() || pledges.allHeld());
   }
 
   /** This controller has won an election. */
   void begin(WonElection won) {
     status.begin(won);
     state.owns(true);
-    LOG.info("{} is the leader with term {}", self.member(), won.term());
+    LOG.info("{} is the leader with term {}", member, won.term());
     renewal.begin(won.leaseSentAt());
     supervisor.begin();
     listener.onWon(won.term());
@@ -99,7 +95,7 @@
     state.owns(false);
     renewal.end();
     pledges.clear();
-    LOG.info("{} is no longer the leader of term {}: {}", self.member(), status.term(), why);
+    LOG.info("{} is no longer the leader of term {}: {}", member, status.term(), why);
     listener.onLost(why);
     standAgain.run();
   }
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -34,22 +34,19 @@
       StoreAvailability store,
       FeatureGate gate,
       PledgeRequests requests,
-      CollectedPledges pledges) {
+      PeerSupervisor supervisor) {
     this.loop = loop;
     this.member = member;
     this.status = status;
     this.store = store;
     this.gate = gate;
     this.requests = requests;
-    this.pledges = pledges;
+    this.pledges = new CollectedPledges(loop, requests.peers(), supervisor);
   }
 
   /** True if this controller may renew worker leases although there is no leader. */
   boolean allHeld() {
-    return !status.isLeader()
-        && !gate.isShut()
-        && store.isAway()
-        && loop.now() < pledges.noPeerStandsUntil();
+    return !status.isLeader() && !gate.isShut() && store.isAway() && pledges.allHeld();
   }
 
   /** Collects the pledges for the next seconds, if there is a reason to. */
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -24,7 +24,6 @@
     void onLost(String why);
   }
 
-  private final Loop loop;
   private final StateClient state;
   private final Cache cache;
   private final Listener listener;
@@ -60,7 +59,6 @@
       Cancellations cancellations,
       DoubleSupplier random,
       Listener listener) {
-    this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.listener = listener;
@@ -68,58 +66,53 @@
     this.self = new Candidate(member, address, process);
     this.store = new StoreAvailability(loop, state);
     this.givenPledges = new GivenPledges(loop, state, cache, status);
-    this.renewal = new SessionLeaseRenewal(loop, state, status, sessionLeaseS, new RenewalEvents());
-    this.supervisor = new PeerSupervisor(loop, state, cache, peerClient, member, new LeaderView());
-    cancellations.mutePeers(peer -> isSuspended(peer));
+    this.renewal =
+        new SessionLeaseRenewal(
+            loop, state, status, sessionLeaseS, this::onRenewalsFail, this::lose);
+    this.supervisor = new PeerSupervisor(loop, state, cache, peerClient, member, status, renewal);
+    cancellations.mutePeers(supervisor::isSuspended);
     this.handover =
         new LeaderHandover(
             state, cache, peerClient, member, status, givenPledges, this::lose, this::consider);
     PledgeRequests requests = new PledgeRequests(loop, peerClient, store, cancellations);
     this.leaderPledges =
         new LeaderPledges(
-            loop,
-            member,
-            status,
-            renewal,
-            cancellations,
-            requests,
-            new CollectedPledges(peerClient.peers(), supervisor::suspendedUntil),
-            handover);
+            loop, member, status, renewal, cancellations, requests, supervisor, handover);
     this.leaderlessPledges =
         new LeaderlessPledges(
-            loop,
-            member,
-            status,
-            store,
-            cache.features().gate(),
-            requests,
-            new CollectedPledges(peerClient.peers(), supervisor::suspendedUntil));
-    this.election =
-        new LeaderElection(
-            loop,
-            state,
-            cache,
-            self,
-            sessionLeaseS,
-            random,
-            status,
-            givenPledges,
-            new ElectionEvents());
-    this.tenure =
-        new LeaderTenure(
-            loop,
-            state,
-            cache,
-            self,
-            status,
-            renewal,
-            leaderPledges,
-            supervisor,
-            listener,
-            election::retryLater);
+            loop, member, status, store, cache.features().gate(), requests, supervisor);
+    this.election = newElection(loop, sessionLeaseS, random);
+    this.tenure = newTenure();
     this.termRaise = new TermRaise(state, cache, self, status, tenure, this::consider);
   }
 
+  private LeaderElection newElection(Loop loop, double sessionLeaseS, DoubleSupplier random) {
+    return new LeaderElection(
+        loop,
+        state,
+        cache,
+        self,
+        sessionLeaseS,
+        random,
+        status,
+        givenPledges,
+        this::consider,
+        won -> tenure.begin(won));
+  }
+
+  private LeaderTenure newTenure() {
+    return new LeaderTenure(
+        state,
+        cache,
+        self.member(),
+        status,
+        renewal,
+        leaderPledges,
+        supervisor,
+        listener,
+        election::retryLater);
+  }
+
   // ---------------------------------------------------------------- questions
 
   /** True while this controller is the leader, whether or not it may act at the moment. */
@@ -244,7 +237,7 @@
 
   /** Changes the cluster's feature level, and raises our term with it. */
   public void changeLevel(LevelChange change, Consumer<StateClient.How> done) {
-    boolean otherChange = supervisor.changing() || election.isBusy();
+    boolean otherChange = supervisor.isChangingSuspension() || election.isBusy();
     termRaise.changeLevel(change, otherChange, listener::onTermRaised, done);
   }
 
@@ -259,60 +252,11 @@
     renewal.close();
   }
 
-  // ---------------------------------------------------------------- between the parts
+  private void onRenewalsFail() {
+    leaderPledges.startAsking();
+  }
 
   private void lose(String why) {
     tenure.lose(why);
   }
-
-  private boolean isSuspended(String peer) {
-    return loop.now() < supervisor.suspendedUntil(peer);
-  }
-
-  private final class RenewalEvents implements SessionLeaseRenewal.Listener {
-    @Override
-    public void onRenewalsBeginToFail() {
-      leaderPledges.startAsking();
-    }
-
-    @Override
-    public void onLeaseExpired() {
-      lose("the session lease is over");
-    }
-  }
-
-  private final class ElectionEvents implements LeaderElection.Listener {
-    @Override
-    public void consider() {
-      Leadership.this.consider();
-    }
-
-    @Override
-    public void onWon(WonElection won) {
-      tenure.begin(won);
-    }
-  }
-
-  /** What this leadership shows its supervisor of peers. */
-  private final class LeaderView implements PeerSupervisor.Leader {
-    @Override
-    public boolean leads() {
-      return status.isActiveLeader();
-    }
-
-    @Override
-    public long term() {
-      return status.term();
-    }
-
-    @Override
-    public long revision() {
-      return status.recordRevision();
-    }
-
-    @Override
-    public boolean holdsLease() {
-      return loop.now() <= renewal.heldUntil();
-    }
-  }
 }
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -19,15 +19,15 @@
 public record LevelChange(
     ClusterLevel to, Collection<Member> unchanged, List<String> members, int mostChanges) {
   /** Changes that the largest of these transactions has in any case. */
-  private static final int LEAST_CHANGES = 4;
+  private static final int FIXED_CHANGES = 4;
 
   /** Conditions beside those on members: leader, term and the fence. */
-  private static final int OTHER_CONDITIONS = 3;
+  private static final int FIXED_CONDITIONS = 3;
 
-  /** True if the state service takes such a transaction. */
+  /** True if the key-value store accepts a transaction of this size. */
   boolean fits() {
-    return mostChanges >= LEAST_CHANGES
-        && unchanged.size() + OTHER_CONDITIONS <= StateClient.mostConditions(mostChanges) + 1;
+    return mostChanges >= FIXED_CHANGES
+        && unchanged.size() + FIXED_CONDITIONS <= StateClient.mostConditions(mostChanges) + 1;
   }
 
   /** True if the elections go back to the open layout. */
@@ -35,14 +35,17 @@
     return features.sealed() && !to.has(Feature.SEALED_ELECTION);
   }
 
-  /** A suspension has no place in the other layout; the leader lifts it once it hears its peer. */
+  /**
+   * True if the change has to wait until no controller is suspended: a suspension has no place in
+   * the other layout, and the leader lifts it once its peer answers.
+   */
   boolean mustWait(FeatureRecords features, ElectionRecords election) {
     return unseals(features) && election.anySuspended();
   }
 
   /**
-   * The transaction, with the leader's record where the new level has it and under a new term: what
-   * workers are told under the old one is refused from then on.
+   * Makes the transaction, with the leader record where the new level has it and under a new term:
+   * what workers are told under the old one is refused from then on.
    */
   StateClient.Txn transaction(
       FeatureRecords features,
@@ -67,14 +70,15 @@
     return txn;
   }
 
+  /** Moves the leader record to the sealed layout, and keeps older versions from winning. */
   private void seal(StateClient.Txn txn, StateCodec.LeaderRecord leader, long sessionLease) {
     txn.put(FeatureCodec.LEADER, StateCodec.leader(leader), sessionLease);
     // On no lease: it stays, and nobody who needs it gone wins an election any more.
     StateCodec.LeaderRecord nobody =
         new StateCodec.LeaderRecord(FeatureCodec.SEALED_LEADER, leader.term(), "");
     txn.put(StateCodec.LEADER, StateCodec.leader(nobody));
-    int left = mostChanges - LEAST_CHANGES;
-    for (String member : members.subList(0, Math.min(left, members.size()))) {
+    int room = mostChanges - FIXED_CHANGES;
+    for (String member : members.subList(0, Math.min(room, members.size()))) {
       txn.put(StateCodec.barKey(member), StateCodec.bar(""));
     }
   }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -5,6 +5,7 @@
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
+import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
 import graderelay.wire.StateCodec;
@@ -16,48 +17,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks after the other controllers while this one leads: asks each every second how it is, lends
- * it changes, and suspends it from election while it is silent. The pledge of one that is down
- * can't be had, and without it an outage of the state service would cost every worker its lease. So
- * it is suspended by a record that its own election is conditioned on.
+ * Watches the other controllers while this one leads: asks each every second how it is, lends it
+ * write capacity, and suspends it from election while it is silent. A controller that is down can
+ * give no pledge, and without that pledge an outage of the key-value store would cost every worker
+ * its lease; so it is suspended by a record that its own election is conditioned on.
  */
 final class PeerSupervisor {
   /** Seconds between a leader's questions to its peers. */
-  private static final double LOOK_AFTER_EVERY_S = 1;
+  private static final double ASK_EVERY_S = 1;
 
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
   /** Seconds after an election in which nobody is suspended: answers are still to come. */
   private static final double FIRST_ANSWERS_S = 1;
 
-  /** What the supervisor has to know of this controller's leadership. */
-  interface Leader {
-    /** True while this controller leads, whether or not it may speak at the moment. */
-    boolean leads();
-
-    long term();
-
-    /** The revision of the leader's record. */
-    long revision();
-
-    /** True while the session lease lasts. */
-    boolean holdsLease();
-  }
-
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
   private final PeerClient peerClient;
   private final String member;
-  private final Leader leader;
+  private final LeaderStatus status;
+  private final SessionLeaseRenewal renewal;
   private final WriteCapacityLending lending;
+
+  /** When this controller won its last election, in the loop's seconds. */
   private double wonAt;
+
+  /** When each peer last answered, by member. */
   private final Map<String, Double> lastHeard = new HashMap<>();
 
   /** Peers whose suspension we are lifting: it is not counted on any more. */
-  private final Set<String> lifting = new HashSet<>();
+  private final Set<String> beingLifted = new HashSet<>();
 
   private boolean asking;
+
+  /** The answer to a change of a suspension is outstanding; there is one at a time. */
   private boolean changing;
 
   PeerSupervisor(
@@ -66,13 +60,15 @@
       Cache cache,
       PeerClient peerClient,
       String member,
-      Leader leader) {
+      LeaderStatus status,
+      SessionLeaseRenewal renewal) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.peerClient = peerClient;
     this.member = member;
-    this.leader = leader;
+    this.status = status;
+    this.renewal = renewal;
     this.lending = new WriteCapacityLending(state);
   }
 
@@ -80,107 +76,132 @@
   void begin() {
     wonAt = loop.now();
     lastHeard.clear();
-    lifting.clear();
+    beingLifted.clear();
     lending.begin();
     changing = false;
     if (!asking) {
-      ask();
+      askPeers();
     }
   }
 
-  /** True while a change of a suspension is under way. */
-  boolean changing() {
+  /** True while the answer to a change of a suspension is outstanding. */
+  boolean isChangingSuspension() {
     return changing;
   }
 
-  /** True if the peer answered our last questions. */
+  /** True if this controller leads and the peer answered its last questions. */
   boolean hears(String peer) {
     double last = lastHeard.getOrDefault(peer, Double.NEGATIVE_INFINITY);
-    return leader.leads() && loop.now() - last < LOOK_AFTER_EVERY_S * 1.5;
+    return status.isActiveLeader() && loop.now() - last < ASK_EVERY_S * 1.5;
+  }
+
+  /** True if the peer can't win an election at the moment, since it is suspended. */
+  boolean isSuspended(String peer) {
+    return loop.now() < suspendedUntil(peer);
   }
 
   /**
-   * Until when a silent peer can't win an election, for all that this leader knows: its suspension
+   * Until when a silent peer can't win an election, as far as this leader knows: its suspension
    * stood when we last read the records, only we could lift it, and the peer itself needs as long
    * to leave it.
    */
   double suspendedUntil(String peer) {
-    return leader.leads() && stands(cache.bar(peer), peer) && cache.sureAt() >= wonAt
+    boolean suspended =
+        status.isActiveLeader() && isInForce(cache.bar(peer), peer) && cache.sureAt() >= wonAt;
+    return suspended
         ? cache.sureAt()
             + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
             - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
 
-  private boolean stands(StateCodec.Bar suspension, String peer) {
-    return suspension != null && suspension.leaving().isEmpty() && !lifting.contains(peer);
+  private boolean isInForce(StateCodec.Bar suspension, String peer) {
+    return suspension != null && suspension.leaving().isEmpty() && !beingLifted.contains(peer);
   }
 
-  private void ask() {
-    asking = leader.leads();
+  private void askPeers() {
+    asking = status.isActiveLeader();
     if (!asking) {
       return;
     }
-    long term = leader.term();
-    for (Settings.Peer p : peerClient.peers()) {
+    long term = status.term();
+    for (Settings.Peer peer : peerClient.peers()) {
       peerClient.send(
-          p.address(),
-          new PeerRequest.Share(member, term, lending.shareOf(p.member())),
+          peer.address(),
+          new PeerRequest.Share(member, term, lending.shareOf(peer.member())),
           PeerCodec::wanted,
           peerClient.timeoutS(),
-          wanted -> {
-            if (wanted != null) {
-              lastHeard.put(p.member(), loop.now());
-            }
-            if (leader.leads() && leader.term() == term) {
-              lending.wanted(p.member(), wanted == null ? 0 : wanted.changes());
-            }
-          });
-      suspendOrLift(p.member());
+          wanted -> onAnswer(peer.member(), term, wanted));
+      suspendOrLift(peer.member());
+    }
+    loop.after(ASK_EVERY_S, this::askPeers);
+  }
+
+  /** A peer answered a question of the given term, or did not ({@code wanted} is null). */
+  private void onAnswer(String peer, long term, PeerAnswer.Wanted wanted) {
+    if (wanted != null) {
+      lastHeard.put(peer, loop.now());
+    }
+    if (status.isActiveLeader() && status.term() == term) {
+      lending.wanted(peer, wanted == null ? 0 : wanted.changes());
     }
-    loop.after(LOOK_AFTER_EVERY_S, this::ask);
   }
 
+  /** Suspends a peer that has become silent, or lifts the suspension of one that answers again. */
   private void suspendOrLift(String peer) {
-    boolean early = loop.now() < wonAt + FIRST_ANSWERS_S;
-    if (changing || !cache.loaded() || !leader.holdsLease() || early) {
+    if (!mayChangeSuspensions()) {
       return;
     }
     StateCodec.Bar present = cache.bar(peer);
-    double silent = loop.now() - Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
-    boolean suspends = !stands(present, peer) && silent > ElectionTiming.SUSPEND_AFTER_S;
+    boolean suspends = !isInForce(present, peer) && isSilent(peer);
     String key = cache.election().suspensionKey(peer);
     StateClient.Txn txn =
         new StateClient.Txn()
-            .when(cache.election().leaderKey(), leader.revision())
+            .when(cache.election().leaderKey(), status.recordRevision())
             .when(key, present == null ? 0 : present.revision());
     if (present != null && hears(peer)) {
-      lifting.add(peer); // Not counted on from now, whenever the record goes.
+      beingLifted.add(peer); // Not counted on from now, whenever the record goes.
       txn.drop(key);
-    } else if (suspends && suspendedBut(peer) < peerClient.peers().size() / 2) {
-      LOG.info("{} is silent: barred from taking over", peer);
+    } else if (suspends && othersSuspended(peer) < peerClient.peers().size() / 2) {
+      // Never more than half of the peers: with the leader gone as well, somebody must succeed it.
+      LOG.info("{} is silent: suspended from election", peer);
       txn.put(key, StateCodec.bar(""));
     } else {
       return;
     }
     changing = true;
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> changed(peer, suspends && r.done())));
+    state.commit(
+        txn,
+        Use.CLAIM,
+        result -> cache.catchUp(ok -> onSuspensionChanged(peer, suspends && result.done())));
+  }
+
+  private boolean mayChangeSuspensions() {
+    boolean answersOutstanding = loop.now() < wonAt + FIRST_ANSWERS_S;
+    boolean leaseLasts = loop.now() <= renewal.heldUntil();
+    return !changing && cache.loaded() && leaseLasts && !answersOutstanding;
+  }
+
+  /** True if the peer has not answered for a while, counted from the election at the earliest. */
+  private boolean isSilent(String peer) {
+    double lastSign = Math.max(wonAt, lastHeard.getOrDefault(peer, wonAt));
+    return loop.now() - lastSign > ElectionTiming.SUSPEND_AFTER_S;
   }
 
-  private void changed(String peer, boolean suspendedAnew) {
+  private void onSuspensionChanged(String peer, boolean suspendedAnew) {
     changing = false;
     // A new record's revision also keeps out what was to lift the old one and comes late.
     if (cache.bar(peer) == null || suspendedAnew) {
-      lifting.remove(peer);
+      beingLifted.remove(peer);
     }
   }
 
-  /** Never more than half of the peers: with the leader gone as well, somebody must take over. */
-  private int suspendedBut(String peer) {
-    int n = 0;
-    for (Settings.Peer p : peerClient.peers()) {
-      n += !p.member().equals(peer) && cache.bar(p.member()) != null ? 1 : 0;
+  /** How many peers have a suspension, not counting this one. */
+  private int othersSuspended(String peer) {
+    int suspended = 0;
+    for (Settings.Peer other : peerClient.peers()) {
+      suspended += !other.member().equals(peer) && cache.bar(other.member()) != null ? 1 : 0;
     }
-    return n;
+    return suspended;
   }
 }
--- a/src/main/java/graderelay/state/PledgeRequests.java
+++ b/src/main/java/graderelay/state/PledgeRequests.java
@@ -6,6 +6,7 @@
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
+import java.util.List;
 
 /**
  * Sends requests for election pledges to all peers. Each answer also tells whether the peer reaches
@@ -31,6 +32,11 @@
     this.cancellations = cancellations;
   }
 
+  /** The peers that are asked, in the order of the settings. */
+  List<Settings.Peer> peers() {
+    return peerClient.peers();
+  }
+
   /** Sends a request to every peer; the handler hears of those that answer. */
   void sendToAll(PeerRequest request, AnswerHandler handler) {
     double sentAt = loop.now();
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -2,6 +2,7 @@
 
 import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
+import java.util.function.Consumer;
 
 /**
  * Renews the session lease that this controller's leader record is attached to. The lease is
@@ -15,20 +16,12 @@
   /** Seconds before the session lease's own end at which the leader counts it as over. */
   private static final double LEASE_MARGIN_S = 0.25;
 
-  /** Hears how the renewals go. */
-  interface Listener {
-    /** A renewal failed while the one before it did not. */
-    void onRenewalsBeginToFail();
-
-    /** The store no longer knows the session lease. */
-    void onLeaseExpired();
-  }
-
   private final Loop loop;
   private final StateClient state;
   private final LeaderStatus status;
   private final double leaseS;
-  private final Listener listener;
+  private final Runnable onFailing;
+  private final Consumer<String> loseLeadership;
   private Loop.Timer renewal;
   private double heldUntil;
 
@@ -39,14 +32,22 @@
    * Renews nothing yet.
    *
    * @param leaseS length of the session lease, in seconds
+   * @param onFailing runs when a renewal fails while the one before it did not
+   * @param loseLeadership ends the leadership, for a reason, once the lease is known to be over
    */
   SessionLeaseRenewal(
-      Loop loop, StateClient state, LeaderStatus status, double leaseS, Listener listener) {
+      Loop loop,
+      StateClient state,
+      LeaderStatus status,
+      double leaseS,
+      Runnable onFailing,
+      Consumer<String> loseLeadership) {
     this.loop = loop;
     this.state = state;
     this.status = status;
     this.leaseS = leaseS;
-    this.listener = listener;
+    this.onFailing = onFailing;
+    this.loseLeadership = loseLeadership;
   }
 
   /** This controller leads from now on, under a lease that was asked for at that time. */
@@ -69,11 +70,16 @@
     }
   }
 
-  /** Until when the lease lasts, counted with a margin on this controller's clock. */
+  /** The end of the time for which {@link #isLeaseHeld}, in the loop's seconds. */
   double heldUntil() {
     return heldUntil;
   }
 
+  /** True if the lease lasts, counted with a margin on this controller's clock. */
+  boolean isLeaseHeld() {
+    return loop.now() < heldUntil;
+  }
+
   /** True if the last renewal failed. */
   boolean isFailing() {
     return !Double.isNaN(failingSince);
@@ -113,11 +119,11 @@
       extendTo(sentAt);
       failingSince = Double.NaN;
     } else if (result.how() == StateClient.How.ABSENT) {
-      listener.onLeaseExpired();
+      loseLeadership.accept("the session lease is over");
       return;
     } else if (!isFailing()) {
       failingSince = sentAt;
-      listener.onRenewalsBeginToFail();
+      onFailing.run();
     }
     renewLater();
   }
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 
 /**
- * Lends the leader's changes a second to peers that need more than their usual share, and takes
- * them back bit by bit.
+ * Lends part of the leader's write capacity (changes a second to the key-value store) to peers that
+ * need more than their usual share, and takes it back bit by bit.
  */
 final class WriteCapacityLending {
   /** Times what a peer wrote in the last second that it may write: users come in bursts. */
-  private static final double SHARE_ROOM = 2;
+  private static final double BURST_FACTOR = 2;
 
   /** Share of the deployment's changes that one peer may have at most. */
-  private static final double MOST_SHARE = 0.25;
+  private static final double MAX_PEER_SHARE = 0.25;
 
   /** Share of what a peer could write that it keeps for the next second when it needs less. */
-  private static final double SHARE_KEPT = 0.85;
+  private static final double DECAY_PER_SECOND = 0.85;
 
   /** Share of its own changes that a leader lends at most: claims and ends must go on. */
-  private static final double MOST_LENT = 0.35;
+  private static final double MAX_LENT_SHARE = 0.35;
 
   private final StateClient state;
 
@@ -42,18 +42,23 @@
   /** A peer made, or would have made, so many changes since it was last asked. */
   void wanted(String peer, double changes) {
     double usual = state.usualShare();
-    double most = state.allChanges() * MOST_SHARE;
-    double need = Math.min(most, changes * SHARE_ROOM);
-    shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * SHARE_KEPT)));
+    double maxShare = state.allChanges() * MAX_PEER_SHARE;
+    double need = Math.min(maxShare, changes * BURST_FACTOR);
+    shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * DECAY_PER_SECOND)));
+    lendWithinLimit(usual);
+  }
+
+  /** Scales all shares down if together they are more than the leader lends at most. */
+  private void lendWithinLimit(double usual) {
     double lent = 0;
-    for (double s : shares.values()) {
-      lent += s - usual;
+    for (double share : shares.values()) {
+      lent += share - usual;
     }
-    double mostLent = state.leadersChanges() * MOST_LENT;
-    if (lent > mostLent) {
-      double scale = mostLent / lent;
-      shares.replaceAll((p, s) -> usual + (s - usual) * scale);
-      lent = mostLent;
+    double maxLent = state.leadersChanges() * MAX_LENT_SHARE;
+    if (lent > maxLent) {
+      double scale = maxLent / lent;
+      shares.replaceAll((peer, share) -> usual + (share - usual) * scale);
+      lent = maxLent;
     }
     state.lend(lent);
   }
