--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -116,7 +116,8 @@
 
   /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
   private PeerAnswer.Pledged pledged(boolean granted) {
-    return new PeerAnswer.Pledged(granted, state.health().isReachable(), cancellations.word());
+    return new PeerAnswer.Pledged(
+        granted, state.health().isReachable(), cancellations.ownKnowledge());
   }
 
   private static void answer(Exchange e, PeerAnswer answer) {
--- a/src/main/java/graderelay/service/LeaderOffice.java
+++ b/src/main/java/graderelay/service/LeaderOffice.java
@@ -103,7 +103,7 @@
    */
   PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation d) {
     return current != null && entitled.getAsBoolean()
-        ? new PeerAnswer.Delegated(current.grantLeaseDelegation(d), cancellations.word())
+        ? new PeerAnswer.Delegated(current.grantLeaseDelegation(d), cancellations.ownKnowledge())
         : new PeerAnswer.Delegated(null, null);
   }
 
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -11,28 +11,35 @@
 import java.util.function.Consumer;
 
 /**
- * Whether a job is cancelled with one that it needs. Derived from the records of the needed jobs
- * alone, so that every controller says so as soon as the one conditional write on the cancelled job
- * has committed, however far the leader is with the ends of those that need it.
+ * Finds whether a job is cancelled through one of its DAG dependencies. Derived from the records of
+ * the dependencies alone, so that every controller says so as soon as the one conditional write on
+ * the cancelled job has committed, however far the leader is with the final states of its
+ * dependents.
  */
 public final class CancellationResolver {
   /** What the records say. */
   public enum Verdict {
     CANCELLED,
     NOT_CANCELLED,
-    /** The state service did not tell. */
+    /** The store did not tell. */
     UNDECIDED
   }
 
   private final Cache cache;
-  private final FinalStateLookup ends;
+  private final FinalStateLookup finalStates;
 
-  public CancellationResolver(Cache cache, FinalStateLookup ends) {
+  /** Makes a resolver that looks up the final states which the copy of the records lacks. */
+  public CancellationResolver(Cache cache, FinalStateLookup finalStates) {
     this.cache = cache;
-    this.ends = ends;
+    this.finalStates = finalStates;
   }
 
-  /** What this node's copy says; ids whose end it does not know are added to {@code unknown}. */
+  /**
+   * True if the copy of the records shows that a dependency of the job, or one of theirs, is
+   * cancelled.
+   *
+   * @param unknown takes the ids of dependencies whose state the copy does not know
+   */
   public static boolean cancelled(Cache cache, JobSpec job, Set<String> unknown) {
     Set<String> seen = new HashSet<>();
     Deque<JobSpec> next = new ArrayDeque<>();
@@ -58,43 +65,46 @@
   }
 
   /** Decides for a job whose record has just been caught up with. */
-  public void decide(JobEntry e, Consumer<Verdict> then) {
-    if (e.spec.needs().isEmpty()) {
+  public void decide(JobEntry job, Consumer<Verdict> then) {
+    if (job.spec.needs().isEmpty()) {
       then.accept(Verdict.NOT_CANCELLED);
       return;
     }
     Set<String> unknown = new HashSet<>();
-    if (cancelled(cache, e.spec, unknown)) {
-      then.accept(Verdict.CANCELLED);
-    } else if (unknown.isEmpty()) {
-      then.accept(Verdict.NOT_CANCELLED);
-    } else {
-      // A needed job was accepted before: if it isn't live, its final record is there.
-      look(unknown, all -> then.accept(all ? after(e) : Verdict.UNDECIDED));
+    Verdict verdict = verdict(job, unknown);
+    if (verdict != Verdict.UNDECIDED) {
+      then.accept(verdict);
+      return;
     }
+    // A dependency was accepted before the job: if it isn't live, its final record is there.
+    find(
+        List.copyOf(unknown),
+        found ->
+            then.accept(
+                found.contains(FinalStateLookup.Found.FAILED)
+                    ? Verdict.UNDECIDED
+                    : verdict(job, new HashSet<>())));
   }
 
-  private Verdict after(JobEntry e) {
-    Set<String> unknown = new HashSet<>();
-    boolean is = cancelled(cache, e.spec, unknown);
-    return is ? Verdict.CANCELLED : unknown.isEmpty() ? Verdict.NOT_CANCELLED : Verdict.UNDECIDED;
-  }
-
-  private void look(Set<String> ids, Consumer<Boolean> then) {
-    find(List.copyOf(ids), found -> then.accept(!found.contains(FinalStateLookup.Found.FAILED)));
+  /** What the copy of the records says; undecided if it does not know all dependencies. */
+  private Verdict verdict(JobEntry job, Set<String> unknown) {
+    if (cancelled(cache, job.spec, unknown)) {
+      return Verdict.CANCELLED;
+    }
+    return unknown.isEmpty() ? Verdict.NOT_CANCELLED : Verdict.UNDECIDED;
   }
 
-  /** Looks for the final records of all of these; the answers come in no order. */
+  /** Looks for the final states of all of these; the results come in no order. */
   public void find(List<String> ids, Consumer<List<FinalStateLookup.Found>> then) {
     List<FinalStateLookup.Found> found = new ArrayList<>();
     if (ids.isEmpty()) {
       then.accept(found);
     }
     for (String id : ids) {
-      ends.look(
+      finalStates.look(
           id,
-          f -> {
-            found.add(f);
+          result -> {
+            found.add(result);
             if (found.size() == ids.size()) {
               then.accept(found);
             }
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -10,29 +10,34 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Consumer;
 import java.util.function.Predicate;
 
 /**
  * What this controller knows of the cancellations that users may have been told of, by any
- * controller. Everything that renews a worker's lease asks here: an answer keeps a task alive for a
- * lease, so it may be given only by who knows every cancellation whose time would be over by then,
- * and it carries the kills of those.
+ * controller. Everything that renews a worker's lease asks here: a renewal keeps a task alive for
+ * the time of a lease, so it may be given only by a controller that knows every cancellation which
+ * must have taken effect by then, and it carries the kill commands of those.
  *
- * <p>One figure says up to when nothing is missing. The state service's answers move it, counted
- * from when they were asked for, and so does a round of words from all other controllers that could
- * have told a user. A message that a job was cancelled helps, but proves nothing: it may be lost.
+ * <p>One time says up to when nothing is missing ({@link #knownUntil}). The store's answers move it
+ * on, counted from when they were asked for, and so does a round of answers from all other
+ * controllers that could have told a user. A message that a job was cancelled helps, but proves
+ * nothing: it may be lost.
  */
 public final class Cancellations {
-  /** Seconds by which what is known of cancellations is old when the peers are asked. */
-  private static final double ASK_CANCELLATIONS_S = 2;
+  /** Seconds after {@link #knownUntil} at which the peers are asked. */
+  private static final double STALE_AFTER_S = 2;
 
   /**
-   * Cancelled jobs, not over yet, in a word to a peer, at some 12 bytes each; beyond that it says
-   * nothing. Their number depends on users and on how fast records are written, not on machines.
+   * Cancelled jobs, not over yet, in a message to a peer, at some 12 bytes each; beyond that it
+   * says nothing. Their number depends on users and on how fast records are written, not on
+   * machines.
    */
   private static final int MOST_CANCELLATIONS = 8000;
 
@@ -43,33 +48,34 @@
   private final double beginnersS;
   private final double startedAt;
 
-  /** Cancelled jobs that the copy of the records may not show yet, and when we heard of each. */
-  private final Map<String, Double> heard = new LinkedHashMap<>();
+  /** Cancelled jobs that the copy of the records may not show yet, and when we learned of each. */
+  private final Map<String, Double> learnedAt = new LinkedHashMap<>();
 
-  /** When we sent the question that each peer answered with a complete word, the last one. */
-  private final Map<String, Double> vouched = new HashMap<>();
+  /** When we sent the last question that each peer answered with complete knowledge. */
+  private final Map<String, Double> completeAnswerAskedAt = new HashMap<>();
 
-  private double knownByWord = Double.NEGATIVE_INFINITY;
-  private Predicate<String> mute = p -> false;
-  private java.util.function.Consumer<String> listener = id -> {};
+  private double knownFromPeersUntil = Double.NEGATIVE_INFINITY;
+  private Predicate<String> peerTellsNobody = peer -> false;
+  private Consumer<String> listener = job -> {};
 
-  public Cancellations(Loop loop, Cache cache, Settings s) {
+  /** Starts with no knowledge, at the start of this process. */
+  public Cancellations(Loop loop, Cache cache, Settings settings) {
     this.loop = loop;
     this.cache = cache;
-    this.peers = s.peers();
-    this.renewWithinS = s.renewWithinS();
-    this.beginnersS = s.beginnersS();
+    this.peers = settings.peers();
+    this.renewWithinS = settings.renewWithinS();
+    this.beginnersS = settings.beginnersS();
     this.startedAt = loop.now();
   }
 
   /** Names the peers that can tell nobody anything which the records did not show us. */
-  public void mutePeers(Predicate<String> isMute) {
-    this.mute = isMute;
+  public void mutePeers(Predicate<String> tellsNobody) {
+    this.peerTellsNobody = tellsNobody;
   }
 
-  /** Hears of each job that a peer says was cancelled. */
-  public void listen(java.util.function.Consumer<String> l) {
-    this.listener = l;
+  /** Sets who hears of each job that a peer says was cancelled. */
+  public void listen(Consumer<String> newListener) {
+    this.listener = newListener;
   }
 
   /** Our own cancellation has committed; to be called before its user is told. */
@@ -78,35 +84,35 @@
   }
 
   private void learn(String job) {
-    if (!byRecord(job) && heard.put(job, loop.now()) == null) {
+    if (!isRecorded(job) && learnedAt.put(job, loop.now()) == null) {
       listener.accept(job);
     }
   }
 
-  private boolean byRecord(String job) {
-    JobEntry e = cache.job(job);
+  private boolean isRecorded(String job) {
+    JobEntry live = cache.job(job);
     FinalState end = cache.finalState(job);
-    return (e != null && e.isCancelled()) || (end != null && end.cancelled());
+    return (live != null && live.isCancelled()) || (end != null && end.cancelled());
   }
 
-  /** True if the job is known to be cancelled, by its record or by word. */
+  /** True if the job is known to be cancelled, by its record or from a peer. */
   public boolean cancelled(String job) {
-    return byRecord(job) || heard.containsKey(job);
+    return isRecorded(job) || learnedAt.containsKey(job);
   }
 
   /** Up to when we know every cancellation that a user was told of. */
   public double knownUntil() {
-    return Math.max(cache.completeAsOf(), knownByWord);
+    return Math.max(cache.completeAsOf(), knownFromPeersUntil);
   }
 
   /** True if we know all that earlier processes of this controller have told users. */
-  private boolean complete() {
+  private boolean isComplete() {
     return knownUntil() >= startedAt;
   }
 
   /**
-   * True if a lease may be renewed now. A process that has just begun and knows nothing yet may
-   * answer for a moment: whoever answered before it knew enough for that, see {@link
+   * True if a lease may be renewed now. A process that has just started and knows nothing yet may
+   * renew for a moment: whoever renewed before it knew enough for that, see {@link
    * Settings#beginnersS}.
    */
   public boolean mayRenew() {
@@ -116,83 +122,100 @@
 
   /** True if what we know is getting old, so that the peers should be asked. */
   public boolean ageing() {
-    return loop.now() > knownUntil() + ASK_CANCELLATIONS_S;
+    return loop.now() > knownUntil() + STALE_AFTER_S;
   }
 
-  /** The kills that go with an answer to this report; anybody may order these, at any time. */
-  public List<WorkerCommand> kills(Heartbeat r) {
+  // ---------------------------------------------------------------- kill commands
+
+  /** The kills that go with an answer to a heartbeat; any controller may command them, always. */
+  public List<WorkerCommand> kills(Heartbeat heartbeat) {
     List<WorkerCommand> kills = new ArrayList<>();
-    for (Heartbeat.Entry e : r.tasks()) {
-      if (e.stage() != Heartbeat.Stage.EXITED
-          && cancelled(e.task().substring(0, Math.max(0, e.task().indexOf('/'))))) {
-        kills.add(new WorkerCommand.Kill(e.task(), e.attempt(), 0));
+    for (Heartbeat.Entry entry : heartbeat.tasks()) {
+      if (entry.stage() != Heartbeat.Stage.EXITED && cancelled(jobOf(entry.task()))) {
+        kills.add(new WorkerCommand.Kill(entry.task(), entry.attempt(), 0));
       }
     }
     return kills;
   }
 
-  /** The same in front of what the leader orders, of which the stopped tasks' part is left out. */
-  public List<WorkerCommand> withKills(Heartbeat r, List<WorkerCommand> orders) {
-    List<WorkerCommand> all = kills(r);
+  private static String jobOf(String task) {
+    return task.substring(0, Math.max(0, task.indexOf('/')));
+  }
+
+  /** The same ahead of the leader's commands, of which those for killed tasks are left out. */
+  public List<WorkerCommand> withKills(Heartbeat heartbeat, List<WorkerCommand> commands) {
+    List<WorkerCommand> all = kills(heartbeat);
     if (all.isEmpty()) {
-      return orders;
+      return commands;
     }
-    var killed = new java.util.HashSet<String>();
-    all.forEach(o -> killed.add(o.task() + "#" + o.attempt()));
-    for (WorkerCommand o : orders) {
-      if (!killed.contains(o.task() + "#" + o.attempt())) {
-        all.add(o);
+    Set<String> killed = new HashSet<>();
+    all.forEach(kill -> killed.add(taskAndAttempt(kill)));
+    for (WorkerCommand command : commands) {
+      if (!killed.contains(taskAndAttempt(command))) {
+        all.add(command);
       }
     }
     return all;
   }
 
-  // ---------------------------------------------------------------- words
+  private static String taskAndAttempt(WorkerCommand command) {
+    return command.task() + "#" + command.attempt();
+  }
 
-  /** What we say of ourselves. */
-  public CancellationKnowledge word() {
-    prune();
+  // ---------------------------------------------------------------- exchange with peers
+
+  /** What we tell peers of our knowledge. */
+  public CancellationKnowledge ownKnowledge() {
+    forgetRecorded();
     Collection<String> jobs = new TreeSet<>(cache.cancelledJobs());
-    jobs.addAll(heard.keySet());
+    jobs.addAll(learnedAt.keySet());
     if (jobs.size() > MOST_CANCELLATIONS) {
       return CancellationKnowledge.NONE;
     }
     double now = loop.now();
     double known = knownUntil();
     return new CancellationKnowledge(
-        complete(),
+        isComplete(),
         now - startedAt,
         known == Double.NEGATIVE_INFINITY ? -1 : now - known,
         List.copyOf(jobs));
   }
 
   /** What the copy of the records shows by now need not be remembered. */
-  private void prune() {
-    heard.values().removeIf(at -> at < cache.completeAsOf());
+  private void forgetRecorded() {
+    learnedAt.values().removeIf(at -> at < cache.completeAsOf());
   }
 
-  /** A peer's word, in answer to a question that we sent at {@code sentAt}. */
-  public void heard(String peer, double sentAt, CancellationKnowledge w) {
-    adopt(sentAt, w);
-    // What an earlier process of that peer has told is known only if it ended before our figure.
-    double began = loop.now() - w.processS() * (1 - LeaseTiming.DRIFT);
-    if (w.complete() || (w.processS() > 0 && knownUntil() >= began)) {
-      vouched.merge(peer, sentAt, Math::max);
+  /** Takes a peer's knowledge, in answer to a question that we sent at {@code sentAt}. */
+  public void onPeerKnowledge(String peer, double sentAt, CancellationKnowledge knowledge) {
+    adopt(sentAt, knowledge);
+    // What an earlier process of that peer has told is known only if it ended before our time.
+    double peerStartedAt = loop.now() - knowledge.processS() * (1 - LeaseTiming.DRIFT);
+    if (knowledge.complete() || (knowledge.processS() > 0 && knownUntil() >= peerStartedAt)) {
+      completeAnswerAskedAt.merge(peer, sentAt, Math::max);
     }
-    double all = complete() ? loop.now() : Double.NEGATIVE_INFINITY;
-    for (Settings.Peer p : peers) {
-      if (!mute.test(p.member())) {
-        all = Math.min(all, vouched.getOrDefault(p.member(), Double.NEGATIVE_INFINITY));
+    knownFromPeersUntil = Math.max(knownFromPeersUntil, oldestCompleteAnswer());
+  }
+
+  /** When the question was sent since which every controller has answered completely. */
+  private double oldestCompleteAnswer() {
+    double oldest = isComplete() ? loop.now() : Double.NEGATIVE_INFINITY;
+    for (Settings.Peer peer : peers) {
+      if (!peerTellsNobody.test(peer.member())) {
+        double askedAt =
+            completeAnswerAskedAt.getOrDefault(peer.member(), Double.NEGATIVE_INFINITY);
+        oldest = Math.min(oldest, askedAt);
       }
     }
-    knownByWord = Math.max(knownByWord, all);
+    return oldest;
   }
 
-  /** Somebody's word, whose knowledge is ours from now on. */
-  public void adopt(double sentAt, CancellationKnowledge w) {
-    w.jobs().forEach(this::learn);
-    if (w.knownS() >= 0) {
-      knownByWord = Math.max(knownByWord, sentAt - w.knownS() * (1 + LeaseTiming.DRIFT));
+  /** Takes another controller's knowledge, which is ours from now on. */
+  public void adopt(double sentAt, CancellationKnowledge knowledge) {
+    knowledge.jobs().forEach(this::learn);
+    if (knowledge.knownS() >= 0) {
+      double peerKnewUntil = sentAt - knowledge.knownS() * (1 + LeaseTiming.DRIFT);
+      knownFromPeersUntil = Math.max(knownFromPeersUntil, peerKnewUntil);
     }
   }
 }
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This node's copy of the records of feature levels; it tells the gate what they say. */
+/** This controller's copy of the records of feature levels; it tells the gate what they say. */
 public final class FeatureRecords {
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
@@ -26,6 +26,7 @@
     this.gate = gate;
   }
 
+  /** The gate that this copy feeds. */
   public FeatureGate gate() {
     return gate;
   }
@@ -35,10 +36,12 @@
     return levelRevision;
   }
 
+  /** True if operators hold the level where it is. */
   public boolean held() {
     return holdRevision != 0;
   }
 
+  /** The revision of the record of that hold, 0 if there is none. */
   public long holdRevision() {
     return holdRevision;
   }
@@ -53,20 +56,21 @@
     return memberRevisions.getOrDefault(member, 0L);
   }
 
-  /** Before the records are read anew. The level is never removed, so it stays. */
+  /** Forgets what will be read anew. The level is never removed, so it stays. */
   void clear() {
     members.clear();
     memberRevisions.clear();
     holdRevision = 0;
   }
 
-  /** All records were read once; without a record of a level it is the one before all others. */
+  /** All records were read; without a record of a level it is the one before all others. */
   void read() {
     if (levelRevision == 0) {
       gate.onLevel(ClusterLevel.BASE);
     }
   }
 
+  /** Takes a record and returns true if it is one of these. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(FeatureCodec.LEVEL)) {
       putLevel(value, revision);
@@ -105,7 +109,8 @@
     }
   }
 
-  boolean drop(String key, long revision) {
+  /** Takes the deletion of a record and returns true if it is one of these. */
+  boolean delete(String key, long revision) {
     if (key.equals(FeatureCodec.HOLD)) {
       holdRevision = revision > holdRevision ? 0 : holdRevision;
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -14,30 +14,34 @@
 import java.util.function.Consumer;
 
 /**
- * Looks for final states that this node doesn't know. Users ask again and again about old jobs and
- * about jobs that nobody submitted; one transaction that only compares tells of dozens of ids that
- * they have no final record, so that a storm of such questions costs a few requests a second.
+ * Looks for final states that this controller doesn't know. Users ask again and again about old
+ * jobs and about jobs that nobody submitted; one transaction that only compares tells of dozens of
+ * ids that they have no final record, so that a storm of such questions costs a few requests a
+ * second.
  */
 public final class FinalStateLookup {
-  /** What a look found. */
+  /** What a lookup found. */
   public enum Found {
     /** The final state is in the cache now. */
     KNOWN,
     ABSENT,
-    /** The state service did not tell. */
+    /** The store did not tell. */
     FAILED
   }
 
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final int most;
+  private final int mostIds;
+
+  /** Who asks for each id that is not in a transaction yet, in the order of their asking. */
   private Map<String, List<Consumer<Found>>> waiting = new LinkedHashMap<>();
+
   private boolean looking;
-  private double lastLook = Double.NEGATIVE_INFINITY;
+  private double lastLookAt = Double.NEGATIVE_INFINITY;
 
   /**
-   * Makes one.
+   * Makes a lookup.
    *
    * @param txnOps changes in one transaction; it may have four times as many conditions
    */
@@ -45,87 +49,95 @@
     this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.most = StateClient.mostConditions(txnOps);
+    this.mostIds = StateClient.mostConditions(txnOps);
   }
 
   /** Calls back once everything that had committed before this call has been looked at. */
   public void look(String id, Consumer<Found> then) {
     waiting.computeIfAbsent(id, x -> new ArrayList<>()).add(then);
-    soon();
+    lookSoon();
   }
 
-  private void soon() {
+  private void lookSoon() {
     if (looking || waiting.isEmpty()) {
       return;
     }
     looking = true;
-    loop.after(Math.max(0, lastLook + state.budget().readIntervalS() - loop.now()), this::now);
+    double dueAt = lastLookAt + state.budget().readIntervalS();
+    loop.after(Math.max(0, dueAt - loop.now()), this::compare);
   }
 
-  private void now() {
-    lastLook = loop.now();
+  /** Sends one transaction with the condition, for many ids, that they have no final record. */
+  private void compare() {
+    lastLookAt = loop.now();
     Map<String, List<Consumer<Found>>> asked = new HashMap<>();
-    Transaction txn = new Transaction();
-    var it = waiting.entrySet().iterator();
-    while (it.hasNext() && asked.size() < most) {
-      var e = it.next();
-      asked.put(e.getKey(), e.getValue());
-      txn.when(StateCodec.endKey(e.getKey()), 0);
-      it.remove();
+    Transaction transaction = new Transaction();
+    var next = waiting.entrySet().iterator();
+    while (next.hasNext() && asked.size() < mostIds) {
+      var idAndAskers = next.next();
+      asked.put(idAndAskers.getKey(), idAndAskers.getValue());
+      transaction.when(StateCodec.endKey(idAndAskers.getKey()), 0);
+      next.remove();
     }
     state.commit(
-        txn,
+        transaction,
         Use.READ,
-        r -> {
+        result -> {
           looking = false;
-          if (r.succeeded()) {
-            asked.values().forEach(l -> tell(l, Found.ABSENT));
-          } else if (r.outcome() == StoreOutcome.CONDITION_FAILED) {
-            sort(asked, r.failedKeys());
+          if (result.succeeded()) {
+            asked.values().forEach(askers -> tell(askers, Found.ABSENT));
+          } else if (result.outcome() == StoreOutcome.CONDITION_FAILED) {
+            readOrAskAgain(asked, idsWithRecord(result.failedKeys()));
           } else {
-            asked.values().forEach(l -> tell(l, Found.FAILED));
+            asked.values().forEach(askers -> tell(askers, Found.FAILED));
           }
-          soon();
+          lookSoon();
         });
   }
 
-  /** Some have a final record: those are read, and the others asked again, as they may too. */
-  private void sort(Map<String, List<Consumer<Found>>> asked, JsonNode failed) {
-    Set<String> there = new HashSet<>();
-    for (JsonNode key : failed) {
+  private static Set<String> idsWithRecord(JsonNode failedKeys) {
+    Set<String> ids = new HashSet<>();
+    for (JsonNode key : failedKeys) {
       // It may also be the fence: then nothing is known, and all are asked again.
       if (key.asText().startsWith(StateCodec.ENDS)) {
-        there.add(key.asText().substring(StateCodec.ENDS.length()));
+        ids.add(key.asText().substring(StateCodec.ENDS.length()));
       }
     }
-    Map<String, List<Consumer<Found>>> before = waiting;
+    return ids;
+  }
+
+  /** Reads those that have a final record, and asks for the others again, as they may too. */
+  private void readOrAskAgain(Map<String, List<Consumer<Found>>> asked, Set<String> withRecord) {
+    Map<String, List<Consumer<Found>>> waitingBefore = waiting;
     waiting = new LinkedHashMap<>();
     asked.forEach(
-        (id, to) -> {
-          if (there.contains(id)) {
-            read(id, to);
+        (id, askers) -> {
+          if (withRecord.contains(id)) {
+            read(id, askers);
           } else {
-            waiting.put(id, to);
+            waiting.put(id, askers);
           }
         });
-    before.forEach((id, to) -> waiting.computeIfAbsent(id, x -> new ArrayList<>()).addAll(to));
+    waitingBefore.forEach(
+        (id, askers) -> waiting.computeIfAbsent(id, x -> new ArrayList<>()).addAll(askers));
   }
 
-  private void read(String id, List<Consumer<Found>> to) {
+  private void read(String id, List<Consumer<Found>> askers) {
     state.get(
         StateCodec.endKey(id),
         Use.READ,
-        r -> {
-          if (r.succeeded()) {
-            cache.rememberFinalState(id, StateCodec.finalState(r.value()));
-            tell(to, Found.KNOWN);
+        result -> {
+          if (result.succeeded()) {
+            cache.rememberFinalState(id, StateCodec.finalState(result.value()));
+            tell(askers, Found.KNOWN);
           } else {
-            tell(to, r.outcome() == StoreOutcome.NOT_FOUND ? Found.ABSENT : Found.FAILED);
+            boolean absent = result.outcome() == StoreOutcome.NOT_FOUND;
+            tell(askers, absent ? Found.ABSENT : Found.FAILED);
           }
         });
   }
 
-  private static void tell(List<Consumer<Found>> to, Found found) {
-    to.forEach(t -> t.accept(found));
+  private static void tell(List<Consumer<Found>> askers, Found found) {
+    askers.forEach(asker -> asker.accept(found));
   }
 }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -461,7 +461,7 @@
     } else {
       lastAway = loop.now();
     }
-    cancellations.heard(peer, sentAt, answer.cancellations());
+    cancellations.onPeerKnowledge(peer, sentAt, answer.cancellations());
   }
 
   /**
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This node's copy of the stored limits and accounts. */
+/** This controller's copy of the stored limits and accounts of teams. */
 public final class QuotaRecords {
   private static final Logger LOG = LoggerFactory.getLogger("quota");
 
@@ -25,7 +25,7 @@
     this.gate = gate;
   }
 
-  /** True if the stored limits count, and not those of the settings. */
+  /** True if the stored limits are in force, and not those of the settings. */
   public boolean inForce() {
     return gate.enabled(Feature.STORED_LIMITS) && isSeeded();
   }
@@ -35,7 +35,7 @@
     return seededRevision > 0;
   }
 
-  /** The version of the record that says so, 0 if there is none. */
+  /** The revision of the record that says so, 0 if there is none. */
   public long seededRevision() {
     return seededRevision;
   }
@@ -45,7 +45,7 @@
     return limits.get(team);
   }
 
-  /** The stored account of a team. */
+  /** The stored account of a team; {@link Account#ABSENT} if there is none. */
   public Account account(String team) {
     return accounts.getOrDefault(team, Account.ABSENT);
   }
@@ -60,13 +60,14 @@
     return new StoredQuota(Map.copyOf(limits), Map.copyOf(accounts), isSeeded(), revision);
   }
 
-  /** Before the records are read anew. */
+  /** Forgets what will be read anew. */
   void clear() {
     limits.clear();
     accounts.clear();
     seededRevision = 0;
   }
 
+  /** Takes a record and returns true if it is one of these. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.startsWith(QuotaCodec.ACCOUNTS)) {
       String team = QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS);
@@ -102,7 +103,8 @@
     }
   }
 
-  boolean drop(String key, long revision) {
+  /** Takes the deletion of a record and returns true if it is one of these. */
+  boolean delete(String key, long revision) {
     if (key.startsWith(QuotaCodec.ACCOUNTS)) {
       String team = QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS);
       if (revision > account(team).revision()) {
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -195,9 +195,9 @@
       jobs.deleteJob(key.substring(StateCodec.JOBS.length()), revision);
     } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
       jobs.deleteTaskBatch(StateCodec.batchOf(key), revision);
-    } else if (quota.drop(key, revision)) {
+    } else if (quota.delete(key, revision)) {
       quotaChanged = true;
-    } else if (features.drop(key, revision) || election.drop(key, revision)) {
+    } else if (features.delete(key, revision) || election.drop(key, revision)) {
       leaderChanged = true;
     } else {
       hints.delete(key);
--- a/src/main/java/graderelay/state/TeamLimits.java
+++ b/src/main/java/graderelay/state/TeamLimits.java
@@ -17,18 +17,19 @@
   private final Map<String, TeamQuota> settings = new TreeMap<>();
   private final List<Team> settingsTeams;
 
+  /** Chooses between the stored limits and the teams of this controller's settings. */
   public TeamLimits(QuotaRecords records, List<Team> settings) {
     this.records = records;
     this.settingsTeams = List.copyOf(settings);
     settings.forEach(t -> this.settings.put(t.name(), t.quota()));
   }
 
-  /** True if the stored limits count, and not those of the settings. */
+  /** True if the stored limits are in force, and not those of the settings. */
   public boolean stored() {
     return records.inForce();
   }
 
-  /** Teams whose stored limits can't be read, with the reason. */
+  /** Teams whose stored limits can't be read, with the reason; a sorted copy. */
   public Map<String, String> malformed() {
     Map<String, String> malformed = new TreeMap<>();
     if (stored()) {
@@ -44,7 +45,7 @@
     return malformed;
   }
 
-  /** All teams that can be read. */
+  /** All teams whose limits can be read. */
   public List<Team> teams() {
     if (!stored()) {
       return settingsTeams;
