--- a/src/main/java/graderelay/state/PledgeRequests.java
+++ b/src/main/java/graderelay/state/PledgeRequests.java
@@ -49,7 +49,7 @@
           answer -> {
             if (answer != null) {
               store.onPeerSays(answer.reachesState());
-              cancellations.heard(peer.member(), sentAt, answer.cancellations());
+              cancellations.onPeerKnowledge(peer.member(), sentAt, answer.cancellations());
               handler.onAnswer(peer, sentAt, answer);
             }
           });
