--- /dev/null
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -0,0 +1,183 @@
+package graderelay.worker;
+
+import graderelay.config.Settings;
+import graderelay.net.Loop;
+import graderelay.net.TokenBucket.Use;
+import graderelay.peer.PeerClient;
+import graderelay.state.Cache;
+import graderelay.state.Cancellations;
+import graderelay.state.Leadership;
+import graderelay.state.StateClient;
+import graderelay.wire.PeerAnswer;
+import graderelay.wire.PeerCodec;
+import graderelay.wire.PeerRequest;
+import graderelay.wire.StateCodec;
+
+/**
+ * Keeps a {@link DelegationGrant} current: asks the leader for it every second, and releases it
+ * through the store once the leader answers no more although the store can be reached. Runs on the
+ * event loop.
+ */
+final class DelegationRequests {
+  /** Seconds between a lease delegate's requests to the leader. */
+  private static final double DELEGATE_ASKS_S = 1;
+
+  /** Seconds without an answer after which a lease delegate releases its grant in the store. */
+  private static final double DELEGATE_RELEASES_S = 2;
+
+  /**
+   * Seconds between two ticks after which this process takes itself for suspended meanwhile: what
+   * it was granted counts no more until it has heard the leader again.
+   */
+  private static final double SUSPENDED_S = 3;
+
+  private final Loop loop;
+  private final PeerClient peerClient;
+  private final Leadership leadership;
+  private final Cache cache;
+  private final StateClient state;
+  private final Cancellations cancellations;
+  private final DelegationGrant grant;
+  private final String member;
+
+  /** Tells this process from earlier ones of the same member. */
+  private final String processId;
+
+  private double lastTick = Double.NEGATIVE_INFINITY;
+  private long lastRequest;
+
+  /** The last request whose answer no longer counts, since the grant was released after it. */
+  private long releasedUpTo;
+
+  /** The grant was released, and the store may not have recorded it yet. */
+  private boolean releasePending;
+
+  private Loop.Timer timer;
+  private boolean closed;
+
+  DelegationRequests(
+      Loop loop,
+      PeerClient peerClient,
+      Leadership leadership,
+      Cache cache,
+      StateClient state,
+      Cancellations cancellations,
+      Settings settings,
+      DelegationGrant grant,
+      long nonce) {
+    this.loop = loop;
+    this.peerClient = peerClient;
+    this.leadership = leadership;
+    this.cache = cache;
+    this.state = state;
+    this.cancellations = cancellations;
+    this.grant = grant;
+    this.member = settings.member();
+    this.processId = Long.toHexString(nonce);
+  }
+
+  /** Sends the first request and starts the timer of those that follow. */
+  void start() {
+    tick();
+  }
+
+  /** Stops the timer; answers that come later are ignored. */
+  void close() {
+    closed = true;
+    if (timer != null) {
+      timer.cancel();
+    }
+  }
+
+  /** True if this process has stood still for so long that its grant may have been replaced. */
+  boolean wasSuspended(double now) {
+    return now - lastTick > SUSPENDED_S;
+  }
+
+  private void tick() {
+    if (closed) {
+      return;
+    }
+    double now = loop.now();
+    if (wasSuspended(now)) {
+      grant.revoke();
+    }
+    lastTick = now;
+    renew(now);
+    releaseIfLeaderIsLost(now);
+    if (releasePending && state.reached()) {
+      recordRelease(now);
+    }
+    timer = loop.after(DELEGATE_ASKS_S, this::tick);
+  }
+
+  private void renew(double now) {
+    StateCodec.LeaderRecord leader = cache.leader();
+    String address = leader == null ? null : peerClient.addressOf(leader.member());
+    if (leadership.entitled()) {
+      grant.grantToSelf(leadership.term(), now);
+    } else if (address != null) {
+      askLeader(address, now);
+    }
+  }
+
+  private void askLeader(String address, double sentAt) {
+    long number = ++lastRequest;
+    peerClient.send(
+        address,
+        new PeerRequest.Delegation(
+            member,
+            processId,
+            number,
+            grant.grantedBy(),
+            grant.leaderTime(),
+            grant.sinceAnsweredAlone(sentAt)),
+        PeerCodec::delegated,
+        peerClient.timeoutS(),
+        answer -> {
+          if (answer != null) {
+            cancellations.adopt(sentAt, answer.cancellations());
+          }
+          if (answer != null && answer.grant() != null && number > releasedUpTo) {
+            onGranted(answer.grant(), sentAt);
+          }
+        });
+  }
+
+  private void onGranted(PeerAnswer.Grant granted, double sentAt) {
+    if (closed || leadership.leader() || granted.term() < grant.term()) {
+      return;
+    }
+    grant.accept(granted, sentAt);
+    releasePending = false;
+  }
+
+  /**
+   * Users and workers are better served by the leader, which must not wait for us: so a controller
+   * that the store still answers gives its grant up.
+   */
+  private void releaseIfLeaderIsLost(double now) {
+    boolean lost = grant.sinceLeaderContact(now) > DELEGATE_RELEASES_S && state.reached();
+    if (lost && grant.grantedBy() != 0 && grant.isValidAt(now)) {
+      grant.revoke();
+      releasedUpTo = lastRequest;
+      releasePending = true;
+    }
+  }
+
+  private void recordRelease(double now) {
+    long upTo = releasedUpTo;
+    state.commit(
+        new StateClient.Txn()
+            .put(
+                StateCodec.LEASE_DELEGATES + member,
+                StateCodec.leaseDelegate(
+                    processId, upTo, grant.grantedBy(), grant.sinceAnsweredAlone(now))),
+        Use.CLAIM,
+        result -> {
+          if (result.done() && releasedUpTo == upTo) {
+            releasePending = false;
+          }
+        });
+  }
+}
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -4,67 +4,34 @@
 import graderelay.core.Heartbeat;
 import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.wire.PeerAnswer;
-import graderelay.wire.PeerCodec;
-import graderelay.wire.PeerRequest;
-import graderelay.wire.StateCodec;
 
 /**
- * Keeps the leases of this zone's workers alive while the zone is cut off from the leader and the
- * state service: what runs there goes on, and nothing is ordered. The leader has granted it for a
- * while and counts those leases accordingly, see {@code LeaseDelegates}. In a deployment of one
- * zone there is nobody outside to be cut off from, and no lease delegate.
+ * Renews the leases of this zone's workers while the zone is cut off from the leader and the store:
+ * what runs there goes on, and no command is given but kills of cancelled tasks. The leader has
+ * granted it for a while and counts those leases accordingly, see {@code LeaseDelegates}. In a
+ * deployment of one zone there is nobody outside to be cut off from, and no lease delegate. Runs on
+ * the event loop.
  */
 public final class LeaseDelegate {
-  /** Seconds between a lease delegate's questions to the leader. */
-  private static final double DELEGATE_ASKS_S = 1;
-
-  /**
-   * Seconds without an answer after which a lease delegate gives its grant back through the
-   * records.
-   */
-  private static final double DELEGATE_RELEASES_S = 2;
-
-  /**
-   * Seconds between two looks of a lease delegate after which it takes itself for suspended
-   * meanwhile: what it was granted counts no more until it has heard the leader again.
-   */
-  private static final double SUSPENDED_S = 3;
-
   private final Loop loop;
-  private final PeerClient peerClient;
-  private final Leadership leadership;
   private final Cache cache;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final String member;
   private final String zone;
-  private final double lengthS;
   private final boolean needed;
-  private final String self;
-
-  private double lastTick = Double.NEGATIVE_INFINITY;
-  private long asked;
-  private long voidUpTo;
-  private long term;
-  private long of;
-  private double echo;
-  private double until = Double.NEGATIVE_INFINITY;
-  private double lastContact;
-  private double lastAlone;
-
-  /** The grant was given back, and the leader may not know it yet. */
-  private boolean givingBack;
-
-  private Loop.Timer timer;
-  private boolean closed;
+  private final DelegationGrant grant;
+  private final DelegationRequests requests;
 
+  /**
+   * Makes a lease delegate without a grant.
+   *
+   * @param nonce tells this process from earlier ones of the same member
+   */
   public LeaseDelegate(
       Loop loop,
       PeerClient peerClient,
@@ -72,140 +39,63 @@
       Cache cache,
       StateClient state,
       Cancellations cancellations,
-      Settings s,
+      Settings settings,
       long nonce) {
     this.loop = loop;
-    this.peerClient = peerClient;
-    this.leadership = leadership;
     this.cache = cache;
     this.state = state;
     this.cancellations = cancellations;
-    this.member = s.member();
-    this.zone = s.zone();
-    this.lengthS = s.grantS() * (1 - LeaseTiming.DRIFT);
-    this.needed = !s.delegates().isEmpty() && lengthS > 0;
-    this.self = Long.toHexString(nonce);
-    // An earlier process of this member may have answered until it ended.
-    this.lastAlone = loop.now();
-    this.lastContact = loop.now();
+    this.zone = settings.zone();
+    double lengthS = settings.grantS() * (1 - LeaseTiming.DRIFT);
+    this.needed = !settings.delegates().isEmpty() && lengthS > 0;
+    this.grant = new DelegationGrant(loop, lengthS);
+    this.requests =
+        new DelegationRequests(
+            loop, peerClient, leadership, cache, state, cancellations, settings, grant, nonce);
   }
 
+  /** Starts to ask the leader for a grant, unless this deployment needs no lease delegates. */
   public void start() {
     if (needed) {
-      tick();
+      requests.start();
     }
   }
 
+  /** Stops asking. */
   public void close() {
-    closed = true;
-    if (timer != null) {
-      timer.cancel();
-    }
+    requests.close();
   }
 
   /**
-   * True if this worker's report may be answered under {@link #term}, with no order but the kills
-   * of cancelled tasks.
+   * True if this worker's heartbeat may be answered under {@link #term}, with no command but the
+   * kills of cancelled tasks. The caller answers it then: that is noted here.
    */
-  public boolean answers(Heartbeat r) {
+  public boolean mayAnswer(Heartbeat heartbeat) {
     double now = loop.now();
     // After standing still it may have been replaced, and the cluster may have moved on meanwhile.
-    boolean stoodStill = now - lastTick > SUSPENDED_S;
-    boolean may =
-        now < until
-            && !stoodStill
+    boolean mayAnswer =
+        grant.isValidAt(now)
+            && !requests.wasSuspended(now)
             && !cache.features().gate().isShut()
-            && now > lastContact + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT)
-            && state.failingFor() > Leadership.KEEP_AFTER_S
-            && zone.equals(r.zone())
-            && r.term() <= term
+            && isCutOff(now)
+            && zone.equals(heartbeat.zone())
+            && heartbeat.term() <= grant.term()
             && cancellations.mayRenew();
-    if (may) {
-      lastAlone = now;
-    }
-    return may;
-  }
-
-  public long term() {
-    return term;
-  }
-
-  private void tick() {
-    if (closed) {
-      return;
-    }
-    double now = loop.now();
-    if (now - lastTick > SUSPENDED_S) {
-      until = Double.NEGATIVE_INFINITY;
+    if (mayAnswer) {
+      grant.answeredAlone(now);
     }
-    lastTick = now;
-    StateCodec.LeaderRecord o = cache.leader();
-    String address = o == null ? null : peerClient.addressOf(o.member());
-    if (leadership.entitled()) {
-      // Should we lose the fleet, the next leader counts as much from its own takeover.
-      term = leadership.term();
-      of = 0;
-      until = now + lengthS;
-      lastContact = now;
-    } else if (address != null) {
-      ask(address, now);
-    }
-    boolean lost = now - lastContact > DELEGATE_RELEASES_S && state.reached();
-    if (lost && of != 0 && until > now) {
-      // Users and workers are better served by the leader, which must not wait for us.
-      until = Double.NEGATIVE_INFINITY;
-      voidUpTo = asked;
-      givingBack = true;
-    }
-    if (givingBack && state.reached()) {
-      scaleIn(now);
-    }
-    timer = loop.after(DELEGATE_ASKS_S, this::tick);
+    return mayAnswer;
   }
 
-  private void ask(String address, double sentAt) {
-    long n = ++asked;
-    peerClient.send(
-        address,
-        new PeerRequest.Delegation(member, self, n, of, echo, sentAt - lastAlone),
-        PeerCodec::delegated,
-        peerClient.timeoutS(),
-        answer -> {
-          if (answer != null) {
-            cancellations.adopt(sentAt, answer.cancellations());
-          }
-          if (answer != null && answer.grant() != null && n > voidUpTo) {
-            granted(answer.grant(), sentAt);
-          }
-        });
+  /** True if neither the leader nor the store has answered for some seconds. */
+  private boolean isCutOff(double now) {
+    double aloneAfter =
+        grant.lastLeaderContact() + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT);
+    return now > aloneAfter && state.failingFor() > Leadership.KEEP_AFTER_S;
   }
 
-  private void granted(PeerAnswer.Grant grant, double sentAt) {
-    long itsTerm = grant.term();
-    if (closed || leadership.leader() || itsTerm < term) {
-      return;
-    }
-    boolean same = of == grant.grantedBy();
-    term = itsTerm;
-    of = grant.grantedBy();
-    echo = same ? Math.max(echo, grant.at()) : grant.at();
-    until = same ? Math.max(until, sentAt + lengthS) : sentAt + lengthS;
-    lastContact = loop.now();
-    givingBack = false;
-  }
-
-  private void scaleIn(double now) {
-    long upTo = voidUpTo;
-    state.commit(
-        new StateClient.Txn()
-            .put(
-                StateCodec.LEASE_DELEGATES + member,
-                StateCodec.leaseDelegate(self, upTo, of, now - lastAlone)),
-        Use.CLAIM,
-        r -> {
-          if (r.done() && voidUpTo == upTo) {
-            givingBack = false;
-          }
-        });
+  /** The term under which workers may be answered. */
+  public long term() {
+    return grant.term();
   }
 }
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -15,31 +15,26 @@
 import graderelay.wire.PeerRequest;
 import graderelay.wire.StateCodec;
 import graderelay.wire.WorkerCodec;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.function.BiFunction;
 import java.util.function.Consumer;
 
 /**
- * Takes workers' reports: the leader answers them while it holds the fleet, the others point to it.
- * A worker that comes back after that can't reach the leader; its reports are passed on, so that a
- * cut between the two doesn't cost it its lease.
+ * Takes workers' heartbeats: the leader answers them while its session lease lasts, the others
+ * redirect workers to it, or relay the heartbeats of workers that can't reach it. Runs on the event
+ * loop.
  */
 public final class WorkerApi {
-  /** Seconds within which a worker that comes back is taken to be unable to reach the leader. */
-  private static final double RELAY_MEMORY_S = 12;
-
-  /**
-   * Workers remembered as pointed to the leader, some 150 bytes each: all of a fleet of four
-   * thousand, with as many again that were replaced a moment ago.
-   */
-  private static final int MOST_POINTED = 8192;
-
-  /** Seconds after which a worker whose reports are passed on is pointed to the leader again. */
-  private static final double RELAY_FOR_S = 25;
-
-  private record Pointed(double at, double relayedSince, long session, long seq) {}
+  /** The scheduler's side of heartbeats. */
+  @FunctionalInterface
+  public interface HeartbeatListener {
+    /**
+     * Takes a heartbeat in.
+     *
+     * @param relayedBy the member that relayed it, or "" if the worker sent it here
+     * @return the commands for the worker, or null if this controller does not lead
+     */
+    List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String relayedBy);
+  }
 
   private final Loop loop;
   private final Leadership leadership;
@@ -48,9 +43,15 @@
   private final LeaseDelegate leaseDelegate;
   private final Cancellations cancellations;
   private final String member;
-  private final BiFunction<Heartbeat, String, List<WorkerCommand>> fleet;
-  private final Map<String, Pointed> pointed = new LinkedHashMap<>();
+  private final HeartbeatListener scheduler;
+  private final RedirectedWorkers redirected = new RedirectedWorkers();
 
+  /**
+   * Makes the handler of workers' heartbeats.
+   *
+   * @param member this controller's name
+   * @param scheduler takes heartbeats in while this controller leads
+   */
   public WorkerApi(
       Loop loop,
       Leadership leadership,
@@ -59,7 +60,7 @@
       LeaseDelegate leaseDelegate,
       Cancellations cancellations,
       String member,
-      BiFunction<Heartbeat, String, List<WorkerCommand>> fleet) {
+      HeartbeatListener scheduler) {
     this.loop = loop;
     this.leadership = leadership;
     this.cache = cache;
@@ -67,59 +68,63 @@
     this.leaseDelegate = leaseDelegate;
     this.cancellations = cancellations;
     this.member = member;
-    this.fleet = fleet;
+    this.scheduler = scheduler;
   }
 
+  /**
+   * Answers a worker's heartbeat: 200 with commands renews its lease, 421 names the leader if it is
+   * known, 400 says that it was no heartbeat.
+   */
   public void checkin(Exchange e) {
-    Heartbeat r = WorkerCodec.report(Json.read(e.body()));
-    if (r == null) {
-      e.to().accept(Answer.json(400, Json.error("not a report")));
-      return;
-    }
-    if (cache.features().gate().isShut()) {
-      elsewhere(e.to(), cache.leader() == null ? null : cache.leader().member());
-      return;
-    }
-    if (leadership.leader()) {
-      answer(r, "", e.to());
-      return;
-    }
-    if (leadership.keeping() && r.term() > 0 && cancellations.mayRenew()) {
+    Heartbeat heartbeat = WorkerCodec.report(Json.read(e.body()));
+    if (heartbeat == null) {
+      refuseMalformed(e.to());
+    } else if (cache.features().gate().isShut()) {
+      redirect(e.to(), leaderName(cache.leader()));
+    } else if (leadership.leader()) {
+      answerAsLeader(heartbeat, "", e.to());
+    } else if (leadership.keeping() && heartbeat.term() > 0 && cancellations.mayRenew()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
-      renew(e.to(), r.term(), cancellations.kills(r));
-      return;
+      renew(e.to(), heartbeat.term(), cancellations.kills(heartbeat));
+    } else if (leaseDelegate.mayAnswer(heartbeat)) {
+      renew(e.to(), leaseDelegate.term(), cancellations.kills(heartbeat));
+    } else {
+      leadership.wantKeep();
+      relayOrRedirect(e, heartbeat);
     }
-    if (leaseDelegate.answers(r)) {
-      renew(e.to(), leaseDelegate.term(), cancellations.kills(r));
-      return;
+  }
+
+  /** Answers a heartbeat that the controller {@code relayedBy} passes on to the leader. */
+  public void relayed(String relayedBy, byte[] body, Consumer<Answer> to) {
+    Heartbeat heartbeat = WorkerCodec.report(Json.read(body));
+    if (heartbeat == null) {
+      refuseMalformed(to);
+    } else {
+      answerAsLeader(heartbeat, relayedBy, to);
     }
-    leadership.wantKeep();
-    StateCodec.LeaderRecord o = cache.leader();
-    String address = o == null ? null : peerClient.addressOf(o.member());
-    Pointed p = pointed.remove(r.machine());
-    double now = loop.now();
-    if (p != null && !r.newerThan(p.session(), p.seq())) {
-      // A copy of the past is no sign that its worker can't reach the leader.
-      remember(r, p);
-      elsewhere(e.to(), o == null ? null : o.member());
+  }
+
+  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Answer> to) {
+    boolean mayRenew = leadership.entitled() && cancellations.mayRenew();
+    List<WorkerCommand> commands = mayRenew ? scheduler.onHeartbeat(heartbeat, relayedBy) : null;
+    if (commands == null) {
+      redirect(to, null);
       return;
     }
-    boolean back = p != null && now - p.at() < RELAY_MEMORY_S;
-    // A worker with the leader's own term was answered by it before: it is here since the leader no
-    // longer answers, and to point it back would cost it half its lease. That it was pointed there
-    // long ago, before it was answered, is no reason to do so again.
-    boolean longAgo = p == null || (!back && p.relayedSince() == Double.POSITIVE_INFINITY);
-    back |= longAgo && o != null && r.term() >= o.term();
-    boolean longEnough = back && p != null && now - p.relayedSince() > RELAY_FOR_S;
-    if (address == null || !back || longEnough) {
-      if (address != null) {
-        remember(r, new Pointed(now, Double.POSITIVE_INFINITY, r.session(), r.seq()));
-      }
-      elsewhere(e.to(), o == null ? null : o.member());
-      return;
+    renew(to, leadership.term(), cancellations.withKills(heartbeat, commands));
+  }
+
+  private void relayOrRedirect(Exchange e, Heartbeat heartbeat) {
+    StateCodec.LeaderRecord leader = cache.leader();
+    String address = leader == null ? null : peerClient.addressOf(leader.member());
+    if (redirected.shouldRelay(heartbeat, leader, address != null, loop.now())) {
+      relay(e, address, leader.member());
+    } else {
+      redirect(e.to(), leaderName(leader));
     }
-    double since = p == null ? now : Math.min(now, p.relayedSince());
-    remember(r, new Pointed(now, since, r.session(), r.seq()));
+  }
+
+  private void relay(Exchange e, String address, String leaderName) {
     peerClient.send(
         address,
         new PeerRequest.RelayedReport(member, e.body()),
@@ -129,45 +134,27 @@
           if (relayed != null && relayed.answer().status() == 200) {
             e.to().accept(relayed.answer());
           } else {
-            elsewhere(e.to(), o.member());
+            redirect(e.to(), leaderName);
           }
         });
   }
 
-  private void remember(Heartbeat r, Pointed p) {
-    pointed.put(r.machine(), p);
-    if (pointed.size() > MOST_POINTED) {
-      pointed.remove(pointed.keySet().iterator().next());
-    }
-  }
-
-  /** A report that another controller passes on. */
-  public void relayed(String via, byte[] body, Consumer<Answer> to) {
-    Heartbeat r = WorkerCodec.report(Json.read(body));
-    if (r == null) {
-      to.accept(Answer.json(400, Json.error("not a report")));
-    } else {
-      answer(r, via, to);
-    }
-  }
-
-  private void answer(Heartbeat r, String via, Consumer<Answer> to) {
-    boolean may = leadership.entitled() && cancellations.mayRenew();
-    List<WorkerCommand> orders = may ? fleet.apply(r, via) : null;
-    if (orders == null) {
-      elsewhere(to, null);
-      return;
-    }
-    renew(to, leadership.term(), cancellations.withKills(r, orders));
+  private static String leaderName(StateCodec.LeaderRecord leader) {
+    return leader == null ? null : leader.member();
   }
 
   /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
-  private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> orders) {
-    byte[] body = Json.write(WorkerCodec.response(term, orders, SchedulerLimits.MOST_ORDERS));
+  private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> commands) {
+    byte[] body = Json.write(WorkerCodec.response(term, commands, SchedulerLimits.MOST_ORDERS));
     to.accept(Answer.json(200, body));
   }
 
-  private static void elsewhere(Consumer<Answer> to, String member) {
+  /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
+  private static void redirect(Consumer<Answer> to, String member) {
     to.accept(Answer.json(421, Json.write(WorkerCodec.elsewhere(member))));
   }
+
+  private static void refuseMalformed(Consumer<Answer> to) {
+    to.accept(Answer.json(400, Json.error("not a report")));
+  }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -8,44 +8,57 @@
 import graderelay.wire.Json;
 import graderelay.wire.WorkerCodec;
 
-/** Sends orders straight to workers: for speed, since reports' responses carry them as well. */
+/**
+ * Sends commands straight to workers: for speed, since answers to heartbeats carry them as well.
+ * Runs on the event loop.
+ */
 public final class WorkerClient {
-  /** Seconds to wait for a worker's answer to direct orders. */
+  /** Seconds to wait for a worker's answer to direct commands. */
   private static final double WORKER_TIMEOUT_S = 2.0;
 
-  /** Hears how orders ended. */
+  /** Hears how commands ended. */
+  @FunctionalInterface
   public interface Done {
-    void done(Sent how, Heartbeat report);
+    /**
+     * Called once for each call of {@link WorkerClient#send}.
+     *
+     * @param how what became of the commands
+     * @param heartbeat the worker's status in its answer, or null if there was none
+     */
+    void done(Sent how, Heartbeat heartbeat);
   }
 
   private final Transport transport;
 
+  /** Makes a client that sends by {@code transport}. */
   public WorkerClient(Transport transport) {
     this.transport = transport;
   }
 
-  public void send(Action.Command c, Done done) {
-    byte[] body = Json.write(WorkerCodec.commands(c.term(), c.session(), c.orders()));
+  /** Sends the commands of one action to its worker, and calls back with the outcome. */
+  public void send(Action.Command command, Done done) {
+    byte[] body =
+        Json.write(WorkerCodec.commands(command.term(), command.session(), command.orders()));
     transport.call(
-        c.address(),
+        command.address(),
         "POST",
         "/commands",
         body,
         WORKER_TIMEOUT_S,
-        r -> done.done(how(r), report(r)));
+        reply -> done.done(outcome(reply), heartbeat(reply)));
   }
 
-  private static Sent how(Reply r) {
-    return switch (r.status()) {
+  private static Sent outcome(Reply reply) {
+    return switch (reply.status()) {
       case 200 -> Sent.EXECUTED;
       case 409, 400 -> Sent.REFUSED;
-      case 0 -> r.sent() ? Sent.UNKNOWN : Sent.NEVER_LEFT;
+      case 0 -> reply.sent() ? Sent.UNKNOWN : Sent.NEVER_LEFT;
       default -> Sent.UNKNOWN;
     };
   }
 
-  private static Heartbeat report(Reply r) {
-    boolean has = r.status() == 200 || r.status() == 409;
-    return has ? WorkerCodec.report(Json.read(r.body())) : null;
+  private static Heartbeat heartbeat(Reply reply) {
+    boolean hasStatus = reply.status() == 200 || reply.status() == 409;
+    return hasStatus ? WorkerCodec.report(Json.read(reply.body())) : null;
   }
 }
