--- /dev/null
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -0,0 +1,62 @@
+package graderelay.peer;
+
+import graderelay.config.Settings;
+import graderelay.net.Exchange;
+import graderelay.net.Exchange.Answer;
+import graderelay.net.Loop;
+
+/**
+ * One user's request that a peer is asked to decide in this controller's place. It is taken back if
+ * the peer refuses it or gives no answer at once. Used on the event loop only.
+ */
+final class ForwardedRequest {
+  /**
+   * Seconds for which a submission that the leader has forwarded may stay with a peer before the
+   * leader takes it back: a few usual answers of the store.
+   */
+  private static final double FORWARDED_S = 0.15;
+
+  private static final int TOO_MANY = 429;
+
+  private final Loop loop;
+  private final PeerForwarder forwarder;
+  private final Exchange exchange;
+  private boolean settled;
+
+  ForwardedRequest(Loop loop, PeerForwarder forwarder, Exchange exchange) {
+    this.loop = loop;
+    this.forwarder = forwarder;
+    this.exchange = exchange;
+  }
+
+  /** Forwards the request to {@code peer}; runs {@code takeBack} if the peer does not decide it. */
+  void run(Settings.Peer peer, Runnable takeBack) {
+    Loop.Timer slow = loop.after(FORWARDED_S, () -> settleHere(takeBack));
+    forwarder.forward(
+        exchange,
+        peer,
+        FORWARDED_S,
+        answer -> {
+          slow.cancel();
+          if (isDecision(answer) && !settled) {
+            settled = true;
+            exchange.to().accept(answer);
+          } else {
+            settleHere(takeBack);
+          }
+        });
+  }
+
+  private void settleHere(Runnable takeBack) {
+    if (!settled) {
+      settled = true;
+      takeBack.run();
+    }
+  }
+
+  private static boolean isDecision(Answer answer) {
+    return answer != null
+        && answer.status() != RequestHedger.REFUSED
+        && answer.status() != TOO_MANY;
+  }
+}
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -102,7 +102,7 @@
     if (gate.isShut()) {
       UserApi.unavailable(e, gate.closedBecause());
     } else if (submission && submissionsWaitHere.getAsBoolean()) {
-      hedger.handleElsewhere(e, this::handleHere);
+      hedger.handleAtPeerFirst(e, this::handleHere);
     } else {
       hedger.handle(e, this::handleHere);
     }
