--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -18,11 +18,16 @@
 
 /**
  * What operators may see and change under {@code /admin}: this routes each path to its handler.
- * Settings are one record in the state service, written by compare-and-swap; every controller
- * follows it. What only the leader knows is asked of the leader.
+ * Settings are one record in the store, written by compare-and-swap; every controller follows it.
+ * What only the leader knows is asked of the leader. Runs on the event loop.
  */
 public final class AdminApi {
-  private static final String ROOT = "/admin";
+  private static final PathPrefix PREFIX = new PathPrefix("/admin");
+  private static final String PAUSE = "pause";
+  private static final String RESUME = "resume";
+
+  private static final ApiError NO_SUCH_CLAIMS_ACTION =
+      ApiError.notFound("there are /admin/claims/pause and /admin/claims/resume");
 
   private final Cache cache;
   private final PeerClient peerClient;
@@ -61,86 +66,91 @@
 
   /** True if the path is {@code /admin} or below it. */
   public static boolean owns(String path) {
-    return path.equals(ROOT) || path.startsWith(ROOT + "/");
+    return PREFIX.owns(path);
   }
 
   /** Answers a request below {@code /admin}: 404 for no such path, 405 for a wrong method. */
-  public void handle(Exchange e) {
-    String rest = e.path().length() <= ROOT.length() ? "" : e.path().substring(ROOT.length() + 1);
-    String[] parts = rest.split("/");
-    boolean get = e.method().equals("GET");
-    boolean post = e.method().equals("POST");
+  public void handle(Exchange exchange) {
+    String[] parts = PREFIX.rest(exchange.path()).split("/");
     switch (parts[0]) {
-      case "status" -> only(e, get, () -> fleet.status(e));
-      case "settings" -> {
-        if (e.method().equals("PUT")) {
-          settings.change(e);
-        } else {
-          only(e, get, () -> settings.read(e));
-        }
-      }
-      case "teams" -> only(e, get, () -> atLeader(e, fleet::teams));
-      case "jobs" ->
-          only(
-              e,
-              get,
-              () -> {
-                if (parts.length == 1) {
-                  jobs.jobs(e);
-                } else {
-                  atLeader(e, x -> jobs.job(x, parts[1]));
-                }
-              });
-      case "machines" -> {
-        if (parts.length == 3) {
-          only(e, post, () -> settings.cordonOrDrain(e, parts[1], parts[2]));
-        } else {
-          only(e, get, () -> atLeader(e, fleet::machines));
-        }
-      }
-      case "claims" -> {
-        boolean known =
-            parts.length == 2 && (parts[1].equals("pause") || parts[1].equals("resume"));
-        if (known) {
-          only(e, post, () -> settings.pauseClaims(e, parts[1].equals("pause")));
-        } else {
-          UserApi.refuse(e, 404, "there are /admin/claims/pause and /admin/claims/resume");
-        }
-      }
-      default -> UserApi.refuse(e, 404, "no such path");
+      case "status" -> only("GET", exchange, () -> fleet.status(exchange));
+      case "settings" -> handleSettings(exchange);
+      case "teams" -> only("GET", exchange, () -> atLeader(exchange, fleet::teams));
+      case "jobs" -> only("GET", exchange, () -> handleJobs(exchange, parts));
+      case "machines" -> handleMachines(exchange, parts);
+      case "claims" -> handleClaims(exchange, parts);
+      default -> ApiError.NO_SUCH_PATH.sendTo(exchange);
+    }
+  }
+
+  private void handleSettings(Exchange exchange) {
+    if (exchange.method().equals("PUT")) {
+      settings.change(exchange);
+    } else {
+      only("GET", exchange, () -> settings.read(exchange));
     }
   }
 
-  private static void only(Exchange e, boolean right, Runnable r) {
-    if (right) {
-      r.run();
+  private void handleJobs(Exchange exchange, String[] parts) {
+    if (parts.length == 1) {
+      jobs.jobs(exchange);
     } else {
-      UserApi.refuse(e, 405, "method not allowed");
+      atLeader(exchange, here -> jobs.job(here, parts[1]));
+    }
+  }
+
+  private void handleMachines(Exchange exchange, String[] parts) {
+    if (parts.length == 3) {
+      only("POST", exchange, () -> settings.cordonOrDrain(exchange, parts[1], parts[2]));
+    } else {
+      only("GET", exchange, () -> atLeader(exchange, fleet::machines));
+    }
+  }
+
+  private void handleClaims(Exchange exchange, String[] parts) {
+    boolean known = parts.length == 2 && (parts[1].equals(PAUSE) || parts[1].equals(RESUME));
+    if (known) {
+      only("POST", exchange, () -> settings.pauseClaims(exchange, parts[1].equals(PAUSE)));
+    } else {
+      NO_SUCH_CLAIMS_ACTION.sendTo(exchange);
+    }
+  }
+
+  private static void only(String method, Exchange exchange, Runnable then) {
+    if (exchange.method().equals(method)) {
+      then.run();
+    } else {
+      ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     }
   }
 
   /** Answers here if this controller leads, else relays the request to the leader (503 if none). */
-  public void atLeader(Exchange e, Consumer<Exchange> here) {
+  public void atLeader(Exchange exchange, Consumer<Exchange> here) {
     if (scheduler.get() != null) {
-      here.accept(e);
+      here.accept(exchange);
       return;
     }
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
-    if (address == null || e.relayed()) {
-      UserApi.unavailable(e, "nobody owns the fleet at the moment");
-      return;
+    if (address == null || exchange.relayed()) {
+      ApiError.unavailable("nobody owns the fleet at the moment").sendTo(exchange);
+    } else {
+      relay(exchange, leader.member(), address);
     }
+  }
+
+  private void relay(Exchange exchange, String leaderName, String address) {
     peerClient.send(
         address,
-        new PeerRequest.AdminRequest(e.method(), e.path(), e.query(), e.body()),
+        new PeerRequest.AdminRequest(
+            exchange.method(), exchange.path(), exchange.query(), exchange.body()),
         PeerCodec::relayed,
         peerClient.timeoutS(),
         relayed -> {
           if (relayed == null) {
-            UserApi.unavailable(e, "the owner " + leader.member() + " did not answer");
+            ApiError.unavailable("the owner " + leaderName + " did not answer").sendTo(exchange);
           } else {
-            e.to().accept(relayed.answer());
+            exchange.to().accept(relayed.answer());
           }
         });
   }
--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -1,157 +1,108 @@
 package graderelay.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.features.Blocker;
-import graderelay.features.ClusterLevel;
 import graderelay.features.Feature;
 import graderelay.features.FeatureGate;
-import graderelay.features.Member;
 import graderelay.features.UpgradeCoordinator;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
 import graderelay.state.Cache;
+import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
-import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
 /**
- * What operators see and change of feature levels. Any controller shows what is stored; the leader
- * alone knows what a higher level waits for, and changes the level.
+ * Operators' requests under {@code /admin/features}. Any controller shows what is stored; the
+ * leader alone knows what a higher level waits for, and changes the level. Runs on the event loop.
  */
 public final class FeaturesApi {
-  private static final String ROOT = "/admin/features";
-  private static final int CONFLICT = 409;
+  private static final PathPrefix PREFIX = new PathPrefix("/admin/features");
 
-  /** Passes a request on to the leader, unless this controller is it. */
-  public interface Leader {
-    void handle(Exchange e, Consumer<Exchange> here);
-  }
+  private static final ApiError SWITCHED_OFF =
+      ApiError.conflict("feature levels are not switched on here (serve --options)");
 
-  private final String member;
-  private final Cache cache;
   private final FeatureGate gate;
   private final UpgradeCoordinator coordinator;
-  private final BooleanSupplier leads;
-  private final Leader leader;
+  private final LeaderRoute leader;
+  private final FeaturesView view;
 
   /**
    * Makes the interface.
    *
+   * @param member this controller's name
    * @param coordinator the leader's duty, or null where feature levels are left alone
+   * @param leads true while this controller leads
    */
   public FeaturesApi(
       String member,
       Cache cache,
       UpgradeCoordinator coordinator,
       BooleanSupplier leads,
-      Leader leader) {
-    this.member = member;
-    this.cache = cache;
+      LeaderRoute leader) {
     this.gate = cache.features().gate();
     this.coordinator = coordinator;
-    this.leads = leads;
     this.leader = leader;
+    this.view = new FeaturesView(member, cache, coordinator, leads);
   }
 
+  /** True if the path is {@code /admin/features} or below it. */
   public static boolean owns(String path) {
-    return path.equals(ROOT) || path.startsWith(ROOT + "/");
+    return PREFIX.owns(path);
   }
 
-  public void handle(Exchange e) {
-    String rest = e.path().length() <= ROOT.length() ? "" : e.path().substring(ROOT.length() + 1);
-    boolean read = rest.isEmpty();
-    if (!e.method().equals(read ? "GET" : "POST")) {
-      UserApi.refuse(e, 405, "method not allowed");
+  /** Answers a request below {@code /admin/features}: 405 for a wrong method. */
+  public void handle(Exchange exchange) {
+    String action = PREFIX.rest(exchange.path());
+    boolean read = action.isEmpty();
+    if (!exchange.method().equals(read ? "GET" : "POST")) {
+      ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     } else if (read && gate.isShut()) {
-      show(e); // It can't ask the leader, and has to say why it takes no part.
+      show(exchange); // It can't ask the leader, and has to say why it takes no part.
     } else if (read) {
-      leader.handle(e, this::show);
+      leader.handle(exchange, this::show);
     } else if (coordinator == null) {
-      UserApi.refuse(e, CONFLICT, "feature levels are not switched on here (serve --options)");
+      SWITCHED_OFF.sendTo(exchange);
     } else {
-      leader.handle(e, here -> change(here, rest));
-    }
-  }
-
-  private void change(Exchange e, String what) {
-    switch (what) {
-      case "finalize" -> withLevel(e, level -> coordinator.finalizeLevel(level, told(e)));
-      case "downgrade" -> withLevel(e, level -> coordinator.downgrade(level, told(e)));
-      case "hold" -> coordinator.hold(true, told(e));
-      case "release" -> coordinator.hold(false, told(e));
-      default -> UserApi.refuse(e, 404, "there are finalize, downgrade, hold and release");
+      leader.handle(exchange, here -> change(here, action));
     }
   }
 
-  private static void withLevel(Exchange e, Consumer<Integer> then) {
-    JsonNode body = Json.read(e.body());
-    JsonNode level = body == null ? Json.object().path("level") : body.path("level");
-    if (!level.isInt() || level.intValue() < 0 || level.intValue() > Feature.LATEST_LEVEL) {
-      UserApi.refuse(e, 400, "level must be an integer from 0 to " + Feature.LATEST_LEVEL);
-    } else {
-      then.accept(level.intValue());
-    }
+  private void show(Exchange exchange) {
+    Replies.json(exchange, 200, view.current());
   }
 
-  private static Consumer<UpgradeCoordinator.Answer> told(Exchange e) {
-    return answer -> {
-      if (answer instanceof UpgradeCoordinator.Answer.Accepted a) {
-        ObjectNode n = Json.object().put("message", a.message());
-        e.to().accept(Answer.json(200, Json.write(n)));
-      } else if (answer instanceof UpgradeCoordinator.Answer.Refused r) {
-        UserApi.refuse(e, CONFLICT, r.message());
-      } else if (answer instanceof UpgradeCoordinator.Answer.Unavailable u) {
-        UserApi.unavailable(e, u.message());
+  private void change(Exchange exchange, String action) {
+    Consumer<UpgradeCoordinator.Answer> done = answer -> reply(exchange, answer);
+    try {
+      switch (action) {
+        case "finalize" -> coordinator.finalizeLevel(requestedLevel(exchange), done);
+        case "downgrade" -> coordinator.downgrade(requestedLevel(exchange), done);
+        case "hold" -> coordinator.hold(true, done);
+        case "release" -> coordinator.hold(false, done);
+        default ->
+            ApiError.notFound("there are finalize, downgrade, hold and release").sendTo(exchange);
       }
-    };
+    } catch (BadRequest malformed) {
+      ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
+    }
   }
 
-  private void show(Exchange e) {
-    ClusterLevel level = gate.current();
-    ObjectNode n = Json.object().put("member", member).put("level", level.level());
-    if (level.lowering()) {
-      n.put("lowering_to", level.target());
-    }
-    n.put("held", cache.features().held());
-    if (gate.closedBecause() != null) {
-      n.put("out_of_service", gate.closedBecause());
-    }
-    ArrayNode features = n.putArray("features");
-    for (Feature f : Feature.values()) {
-      features
-          .addObject()
-          .put("name", f.externalName())
-          .put("level", f.level())
-          .put("used", gate.enabled(f));
-    }
-    ArrayNode members = n.putArray("members");
-    for (Member m : new TreeMap<>(cache.features().members()).values()) {
-      members
-          .addObject()
-          .put("member", m.name())
-          .put("version", m.version())
-          .put("min", m.range().min())
-          .put("max", m.range().max());
-    }
-    if (coordinator != null && leads.getAsBoolean()) {
-      next(n, level);
+  private static int requestedLevel(Exchange exchange) throws BadRequest {
+    JsonNode body = Json.read(exchange.body());
+    JsonNode level = body == null ? Json.object().path("level") : body.path("level");
+    if (!level.isInt() || level.intValue() < 0 || level.intValue() > Feature.LATEST_LEVEL) {
+      throw new BadRequest("level must be an integer from 0 to " + Feature.LATEST_LEVEL);
     }
-    e.to().accept(Answer.json(200, Json.write(n)));
+    return level.intValue();
   }
 
-  /** The level that all support and what it waits for, or what keeps the latest level away. */
-  private void next(ObjectNode n, ClusterLevel level) {
-    int common = coordinator.commonLevel();
-    int next = common > level.level() ? common : Feature.LATEST_LEVEL;
-    if (next > level.level()) {
-      n.put("next", next);
-      ArrayNode waits = n.putArray("waits_for");
-      for (Blocker b : coordinator.blockers(next)) {
-        waits.addObject().put("member", b.member()).put("reason", b.reason());
-      }
+  private static void reply(Exchange exchange, UpgradeCoordinator.Answer answer) {
+    if (answer instanceof UpgradeCoordinator.Answer.Accepted accepted) {
+      Replies.message(exchange, accepted.message());
+    } else if (answer instanceof UpgradeCoordinator.Answer.Refused refused) {
+      ApiError.conflict(refused.message()).sendTo(exchange);
+    } else if (answer instanceof UpgradeCoordinator.Answer.Unavailable unavailable) {
+      ApiError.unavailable(unavailable.message()).sendTo(exchange);
     }
   }
 }
--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -25,8 +25,12 @@
 /**
  * What operators see of this controller and of the fleet: {@code /admin/status} on any controller,
  * {@code /admin/machines} and {@code /admin/teams} on the leader only, whose scheduler knows them.
+ * Runs on the event loop.
  */
 final class FleetViews {
+  /** Seconds of silence from which a machine counts as one that was never heard. */
+  private static final double NEVER_HEARD_S = 1e6;
+
   private final Loop loop;
   private final Settings platform;
   private final TeamLimits limits;
@@ -36,6 +40,13 @@
   private final BooleanSupplier ready;
   private final Supplier<OperatorSettings> operatorSettings;
 
+  /**
+   * Makes the views.
+   *
+   * @param platform this controller's settings of the deploy file
+   * @param scheduler the scheduler while this controller leads, else null
+   * @param ready true once this controller may answer
+   */
   FleetViews(
       Loop loop,
       Settings platform,
@@ -56,82 +67,97 @@
   }
 
   /** This controller, who leads, and how many live jobs wait or run. */
-  void status(Exchange e) {
+  void status(Exchange exchange) {
     StateCodec.LeaderRecord leader = cache.leader();
-    ObjectNode n = Json.object();
-    n.put("member", platform.member())
+    ObjectNode body = Json.object();
+    body.put("member", platform.member())
         .put("zone", platform.zone())
         .put("ready", ready.getAsBoolean());
-    n.put("owner", leader == null ? null : leader.member()).put("term", cache.term());
-    n.put("state_failing_s", state.failingFor());
-    int waiting = 0;
-    int running = 0;
-    for (Cache.Entry j : cache.jobs().values()) {
-      boolean claimed =
-          j.taskBatches.values().stream().anyMatch(s -> s.record().claimedCount() > 0);
-      running += claimed ? 1 : 0;
-      waiting += claimed ? 0 : 1;
+    body.put("owner", leader == null ? null : leader.member()).put("term", cache.term());
+    body.put("state_failing_s", state.failingFor());
+    int liveJobs = cache.jobs().size();
+    int runningJobs = 0;
+    for (Cache.Entry job : cache.jobs().values()) {
+      runningJobs += hasClaims(job) ? 1 : 0;
     }
-    n.put("live_jobs", cache.jobs().size()).put("running_jobs", running);
-    n.put("waiting_jobs", waiting).put("claims_paused", operatorSettings.get().claimsPaused());
-    Replies.json(e, 200, n);
+    body.put("live_jobs", liveJobs).put("running_jobs", runningJobs);
+    body.put("waiting_jobs", liveJobs - runningJobs);
+    body.put("claims_paused", operatorSettings.get().claimsPaused());
+    Replies.json(exchange, 200, body);
+  }
+
+  private static boolean hasClaims(Cache.Entry job) {
+    return job.taskBatches.values().stream().anyMatch(batch -> batch.record().claimedCount() > 0);
   }
 
   /**
    * A page of the fleet, by name, filtered by state, type and zone: a large one would not fit the
    * line that an answer may have. Needs the leader's scheduler.
    */
-  void machines(Exchange e) {
-    Optional<ListQuery> asked = ListQuery.parse(e.query());
-    if (asked.isEmpty()) {
-      Replies.badListQuery(e);
+  void machines(Exchange exchange) {
+    Optional<ListQuery> query = ListQuery.parse(exchange.query());
+    if (query.isEmpty()) {
+      Replies.BAD_LIST_QUERY.sendTo(exchange);
       return;
     }
-    ListQuery query = asked.get();
-    List<Scheduler.MachineView> all = new ArrayList<>(scheduler.get().machines(loop.now()));
-    all.sort(Comparator.comparing(Scheduler.MachineView::name));
+    List<Scheduler.MachineView> machines = new ArrayList<>(scheduler.get().machines(loop.now()));
+    machines.sort(Comparator.comparing(Scheduler.MachineView::name));
+    Replies.json(exchange, 200, machinesPage(machines, query.get()));
+  }
+
+  private static ObjectNode machinesPage(List<Scheduler.MachineView> machines, ListQuery query) {
     Map<String, Integer> states = new TreeMap<>();
     ArrayNode page = Json.array();
     boolean truncated = false;
-    for (Scheduler.MachineView m : all) {
-      states.merge(m.state(), 1, Integer::sum);
-      if (m.name().compareTo(query.after()) <= 0
-          || !query.asks("state", m.state())
-          || !query.asks("type", m.type())
-          || !query.asks("zone", m.zone())) {
+    for (Scheduler.MachineView machine : machines) {
+      states.merge(machine.state(), 1, Integer::sum);
+      if (!isOnPage(machine, query)) {
         continue;
       }
-      if (page.size() >= query.most()) {
+      if (page.size() < query.most()) {
+        page.add(describe(machine));
+      } else {
         truncated = true;
-        continue;
-      }
-      ObjectNode n = page.addObject().put("name", m.name()).put("type", m.type());
-      n.put("zone", m.zone()).put("spot", m.spot()).put("state", m.state());
-      n.put("tasks", m.claims()).put("cpus_used", m.cpusUsed()).put("cpus", m.cpus());
-      if (m.silentS() < 1e6) {
-        n.put("silent_s", m.silentS());
       }
     }
-    ObjectNode n = Json.object().put("known", all.size()).put("truncated", truncated);
-    ObjectNode counts = n.putObject("states");
+    ObjectNode body = Json.object().put("known", machines.size()).put("truncated", truncated);
+    ObjectNode counts = body.putObject("states");
     states.forEach(counts::put);
-    n.set("machines", page);
-    Replies.json(e, 200, n);
+    body.set("machines", page);
+    return body;
+  }
+
+  private static boolean isOnPage(Scheduler.MachineView machine, ListQuery query) {
+    return machine.name().compareTo(query.after()) > 0
+        && query.asks("state", machine.state())
+        && query.asks("type", machine.type())
+        && query.asks("zone", machine.zone());
+  }
+
+  private static ObjectNode describe(Scheduler.MachineView machine) {
+    ObjectNode entry = Json.object().put("name", machine.name()).put("type", machine.type());
+    entry.put("zone", machine.zone()).put("spot", machine.spot()).put("state", machine.state());
+    entry.put("tasks", machine.claims()).put("cpus_used", machine.cpusUsed());
+    entry.put("cpus", machine.cpus());
+    if (machine.silentS() < NEVER_HEARD_S) {
+      entry.put("silent_s", machine.silentS());
+    }
+    return entry;
   }
 
   /** Each team's quota beside its use. Needs the leader's scheduler. */
-  void teams(Exchange e) {
-    var use = scheduler.get().teamUse();
-    ArrayNode a = Json.array();
-    for (Team t : limits.teams()) {
-      var u = use.get(t.name());
-      ObjectNode n = a.addObject().put("name", t.name());
-      n.put("cpus_used", u == null ? 0 : u.cpus()).put("cpus", t.cpus());
-      n.put("cpus_max", t.cpusMax()).put("gpus_used", u == null ? 0 : u.gpus());
-      n.put("gpus", t.gpus()).put("gpus_max", t.gpusMax());
+  void teams(Exchange exchange) {
+    var useByTeam = scheduler.get().teamUse();
+    ArrayNode teams = Json.array();
+    for (Team team : limits.teams()) {
+      var use = useByTeam.get(team.name());
+      ObjectNode entry = teams.addObject().put("name", team.name());
+      entry.put("cpus_used", use == null ? 0 : use.cpus()).put("cpus", team.cpus());
+      entry.put("cpus_max", team.cpusMax()).put("gpus_used", use == null ? 0 : use.gpus());
+      entry.put("gpus", team.gpus()).put("gpus_max", team.gpusMax());
     }
-    ObjectNode n = Json.object();
-    n.set("teams", a);
-    Replies.json(e, 200, n);
+    ObjectNode body = Json.object();
+    body.set("teams", teams);
+    Replies.json(exchange, 200, body);
   }
 }
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -9,7 +9,6 @@
 import graderelay.state.Cancellations;
 import graderelay.state.StateClient;
 import graderelay.state.StateClient.How;
-import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
 import java.util.function.BooleanSupplier;
@@ -19,11 +18,14 @@
 /**
  * Job cancellations: the stop request is written into the job's record by a compare-and-swap that
  * competes with claims and with the job's end, and only while the leader has not suspended this
- * controller.
+ * controller. Runs on the event loop.
  */
 final class JobCancellations {
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
+  private static final ApiError SUSPENDED =
+      ApiError.unavailable("this controller may not cancel before the owner hears it again");
+
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
@@ -32,6 +34,11 @@
   private final JobLookup lookup;
   private final BooleanSupplier stateUnreachable;
 
+  /**
+   * Makes the handler of cancellations.
+   *
+   * @param stateUnreachable true while calls to the store fail
+   */
   JobCancellations(
       Loop loop,
       StateClient state,
@@ -50,37 +57,37 @@
   }
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
-  void cancel(Exchange e, String id) {
+  void cancel(Exchange exchange, String id) {
     if (!UserCodec.isId(id)) {
-      UserApi.refuse(e, 404, "no such job");
+      ApiError.NO_SUCH_JOB.sendTo(exchange);
       return;
     }
     if (cache.end(id) == null && stateUnreachable.getAsBoolean()) {
-      UserApi.unavailable(e, "the state service can't be reached");
+      ApiError.STORE_UNREACHABLE.sendTo(exchange);
       return;
     }
-    cancel(new PendingAnswer(loop, e, RequestHedger.USER_DEADLINE_S), id);
+    cancel(new PendingAnswer(loop, exchange, RequestHedger.USER_DEADLINE_S), id);
   }
 
-  private void cancel(PendingAnswer p, String id) {
+  private void cancel(PendingAnswer pending, String id) {
     lookup.look(
-        p,
+        pending,
         id,
-        f -> {
-          if (f == null) {
-            p.answer(404, Json.object().put("error", "no such job"));
-          } else if (f.live() == null || f.live().stop) {
-            p.answer(200, UserCodec.stage(id, f.stage()));
+        found -> {
+          if (found == null) {
+            pending.fail(ApiError.NO_SUCH_JOB);
+          } else if (found.live() == null || found.live().stop) {
+            pending.answer(200, UserCodec.stage(id, found.stage()));
           } else if (lookup.suspendedByLeader()) {
-            p.unavailable("this controller may not cancel before the owner hears it again");
+            pending.fail(SUSPENDED);
           } else {
-            writeStopRequest(p, id, f.live());
+            writeStopRequest(pending, id, found.live());
           }
         });
   }
 
   /** Competes with claims and with the job's end for the job's record. */
-  private void writeStopRequest(PendingAnswer p, String id, Cache.Entry live) {
+  private void writeStopRequest(PendingAnswer pending, String id, Cache.Entry live) {
     String key = StateCodec.jobKey(id);
     StateClient.Txn txn =
         new StateClient.Txn()
@@ -90,15 +97,15 @@
     state.commit(
         txn,
         Use.CLAIM,
-        r -> {
-          if (r.done()) {
+        result -> {
+          if (result.done()) {
             cancellations.committed(id);
             LOG.info("stop request for {} recorded", id);
-            p.answer(200, UserCodec.stage(id, JobState.CANCELLED));
-          } else if (r.how() == How.NOT_EXECUTED) {
-            lookup.retryOrGiveUp(p, () -> cancel(p, id));
+            pending.answer(200, UserCodec.stage(id, JobState.CANCELLED));
+          } else if (result.how() == How.NOT_EXECUTED) {
+            lookup.retryOrGiveUp(pending, () -> cancel(pending, id));
           } else {
-            p.retry(() -> cancel(p, id));
+            pending.retry(() -> cancel(pending, id));
           }
         });
   }
--- /dev/null
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -0,0 +1,136 @@
+package graderelay.api;
+
+import graderelay.config.Settings;
+import graderelay.core.JobSpec;
+import graderelay.core.MachineType;
+import graderelay.net.Loop;
+import graderelay.net.TokenBucket.Use;
+import graderelay.state.Cache;
+import graderelay.state.CancellationResolver;
+import graderelay.state.StateClient;
+import graderelay.wire.Json;
+import graderelay.wire.StateCodec;
+import graderelay.wire.UserCodec;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Creates the record of a submitted job, by a compare-and-swap on the absence of the job's record
+ * and final state, and answers 201. Runs on the event loop.
+ */
+final class JobCreation {
+  /** Seconds by which a controller's copy may lag when it is taken for what was told to users. */
+  private static final double FRESH_S = 3;
+
+  private static final Logger LOG = LoggerFactory.getLogger("users");
+
+  private final Loop loop;
+  private final StateClient state;
+  private final Cache cache;
+  private final Settings settings;
+  private final Supplier<Collection<MachineType>> types;
+  private final JobLookup lookup;
+
+  JobCreation(
+      Loop loop,
+      StateClient state,
+      Cache cache,
+      Settings settings,
+      Supplier<Collection<MachineType>> types,
+      JobLookup lookup) {
+    this.loop = loop;
+    this.state = state;
+    this.cache = cache;
+    this.settings = settings;
+    this.types = types;
+    this.lookup = lookup;
+  }
+
+  /**
+   * Why the job's record can't be stored, or empty if it can: it has to fit a value, also when the
+   * store's limits have become smaller.
+   */
+  Optional<ApiError> tooLarge(JobSpec spec) {
+    int mostBytes = settings.least().valueBytes();
+    if (Json.write(StateCodec.job(spec, true)).length <= mostBytes) {
+      return Optional.empty();
+    }
+    JobSpec withoutNeeds = spec.needing(List.of());
+    if (Json.write(StateCodec.job(withoutNeeds, true)).length <= mostBytes) {
+      String open = UserCodec.NEEDS + " names " + spec.needs().size() + " jobs that are not over";
+      return Optional.of(ApiError.badRequest(open + ", more than a job may"));
+    }
+    return Optional.of(ApiError.badRequest("rigs names more machine types than a job may"));
+  }
+
+  /**
+   * Writes the job's record, and answers; runs {@code onConflict} if a record or a final state of
+   * the job exists already.
+   */
+  void create(PendingAnswer pending, JobSpec spec, Runnable onConflict) {
+    if (types.get() == null) {
+      pending.fail(ApiError.unavailable("the machine types are not known yet"));
+      return;
+    }
+    String key = StateCodec.jobKey(spec.id());
+    StateClient.Txn txn =
+        new StateClient.Txn()
+            .when(key, 0)
+            .when(StateCodec.endKey(spec.id()), 0)
+            .put(key, StateCodec.job(spec, false));
+    Runnable again = () -> create(pending, spec, onConflict);
+    state.commit(
+        txn,
+        Use.SUBMISSION,
+        result -> {
+          switch (result.how()) {
+            case DONE -> {
+              logAccepted(pending, spec);
+              answerCreated(pending, spec);
+            }
+            case CONFLICT -> onConflict.run();
+            case NOT_EXECUTED -> lookup.retryOrGiveUp(pending, again);
+            default -> pending.retry(again);
+          }
+        });
+  }
+
+  private void logAccepted(PendingAnswer pending, JobSpec spec) {
+    LOG.info(
+        "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
+        spec.id(),
+        Math.round((loop.now() - pending.sinceS()) * 1000),
+        spec.jobClass(),
+        spec.team(),
+        spec.tasks(),
+        spec.cpus(),
+        spec.estimateS(),
+        spec.deadlineS());
+  }
+
+  /**
+   * It may be cancelled already, with a job that it names. That one was cancelled a moment ago if
+   * this controller's copy doesn't say so, since it lags by little; only of final states that it
+   * never saw it has to ask.
+   */
+  private void answerCreated(PendingAnswer pending, JobSpec spec) {
+    Set<String> unknown = new HashSet<>();
+    boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
+    boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
+    if (cancelled || (fresh && unknown.isEmpty())) {
+      String stage = cancelled ? JobState.CANCELLED : JobState.PENDING;
+      pending.answer(201, UserCodec.stage(spec.id(), stage));
+    } else {
+      lookup.look(
+          pending,
+          spec.id(),
+          found -> pending.answer(201, UserCodec.stage(spec.id(), found.stage())));
+    }
+  }
+}
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -8,17 +8,25 @@
 import java.util.function.Consumer;
 
 /**
- * Finds what is true of a job, after a read of the state service that no earlier answer is newer
- * than. Gives up with 503 while the state service can't be reached, and retries while it is only
- * busy.
+ * Finds what is true of a job, after a read of the store that no earlier answer is newer than.
+ * Gives up with 503 while the store can't be reached, and retries while it is only busy. Runs on
+ * the event loop.
  */
 final class JobLookup {
+  private static final ApiError SUSPENDED =
+      ApiError.unavailable("the owner may not know that the job is cancelled; ask again");
+
   private final Cache cache;
   private final Settings settings;
   private final CancellationResolver dependencies;
   private final FinalStateLookup finalStates;
   private final BooleanSupplier stateUnreachable;
 
+  /**
+   * Makes a lookup.
+   *
+   * @param stateUnreachable true while calls to the store fail
+   */
   JobLookup(
       Cache cache,
       Settings settings,
@@ -32,17 +40,17 @@
     this.stateUnreachable = stateUnreachable;
   }
 
-  /** Answers 503 if the state service can't be reached, else runs {@code again} after a moment. */
-  void retryOrGiveUp(PendingAnswer p, Runnable again) {
+  /** Answers 503 if the store can't be reached, else runs {@code again} after a moment. */
+  void retryOrGiveUp(PendingAnswer pending, Runnable again) {
     if (stateUnreachable.getAsBoolean()) {
-      p.unavailable("the state service can't be reached");
+      pending.fail(ApiError.STORE_UNREACHABLE);
     } else {
-      p.retry(again);
+      pending.retry(again);
     }
   }
 
   /** Hands {@code then} what is true of job {@code id} now, or null if nobody ever submitted it. */
-  void look(PendingAnswer p, String id, Consumer<JobState> then) {
+  void look(PendingAnswer pending, String id, Consumer<JobState> then) {
     Cache.End end = cache.end(id);
     if (end != null) {
       then.accept(JobState.ended(end));
@@ -50,46 +58,52 @@
     }
     cache.catchUp(
         ok -> {
-          if (!ok) {
-            retryOrGiveUp(p, () -> look(p, id, then));
-            return;
-          }
-          Cache.Entry live = cache.job(id);
-          if (live != null && live.stop && suspendedByLeader()) {
-            p.unavailable("the owner may not know that the job is cancelled; ask again");
-            return;
-          }
-          if (live != null && !live.stop && !live.spec.needs().isEmpty()) {
-            withDependencies(p, live, then);
-            return;
-          }
-          if (live != null) {
-            then.accept(JobState.live(live));
-            return;
-          }
-          Cache.End seen = cache.end(id);
-          if (seen != null) {
-            then.accept(JobState.ended(seen));
-            return;
+          if (ok) {
+            lookInFreshCopy(pending, id, then);
+          } else {
+            retryOrGiveUp(pending, () -> look(pending, id, then));
           }
-          lookForFinalState(p, id, then);
         });
   }
 
+  private void lookInFreshCopy(PendingAnswer pending, String id, Consumer<JobState> then) {
+    Cache.Entry live = cache.job(id);
+    if (live == null) {
+      lookAmongEnded(pending, id, then);
+    } else if (live.stop && suspendedByLeader()) {
+      pending.fail(SUSPENDED);
+    } else if (!live.stop && !live.spec.needs().isEmpty()) {
+      lookAtDependencies(pending, live, then);
+    } else {
+      then.accept(JobState.live(live));
+    }
+  }
+
+  private void lookAmongEnded(PendingAnswer pending, String id, Consumer<JobState> then) {
+    Cache.End end = cache.end(id);
+    if (end != null) {
+      then.accept(JobState.ended(end));
+    } else {
+      lookForFinalState(pending, id, then);
+    }
+  }
+
   /** A job may be cancelled with a DAG dependency of it, before anything says so of itself. */
-  private void withDependencies(PendingAnswer p, Cache.Entry e, Consumer<JobState> then) {
+  private void lookAtDependencies(
+      PendingAnswer pending, Cache.Entry live, Consumer<JobState> then) {
+    String id = live.spec.id();
     dependencies.decide(
-        e,
-        v -> {
-          Cache.End end = cache.end(e.spec.id());
+        live,
+        verdict -> {
+          Cache.End end = cache.end(id);
           if (end != null) {
             then.accept(JobState.ended(end)); // It has ended while we looked.
-          } else if (v == CancellationResolver.Verdict.CANCELLED) {
-            then.accept(new JobState(JobState.CANCELLED, 0, 0, null));
-          } else if (v == CancellationResolver.Verdict.NOT_CANCELLED) {
-            then.accept(JobState.live(e));
+          } else if (verdict == CancellationResolver.Verdict.CANCELLED) {
+            then.accept(JobState.cancelledWithDependency());
+          } else if (verdict == CancellationResolver.Verdict.NOT_CANCELLED) {
+            then.accept(JobState.live(live));
           } else {
-            retryOrGiveUp(p, () -> look(p, e.spec.id(), then));
+            retryOrGiveUp(pending, () -> look(pending, id, then));
           }
         });
   }
@@ -103,17 +117,17 @@
     return cache.bar(settings.member()) != null;
   }
 
-  private void lookForFinalState(PendingAnswer p, String id, Consumer<JobState> then) {
+  private void lookForFinalState(PendingAnswer pending, String id, Consumer<JobState> then) {
     finalStates.look(
         id,
         found -> {
-          Cache.End e = cache.end(id);
-          if (e != null) {
-            then.accept(JobState.ended(e));
+          Cache.End end = cache.end(id);
+          if (end != null) {
+            then.accept(JobState.ended(end));
           } else if (found == FinalStateLookup.Found.ABSENT) {
             then.accept(null);
           } else {
-            retryOrGiveUp(p, () -> look(p, id, then));
+            retryOrGiveUp(pending, () -> look(pending, id, then));
           }
         });
   }
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -12,27 +12,36 @@
  * @param live the job's live record, or null if it has ended
  */
 record JobState(String stage, int done, int running, Cache.Entry live) {
+  static final String PENDING = "pending";
+  static final String RUNNING = "running";
+  static final String DONE = "done";
   static final String CANCELLED = "cancelled";
 
   /** The state of a job that has a final state. */
-  static JobState ended(Cache.End e) {
-    return new JobState(stageOf(e), e.cancelled() ? 0 : e.tasks(), 0, null);
+  static JobState ended(Cache.End end) {
+    return new JobState(stageOf(end), end.cancelled() ? 0 : end.tasks(), 0, null);
   }
 
   /** The state of a live job, summed over its task batches. */
-  static JobState live(Cache.Entry e) {
+  static JobState live(Cache.Entry entry) {
     int done = 0;
     int claimed = 0;
-    for (Cache.TaskBatchEntry s : e.taskBatches.values()) {
-      TaskBatchRecord r = s.record();
-      done += r.doneCount();
-      claimed += r.claimedCount();
+    for (Cache.TaskBatchEntry batch : entry.taskBatches.values()) {
+      TaskBatchRecord record = batch.record();
+      done += record.doneCount();
+      claimed += record.claimedCount();
     }
-    String stage = e.stop ? CANCELLED : claimed > 0 ? "running" : "pending";
-    return new JobState(stage, done, e.stop ? 0 : claimed, e);
+    String stage = entry.stop ? CANCELLED : claimed > 0 ? RUNNING : PENDING;
+    return new JobState(stage, done, entry.stop ? 0 : claimed, entry);
   }
 
+  /** The state of a live job that is cancelled with a DAG dependency of it. */
+  static JobState cancelledWithDependency() {
+    return new JobState(CANCELLED, 0, 0, null);
+  }
+
+  /** The stage that users are told of a job that has a final state. */
   static String stageOf(Cache.End end) {
-    return end.cancelled() ? CANCELLED : "done";
+    return end.cancelled() ? CANCELLED : DONE;
   }
 }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -4,66 +4,62 @@
 import graderelay.core.JobSpec;
 import graderelay.core.MachineType;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
-import graderelay.state.FinalStateLookup;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
 import graderelay.wire.BadRequest;
 import graderelay.wire.Json;
-import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Set;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * Job submissions, as idempotent requests: the job's record is created by a compare-and-swap on its
  * absence, so a repeated submission of an accepted job is told what became of it (200), a new one
  * is accepted (201), and one that can never run is refused (422) only after the records have been
- * read anew.
+ * read anew. Runs on the event loop.
  */
 final class JobSubmissions {
-  /** Seconds by which a node's copy may lag when it is taken for what was told to users. */
-  private static final double FRESH_S = 3;
-
-  /** Seconds that a submission which the leader has handed on may have to wait for changes here. */
-  private static final double HANDED_ON_WAIT_S = 0.1;
+  /** Seconds that a submission which the leader has forwarded may have to wait for changes here. */
+  private static final double FORWARDED_WAIT_S = 0.1;
 
   /**
-   * Seconds that a submission may have to wait for this node's changes by their rate: one that
-   * would wait longer is refused at once, and its user comes back instead of waiting in vain.
+   * Seconds that a submission may have to wait for this controller's changes by their rate: one
+   * that would wait longer is refused at once, and its user comes back instead of waiting in vain.
    */
   private static final double LONGEST_SUBMISSION_WAIT_S = 2;
 
   /** Submissions under way at once, a bound on a queue; beyond that the newest is refused. */
   private static final int MOST_SUBMISSIONS = 400;
 
-  private static final Logger LOG = LoggerFactory.getLogger("users");
+  private static final ApiError OVERLOADED =
+      ApiError.tooManyRequests("too many submissions at once");
 
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final Settings settings;
   private final TeamLimits limits;
   private final Supplier<Collection<MachineType>> types;
   private final IntSupplier batchCapacity;
-  private final CancellationResolver dependencies;
   private final JobLookup lookup;
+  private final DependencyCheck dependencyCheck;
+  private final JobCreation creation;
   private final BooleanSupplier stateUnreachable;
   private int inFlight;
 
+  /**
+   * Makes the handler of submissions.
+   *
+   * @param types the machine types that may be rented, or null while they are not known yet
+   * @param batchCapacity tasks in one task batch of a job submitted now
+   * @param stateUnreachable true while calls to the store fail
+   */
   JobSubmissions(
       Loop loop,
       StateClient state,
@@ -78,239 +74,130 @@
     this.loop = loop;
     this.state = state;
     this.cache = cache;
-    this.settings = settings;
     this.limits = limits;
     this.types = types;
     this.batchCapacity = batchCapacity;
-    this.dependencies = dependencies;
     this.lookup = lookup;
+    this.dependencyCheck = new DependencyCheck(cache, dependencies, lookup);
+    this.creation = new JobCreation(loop, state, cache, settings, types, lookup);
     this.stateUnreachable = stateUnreachable;
   }
 
-  /** Answers a submission: 200, 201, 400, 422, 429 or 503 with Retry-After. */
-  void submit(Exchange e) {
+  /** Answers a submission: 200, 201, 400, 422, or 429 and 503 with Retry-After. */
+  void submit(Exchange exchange) {
     JobSpec spec;
     try {
-      spec = UserCodec.submission(Json.read(e.body()), loop.wallMs(), batchCapacity.getAsInt());
-    } catch (BadRequest b) {
-      UserApi.refuse(e, 400, b.getMessage());
-      return;
-    }
-    if (cache.end(spec.id()) != null) {
-      answerFinalState(e, spec.id());
-      return;
-    }
-    if (stateUnreachable.getAsBoolean()) {
-      UserApi.unavailable(e, "the state service can't be reached");
+      spec =
+          UserCodec.submission(Json.read(exchange.body()), loop.wallMs(), batchCapacity.getAsInt());
+    } catch (BadRequest malformed) {
+      ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
       return;
     }
-    double longest = e.relayed() ? HANDED_ON_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
-    boolean tooLate = state.changeTokens().waitingS() > longest && cache.job(spec.id()) == null;
-    if (inFlight >= MOST_SUBMISSIONS || tooLate) {
-      e.to().accept(Answer.later(429, Json.error("too many submissions at once")));
-      return;
-    }
-    inFlight++;
-    Exchange counted =
-        e.answeredTo(
-            a -> {
-              inFlight--;
-              e.to().accept(a);
-            });
-    PendingAnswer p = new PendingAnswer(loop, counted, RequestHedger.USER_DEADLINE_S);
-    if (cache.job(spec.id()) != null) {
-      answerIfAccepted(p, spec);
-      return;
-    }
-    String never = neverRuns(spec);
-    if (never == null) {
-      checkDependencies(p, spec);
+    Cache.End end = cache.end(spec.id());
+    if (end != null) {
+      Replies.json(exchange, 200, UserCodec.stage(spec.id(), JobState.stageOf(end)));
+    } else if (stateUnreachable.getAsBoolean()) {
+      ApiError.STORE_UNREACHABLE.sendTo(exchange);
+    } else if (wouldWaitTooLong(exchange, spec)) {
+      OVERLOADED.sendTo(exchange);
     } else {
-      // A retry of a job that was accepted once is told so, whatever has changed since.
-      answerIfAccepted(p, spec);
+      decide(new PendingAnswer(loop, counted(exchange), RequestHedger.USER_DEADLINE_S), spec);
     }
   }
 
-  private void answerFinalState(Exchange e, String id) {
-    Cache.End end = cache.end(id);
-    e.to().accept(Answer.json(200, Json.write(UserCodec.stage(id, JobState.stageOf(end)))));
+  private boolean wouldWaitTooLong(Exchange exchange, JobSpec spec) {
+    double longestS = exchange.relayed() ? FORWARDED_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
+    boolean tooLate = state.changeTokens().waitingS() > longestS && cache.job(spec.id()) == null;
+    return inFlight >= MOST_SUBMISSIONS || tooLate;
   }
 
-  /**
-   * Why a job can never run, as far as this node knows; null if it can. Users take a refusal for
-   * good, so none is given before the records, of limits too, have been read anew.
-   */
-  private String neverRuns(JobSpec s) {
-    String forbidden = limits.forbids(s);
-    if (forbidden != null) {
-      return forbidden;
-    }
-    Collection<MachineType> all = types.get();
-    if (all != null && all.stream().noneMatch(s::fits)) {
-      return "a task fits no allowed machine type";
-    }
-    return null;
-  }
-
-  /** Writes the job's record if neither it nor a final state of the job exists yet. */
-  private void create(PendingAnswer p, JobSpec spec) {
-    if (types.get() == null) {
-      p.unavailable("the machine types are not known yet");
-      return;
-    }
-    String key = StateCodec.jobKey(spec.id());
-    StateClient.Txn txn =
-        new StateClient.Txn()
-            .when(key, 0)
-            .when(StateCodec.endKey(spec.id()), 0)
-            .put(key, StateCodec.job(spec, false));
-    state.commit(
-        txn,
-        Use.SUBMISSION,
-        r -> {
-          switch (r.how()) {
-            case DONE -> {
-              LOG.info(
-                  "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
-                  spec.id(),
-                  Math.round((loop.now() - p.sinceS()) * 1000),
-                  spec.jobClass(),
-                  spec.team(),
-                  spec.tasks(),
-                  spec.cpus(),
-                  spec.estimateS(),
-                  spec.deadlineS());
-              created(p, spec);
-            }
-            case CONFLICT -> answerIfAccepted(p, spec);
-            case NOT_EXECUTED -> lookup.retryOrGiveUp(p, () -> create(p, spec));
-            default -> p.retry(() -> create(p, spec));
-          }
+  /** The same request, counted among those under way until it is answered. */
+  private Exchange counted(Exchange exchange) {
+    inFlight++;
+    return exchange.answeredTo(
+        answer -> {
+          inFlight--;
+          exchange.to().accept(answer);
         });
   }
 
-  /**
-   * It may be cancelled already, with a job that it names. That one was cancelled a moment ago if
-   * this node's copy doesn't say so, since it lags by little; only of ends that it never saw it has
-   * to ask.
-   */
-  private void created(PendingAnswer p, JobSpec spec) {
-    Set<String> unknown = new HashSet<>();
-    boolean cancelled = CancellationResolver.cancelled(cache, spec, unknown);
-    boolean fresh = loop.now() - cache.knownUntil() < FRESH_S;
-    if (cancelled || (fresh && unknown.isEmpty())) {
-      p.answer(201, UserCodec.stage(spec.id(), cancelled ? JobState.CANCELLED : "pending"));
+  private void decide(PendingAnswer pending, JobSpec spec) {
+    if (cache.job(spec.id()) != null || whyNeverRuns(spec).isPresent()) {
+      // A retry of a job that was accepted once is told so, whatever has changed since.
+      ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec));
     } else {
-      lookup.look(p, spec.id(), f -> p.answer(201, UserCodec.stage(spec.id(), f.stage())));
+      checkDependencies(pending, spec);
     }
   }
 
-  /** Answers for a job that may have been accepted before, else goes on to accept it. */
-  private void answerIfAccepted(PendingAnswer p, JobSpec spec) {
-    lookup.look(
-        p,
-        spec.id(),
-        found -> {
-          if (found != null) {
-            p.answer(200, UserCodec.stage(spec.id(), found.stage()));
-            return;
-          }
-          String never = neverRuns(spec);
-          if (never != null) {
-            p.answer(422, Json.object().put("error", never));
-          } else {
-            checkDependencies(p, spec);
-          }
-        });
+  /** Decides a submission of a job that the records, read anew, do not know. */
+  private void decideNewJob(PendingAnswer pending, JobSpec spec) {
+    Optional<ApiError> neverRuns = whyNeverRuns(spec);
+    if (neverRuns.isPresent()) {
+      pending.fail(neverRuns.get());
+    } else {
+      checkDependencies(pending, spec);
+    }
   }
 
   /**
-   * Checks the DAG dependencies of a job against the state service: each was accepted, which is so
-   * for good, by whichever node and version. Those that are done need not be kept.
+   * Why a job can never run, as far as this controller knows; empty if it can. Users take a refusal
+   * for good, so none is given before the records, of limits too, have been read anew.
    */
-  private void checkDependencies(PendingAnswer p, JobSpec spec) {
-    if (spec.needs().isEmpty()) {
-      checkSize(p, spec);
-      return;
+  private Optional<ApiError> whyNeverRuns(JobSpec spec) {
+    String forbidden = limits.forbids(spec);
+    if (forbidden != null) {
+      return Optional.of(ApiError.unprocessable(forbidden));
     }
-    if (unseen(spec).isEmpty()) {
-      withDependencies(p, spec, List.of()); // Accepted once is accepted, so the copy may lag.
-      return;
+    Collection<MachineType> known = types.get();
+    if (known != null && known.stream().noneMatch(spec::fits)) {
+      return Optional.of(ApiError.unprocessable("a task fits no allowed machine type"));
     }
-    cache.catchUp(
-        ok -> {
-          if (ok) {
-            dependencies.find(unseen(spec), found -> withDependencies(p, spec, found));
-          } else {
-            lookup.retryOrGiveUp(p, () -> checkDependencies(p, spec));
-          }
-        });
+    return Optional.empty();
   }
 
-  /** Dependencies of which this node has seen neither the record nor the final state. */
-  private List<String> unseen(JobSpec spec) {
-    List<String> unseen = new ArrayList<>();
-    for (String id : spec.needs()) {
-      if (cache.job(id) == null && cache.end(id) == null) {
-        unseen.add(id);
-      }
-    }
-    return unseen;
-  }
+  private void checkDependencies(PendingAnswer pending, JobSpec spec) {
+    dependencyCheck.check(
+        pending,
+        spec,
+        new DependencyCheck.Outcome() {
+          @Override
+          public void accepted(JobSpec checked) {
+            create(pending, checked);
+          }
 
-  private void withDependencies(PendingAnswer p, JobSpec spec, List<FinalStateLookup.Found> found) {
-    if (found.contains(FinalStateLookup.Found.FAILED)) {
-      lookup.retryOrGiveUp(p, () -> checkDependencies(p, spec));
-      return;
-    }
-    List<String> open = new ArrayList<>();
-    for (String id : spec.needs()) {
-      Cache.Entry live = cache.job(id);
-      Cache.End end = cache.end(id);
-      if (live == null && end == null) {
-        refuseUnlessAccepted(
-            p, spec, 422, UserCodec.NEEDS + " names " + id + ", which was never accepted");
-        return;
-      }
-      if (live != null && live.spec.isService()) {
-        refuseUnlessAccepted(
-            p, spec, 422, UserCodec.NEEDS + " names " + id + ", a service, which is never done");
-        return;
-      }
-      if (end == null || end.cancelled()) {
-        open.add(id);
-      }
-    }
-    checkSize(p, spec.needing(open));
+          @Override
+          public void refused(ApiError error) {
+            refuse(pending, spec, error);
+          }
+        });
   }
 
-  /** The record has to fit a value, also when the state service's limits have become smaller. */
-  private void checkSize(PendingAnswer p, JobSpec spec) {
-    int most = settings.least().valueBytes();
-    if (Json.write(StateCodec.job(spec, true)).length <= most) {
-      create(p, spec);
-    } else if (Json.write(StateCodec.job(spec.needing(List.of()), true)).length <= most) {
-      int open = spec.needs().size();
-      refuseUnlessAccepted(
-          p,
-          spec,
-          400,
-          UserCodec.NEEDS + " names " + open + " jobs that are not over, more than a job may");
+  private void create(PendingAnswer pending, JobSpec spec) {
+    Optional<ApiError> tooLarge = creation.tooLarge(spec);
+    if (tooLarge.isPresent()) {
+      refuse(pending, spec, tooLarge.get());
     } else {
-      refuseUnlessAccepted(p, spec, 400, "rigs names more machine types than a job may");
+      creation.create(
+          pending, spec, () -> ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec)));
     }
   }
 
   /** A retry of a job that was accepted is told so, whatever has become of what it names. */
-  private void refuseUnlessAccepted(PendingAnswer p, JobSpec spec, int status, String why) {
+  private void refuse(PendingAnswer pending, JobSpec spec, ApiError error) {
+    ifNotAccepted(pending, spec, () -> pending.fail(error));
+  }
+
+  /** Answers 200 for a job that was accepted before, else goes on with {@code otherwise}. */
+  private void ifNotAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
     lookup.look(
-        p,
+        pending,
         spec.id(),
         found -> {
           if (found != null) {
-            p.answer(200, UserCodec.stage(spec.id(), found.stage()));
+            pending.answer(200, UserCodec.stage(spec.id(), found.stage()));
           } else {
-            p.answer(status, Json.object().put("error", why));
+            otherwise.run();
           }
         });
   }
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -16,92 +16,108 @@
 /**
  * What operators see of live jobs: {@code /admin/jobs}, a page by id from this controller's copy,
  * and {@code /admin/jobs/ID}, with why it waits, its DAG dependencies and its claims, on the
- * leader.
+ * leader. Runs on the event loop.
  */
 final class JobViews {
   private final Cache cache;
   private final Supplier<Scheduler> scheduler;
 
+  /**
+   * Makes the views.
+   *
+   * @param scheduler the scheduler while this controller leads, else null
+   */
   JobViews(Cache cache, Supplier<Scheduler> scheduler) {
     this.cache = cache;
     this.scheduler = scheduler;
   }
 
-  private ObjectNode describe(Cache.Entry j) {
-    int done = 0;
-    int claimed = 0;
-    for (Cache.TaskBatchEntry s : j.taskBatches.values()) {
-      done += s.record().doneCount();
-      claimed += s.record().claimedCount();
+  /** A page of live jobs after the query's {@code after}, filtered by team and class. */
+  void jobs(Exchange exchange) {
+    Optional<ListQuery> query = ListQuery.parse(exchange.query());
+    if (query.isEmpty()) {
+      Replies.BAD_LIST_QUERY.sendTo(exchange);
+    } else {
+      Replies.json(exchange, 200, jobsPage(query.get()));
     }
-    boolean stops = j.stop || CancellationResolver.cancelled(cache, j.spec, new HashSet<>());
-    String stage = stops ? "stopping" : claimed > 0 ? "running" : "waiting";
-    return Json.object()
-        .put("id", j.spec.id())
-        .put("class", j.spec.jobClass())
-        .put("team", j.spec.team())
-        .put("stage", stage)
-        .put("tasks", j.spec.tasks())
-        .put("done", done)
-        .put("claimed", claimed);
   }
 
-  /** A page of live jobs after the query's {@code after}, filtered by team and class. */
-  void jobs(Exchange e) {
-    Optional<ListQuery> asked = ListQuery.parse(e.query());
-    if (asked.isEmpty()) {
-      Replies.badListQuery(e);
-      return;
-    }
-    ListQuery query = asked.get();
+  private ObjectNode jobsPage(ListQuery query) {
     ArrayNode page = Json.array();
     boolean truncated = false;
-    for (Cache.Entry j : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
-      if (!query.asks("team", j.spec.team()) || !query.asks("class", j.spec.jobClass())) {
+    for (Cache.Entry job : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
+      if (!query.asks("team", job.spec.team()) || !query.asks("class", job.spec.jobClass())) {
         continue;
       }
       if (page.size() >= query.most()) {
         truncated = true;
         break;
       }
-      page.add(describe(j));
+      page.add(describe(job));
     }
-    ObjectNode n = Json.object().put("live_jobs", cache.jobs().size());
-    n.put("truncated", truncated);
-    n.set("jobs", page);
-    Replies.json(e, 200, n);
+    ObjectNode body = Json.object().put("live_jobs", cache.jobs().size());
+    body.put("truncated", truncated);
+    body.set("jobs", page);
+    return body;
   }
 
   /** One live job with why it waits, what it needs, what needs it, and its claims; or 404. */
-  void job(Exchange e, String id) {
-    Cache.Entry j = cache.job(id);
-    if (j == null) {
-      UserApi.refuse(e, 404, "no live job " + id);
+  void job(Exchange exchange, String id) {
+    Cache.Entry job = cache.job(id);
+    if (job == null) {
+      ApiError.notFound("no live job " + id).sendTo(exchange);
       return;
     }
-    ObjectNode n = describe(j);
-    n.put("waits_because", scheduler.get().whyWaiting(id));
-    j.spec.needs().forEach(n.putArray("needs")::add);
-    ArrayNode neededBy = n.putArray("needed_by");
-    for (Cache.Entry o : new TreeMap<>(cache.jobs()).values()) {
-      if (o.spec.needs().contains(id) && neededBy.size() < ListQuery.MOST_LISTED) {
-        neededBy.add(o.spec.id());
+    ObjectNode body = describe(job);
+    body.put("waits_because", scheduler.get().whyWaiting(id));
+    job.spec.needs().forEach(body.putArray("needs")::add);
+    addDependents(body.putArray("needed_by"), id);
+    addClaims(body.putArray("claims"), job);
+    Replies.json(exchange, 200, body);
+  }
+
+  private ObjectNode describe(Cache.Entry job) {
+    int done = 0;
+    int claimed = 0;
+    for (Cache.TaskBatchEntry batch : job.taskBatches.values()) {
+      done += batch.record().doneCount();
+      claimed += batch.record().claimedCount();
+    }
+    boolean stops = job.stop || CancellationResolver.cancelled(cache, job.spec, new HashSet<>());
+    String stage = stops ? "stopping" : claimed > 0 ? "running" : "waiting";
+    return Json.object()
+        .put("id", job.spec.id())
+        .put("class", job.spec.jobClass())
+        .put("team", job.spec.team())
+        .put("stage", stage)
+        .put("tasks", job.spec.tasks())
+        .put("done", done)
+        .put("claimed", claimed);
+  }
+
+  /** Adds the live jobs that depend on this one, by id. */
+  private void addDependents(ArrayNode dependents, String id) {
+    for (Cache.Entry other : new TreeMap<>(cache.jobs()).values()) {
+      if (other.spec.needs().contains(id) && dependents.size() < ListQuery.MOST_LISTED) {
+        dependents.add(other.spec.id());
       }
     }
-    ArrayNode claims = n.putArray("claims");
-    for (var s : j.taskBatches.entrySet()) {
-      TaskBatchRecord r = s.getValue().record();
-      for (int i = 0; i < r.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
-        if (r.machine(i) != null) {
+  }
+
+  private static void addClaims(ArrayNode claims, Cache.Entry job) {
+    for (var entry : job.taskBatches.entrySet()) {
+      TaskBatchRecord batch = entry.getValue().record();
+      int firstTask = entry.getKey() * job.spec.batchCapacity();
+      for (int i = 0; i < batch.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
+        if (batch.machine(i) != null) {
           claims
               .addObject()
-              .put("task", j.spec.taskId(s.getKey() * j.spec.batchCapacity() + i))
-              .put("attempt", r.attempt(i))
-              .put("machine", r.machine(i))
-              .put("session", r.session(i));
+              .put("task", job.spec.taskId(firstTask + i))
+              .put("attempt", batch.attempt(i))
+              .put("machine", batch.machine(i))
+              .put("session", batch.session(i));
         }
       }
     }
-    Replies.json(e, 200, n);
   }
 }
--- a/src/main/java/graderelay/api/OperatorWrites.java
+++ b/src/main/java/graderelay/api/OperatorWrites.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
 import graderelay.state.StateClient.How;
-import graderelay.wire.Json;
 import java.util.function.Supplier;
 
-/** How operators are told what became of a conditional write that they have asked for. */
+/** How operators are told what became of a compare-and-swap that they have asked for. */
 final class OperatorWrites {
   private static final int CONFLICT = 409;
+  private static final ApiError OUTCOME_UNKNOWN =
+      ApiError.unavailable("it is not known whether the change was made; read it again");
 
   private OperatorWrites() {}
 
@@ -22,25 +22,29 @@
    * @param conflict what is said if somebody else's write came first
    */
   static void answer(
-      Exchange e,
+      Exchange exchange,
       Cache cache,
       StateClient.Result result,
       Supplier<ObjectNode> present,
       String conflict) {
     if (result.how() == How.NOT_EXECUTED) {
-      UserApi.unavailable(e, "the state service can't be reached");
+      ApiError.STORE_UNREACHABLE.sendTo(exchange);
       return;
     }
     cache.catchUp(
         ok -> {
           if (!ok || result.how() == How.UNKNOWN) {
-            UserApi.unavailable(e, "it is not known whether the change was made; read it again");
+            OUTCOME_UNKNOWN.sendTo(exchange);
           } else if (result.done()) {
-            e.to().accept(Answer.json(200, Json.write(present.get())));
+            Replies.json(exchange, 200, present.get());
           } else {
-            ObjectNode n = present.get().put("error", conflict);
-            e.to().accept(Answer.json(CONFLICT, Json.write(n)));
+            conflict(exchange, present.get(), conflict);
           }
         });
   }
+
+  /** Answers 409 with the record as it is and the reason why it is not changed. */
+  static void conflict(Exchange exchange, ObjectNode present, String why) {
+    Replies.json(exchange, CONFLICT, present.put("error", why));
+  }
 }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -8,20 +8,28 @@
 import graderelay.state.FeatureRecords;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.wire.Json;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Answers the other controllers. */
+/** Answers the other controllers' requests. Runs on the event loop. */
 public final class PeerApi {
-  private static final int NO_SUCH_MESSAGE = 404;
+  private static final ApiError OTHER_FEATURE_LEVEL = ApiError.notFound("of another feature level");
+  private static final ApiError NO_SUCH_MESSAGE = ApiError.notFound("no such message");
 
-  /** Takes a worker's report that came to another controller. */
-  public interface Relayed {
-    void accept(String via, byte[] body, Consumer<Answer> to);
+  /** Takes a worker's heartbeat that came to another controller. */
+  @FunctionalInterface
+  public interface RelayedHeartbeats {
+    /**
+     * Answers a relayed heartbeat.
+     *
+     * @param relayedBy the member that the worker sent it to
+     * @param body the heartbeat as the worker wrote it
+     * @param to takes the answer for the worker
+     */
+    void accept(String relayedBy, byte[] body, Consumer<Answer> to);
   }
 
   private final Leadership leadership;
@@ -30,7 +38,7 @@
   private final String incarnation;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final Relayed reports;
+  private final RelayedHeartbeats heartbeats;
   private final Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations;
   private final Exchange.Handler requests;
 
@@ -39,6 +47,8 @@
    *
    * @param catchUp reads what has changed in the records
    * @param incarnation tells this process from others of the same member
+   * @param heartbeats takes workers' heartbeats that another controller relays
+   * @param delegations decides as the leader whether a member becomes a lease delegate
    * @param requests takes users' and operators' requests that another controller passes on
    */
   public PeerApi(
@@ -48,7 +58,7 @@
       String incarnation,
       StateClient state,
       Cancellations cancellations,
-      Relayed reports,
+      RelayedHeartbeats heartbeats,
       Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations,
       Exchange.Handler requests) {
     this.leadership = leadership;
@@ -57,61 +67,85 @@
     this.incarnation = incarnation;
     this.state = state;
     this.cancellations = cancellations;
-    this.reports = reports;
+    this.heartbeats = heartbeats;
     this.delegations = delegations;
     this.requests = requests;
   }
 
   /** Answers one request; one of a kind that this version does not know is refused. */
-  public void handle(Exchange e) {
-    boolean message = e.method().equals("POST") && e.path().equals(PeerClient.PATH);
-    PeerCodec.Envelope envelope =
-        message ? PeerCodec.envelope(e.body()) : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
+  public void handle(Exchange exchange) {
+    PeerCodec.Envelope envelope = decode(exchange);
     PeerRequest request = envelope.request();
-    int theirs = envelope.featureLevel();
-    int ours = features.gate().current().level();
-    if (theirs > ours) {
+    int theirLevel = envelope.featureLevel();
+    int ourLevel = features.gate().current().level();
+    if (theirLevel > ourLevel) {
       catchUp.run(); // We have missed a change of the level.
     }
-    // Whoever has missed one must neither act for the controllers nor be trusted with leases. A
-    // pledge to somebody who knows more than we do is safe: our own election would fail.
-    boolean behind = theirs < ours;
-    if (request instanceof PeerRequest.Pledge p) {
-      answer(e, pledged(!behind && leadership.promise(p.member(), p.term(), p.seconds())));
-    } else if (request instanceof PeerRequest.KeepPledge p) {
-      answer(e, pledged(!behind && leadership.promiseKeep(p.seconds())));
-    } else if (request instanceof PeerRequest.Identify) {
-      answer(e, new PeerAnswer.Identified(incarnation));
-    } else if (actsForTheLeader(request) && theirs != ours) {
-      e.to().accept(Answer.json(NO_SUCH_MESSAGE, Json.error("of another feature level")));
-    } else if (request instanceof PeerRequest.Share s) {
-      leadership.takeShare(s.term(), s.changesPerS());
-      answer(e, new PeerAnswer.Wanted(state.wantedChanges()));
-    } else if (request instanceof PeerRequest.Handover h) {
-      leadership.takeHandover(h.member(), h.term(), h.sessionLease());
-      answer(e, new PeerAnswer.Received());
-    } else if (request instanceof PeerRequest.Delegation d) {
-      answer(e, delegations.apply(d));
-    } else if (request instanceof PeerRequest.RelayedReport r) {
-      reports.accept(r.member(), r.body(), a -> answer(e, new PeerAnswer.Relayed(a)));
-    } else if (request instanceof PeerRequest.UserRequest u) {
-      relay(e, u.method(), u.path(), "", u.body());
-    } else if (request instanceof PeerRequest.AdminRequest a) {
-      relay(e, a.method(), a.path(), a.query(), a.body());
-    } else {
-      e.to().accept(Answer.json(NO_SUCH_MESSAGE, Json.error("no such message")));
+    if (actsForTheLeader(request) && theirLevel != ourLevel) {
+      OTHER_FEATURE_LEVEL.sendTo(exchange);
+    } else if (!answerBetweenMembers(exchange, request, theirLevel < ourLevel)
+        && !answerRelayed(exchange, request)) {
+      NO_SUCH_MESSAGE.sendTo(exchange);
     }
   }
 
+  private static PeerCodec.Envelope decode(Exchange exchange) {
+    boolean message = exchange.method().equals("POST") && exchange.path().equals(PeerClient.PATH);
+    return message
+        ? PeerCodec.envelope(exchange.body())
+        : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
+  }
+
   private static boolean actsForTheLeader(PeerRequest request) {
     return request instanceof PeerRequest.Handover
         || request instanceof PeerRequest.Delegation
         || request instanceof PeerRequest.RelayedReport;
   }
 
-  private void relay(Exchange e, String method, String path, String query, byte[] body) {
-    requests.handle(
-        new Exchange(method, path, query, body, true, a -> answer(e, new PeerAnswer.Relayed(a))));
+  /**
+   * Answers what controllers ask for themselves; false if the request is none of that.
+   *
+   * <p>Whoever has missed a change of the feature level must neither act for the controllers nor be
+   * trusted with leases. A pledge to somebody who knows more than we do is safe: our own election
+   * would fail.
+   *
+   * @param behind true if the sender has missed a change of the feature level
+   */
+  private boolean answerBetweenMembers(Exchange exchange, PeerRequest request, boolean behind) {
+    if (request instanceof PeerRequest.Pledge p) {
+      boolean granted = !behind && leadership.promise(p.member(), p.term(), p.seconds());
+      answer(exchange, pledged(granted));
+    } else if (request instanceof PeerRequest.KeepPledge p) {
+      answer(exchange, pledged(!behind && leadership.promiseKeep(p.seconds())));
+    } else if (request instanceof PeerRequest.Identify) {
+      answer(exchange, new PeerAnswer.Identified(incarnation));
+    } else if (request instanceof PeerRequest.Share share) {
+      leadership.takeShare(share.term(), share.changesPerS());
+      answer(exchange, new PeerAnswer.Wanted(state.wantedChanges()));
+    } else if (request instanceof PeerRequest.Handover h) {
+      leadership.takeHandover(h.member(), h.term(), h.sessionLease());
+      answer(exchange, new PeerAnswer.Received());
+    } else if (request instanceof PeerRequest.Delegation delegation) {
+      answer(exchange, delegations.apply(delegation));
+    } else {
+      return false;
+    }
+    return true;
+  }
+
+  /** Answers what a controller passes on for others; false if the request is none of that. */
+  private boolean answerRelayed(Exchange exchange, PeerRequest request) {
+    if (request instanceof PeerRequest.RelayedReport heartbeat) {
+      heartbeats.accept(heartbeat.member(), heartbeat.body(), relayedTo(exchange));
+    } else if (request instanceof PeerRequest.UserRequest u) {
+      requests.handle(new Exchange(u.method(), u.path(), "", u.body(), true, relayedTo(exchange)));
+    } else if (request instanceof PeerRequest.AdminRequest a) {
+      requests.handle(
+          new Exchange(a.method(), a.path(), a.query(), a.body(), true, relayedTo(exchange)));
+    } else {
+      return false;
+    }
+    return true;
   }
 
   /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
@@ -119,7 +153,12 @@
     return new PeerAnswer.Pledged(granted, state.reached(), cancellations.word());
   }
 
-  private static void answer(Exchange e, PeerAnswer answer) {
-    e.to().accept(new Answer(200, PeerCodec.encode(answer), "application/cbor", 0, false));
+  /** Sends an answer back to the controller that has passed the request on. */
+  private static Consumer<Answer> relayedTo(Exchange exchange) {
+    return answer -> answer(exchange, new PeerAnswer.Relayed(answer));
+  }
+
+  private static void answer(Exchange exchange, PeerAnswer answer) {
+    exchange.to().accept(new Answer(200, PeerCodec.encode(answer), "application/cbor", 0, false));
   }
 }
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -10,9 +10,12 @@
 
 /**
  * A user's request that is answered exactly once: by the first answer given, or with 503 when its
- * deadline passes first.
+ * deadline passes first. Used on the event loop only.
  */
 final class PendingAnswer {
+  private static final ApiError TIMED_OUT =
+      ApiError.unavailable("the state service did not answer");
+
   private final Loop loop;
   private final Consumer<Answer> to;
   private final double sinceS;
@@ -20,11 +23,11 @@
   private boolean answered;
 
   /** Starts the deadline of {@code seconds} on the loop's clock. */
-  PendingAnswer(Loop loop, Exchange e, double seconds) {
+  PendingAnswer(Loop loop, Exchange exchange, double seconds) {
     this.loop = loop;
     this.sinceS = loop.now();
-    this.to = e.to();
-    this.deadline = loop.after(seconds, () -> unavailable("the state service did not answer"));
+    this.to = exchange.to();
+    this.deadline = loop.after(seconds, () -> fail(TIMED_OUT));
   }
 
   /** The loop's time, in seconds, at which the request came. */
@@ -32,30 +35,31 @@
     return sinceS;
   }
 
+  /** Answers {@code status} with {@code body} as JSON. */
   void answer(int status, JsonNode body) {
     send(Answer.json(status, Json.write(body)));
   }
 
-  /** Answers 503 with Retry-After: the request may succeed later. */
-  void unavailable(String why) {
-    send(Answer.later(503, Json.error(why)));
+  /** Answers with an error. */
+  void fail(ApiError error) {
+    send(error.toAnswer());
   }
 
-  private void send(Answer a) {
+  private void send(Answer answer) {
     if (!answered) {
       answered = true;
       deadline.cancel();
-      to.accept(a);
+      to.accept(answer);
     }
   }
 
-  /** Runs {@code r} again after a moment, unless the request has been answered by then. */
-  void retry(Runnable r) {
+  /** Runs {@code step} again after a moment, unless the request has been answered by then. */
+  void retry(Runnable step) {
     loop.after(
         StateClient.STATE_RETRY_S / 2,
         () -> {
           if (!answered) {
-            r.run();
+            step.run();
           }
         });
   }
--- /dev/null
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -0,0 +1,118 @@
+package graderelay.api;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.Scheduler;
+import graderelay.net.Exchange;
+import graderelay.quota.Amount;
+import graderelay.quota.LimitRecord;
+import graderelay.quota.TeamQuota;
+import graderelay.state.Cache;
+import graderelay.state.TeamLimits;
+import graderelay.wire.Json;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Supplier;
+
+/** What operators see of stored limits, beside what teams use. Runs on the event loop. */
+final class QuotaViews {
+  private final Cache cache;
+  private final TeamLimits limits;
+  private final Supplier<Scheduler> scheduler;
+
+  /**
+   * Makes the views.
+   *
+   * @param scheduler the scheduler while this controller leads, else null
+   */
+  QuotaViews(Cache cache, TeamLimits limits, Supplier<Scheduler> scheduler) {
+    this.cache = cache;
+    this.limits = limits;
+    this.scheduler = scheduler;
+  }
+
+  /**
+   * Answers with one team's limits and use, or those of all teams if {@code team} is empty; 404 for
+   * an unknown team. Needs the leader's scheduler.
+   */
+  void show(Exchange exchange, String team) {
+    ObjectNode body = Json.object().put("stored", limits.stored());
+    ArrayNode differences = body.putArray("settings_differ");
+    limits.differences().forEach(differences::add);
+    ArrayNode teams = body.putArray("teams");
+    for (Map.Entry<String, LimitRecord> each : limitsInForce().entrySet()) {
+      if (team.isEmpty() || team.equals(each.getKey())) {
+        teams.add(view(each.getKey(), each.getValue()));
+      }
+    }
+    if (!team.isEmpty() && teams.isEmpty()) {
+      ApiError.notFound("team " + team + " is not known").sendTo(exchange);
+      return;
+    }
+    Replies.json(exchange, 200, body);
+  }
+
+  /** The record of a team's limits as it is now, or a message that there is none. */
+  ObjectNode present(String team) {
+    LimitRecord record = cache.quota().limits(team);
+    ObjectNode body = Json.object().put("team", team);
+    if (record == null) {
+      return body.put("message", "team " + team + " has no stored limits");
+    }
+    body.put("version", record.revision()).put("changed_by", record.changedBy());
+    putQuota(body, record);
+    return body;
+  }
+
+  /** The limits in force; those of the settings have no version. */
+  private Map<String, LimitRecord> limitsInForce() {
+    Map<String, LimitRecord> all = new TreeMap<>();
+    if (limits.stored()) {
+      all.putAll(cache.quota().limits());
+    } else {
+      limits
+          .teams()
+          .forEach(team -> all.put(team.name(), LimitRecord.of(team.quota(), 0, "settings", 0)));
+    }
+    return all;
+  }
+
+  private ObjectNode view(String team, LimitRecord record) {
+    ObjectNode body = Json.object().put("team", team);
+    putQuota(body, record);
+    Scheduler.TeamUsage usage = scheduler.get().teamUsage(team);
+    putUse(body, team, record, usage);
+    body.put("tasks_waiting", usage.waitingTasks());
+    body.put("cpus_waiting", usage.waiting().cpus()).put("gpus_waiting", usage.waiting().gpus());
+    body.put("version", record.revision()).put("changed_by", record.changedBy());
+    body.put("changed_at_ms", record.changedAtMs());
+    if (usage.standing().stoppedBecause() != null) {
+      body.put("stopped_because", usage.standing().stoppedBecause());
+    }
+    return body;
+  }
+
+  /** Guarantee and limit, unless the record is malformed. */
+  private static void putQuota(ObjectNode body, LimitRecord record) {
+    if (record.isReadable()) {
+      TeamQuota quota = record.quota();
+      body.put("cpus", quota.guarantee().cpus()).put("cpus_max", quota.limit().cpus());
+      body.put("gpus", quota.guarantee().gpus()).put("gpus_max", quota.limit().gpus());
+    }
+  }
+
+  /** What a team's claims take, and how much of it is beyond the guarantee. */
+  private void putUse(ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
+    boolean stored = limits.stored();
+    Amount claims = stored ? usage.standing().claims() : scheduler.get().teamClaims(team);
+    body.put("cpus_used", claims.cpus()).put("gpus_used", claims.gpus());
+    if (stored) {
+      Amount reserved = usage.standing().account();
+      body.put("cpus_reserved", reserved.cpus()).put("gpus_reserved", reserved.gpus());
+    }
+    if (record.isReadable()) {
+      Amount beyond = claims.beyond(record.quota().guarantee());
+      body.put("cpus_beyond", beyond.cpus()).put("gpus_beyond", beyond.gpus());
+    }
+  }
+}
--- a/src/main/java/graderelay/api/Replies.java
+++ b/src/main/java/graderelay/api/Replies.java
@@ -7,15 +7,18 @@
 
 /** Answers that the operators' handlers share. */
 final class Replies {
+  /** What a listing is refused with whose {@code most} is no number of at least 1. */
+  static final ApiError BAD_LIST_QUERY = ApiError.badRequest("most must be a number of at least 1");
+
   private Replies() {}
 
-  /** Answers {@code status} with {@code n} as JSON. */
-  static void json(Exchange e, int status, JsonNode n) {
-    e.to().accept(Answer.json(status, Json.write(n)));
+  /** Answers {@code status} with {@code body} as JSON. */
+  static void json(Exchange exchange, int status, JsonNode body) {
+    exchange.to().accept(Answer.json(status, Json.write(body)));
   }
 
-  /** Refuses a listing whose {@code most} is no number of at least 1. */
-  static void badListQuery(Exchange e) {
-    UserApi.refuse(e, 400, "most must be a number of at least 1");
+  /** Answers 200 with the JSON body {@code {"message": message}}. */
+  static void message(Exchange exchange, String message) {
+    json(exchange, 200, Json.object().put("message", message));
   }
 }
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -1,6 +1,5 @@
 package graderelay.api;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.config.OperatorSettings;
@@ -14,11 +13,13 @@
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.OptionalLong;
 
 /**
- * The operators' settings: one record in the state service that every controller follows, read with
- * its revision (revision) and changed by compare-and-swap on it. Pausing claims, cordoning a
- * machine and draining it (graceful eviction) are changes of that record too.
+ * The operators' settings: one record in the store that every controller follows, read with its
+ * revision (on the wire: mark) and changed by compare-and-swap on it. Pausing claims, cordoning a
+ * machine and draining it (graceful eviction) are changes of that record too. Runs on the event
+ * loop.
  */
 final class SettingsWrites {
   private final Settings platform;
@@ -27,6 +28,13 @@
   private final OperatorSettings defaults;
   private final int mostBatchTasks;
 
+  /**
+   * Makes the handler of settings.
+   *
+   * @param platform this controller's settings of the deploy file
+   * @param defaults what counts for a setting that the record does not have
+   * @param mostBatchTasks the most tasks that a task batch may hold
+   */
   SettingsWrites(
       Settings platform,
       StateClient state,
@@ -45,57 +53,43 @@
     return OperatorSettings.stored(cache.settings(), defaults, mostBatchTasks);
   }
 
-  private ObjectNode view() {
-    ObjectNode n = Json.object().put("mark", cache.settingsRevision());
-    n.set("values", current().json());
-    n.set("defaults", defaults.json());
-    return n;
-  }
-
   /**
    * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
    */
-  void read(Exchange e) {
+  void read(Exchange exchange) {
     cache.catchUp(
         ok -> {
           if (ok) {
-            Replies.json(e, 200, view());
+            Replies.json(exchange, 200, view());
           } else {
-            UserApi.unavailable(e, "the state service can't be reached");
+            ApiError.STORE_UNREACHABLE.sendTo(exchange);
           }
         });
   }
 
-  /**
-   * {@code PUT /admin/settings}: {@code {"values": {...}, "revision": N}}, the revision optional.
-   */
-  void change(Exchange e) {
-    JsonNode body = Json.read(e.body());
-    if (body == null || !body.isObject() || !body.path("values").isObject()) {
-      UserApi.refuse(e, 400, "values must be an object with the settings to change");
-      return;
+  /** {@code PUT /admin/settings}; see {@link SettingsChange#decode} for the body. */
+  void change(Exchange exchange) {
+    try {
+      write(exchange, SettingsChange.decode(Json.read(exchange.body())));
+    } catch (BadRequest malformed) {
+      ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
     }
-    JsonNode revision = body.path("mark");
-    if (!revision.isMissingNode() && !revision.isIntegralNumber()) {
-      UserApi.refuse(e, 400, "mark must be the integer that reading the settings gave");
-      return;
-    }
-    write(e, body.get("values"), revision.isMissingNode() ? -1 : revision.longValue());
   }
 
   /** {@code POST /admin/claims/pause} and {@code /resume}, on the record as it is now. */
-  void pauseClaims(Exchange e, boolean paused) {
-    write(e, Json.object().put("claims_paused", paused), -1);
+  void pauseClaims(Exchange exchange, boolean paused) {
+    ObjectNode values = Json.object().put("claims_paused", paused);
+    write(exchange, SettingsChange.ofAnyRevision(values));
   }
 
   /**
    * {@code POST /admin/machines/NAME/ACTION}: {@code cordon} (no new claims), {@code drain}
    * (graceful eviction) or {@code uncordon} (neither); 404 for any other action.
    */
-  void cordonOrDrain(Exchange e, String machine, String action) {
-    OperatorSettings s = current();
-    List<String> cordoned = new ArrayList<>(s.cordoned());
-    List<String> drained = new ArrayList<>(s.drained());
+  void cordonOrDrain(Exchange exchange, String machine, String action) {
+    OperatorSettings settings = current();
+    List<String> cordoned = new ArrayList<>(settings.cordoned());
+    List<String> drained = new ArrayList<>(settings.drained());
     cordoned.remove(machine);
     drained.remove(machine);
     switch (action) {
@@ -103,54 +97,66 @@
       case "drain" -> drained.add(machine);
       case "uncordon" -> {}
       default -> {
-        UserApi.refuse(e, 404, "there are cordon, drain and uncordon");
+        ApiError.notFound("there are cordon, drain and uncordon").sendTo(exchange);
         return;
       }
     }
     ObjectNode values = Json.object();
-    ArrayNode c = values.putArray("cordoned");
-    cordoned.forEach(c::add);
-    ArrayNode d = values.putArray("drained");
-    drained.forEach(d::add);
-    write(e, values, cache.settingsRevision());
+    ArrayNode cordonedNames = values.putArray("cordoned");
+    cordoned.forEach(cordonedNames::add);
+    ArrayNode drainedNames = values.putArray("drained");
+    drained.forEach(drainedNames::add);
+    write(exchange, new SettingsChange(values, OptionalLong.of(cache.settingsRevision())));
   }
 
-  /**
-   * Changes some fields, on the record as it is now or, if {@code ifRevision} is at least 0, only
-   * on the record of that revision (else 409).
-   */
-  private void write(Exchange e, JsonNode values, long ifRevision) {
+  private ObjectNode view() {
+    ObjectNode body = Json.object().put("mark", cache.settingsRevision());
+    body.set("values", current().json());
+    body.set("defaults", defaults.json());
+    return body;
+  }
+
+  /** Makes a change once the records are read anew; 409 if its revision is no longer there. */
+  private void write(Exchange exchange, SettingsChange change) {
     cache.catchUp(
         ok -> {
-          if (!ok) {
-            UserApi.unavailable(e, "the state service can't be reached");
-            return;
-          }
-          if (ifRevision >= 0 && ifRevision != cache.settingsRevision()) {
-            Replies.json(e, 409, view().put("error", "the settings have changed since"));
-            return;
-          }
-          OperatorSettings next;
-          try {
-            next = current().with(values, defaults, mostBatchTasks);
-          } catch (BadRequest b) {
-            UserApi.refuse(e, 400, b.getMessage());
-            return;
-          }
-          if (Json.write(next.json()).length > platform.least().valueBytes()) {
-            UserApi.refuse(e, 400, "the settings are too large for the state service");
-            return;
+          if (ok) {
+            writeOnFreshRecord(exchange, change);
+          } else {
+            ApiError.STORE_UNREACHABLE.sendTo(exchange);
           }
-          StateClient.Txn txn =
-              new StateClient.Txn()
-                  .when(StateCodec.SETTINGS, cache.settingsRevision())
-                  .put(StateCodec.SETTINGS, next.json());
-          state.commit(
-              txn,
-              Use.SUBMISSION,
-              r ->
-                  OperatorWrites.answer(
-                      e, cache, r, this::view, "somebody else changed the settings meanwhile"));
         });
   }
+
+  private void writeOnFreshRecord(Exchange exchange, SettingsChange change) {
+    long revision = cache.settingsRevision();
+    if (change.ifRevision().orElse(revision) != revision) {
+      OperatorWrites.conflict(exchange, view(), "the settings have changed since");
+      return;
+    }
+    OperatorSettings next;
+    try {
+      next = current().with(change.values(), defaults, mostBatchTasks);
+    } catch (BadRequest invalid) {
+      ApiError.badRequest(invalid.getMessage()).sendTo(exchange);
+      return;
+    }
+    if (Json.write(next.json()).length > platform.least().valueBytes()) {
+      ApiError.badRequest("the settings are too large for the state service").sendTo(exchange);
+      return;
+    }
+    commit(exchange, next, revision);
+  }
+
+  private void commit(Exchange exchange, OperatorSettings next, long ifRevision) {
+    StateClient.Txn txn =
+        new StateClient.Txn()
+            .when(StateCodec.SETTINGS, ifRevision)
+            .put(StateCodec.SETTINGS, next.json());
+    String conflict = "somebody else changed the settings meanwhile";
+    state.commit(
+        txn,
+        Use.SUBMISSION,
+        result -> OperatorWrites.answer(exchange, cache, result, this::view, conflict));
+  }
 }
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -3,7 +3,6 @@
 import graderelay.config.Settings;
 import graderelay.core.MachineType;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
@@ -12,7 +11,6 @@
 import graderelay.state.FinalStateLookup;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
-import graderelay.wire.Json;
 import graderelay.wire.UserCodec;
 import java.util.Collection;
 import java.util.function.IntSupplier;
@@ -21,7 +19,7 @@
 /**
  * Submissions, polls and cancellations, on any controller. A submission and a cancellation are
  * compare-and-swap writes; an answer about a job follows a read that no earlier answer is newer
- * than. Answers are JSON; 503 answers carry Retry-After.
+ * than. Answers are JSON; 429 and 503 answers carry Retry-After. Runs on the event loop.
  */
 public final class UserApi {
   private final Loop loop;
@@ -69,51 +67,41 @@
         new JobCancellations(loop, state, cache, cancellations, settings, lookup, this::stateAway);
   }
 
-  /** Answers {@code status} with a JSON body {@code {"error": why}}. */
-  public static void refuse(Exchange e, int status, String why) {
-    e.to().accept(Answer.json(status, Json.error(why)));
-  }
-
-  /** Answers 503 with Retry-After and a JSON body {@code {"error": why}}. */
-  public static void unavailable(Exchange e, String why) {
-    e.to().accept(Answer.later(503, Json.error(why)));
-  }
-
-  /** True while calls to the state service fail: then nothing can be decided here. */
+  /** True while calls to the store fail: then nothing can be decided here. */
   public boolean stateAway() {
     return !cache.loaded() || state.failingFor() > StateClient.STATE_TIMEOUT_S;
   }
 
   /** Answers a job submission; see {@link JobSubmissions}. */
-  public void submit(Exchange e) {
-    submissions.submit(e);
+  public void submit(Exchange exchange) {
+    submissions.submit(exchange);
   }
 
   /** Answers a poll of job {@code id}: 200 with its status, 404, or 503 with Retry-After. */
-  public void poll(Exchange e, String id) {
+  public void poll(Exchange exchange, String id) {
     if (!UserCodec.isId(id)) {
-      refuse(e, 404, "no such job");
+      ApiError.NO_SUCH_JOB.sendTo(exchange);
       return;
     }
     if (cache.end(id) == null && stateAway()) {
-      unavailable(e, "the state service can't be reached");
+      ApiError.STORE_UNREACHABLE.sendTo(exchange);
       return;
     }
-    PendingAnswer p = new PendingAnswer(loop, e, RequestHedger.POLL_DEADLINE_S);
+    PendingAnswer pending = new PendingAnswer(loop, exchange, RequestHedger.POLL_DEADLINE_S);
     lookup.look(
-        p,
+        pending,
         id,
-        f -> {
-          if (f == null) {
-            p.answer(404, Json.object().put("error", "no such job"));
+        found -> {
+          if (found == null) {
+            pending.fail(ApiError.NO_SUCH_JOB);
           } else {
-            p.answer(200, UserCodec.status(id, f.stage(), f.done(), f.running()));
+            pending.answer(200, UserCodec.status(id, found.stage(), found.done(), found.running()));
           }
         });
   }
 
   /** Answers a cancellation of job {@code id}; see {@link JobCancellations}. */
-  public void cancel(Exchange e, String id) {
-    cancellations.cancel(e, id);
+  public void cancel(Exchange exchange, String id) {
+    cancellations.cancel(exchange, id);
   }
 }
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -1,6 +1,7 @@
 package graderelay.service;
 
 import graderelay.api.AdminApi;
+import graderelay.api.ApiError;
 import graderelay.api.FeaturesApi;
 import graderelay.api.QuotaApi;
 import graderelay.api.UserApi;
@@ -73,7 +74,7 @@
       return;
     }
     if (gate.isShut()) {
-      UserApi.unavailable(e, gate.closedBecause());
+      ApiError.unavailable(gate.closedBecause()).sendTo(e);
     } else {
       handleHere(e);
     }
@@ -100,7 +101,7 @@
   private void routeUserRequest(Exchange e) {
     boolean submission = e.method().equals("POST") && e.path().equals(JOBS);
     if (gate.isShut()) {
-      UserApi.unavailable(e, gate.closedBecause());
+      ApiError.unavailable(gate.closedBecause()).sendTo(e);
     } else if (submission && submissionsWaitHere.getAsBoolean()) {
       hedger.handleAtPeerFirst(e, this::handleHere);
     } else {
@@ -112,7 +113,7 @@
     if (ready.getAsBoolean()) {
       e.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
     } else {
-      UserApi.unavailable(e, gate.isShut() ? gate.closedBecause() : "not ready");
+      ApiError.unavailable(gate.isShut() ? gate.closedBecause() : "not ready").sendTo(e);
     }
   }
 
@@ -129,7 +130,7 @@
     } else if (path.startsWith(JOBS + "/")) {
       routeJobRequest(e, path.substring(JOBS.length() + 1));
     } else {
-      UserApi.refuse(e, 404, "no such path");
+      ApiError.NO_SUCH_PATH.sendTo(e);
     }
   }
 
@@ -139,7 +140,7 @@
       String id = rest.substring(0, rest.length() - WITHDRAW.length());
       only("POST", e, () -> targets.users().cancel(e, id));
     } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
-      UserApi.refuse(e, 404, "no such path");
+      ApiError.NO_SUCH_PATH.sendTo(e);
     } else {
       only("GET", e, () -> targets.users().poll(e, rest));
     }
@@ -149,7 +150,7 @@
     if (e.method().equals(method)) {
       then.run();
     } else {
-      UserApi.refuse(e, 405, "method not allowed");
+      ApiError.METHOD_NOT_ALLOWED.sendTo(e);
     }
   }
 }
