--- a/src/main/java/graderelay/net/NettyLoop.java
+++ b/src/main/java/graderelay/net/NettyLoop.java
@@ -8,8 +8,10 @@
 /** The event loop of a real process: Netty's own thread, which also carries every socket. */
 public final class NettyLoop implements Loop {
   private static final Logger LOG = LoggerFactory.getLogger("loop");
+
   private final EventLoop loop;
 
+  /** Makes a loop of Netty's. */
   public NettyLoop(EventLoop loop) {
     this.loop = loop;
   }
@@ -25,21 +27,21 @@
   }
 
   @Override
-  public void execute(Runnable r) {
-    loop.execute(guarded(r));
+  public void execute(Runnable task) {
+    loop.execute(guarded(task));
   }
 
   @Override
-  public Timer after(double seconds, Runnable r) {
-    var f = loop.schedule(guarded(r), (long) (seconds * 1e6), TimeUnit.MICROSECONDS);
-    return () -> f.cancel(false);
+  public Timer after(double seconds, Runnable task) {
+    var future = loop.schedule(guarded(task), (long) (seconds * 1e6), TimeUnit.MICROSECONDS);
+    return () -> future.cancel(false);
   }
 
   /** A mistake in one event must be seen in the log and must not silence the others. */
-  private static Runnable guarded(Runnable r) {
+  private static Runnable guarded(Runnable task) {
     return () -> {
       try {
-        r.run();
+        task.run();
       } catch (RuntimeException e) {
         LOG.error("an event failed", e);
       }
--- a/src/main/java/graderelay/net/Query.java
+++ b/src/main/java/graderelay/net/Query.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What stands behind a path's question revision. */
+/** Reads the query of a path: what follows its question mark. */
 public final class Query {
   private Query() {}
 
@@ -13,7 +13,7 @@
     Map<String, String> last = new HashMap<>();
     new QueryStringDecoder(query, false)
         .parameters()
-        .forEach((k, v) -> last.put(k, v.get(v.size() - 1)));
+        .forEach((name, values) -> last.put(name, values.get(values.size() - 1)));
     return last;
   }
 }
--- a/src/main/java/graderelay/net/TokenBucket.java
+++ b/src/main/java/graderelay/net/TokenBucket.java
@@ -1,13 +1,13 @@
 package graderelay.net;
 
-import java.util.ArrayDeque;
-import java.util.Deque;
+import graderelay.net.UrgencyQueues.WaitingCall;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
  * Tokens for calls to a service with a limited rate. Calls wait by urgency, of which a small share
  * is kept for each less urgent use; the leader's renewals never wait at all, and when too many
- * wait, the least urgent is refused at once.
+ * wait, the least urgent is refused at once. Used on the event loop only.
  */
 public final class TokenBucket {
   /**
@@ -16,85 +16,80 @@
    */
   private static final int MOST_WAITING_CALLS = 512;
 
-  /**
-   * Share of what more urgent calls take that a less urgent use gets while it waits: a quarter of a
-   * leader's changes is what a swarm of submissions needs of it at the users' rates.
-   */
-  private static final double PASSED_SHARE = 0.3;
+  /** Seconds that the timer for waiting calls takes at the least. */
+  private static final double SHORTEST_TIMER_S = 0.005;
 
   /** What a call is for, the most urgent first. */
   public enum Use {
+    /** Renews the leader's session lease. */
     RENEWAL,
+    /** Claims tasks, or scales out or in. */
     CLAIM,
+    /** Stores what users and operators ask for. */
     SUBMISSION,
+    /** Reads, for which nobody waits long. */
     READ
   }
 
-  private record Waiting(double cost, Consumer<Boolean> go) {}
-
   private final Loop loop;
+  private final UrgencyQueues waiting = new UrgencyQueues();
+
+  /** Tokens a second. */
   private double rate;
-  private double burst;
-  private final Deque<Waiting>[] queues;
 
-  /** What each use has a right to, since more urgent ones went before it. */
-  private final double[] owed = new double[Use.values().length];
+  /** The most tokens that the bucket holds. */
+  private double burst;
 
   private double tokens;
-  private double filled;
-  private int waiting;
-  private boolean timer;
+
+  /** When {@link #tokens} was last reckoned, in seconds on the loop's clock. */
+  private double refilledAt;
+
+  private boolean timerSet;
   private long refusedCount;
   private double waitedS;
 
-  @SuppressWarnings({"unchecked", "rawtypes"})
+  /**
+   * Makes a full bucket.
+   *
+   * @param rate tokens a second
+   * @param burst the most tokens that the bucket holds; at least one
+   */
   public TokenBucket(Loop loop, double rate, double burst) {
     this.loop = loop;
     this.rate = rate;
     this.burst = Math.max(1, burst);
     this.tokens = this.burst;
-    this.filled = loop.now();
-    this.queues = new Deque[Use.values().length];
-    for (int i = 0; i < queues.length; i++) {
-      queues[i] = new ArrayDeque<>();
-    }
+    this.refilledAt = loop.now();
   }
 
-  /** Calls {@code go} with true once there are tokens, or with false if the call is refused. */
-  public void take(Use use, double cost, Consumer<Boolean> go) {
+  /**
+   * Calls {@code onDecision} with true once there are tokens, or with false if the call is refused.
+   *
+   * @param cost in tokens
+   */
+  public void take(Use use, double cost, Consumer<Boolean> onDecision) {
     refill();
     if (use == Use.RENEWAL) {
       tokens -= cost; // May go below zero: the others wait for it.
-      go.accept(true);
-      return;
-    }
-    if (waiting == 0 && tokens >= Math.min(cost, burst)) {
+      onDecision.accept(true);
+    } else if (waiting.isEmpty() && covers(cost)) {
       tokens -= cost;
-      go.accept(true);
-      return;
-    }
-    if (waiting >= MOST_WAITING_CALLS && !refuseLessUrgent(use)) {
+      onDecision.accept(true);
+    } else if (waiting.size() >= MOST_WAITING_CALLS && !refuseLessUrgentThan(use)) {
       refusedCount++;
-      go.accept(false);
-      return;
+      onDecision.accept(false);
+    } else {
+      enqueue(use, cost, onDecision);
     }
-    double since = loop.now();
-    queues[use.ordinal()].add(
-        new Waiting(
-            cost,
-            ok -> {
-              waitedS += loop.now() - since;
-              go.accept(ok);
-            }));
-    waiting++;
-    arm();
   }
 
+  /** Tokens a second. */
   public double rate() {
     return rate;
   }
 
-  /** Changes the rate; the burst is one second's worth. */
+  /** Changes the rate, in tokens a second; the burst is one second's worth. */
   public void rate(double newRate) {
     refill();
     rate = newRate;
@@ -108,93 +103,90 @@
     tokens = Math.min(tokens, 0);
   }
 
-  private boolean refuseLessUrgent(Use use) {
-    for (int i = queues.length - 1; i > use.ordinal(); i--) {
-      Waiting w = queues[i].pollFirst();
-      if (w != null) {
-        waiting--;
-        refusedCount++;
-        w.go().accept(false);
-        return true;
-      }
-    }
-    return false;
+  /** Seconds that what waits now takes at the rate. */
+  public double waitingS() {
+    return waiting.size() / rate;
   }
 
-  private void refill() {
-    double now = loop.now();
-    tokens = Math.min(burst, tokens + (now - filled) * rate);
-    filled = now;
+  /** The number of calls that wait. */
+  public int waiting() {
+    return waiting.size();
   }
 
-  private void arm() {
-    if (timer || waiting == 0) {
-      return;
-    }
-    timer = true;
-    double missing = 1 - tokens;
-    loop.after(Math.max(0.005, missing / rate), this::release);
+  /** True if a call of that cost could not be made at once. */
+  public boolean wouldWait(double cost) {
+    refill();
+    return !waiting.isEmpty() || !covers(cost);
   }
 
-  private void release() {
-    timer = false;
-    refill();
-    while (waiting > 0) {
-      int i = next();
-      Waiting w = queues[i].peekFirst();
-      if (tokens < Math.min(w.cost(), burst)) {
-        break;
-      }
-      queues[i].pollFirst();
-      waiting--;
-      tokens -= w.cost();
-      owed[i] = queues[i].isEmpty() ? 0 : Math.max(0, owed[i] - w.cost());
-      for (int k = i + 1; k < queues.length; k++) {
-        owed[k] += queues[k].isEmpty() ? 0 : w.cost() * PASSED_SHARE;
-      }
-      w.go().accept(true);
-    }
-    arm();
+  /** The number of calls refused so far. */
+  public long refused() {
+    return refusedCount;
+  }
+
+  /** Seconds that calls have waited so far, in total. */
+  public double waitedSeconds() {
+    return waitedS;
   }
 
   /**
-   * The queue to serve next: the most urgent, unless a less urgent one has been passed for so long
-   * that a share is owed to it. Claims and ends batch what waits, so a leader with much to write
-   * would always have some, and its submissions would starve.
+   * True if there are tokens for a call; one that costs more than the burst takes a full bucket.
    */
-  private int next() {
-    int first = 0;
-    while (queues[first].isEmpty()) {
-      first++;
-    }
-    for (int i = queues.length - 1; i > first; i--) {
-      if (!queues[i].isEmpty() && owed[i] >= queues[i].peekFirst().cost()) {
-        return i;
-      }
-    }
-    return first;
+  private boolean covers(double cost) {
+    return tokens >= Math.min(cost, burst);
   }
 
-  /** Seconds that what waits now takes at the rate. */
-  public double waitingS() {
-    return waiting / rate;
+  private void enqueue(Use use, double cost, Consumer<Boolean> onDecision) {
+    double since = loop.now();
+    waiting.add(
+        use,
+        new WaitingCall(
+            cost,
+            granted -> {
+              waitedS += loop.now() - since;
+              onDecision.accept(granted);
+            }));
+    setTimer();
   }
 
-  public int waiting() {
-    return waiting;
+  private boolean refuseLessUrgentThan(Use use) {
+    Optional<WaitingCall> refused = waiting.removeLessUrgentThan(use);
+    if (refused.isEmpty()) {
+      return false;
+    }
+    refusedCount++;
+    refused.get().onDecision().accept(false);
+    return true;
   }
 
-  /** True if a call of that cost could not be made at once. */
-  public boolean wouldWait(double cost) {
-    refill();
-    return waiting > 0 || tokens < Math.min(cost, burst);
+  private void refill() {
+    double now = loop.now();
+    tokens = Math.min(burst, tokens + (now - refilledAt) * rate);
+    refilledAt = now;
   }
 
-  public long refused() {
-    return refusedCount;
+  private void setTimer() {
+    if (timerSet || waiting.isEmpty()) {
+      return;
+    }
+    timerSet = true;
+    double missing = 1 - tokens;
+    loop.after(Math.max(SHORTEST_TIMER_S, missing / rate), this::release);
   }
 
-  public double waitedSeconds() {
-    return waitedS;
+  /** Lets as many of the waiting calls go as there are tokens for. */
+  private void release() {
+    timerSet = false;
+    refill();
+    while (!waiting.isEmpty()) {
+      WaitingCall call = waiting.next();
+      if (!covers(call.cost())) {
+        break;
+      }
+      waiting.removeNext();
+      tokens -= call.cost();
+      call.onDecision().accept(true);
+    }
+    setTimer();
   }
 }
--- a/src/main/java/graderelay/net/Transport.java
+++ b/src/main/java/graderelay/net/Transport.java
@@ -4,6 +4,15 @@
 
 /** Makes HTTP calls. The one door to the outside, so that tests can put a simulated world there. */
 public interface Transport {
+  /**
+   * Makes a call from the event loop; calls {@code done} on it once, at the latest after the
+   * timeout.
+   *
+   * @param address host:port
+   * @param path with the query, if any
+   * @param body JSON or CBOR, or null for none
+   * @param timeoutS seconds after which the call is given up
+   */
   void call(
       String address,
       String method,
