--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -16,14 +16,14 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Speaks the cloud's protocol, within its rate. */
+/** Calls the cloud's API, within its rate. Used on the event loop only. */
 public final class CloudClient {
   /** Seconds between lists of the machines at the least; the list itself lags by several. */
   private static final double LIST_EVERY_S = 4;
 
   /**
    * Share of the cloud's rate that lists may take: the pages of a fleet of thousands would leave no
-   * calls for rentals and deletions, which need the rest.
+   * calls for scale-out and scale-in, which need the rest.
    */
   private static final double LIST_SHARE = 0.4;
 
@@ -33,41 +33,100 @@
   /** Seconds to wait for the cloud. */
   private static final double CLOUD_TIMEOUT_S = 5.0;
 
-  /** What a rental request came to: names, or an empty pool, or nobody knows (both unset). */
-  public record ScaledOut(List<String> names, boolean noCapacity) {}
+  /** Share of the cloud's rate that this controller uses; the others only read the types. */
+  private static final double RATE_SHARE = 0.8;
 
   /** Machines in one page of the list, a batch; a limit of the protocol. */
   private static final int MOST_IN_PAGE = 500;
 
+  /** Requests for one scale-out, all under the same name. */
+  private static final int SCALE_OUT_ATTEMPTS = 3;
+
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int UNAVAILABLE = 503;
+
+  /** What the cloud says in a {@link #UNAVAILABLE} answer if a pool is empty. */
+  private static final String NO_CAPACITY = "no capacity";
+
+  /**
+   * What a scale-out came to.
+   *
+   * @param names the machines, or null if there are none or nobody knows
+   * @param noCapacity true if the pool is empty
+   */
+  public record ScaledOut(List<String> names, boolean noCapacity) {
+    static ScaledOut rented(List<String> names) {
+      return new ScaledOut(names, false);
+    }
+
+    static ScaledOut emptyPool() {
+      return new ScaledOut(null, true);
+    }
+
+    static ScaledOut unknown() {
+      return new ScaledOut(null, false);
+    }
+  }
+
+  private record ScaleOutRequest(String name, String type, String zone, boolean spot, int count) {}
+
+  /** The cloud's answer; {@code body} is null if none came or it is no JSON. */
+  private record Answer(int status, JsonNode body) {
+    static final Answer NONE = new Answer(Reply.NO_ANSWER, null);
+
+    boolean ok() {
+      return status == 200;
+    }
+
+    boolean hasResult() {
+      return ok() && body != null;
+    }
+
+    boolean saysNoCapacity() {
+      return status == UNAVAILABLE
+          && body != null
+          && body.path("error").asText().equals(NO_CAPACITY);
+    }
+  }
+
   private final Loop loop;
   private final Transport transport;
   private final String address;
   private final TokenBucket tokens;
   private final Map<String, Long> outcomes = new HashMap<>();
 
+  /**
+   * Makes a client.
+   *
+   * @param address the cloud's, host:port
+   * @param rps requests a second that the cloud takes
+   */
   public CloudClient(Loop loop, Transport transport, String address, double rps) {
     this.loop = loop;
     this.transport = transport;
     this.address = address;
-    // Bursts of two seconds' worth are allowed; the other nodes only read the types now and then.
-    this.tokens = new TokenBucket(loop, rps * 0.8, rps);
+    // Bursts of two seconds' worth are allowed.
+    this.tokens = new TokenBucket(loop, rps * RATE_SHARE, rps);
   }
 
+  /** The number of answers by path and status, as metrics show them. */
   public Map<String, Long> outcomes() {
     return outcomes;
   }
 
+  /** The bucket that all calls take their tokens from. */
   public TokenBucket tokens() {
     return tokens;
   }
 
+  /** Reads the machine types; calls back with null if there was no answer. */
   public void types(Consumer<List<MachineType>> done) {
     call(
         Use.READ,
         "GET",
         "/machine_types",
         null,
-        r -> done.accept(r.body() == null || !r.ok() ? null : CloudCodec.types(r.body())));
+        answer -> done.accept(answer.hasResult() ? CloudCodec.types(answer.body()) : null));
   }
 
   /** Seconds that should lie between lists, so that most calls are left for other uses. */
@@ -76,106 +135,106 @@
     return Math.max(LIST_EVERY_S, pages / (tokens.rate() * LIST_SHARE));
   }
 
-  /** The whole list of machines, or null. */
+  /** Reads the whole list of machines; calls back with null if a page of it did not come. */
   public void list(Consumer<List<Listed>> done) {
-    page("", new ArrayList<>(), done);
+    listAfter("", new ArrayList<>(), done);
   }
 
-  private void page(String after, List<Listed> got, Consumer<List<Listed>> done) {
+  private void listAfter(String after, List<Listed> read, Consumer<List<Listed>> done) {
     call(
         Use.READ,
         "GET",
         "/machines?after=" + after + "&most=" + MOST_IN_PAGE,
         null,
-        r -> {
-          if (!r.ok() || r.body() == null) {
-            done.accept(null);
-            return;
-          }
-          List<Listed> page = CloudCodec.machines(r.body());
-          got.addAll(page);
-          if (CloudCodec.more(r.body()) && !page.isEmpty()) {
-            page(page.get(page.size() - 1).name(), got, done);
+        answer -> {
+          if (answer.hasResult()) {
+            onPage(answer.body(), read, done);
           } else {
-            done.accept(got);
+            done.accept(null);
           }
         });
   }
 
+  private void onPage(JsonNode body, List<Listed> read, Consumer<List<Listed>> done) {
+    List<Listed> page = CloudCodec.machines(body);
+    read.addAll(page);
+    if (CloudCodec.more(body) && !page.isEmpty()) {
+      listAfter(page.get(page.size() - 1).name(), read, done);
+    } else {
+      done.accept(read);
+    }
+  }
+
   /**
    * Rents machines under a name that is used for this one request for ever. A request without an
    * answer is repeated under the same name, so that it rents once.
    */
   public void scaleOut(
       String name, String type, String zone, boolean spot, int count, Consumer<ScaledOut> done) {
-    scaleOutAgain(3, name, type, zone, spot, count, done);
+    scaleOut(new ScaleOutRequest(name, type, zone, spot, count), SCALE_OUT_ATTEMPTS, done);
   }
 
-  private void scaleOutAgain(
-      int tries,
-      String name,
-      String type,
-      String zone,
-      boolean spot,
-      int count,
-      Consumer<ScaledOut> done) {
+  private void scaleOut(ScaleOutRequest request, int attemptsLeft, Consumer<ScaledOut> done) {
     call(
         Use.CLAIM,
         "POST",
         "/machines",
-        CloudCodec.scaleOut(name, type, zone, spot, count),
-        r -> {
-          if (r.ok() && r.body() != null) {
-            done.accept(new ScaledOut(CloudCodec.names(r.body()), false));
-          } else if (r.status() == 503
-              && r.body() != null
-              && r.body().path("error").asText().equals("no capacity")) {
-            done.accept(new ScaledOut(null, true));
-          } else if (tries > 1) {
-            loop.after(
-                TYPES_RETRY_S, () -> scaleOutAgain(tries - 1, name, type, zone, spot, count, done));
+        CloudCodec.scaleOut(
+            request.name(), request.type(), request.zone(), request.spot(), request.count()),
+        answer -> {
+          if (answer.hasResult()) {
+            done.accept(ScaledOut.rented(CloudCodec.names(answer.body())));
+          } else if (answer.saysNoCapacity()) {
+            done.accept(ScaledOut.emptyPool());
+          } else if (attemptsLeft > 1) {
+            loop.after(TYPES_RETRY_S, () -> scaleOut(request, attemptsLeft - 1, done));
           } else {
-            done.accept(new ScaledOut(null, false));
+            done.accept(ScaledOut.unknown());
           }
         });
   }
 
-  /** Deletes machines; true once the cloud has said that they are gone. */
+  /** Deletes machines; calls back with true once the cloud has said that they are gone. */
   public void scaleIn(List<String> names, Consumer<Boolean> done) {
-    call(Use.CLAIM, "POST", "/machines/delete", CloudCodec.names(names), r -> done.accept(r.ok()));
-  }
-
-  private record Answer(int status, JsonNode body) {
-    boolean ok() {
-      return status == 200;
-    }
+    call(
+        Use.CLAIM,
+        "POST",
+        "/machines/delete",
+        CloudCodec.names(names),
+        answer -> done.accept(answer.ok()));
   }
 
+  /** Makes a call once there is a token for it; calls back with no answer if it is refused. */
   private void call(Use use, String method, String path, JsonNode body, Consumer<Answer> done) {
     tokens.take(
         use,
         1,
-        ok -> {
-          if (!ok) {
-            done.accept(new Answer(0, null));
-            return;
+        granted -> {
+          if (granted) {
+            send(method, path, body, done);
+          } else {
+            done.accept(Answer.NONE);
           }
-          transport.call(
-              address,
-              method,
-              path,
-              body == null ? null : Json.write(body),
-              CLOUD_TIMEOUT_S,
-              r -> done.accept(answer(path, r)));
         });
   }
 
-  private Answer answer(String path, Reply r) {
-    if (r.status() == 429) {
+  private void send(String method, String path, JsonNode body, Consumer<Answer> done) {
+    transport.call(
+        address,
+        method,
+        path,
+        body == null ? null : Json.write(body),
+        CLOUD_TIMEOUT_S,
+        reply -> done.accept(onReply(path, reply)));
+  }
+
+  private Answer onReply(String path, Reply reply) {
+    if (reply.status() == TOO_MANY_REQUESTS) {
       tokens.penalty();
     }
-    outcomes.merge(
-        path.split("\\?", 2)[0] + " " + (r.status() == 0 ? "none" : r.status()), 1L, Long::sum);
-    return new Answer(r.status(), r.status() == 0 ? null : Json.read(r.body()));
+    boolean answered = reply.status() != Reply.NO_ANSWER;
+    String outcome = path.split("\\?", 2)[0] + " " + (answered ? reply.status() : "none");
+    outcomes.merge(outcome, 1L, Long::sum);
+    return new Answer(reply.status(), answered ? Json.read(reply.body()) : null);
   }
 }
