--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -31,7 +31,7 @@
      * Takes a heartbeat in.
      *
      * @param relayedBy the member that relayed it, or "" if the worker sent it here
-     * @return the commands for the worker, or null if this controller does not lead
+     * @return the commands for the worker; none while the leader still reads the records
      */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String relayedBy);
   }
