--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -11,7 +11,6 @@
 import graderelay.state.StateClient;
 import graderelay.state.StoreOutcome;
 import graderelay.state.Transaction;
-import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
 import java.util.function.BooleanSupplier;
@@ -21,11 +20,14 @@
 /**
  * Job cancellations: the stop request is written into the job's record by a compare-and-swap that
  * competes with claims and with the job's end, and only while the leader has not suspended this
- * controller.
+ * controller. Runs on the event loop.
  */
 final class JobCancellations {
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
+  private static final ApiError SUSPENDED =
+      ApiError.unavailable("this controller may not cancel before the owner hears it again");
+
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
@@ -34,6 +36,11 @@
   private final JobLookup lookup;
   private final BooleanSupplier stateUnreachable;
 
+  /**
+   * Makes the handler of cancellations.
+   *
+   * @param stateUnreachable true while calls to the store fail
+   */
   JobCancellations(
       Loop loop,
       StateClient state,
@@ -52,37 +59,37 @@
   }
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
-  void cancel(Exchange e, String id) {
+  void cancel(Exchange exchange, String id) {
     if (!UserCodec.isId(id)) {
-      UserApi.refuse(e, 404, "no such job");
+      ApiError.NO_SUCH_JOB.sendTo(exchange);
       return;
     }
     if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
-      UserApi.unavailable(e, "the state service can't be reached");
+      ApiError.STORE_UNREACHABLE.sendTo(exchange);
       return;
     }
-    cancel(new PendingAnswer(loop, e, RequestHedger.USER_DEADLINE_S), id);
+    cancel(new PendingAnswer(loop, exchange, RequestHedger.USER_DEADLINE_S), id);
   }
 
-  private void cancel(PendingAnswer p, String id) {
+  private void cancel(PendingAnswer pending, String id) {
     lookup.look(
-        p,
+        pending,
         id,
-        f -> {
-          if (f == null) {
-            p.answer(404, Json.object().put("error", "no such job"));
-          } else if (f.live() == null || f.live().isCancelled()) {
-            p.answer(200, UserCodec.encodeStage(id, f.stage()));
+        found -> {
+          if (found == null) {
+            pending.fail(ApiError.NO_SUCH_JOB);
+          } else if (found.live() == null || found.live().isCancelled()) {
+            pending.answer(200, UserCodec.encodeStage(id, found.stage()));
           } else if (lookup.suspendedByLeader()) {
-            p.unavailable("this controller may not cancel before the owner hears it again");
+            pending.fail(SUSPENDED);
           } else {
-            writeStopRequest(p, id, f.live());
+            writeStopRequest(pending, id, found.live());
           }
         });
   }
 
   /** Competes with claims and with the job's end for the job's record. */
-  private void writeStopRequest(PendingAnswer p, String id, JobEntry live) {
+  private void writeStopRequest(PendingAnswer pending, String id, JobEntry live) {
     String key = StateCodec.jobKey(id);
     Transaction txn =
         new Transaction()
@@ -92,15 +99,15 @@
     state.commit(
         txn,
         Use.CLAIM,
-        r -> {
-          if (r.succeeded()) {
+        result -> {
+          if (result.succeeded()) {
             cancellations.committed(id);
             LOG.info("stop request for {} recorded", id);
-            p.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
-          } else if (r.outcome() == StoreOutcome.NOT_EXECUTED) {
-            lookup.retryOrGiveUp(p, () -> cancel(p, id));
+            pending.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
+          } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
+            lookup.retryOrGiveUp(pending, () -> cancel(pending, id));
           } else {
-            p.retry(() -> cancel(p, id));
+            pending.retry(() -> cancel(pending, id));
           }
         });
   }
