--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -1,18 +1,15 @@
 package graderelay.service;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.api.AdminApi;
 import graderelay.api.FeaturesApi;
 import graderelay.api.PeerApi;
 import graderelay.api.QuotaApi;
 import graderelay.api.UserApi;
 import graderelay.cloud.CloudClient;
-import graderelay.config.OperatorSettings;
 import graderelay.config.Options;
 import graderelay.config.Settings;
 import graderelay.core.MachineType;
 import graderelay.core.Scheduler;
-import graderelay.core.TaskBatchKey;
 import graderelay.features.FeatureGate;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
@@ -37,13 +34,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: wires its parts, starts and ends them, and routes the requests of users,
- * workers, operators and peers to them. It knows no sockets, so tests run several at once.
+ * One controller process: wires its parts, starts and ends them, and is where requests of users,
+ * workers, operators and peers arrive. It knows no sockets, so tests run several at once.
  */
 public final class ControllerNode {
-  /** Seconds without an answer of the state service after which this node is not ready. */
-  private static final double READY_S = 2.5;
-
   /** Seconds between ticks of the core. */
   static final double TICK_S = 0.25;
 
@@ -57,25 +51,27 @@
   private final Cancellations cancellations;
   private final Leadership leadership;
   private final CloudClient cloud;
-  private final WorkerClient workers;
+  private final LeaderServices leaderServices;
   private final LeaseDelegate leaseDelegate;
   private final PeerClient peerClient;
   private final PeerApi peerApi;
   private final RequestHedger requestHedger;
   private final StoredOperatorSettings operators;
+  private final TeamLimits teamLimits;
   private final Metrics metrics;
   private final FeatureGate gate;
-  private final FeatureDuty features;
+  private final FeatureLevelManager features;
   private final QuotaMonitor quotaMonitor;
   private final RequestRouter router;
+  private final Readiness readiness;
   private final MachineTypePoller machineTypes;
-  private final LeaderOffice office;
+  private final LeaderLifecycle leaderLifecycle;
   private Loop.Timer tickTimer;
   private boolean closed;
 
   /** A controller for which everything that options switch on is off. */
-  public ControllerNode(Loop loop, Transport transport, Settings s, RandomGenerator random) {
-    this(loop, transport, s, Options.none(), random);
+  public ControllerNode(Loop loop, Transport transport, Settings settings, RandomGenerator random) {
+    this(loop, transport, settings, Options.none(), random);
   }
 
   /**
@@ -84,127 +80,168 @@
    * @param options switches features on that this process supports
    */
   public ControllerNode(
-      Loop loop, Transport transport, Settings s, Options options, RandomGenerator random) {
+      Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
     this.loop = loop;
-    this.gate = new FeatureGate(options.supported());
-    this.settings = s;
+    this.settings = settings;
     this.random = random;
-    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostBatchTasks(s));
+    this.gate = new FeatureGate(options.supported());
+    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostBatchTasks(settings));
     this.metrics = new Metrics(loop);
-    this.state =
-        new StateClient(
-            loop,
-            transport,
-            s.stateAddress(),
-            s.stateRps(),
-            s.stateChangesPerS(),
-            s.least().changesPerS(),
-            s.peers().size());
-    this.cache = new Cache(loop, state, gate, new RecordChanges());
-    this.peerClient = new PeerClient(transport, s.peers(), gate);
-    this.cancellations = new Cancellations(loop, cache, s);
-    this.office =
-        new LeaderOffice(
-            loop,
-            cache,
-            this::leader,
-            this::term,
-            this::speaks,
-            cancellations,
-            metrics,
-            s.member(),
-            this::machineTypes,
-            this::newTerm);
-    cancellations.listen(office::onCancelled);
-    this.leadership =
-        new Leadership(
-            loop,
-            state,
-            cache,
-            s.member(),
-            s.peerAddress(),
-            s.holdS(),
-            peerClient,
-            cancellations,
-            random::nextDouble,
-            office);
-    this.cloud = new CloudClient(loop, transport, s.cloudAddress(), s.cloudRps());
-    this.machineTypes = new MachineTypePoller(loop, cloud, this::leader, this::onTypes);
-    this.workers = new WorkerClient(transport);
-    TeamLimits limits = new TeamLimits(cache.quota(), s.teams());
-    this.quotaMonitor = new QuotaMonitor(limits, this::core);
-    UserApi users =
-        new UserApi(
-            loop,
-            state,
-            cache,
-            cancellations,
-            s,
-            limits,
-            this::machineTypes,
-            () -> operators.current().batchCapacity());
+    this.state = newStateClient(transport);
+    RecordChangeDispatcher recordChanges = new RecordChangeDispatcher();
+    this.cache = new Cache(loop, state, gate, recordChanges);
+    this.peerClient = new PeerClient(transport, settings.peers(), gate);
+    this.cancellations = new Cancellations(loop, cache, settings);
+    this.leaderLifecycle = newLeaderLifecycle();
+    cancellations.listen(leaderLifecycle::onCancelled);
+    this.leadership = newLeadership();
+    this.cloud = new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRps());
+    this.machineTypes = new MachineTypePoller(loop, cloud, this::leader, this::onMachineTypes);
+    this.leaderServices =
+        new LeaderServices(
+            loop, state, cache, leadership, cloud, new WorkerClient(transport), metrics);
+    this.teamLimits = new TeamLimits(cache.quota(), settings.teams());
+    this.quotaMonitor = new QuotaMonitor(teamLimits, this::core);
     this.leaseDelegate =
         new LeaseDelegate(
-            loop, peerClient, leadership, cache, state, cancellations, s, random.nextLong());
-    WorkerApi reports =
-        new WorkerApi(
-            loop,
-            leadership,
-            cache,
-            peerClient,
-            leaseDelegate,
-            cancellations,
-            s.member(),
-            office::onReport);
-    AdminApi admin =
-        new AdminApi(
-            loop,
-            s,
-            limits,
-            state,
-            cache,
-            peerClient,
-            operators.defaults(),
-            SchedulerPolicy.mostBatchTasks(s),
-            this::core,
-            this::ready);
+            loop, peerClient, leadership, cache, state, cancellations, settings, random.nextLong());
     this.requestHedger =
         new RequestHedger(loop, peerClient, state::stuck, leadership::awayForAll, this::mayAnswer);
-    String incarnation = leadership.process();
+    this.readiness =
+        new Readiness(loop, gate, state, cache, leadership, machineTypes, requestHedger);
     this.features =
-        new FeatureDuty(loop, state, cache, leadership, peerClient, s, options, incarnation);
+        new FeatureLevelManager(
+            loop, state, cache, leadership, peerClient, settings, options, leadership.process());
+    WorkerApi workerApi = newWorkerApi();
+    this.router = newRouter(workerApi);
+    this.peerApi = newPeerApi(workerApi);
+    recordChanges.connect(
+        cache,
+        new RecordChangeDispatcher.Targets(
+            leaderLifecycle, this::onLeaderRecord, quotaMonitor::onQuota, operators));
+  }
+
+  // ---------------------------------------------------------------- steps of the constructor
+
+  private StateClient newStateClient(Transport transport) {
+    return new StateClient(
+        loop,
+        transport,
+        settings.stateAddress(),
+        settings.stateRps(),
+        settings.stateChangesPerS(),
+        settings.least().changesPerS(),
+        settings.peers().size());
+  }
+
+  private LeaderLifecycle newLeaderLifecycle() {
+    return new LeaderLifecycle(
+        loop,
+        cache,
+        this::leader,
+        this::term,
+        this::speaks,
+        cancellations,
+        metrics,
+        settings.member(),
+        this::machineTypes,
+        this::newTerm);
+  }
+
+  private Leadership newLeadership() {
+    return new Leadership(
+        loop,
+        state,
+        cache,
+        settings.member(),
+        settings.peerAddress(),
+        settings.holdS(),
+        peerClient,
+        cancellations,
+        random::nextDouble,
+        leaderLifecycle);
+  }
+
+  private WorkerApi newWorkerApi() {
+    return new WorkerApi(
+        loop,
+        leadership,
+        cache,
+        peerClient,
+        leaseDelegate,
+        cancellations,
+        settings.member(),
+        leaderLifecycle::onHeartbeat);
+  }
+
+  private RequestRouter newRouter(WorkerApi workerApi) {
+    AdminApi adminApi = newAdminApi();
     FeaturesApi featuresApi =
         new FeaturesApi(
-            s.member(), cache, features.coordinator(), leadership::leader, admin::atLeader);
-    QuotaApi quotaApi =
-        new QuotaApi(
-            loop,
-            state,
+            settings.member(),
             cache,
-            limits,
-            this::core,
-            admin::atLeader,
-            office::replaceAccount,
-            s.member());
-    this.router =
-        new RequestRouter(
-            new RequestRouter.Targets(users, reports, admin, featuresApi, quotaApi),
-            gate,
-            requestHedger,
-            this::ready,
-            this::submissionsWaitHere,
-            this::metricsText);
-    this.peerApi =
-        new PeerApi(
-            leadership,
-            cache.features(),
-            () -> cache.catchUp(ok -> {}),
-            incarnation,
-            state,
-            cancellations,
-            reports::relayed,
-            office::onDelegationRequest,
-            router::handleRelayed);
+            features.coordinator(),
+            leadership::leader,
+            adminApi::atLeader);
+    return new RequestRouter(
+        new RequestRouter.Targets(
+            newUserApi(), workerApi, adminApi, featuresApi, newQuotaApi(adminApi)),
+        gate,
+        requestHedger,
+        this::ready,
+        readiness::submissionsWaitHere,
+        this::metricsText);
+  }
+
+  private UserApi newUserApi() {
+    return new UserApi(
+        loop,
+        state,
+        cache,
+        cancellations,
+        settings,
+        teamLimits,
+        this::machineTypes,
+        () -> operators.current().batchCapacity());
+  }
+
+  private AdminApi newAdminApi() {
+    return new AdminApi(
+        loop,
+        settings,
+        teamLimits,
+        state,
+        cache,
+        peerClient,
+        operators.defaults(),
+        SchedulerPolicy.mostBatchTasks(settings),
+        this::core,
+        this::ready);
+  }
+
+  private QuotaApi newQuotaApi(AdminApi adminApi) {
+    return new QuotaApi(
+        loop,
+        state,
+        cache,
+        teamLimits,
+        this::core,
+        adminApi::atLeader,
+        leaderLifecycle::replaceAccount,
+        settings.member());
+  }
+
+  private PeerApi newPeerApi(WorkerApi workerApi) {
+    return new PeerApi(
+        leadership,
+        cache.features(),
+        () -> cache.catchUp(ok -> {}),
+        leadership.process(),
+        state,
+        cancellations,
+        workerApi::relayed,
+        leaderLifecycle::onDelegationRequest,
+        router::handleRelayed);
   }
 
   /** A leader knows which peers answer; a follower finds out by asking. */
@@ -212,23 +249,19 @@
     return !leadership.leader() || leadership.hears(peer);
   }
 
-  /** The duty of a term that starts now, with the records and settings as they are now. */
+  /** A term that starts now, with the records and settings as they are now. */
   private LeaderTerm newTerm() {
     return new LeaderTerm(
-        loop,
-        state,
-        cache,
-        leadership,
-        cloud,
-        workers,
+        leaderServices,
         SchedulerPolicy.of(settings, state, operators.current()),
-        settings,
+        settings.least(),
         operators.current(),
-        metrics,
         random,
         machineTypes());
   }
 
+  // ---------------------------------------------------------------- start and end
+
   /** Tells where the numbers of open connections come from, to show them to operators. */
   public void watchConnections(IntSupplier in, IntSupplier out) {
     metrics.gauge("graderelay.connections", Tags.of("direction", "in"), m -> in.getAsInt());
@@ -240,9 +273,18 @@
     features.onLeave(listener);
   }
 
-  /** Starts the duties: metrics, the records' watch, features, machine types, leases, ticks. */
+  /** Starts metrics, the records' watch, features, machine types, lease delegation and ticks. */
   public void start() {
     LOG.info("{} starts in zone {}", settings.member(), settings.zone());
+    startMetrics();
+    cache.start();
+    features.start();
+    machineTypes.start();
+    leaseDelegate.start();
+    tick();
+  }
+
+  private void startMetrics() {
     metrics.bucket("state requests", state.requestTokens());
     metrics.bucket("state changes", state.changeTokens());
     metrics.bucket("cloud", cloud.tokens());
@@ -252,17 +294,12 @@
         "graderelay.feature.level", Tags.of("what", "finalized"), m -> gate.current().level());
     metrics.gauge(
         "graderelay.feature.level", Tags.of("what", "supported"), m -> gate.supported().max());
-    cache.start();
-    features.start();
-    machineTypes.start();
-    leaseDelegate.start();
-    tick();
   }
 
-  /** Ends the duties in the opposite order of their start. */
+  /** Ends what {@link #start} has started, the leader's term first. */
   public void close() {
     closed = true;
-    office.close();
+    leaderLifecycle.close();
     leaseDelegate.close();
     features.close();
     leadership.close();
@@ -274,6 +311,8 @@
     }
   }
 
+  // ---------------------------------------------------------------- events
+
   private void tick() {
     if (closed) {
       return;
@@ -282,29 +321,33 @@
     tickTimer = loop.after(TICK_S, this::tick);
   }
 
-  private List<MachineType> machineTypes() {
-    return machineTypes.current();
+  private void onMachineTypes(List<MachineType> types) {
+    leaderLifecycle.ifLeading(term -> term.onTypes(types));
+  }
+
+  private void onLeaderRecord() {
+    features.checkRecords();
+    leadership.consider();
+  }
+
+  /** Requests of users, workers, operators and the load balancer. */
+  public void handle(Exchange exchange) {
+    router.handle(exchange);
   }
 
-  private void onTypes(List<MachineType> list) {
-    office.ifLeading(t -> t.onTypes(list));
+  /** Requests of the other controllers. */
+  public void handlePeer(Exchange exchange) {
+    peerApi.handle(exchange);
   }
 
-  /** True if this node can take requests. */
+  // ---------------------------------------------------------------- status
+
+  /** True if this controller can take requests. */
   public boolean ready() {
-    if (gate.isShut()) {
-      return false;
-    }
-    boolean here =
-        cache.loaded() && machineTypes() != null && loop.now() - state.lastOk() < READY_S;
-    // While the state service refuses us alone, a peer decides what we are asked; while it is away
-    // for all, what can be answered is, and the rest is told at once when to come back.
-    return here
-        || loop.now() - requestHedger.lastHelp() < READY_S
-        || (cache.loaded() && machineTypes() != null && leadership.awayForAll());
+    return readiness.ready();
   }
 
-  /** True while this node is the leader. */
+  /** True while this controller is the leader. */
   public boolean leader() {
     return leadership.leader();
   }
@@ -313,92 +356,21 @@
     return leadership.term();
   }
 
-  /** True while this node may answer workers for all controllers. */
+  /** True while this controller may answer workers for all controllers. */
   public boolean speaks() {
     return leadership.entitled();
   }
 
-  /** For tests and questions: the core while this node owns the fleet, else null. */
+  /** The core while this controller runs a leader term, else null. */
   public Scheduler core() {
-    return office.core();
-  }
-
-  // ---------------------------------------------------------------- requests
-
-  /** Requests of users, workers, operators and the load balancer. */
-  public void handle(Exchange e) {
-    router.handle(e);
+    return leaderLifecycle.core();
   }
 
-  /**
-   * True if a peer may take a submission sooner. On the leader claims and ends go first, which only
-   * it can write. A follower has a small share of the changes: of a pipeline whose jobs come at
-   * once, it can write one or two without waiting, and its peers' shares lie idle meanwhile.
-   */
-  private boolean submissionsWaitHere() {
-    return leadership.leader()
-        ? state.changeTokens().waiting() > 0
-        : state.changeTokens().wouldWait(1);
+  private List<MachineType> machineTypes() {
+    return machineTypes.current();
   }
 
   private String metricsText() {
     return metrics.scrape(Map.of("state", state.outcomes(), "cloud", cloud.outcomes()), core());
   }
-
-  /** Requests of the other controllers. */
-  public void handlePeer(Exchange e) {
-    peerApi.handle(e);
-  }
-
-  // ---------------------------------------------------------------- records
-
-  private final class RecordChanges implements Cache.Listener {
-    @Override
-    public void onJob(Cache.Entry e) {
-      office.ifLeading(t -> t.onJob(e));
-    }
-
-    @Override
-    public void onJobGone(String id) {
-      office.ifLeading(t -> t.onJobGone(id));
-    }
-
-    @Override
-    public void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
-      office.ifLeading(t -> t.onTaskBatch(key, s));
-    }
-
-    @Override
-    public void onTaskBatchGone(TaskBatchKey key) {
-      office.ifLeading(t -> t.onTaskBatchGone(key));
-    }
-
-    @Override
-    public void onEnd(String id, Cache.End e) {
-      office.ifLeading(t -> t.onEnd(id, e));
-    }
-
-    @Override
-    public void onLeader() {
-      features.look();
-      leadership.consider();
-    }
-
-    @Override
-    public void onQuota() {
-      quotaMonitor.onQuota();
-      office.ifLeading(LeaderTerm::onQuota);
-    }
-
-    @Override
-    public void onDelegateReleased(String member, JsonNode record) {
-      office.ifLeading(t -> t.onLeaseDelegateFreed(member, record));
-    }
-
-    @Override
-    public void onSettings() {
-      OperatorSettings now = operators.reload(cache.settings());
-      office.ifLeading(t -> t.onSettings(now));
-    }
-  }
 }
--- a/src/main/java/graderelay/service/LeaderHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -23,11 +23,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a leader keeps for the next one: the images on machines and the recent demand. Either form
- * is read; which one is written depends on {@link Feature#COMPACT_HINTS}. They are hints, so an
- * answer that is lost or a record that can't be read doesn't matter.
+ * Hints that a leader stores for the next one: the images on machines and the recent demand. Both
+ * forms are read; which one is written depends on {@link Feature#COMPACT_HINTS}. A failover works
+ * without them, so a write whose answer is lost or a record that can't be read doesn't matter.
  */
-final class LeaderHints {
+final class FailoverHints {
   /** Images named in one of those records: a machine's are bits of one number. */
   private static final int KEPT_IMAGES = 60;
 
@@ -47,31 +47,39 @@
   private final Leadership leadership;
   private final int mostBytes;
 
-  LeaderHints(StateClient state, Cache cache, Leadership leadership, int mostBytes) {
+  /**
+   * Makes the hints of one term.
+   *
+   * @param mostBytes the largest value that the store takes, in bytes
+   */
+  FailoverHints(StateClient state, Cache cache, Leadership leadership, int mostBytes) {
     this.state = state;
     this.cache = cache;
     this.leadership = leadership;
     this.mostBytes = mostBytes;
   }
 
-  private boolean compact() {
+  private boolean writesCompactForm() {
     return cache.features().gate().enabled(Feature.COMPACT_HINTS);
   }
 
   /** Records that share the images of each thousand machines. */
   int imagePartsPerThousand() {
-    return compact() ? COMPACT_IMAGE_PARTS_PER_THOUSAND : SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
+    return writesCompactForm()
+        ? COMPACT_IMAGE_PARTS_PER_THOUSAND
+        : SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
   }
 
   /** The images on machines in all records, the newer form last. */
   List<Map<String, List<String>>> images() {
     List<Map<String, List<String>>> all = new ArrayList<>();
-    cache.images().values().forEach(n -> all.add(StateCodec.images(n)));
+    cache.images().values().forEach(plain -> all.add(StateCodec.images(plain)));
     cache
         .compactHints()
         .forEach(
-            (key, n) -> {
-              JsonNode plain = key.startsWith(FeatureCodec.IMAGE_HINTS) ? unpacked(key, n) : null;
+            (key, compact) -> {
+              JsonNode plain =
+                  key.startsWith(FeatureCodec.IMAGE_HINTS) ? unpacked(key, compact) : null;
               if (plain != null) {
                 all.add(StateCodec.images(plain));
               }
@@ -79,11 +87,16 @@
     return all;
   }
 
-  /** The recent demand, or null. */
-  JsonNode demand() {
+  /**
+   * The demand of the last minutes as the leader before has kept it; empty if it has kept none.
+   *
+   * @param wallMs the time of day now, in milliseconds since the epoch
+   */
+  List<Action.Demand> demand(long wallMs) {
     JsonNode compact = cache.compactHints().get(FeatureCodec.DEMAND_HINT);
-    JsonNode plain = compact == null ? null : unpacked(FeatureCodec.DEMAND_HINT, compact);
-    return plain == null ? cache.demand() : plain;
+    JsonNode unpacked = compact == null ? null : unpacked(FeatureCodec.DEMAND_HINT, compact);
+    JsonNode plain = unpacked == null ? cache.demand() : unpacked;
+    return plain == null ? List.of() : StateCodec.demand(plain, wallMs);
   }
 
   private static JsonNode unpacked(String key, JsonNode compact) {
@@ -95,23 +108,29 @@
     }
   }
 
-  void keepDemand(Action.KeepDemand k, long wallMs) {
-    if (compact()) {
-      IntFunction<ObjectNode> within = bytes -> StateCodec.demand(k.classes(), wallMs, bytes);
+  /**
+   * Stores the demand of the last minutes.
+   *
+   * @param wallMs the time of day now, in milliseconds since the epoch
+   */
+  void keepDemand(Action.KeepDemand demand, long wallMs) {
+    if (writesCompactForm()) {
+      IntFunction<ObjectNode> within = bytes -> StateCodec.demand(demand.classes(), wallMs, bytes);
       put(FeatureCodec.DEMAND_HINT, packed(within));
     } else {
-      put(StateCodec.DEMAND, StateCodec.demand(k.classes(), wallMs, mostBytes));
+      put(StateCodec.DEMAND, StateCodec.demand(demand.classes(), wallMs, mostBytes));
     }
   }
 
-  void keepImages(Action.KeepImages k) {
+  /** Stores the images on one part of the machines. */
+  void keepImages(Action.KeepImages images) {
     // By name, since neighbours in that order differ in little.
-    Map<String, List<String>> machines = new TreeMap<>(k.machines());
+    Map<String, List<String>> machines = new TreeMap<>(images.machines());
     IntFunction<ObjectNode> within = bytes -> StateCodec.images(machines, KEPT_IMAGES, bytes);
-    if (compact()) {
-      put(FeatureCodec.IMAGE_HINTS + k.part(), packed(within));
+    if (writesCompactForm()) {
+      put(FeatureCodec.IMAGE_HINTS + images.part(), packed(within));
     } else {
-      put(StateCodec.IMAGES + k.part(), within.apply(mostBytes));
+      put(StateCodec.IMAGES + images.part(), within.apply(mostBytes));
     }
   }
 
--- a/src/main/java/graderelay/service/FeatureDuty.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -2,7 +2,6 @@
 
 import graderelay.config.Options;
 import graderelay.config.Settings;
-import graderelay.features.ClusterStore;
 import graderelay.features.FeatureGate;
 import graderelay.features.Member;
 import graderelay.features.MemberProbe;
@@ -21,19 +20,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's part in the cluster's feature level: publishes what it supports, raises and
- * lowers the level while it leads, and leaves when the cluster has gone on without it.
+ * This controller's part in the cluster's feature level: publishes the levels that it supports,
+ * raises and lowers the cluster's level while it leads, and has the process leave if the cluster
+ * has gone on without it.
  */
-final class FeatureDuty {
-  /** Seconds between looks at feature levels. */
-  private static final double FEATURE_LOOK_EVERY_S = 1;
+final class FeatureLevelManager {
+  /** Seconds between checks of the feature levels. */
+  private static final double CHECK_INTERVAL_S = 1;
 
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   private final Loop loop;
   private final FeatureGate gate;
   private final Cache cache;
-  private final Membership membership;
+  private final MembershipPublisher publisher;
   private final UpgradeCoordinator coordinator;
   private Consumer<String> onLeave = why -> {};
   private String refusedBecause;
@@ -41,7 +41,13 @@
   private boolean closed;
   private Loop.Timer timer;
 
-  FeatureDuty(
+  /**
+   * Makes the manager; it neither publishes nor raises anything if the options leave feature levels
+   * alone.
+   *
+   * @param incarnation tells this process from earlier and later ones of the same controller
+   */
+  FeatureLevelManager(
       Loop loop,
       StateClient state,
       Cache cache,
@@ -53,9 +59,11 @@
     this.loop = loop;
     this.gate = cache.features().gate();
     this.cache = cache;
-    ClusterStore store = new FeatureStore(state, cache, leadership, settings, loop::wallMs);
-    List<String> peers = new ArrayList<>();
-    settings.peers().forEach(p -> peers.add(p.member()));
+    if (options.features() == null) {
+      this.publisher = null;
+      this.coordinator = null;
+      return;
+    }
     Member self =
         new Member(
             settings.member(),
@@ -64,27 +72,31 @@
             incarnation,
             loop.wallMs(),
             0);
-    boolean on = options.features() != null;
-    this.membership = on ? new Membership(loop, state, cache, self, this::leave) : null;
+    this.publisher = new MembershipPublisher(loop, state, cache, self, this::leave);
     this.coordinator =
-        on
-            ? new UpgradeCoordinator(
-                gate,
-                store,
-                probe(peerClient, settings.member()),
-                options.features(),
-                settings.member(),
-                incarnation,
-                peers,
-                loop::now)
-            : null;
+        new UpgradeCoordinator(
+            gate,
+            new FeatureLevelStore(state, cache, leadership, settings, loop::wallMs),
+            probe(peerClient, settings.member()),
+            options.features(),
+            settings.member(),
+            incarnation,
+            peerNames(settings),
+            loop::now);
+  }
+
+  private static List<String> peerNames(Settings settings) {
+    List<String> names = new ArrayList<>();
+    settings.peers().forEach(peer -> names.add(peer.member()));
+    return names;
   }
 
   private static String programVersion() {
-    String version = FeatureDuty.class.getPackage().getImplementationVersion();
+    String version = FeatureLevelManager.class.getPackage().getImplementationVersion();
     return version == null ? "unknown" : version;
   }
 
+  /** Asks a peer which process it is. */
   private static MemberProbe probe(PeerClient peerClient, String self) {
     return (member, done) ->
         peerClient.send(
@@ -95,7 +107,9 @@
             answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
 
-  /** The leader's duty, or null where feature levels are left alone. */
+  /**
+   * What raises and lowers the level on the leader, or null where feature levels are left alone.
+   */
   UpgradeCoordinator coordinator() {
     return coordinator;
   }
@@ -105,17 +119,19 @@
     onLeave = listener;
   }
 
+  /** Checks the levels now and then at every interval. */
   void start() {
     if (closed) {
       return;
     }
-    look();
+    checkRecords();
     if (coordinator != null) {
       coordinator.tick();
     }
-    timer = loop.after(FEATURE_LOOK_EVERY_S, this::start);
+    timer = loop.after(CHECK_INTERVAL_S, this::start);
   }
 
+  /** Stops the checks. */
   void close() {
     closed = true;
     if (timer != null) {
@@ -123,8 +139,8 @@
     }
   }
 
-  /** Looks at the records; to be called after each change of them. */
-  void look() {
+  /** Checks the records; to be called after each change of them. */
+  void checkRecords() {
     if (!cache.headKnown() || left) {
       return;
     }
@@ -132,12 +148,12 @@
     if (why != null && gate.overtaken()) {
       leave(why);
     } else if (why != null && !why.equals(refusedBecause)) {
-      // It stays as it is: ended, it would be started again and again to no avail.
+      // The process stays: if it ended, it would be restarted again and again to no avail.
       LOG.error("this controller does not take part: {}", why);
     }
     refusedBecause = why;
-    if (membership != null) {
-      membership.look();
+    if (publisher != null) {
+      publisher.checkRecord();
     }
   }
 
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -25,8 +25,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The records behind the duty for feature levels, in the state service. */
-final class FeatureStore implements ClusterStore {
+/** The records of feature levels in the key-value store, as the leader changes them. */
+final class FeatureLevelStore implements ClusterStore {
   private final StateClient state;
   private final Cache cache;
   private final Leadership leadership;
@@ -36,7 +36,12 @@
   private final List<Team> teams;
   private final LongSupplier clock;
 
-  FeatureStore(
+  /**
+   * Makes the store for one controller.
+   *
+   * @param clock the time of day, in milliseconds since the epoch
+   */
+  FeatureLevelStore(
       StateClient state,
       Cache cache,
       Leadership leadership,
@@ -78,13 +83,15 @@
         new LevelChange(to, on, members, mostChanges), how -> done.accept(outcome(how)));
   }
 
+  /** A transaction that fails unless this controller is still the leader. */
   private StateClient.Txn asLeader() {
     return new StateClient.Txn().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
   private void commit(StateClient.Txn txn, Consumer<Outcome> done) {
-    // What is decided next is decided on the records as they are then.
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> done.accept(outcome(r.how()))));
+    // The next decision is made on the records as they are after this one.
+    state.commit(
+        txn, Use.CLAIM, result -> cache.catchUp(caughtUp -> done.accept(outcome(result.how()))));
   }
 
   private static Outcome outcome(How how) {
@@ -133,7 +140,8 @@
             return;
           }
           List<String> keys = new ArrayList<>();
-          pages.forEach(p -> p.path("items").forEach(i -> keys.add(i.path("key").asText())));
+          pages.forEach(
+              page -> page.path("items").forEach(item -> keys.add(item.path("key").asText())));
           done.accept(keys);
         });
   }
@@ -154,7 +162,7 @@
     }
   }
 
-  /** Stores the limits of the settings, and that they are complete with the last of them. */
+  /** Stores the settings' limits; the last transaction also records that they are complete. */
   private void storeLimits(Consumer<Boolean> done) {
     QuotaRecords quota = cache.quota();
     if (quota.isSeeded()) {
@@ -164,12 +172,12 @@
     List<Team> missing = new ArrayList<>();
     teams.stream().filter(t -> quota.limits(t.name()) == null).forEach(missing::add);
     StateClient.Txn txn = asLeader();
-    List<Team> now = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
-    for (Team t : now) {
-      String key = QuotaCodec.limitKey(t.name());
-      txn.when(key, 0).put(key, QuotaCodec.limits(t.quota(), member, clock.getAsLong()));
+    List<Team> batch = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
+    for (Team team : batch) {
+      String key = QuotaCodec.limitKey(team.name());
+      txn.when(key, 0).put(key, QuotaCodec.limits(team.quota(), member, clock.getAsLong()));
     }
-    if (now.size() == missing.size()) {
+    if (batch.size() == missing.size()) {
       txn.when(QuotaCodec.SEEDED, 0).put(QuotaCodec.SEEDED, Json.object());
     }
     commit(txn, outcome -> done.accept(false));
@@ -192,7 +200,7 @@
     }
   }
 
-  /** Hints in the form of before would be ever more out of date. */
+  /** Removes hints in the older form, which would be ever more out of date. */
   private void removePlainHints(Consumer<Boolean> done) {
     List<String> plain = new ArrayList<>(cache.images().keySet());
     if (cache.demand() != null) {
--- a/src/main/java/graderelay/service/LeaderOffice.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -18,13 +18,12 @@
 import java.util.function.Supplier;
 
 /**
- * The leader's office in one controller: starts a {@link LeaderTerm} once leadership is won and the
- * records are caught up with as they stood then, and closes it on failover. Holds no term while
- * this node follows.
+ * Starts a {@link LeaderTerm} once this controller has won leadership and its records are caught up
+ * with as they stood then, and closes the term on failover. There is no term on a follower.
  */
-final class LeaderOffice implements Leadership.Listener {
-  /** Seconds between looks whether the records are read, for a node that has won the term. */
-  private static final double TAKE_UP_RETRY_S = 0.02;
+final class LeaderLifecycle implements Leadership.Listener {
+  /** Seconds between checks whether the records are read, for a controller that has won a term. */
+  private static final double RECORDS_CHECK_INTERVAL_S = 0.02;
 
   private final Loop loop;
   private final Cache cache;
@@ -40,15 +39,15 @@
   private boolean closed;
 
   /**
-   * Makes the office of a follower.
+   * Makes the lifecycle of a controller that is a follower so far.
    *
-   * @param leading whether this node holds leadership now
-   * @param fencingToken the fencing token of this node's leadership now
-   * @param entitled whether this node may answer workers for all controllers now
+   * @param leading whether this controller holds leadership now
+   * @param fencingToken the fencing token of this controller's leadership now
+   * @param entitled whether this controller may answer workers for all controllers now
    * @param types the machine types the cloud has listed, null until it has
-   * @param newTerm makes the duty of a term with the records and settings as they are now
+   * @param newTerm makes a term with the records and settings as they are now
    */
-  LeaderOffice(
+  LeaderLifecycle(
       Loop loop,
       Cache cache,
       BooleanSupplier leading,
@@ -71,7 +70,7 @@
     this.newTerm = newTerm;
   }
 
-  /** The current term, or null while this node does not lead. */
+  /** The current term, or null while this controller does not lead. */
   LeaderTerm current() {
     return current;
   }
@@ -91,23 +90,25 @@
   /**
    * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
    */
-  List<WorkerCommand> onReport(Heartbeat r, String via) {
-    // A leader that is still reading the records keeps leases alive, and orders nothing: it counts
-    // them from when its term begins, which is later.
-    return current == null ? List.of() : current.onReport(r, via);
+  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
+    // A leader that is still reading the records keeps worker leases alive and commands nothing: it
+    // counts the leases from when its term begins, which is later.
+    return current == null ? List.of() : current.onHeartbeat(heartbeat, via);
   }
 
   /**
-   * A peer asks to be our lease delegate in its zone: granted only while we speak for the
-   * controllers, and the core knows the peer; the answer carries what we know of cancellations.
+   * A peer asks to be our lease delegate in its zone: granted only while our session lease lasts
+   * and if the core knows the peer. The answer carries the cancellations that we have heard of.
    */
-  PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation d) {
+  PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
     return current != null && entitled.getAsBoolean()
-        ? new PeerAnswer.Delegated(current.grantLeaseDelegation(d), cancellations.word())
+        ? new PeerAnswer.Delegated(current.grantLeaseDelegation(request), cancellations.word())
         : new PeerAnswer.Delegated(null, null);
   }
 
-  /** Operators want a team's account written anew; false if this node does not lead any more. */
+  /**
+   * Writes a team's account anew for operators; false if this controller does not lead any more.
+   */
   boolean replaceAccount(String team) {
     if (current == null) {
       return false;
@@ -116,7 +117,7 @@
     return true;
   }
 
-  /** A peer says that a job was cancelled: carried out at once, written up from its record. */
+  /** A peer says that a job was cancelled: its tasks are stopped now, its record read later. */
   void onCancelled(String job) {
     ifLeading(t -> t.onCancelled(job));
   }
@@ -132,32 +133,36 @@
   @Override
   public void onWon(long term) {
     metrics.count("graderelay.takeovers", "member", member);
-    takeUp(term, loop.now());
+    startTerm(term, loop.now());
   }
 
-  /** Starts the duty as soon as the records are known as they stood when the term was won. */
-  private void takeUp(long term, double since) {
+  /** Starts the term as soon as the records are known as they stood when it was won. */
+  private void startTerm(long term, double wonAt) {
     if (!cache.loaded()) {
-      if (!closed && leading.getAsBoolean() && fencingToken.getAsLong() == term) {
-        loop.after(TAKE_UP_RETRY_S, () -> takeUp(term, since));
+      if (stillLeads(term)) {
+        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, wonAt));
       }
       return;
     }
     cache.catchUp(
-        ok -> {
-          if (closed || !leading.getAsBoolean() || fencingToken.getAsLong() != term) {
+        caughtUp -> {
+          if (!stillLeads(term)) {
             return;
           }
-          if (!ok || types.get() == null) {
-            loop.after(StateClient.STATE_RETRY_S, () -> takeUp(term, since));
+          if (!caughtUp || types.get() == null) {
+            loop.after(StateClient.STATE_RETRY_S, () -> startTerm(term, wonAt));
             return;
           }
           current = newTerm.get();
           current.start();
-          metrics.span("graderelay.takeover", loop.now() - since);
+          metrics.span("graderelay.takeover", loop.now() - wonAt);
         });
   }
 
+  private boolean stillLeads(long term) {
+    return !closed && leading.getAsBoolean() && fencingToken.getAsLong() == term;
+  }
+
   @Override
   public void onTermRaised(long term) {
     ifLeading(t -> t.onTermRaised(term));
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -17,16 +17,14 @@
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
 import graderelay.state.Leadership;
-import graderelay.state.StateClient;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
-import graderelay.wire.StateCodec;
-import graderelay.worker.WorkerClient;
 import java.util.List;
+import java.util.function.DoubleConsumer;
 import java.util.random.RandomGenerator;
 
 /**
- * The leader's duty for one term of office: feeds the core scheduler with the records, heartbeats
+ * One term of this controller's leadership: feeds the core scheduler with the records, heartbeats
  * and the cloud's list, steps it, and has {@link LeaderActions} carry out what it decides. Made
  * when the term is won and the records are caught up with; closed on failover.
  */
@@ -36,10 +34,14 @@
   private final CloudClient cloud;
   private final Leadership leadership;
   private final Scheduler core;
-  private final LeaderHints hints;
+  private final FailoverHints hints;
+  private final CloudScaler cloudScaler;
   private final LeaderActions actions;
   private final Metrics metrics;
-  private final long firstTerm;
+
+  /** The fencing token that the term was won with; it may be raised later. */
+  private final long firstToken;
+
   private boolean closed;
   private boolean stepping;
   private Loop.Timer stepTimer;
@@ -48,56 +50,53 @@
   private OperatorSettings operators;
   private long staleHeartbeats;
 
+  /**
+   * Makes a term that begins now; nothing runs before {@link #start}.
+   *
+   * @param leastLimits what the key-value store allows at least, now and later
+   * @param operators the operators' settings as stored now
+   * @param types the machine types that the cloud has listed
+   */
   LeaderTerm(
-      Loop loop,
-      StateClient state,
-      Cache cache,
-      Leadership leadership,
-      CloudClient cloud,
-      WorkerClient workers,
+      LeaderServices services,
       Policy policy,
-      Settings settings,
+      Settings.StateLimits leastLimits,
       OperatorSettings operators,
-      Metrics metrics,
       RandomGenerator random,
       List<MachineType> types) {
-    this.loop = loop;
-    this.cache = cache;
-    this.cloud = cloud;
-    this.leadership = leadership;
-    Settings.StateLimits least = settings.least();
-    CancellationResolver cancellationResolver =
-        new CancellationResolver(cache, new FinalStateLookup(loop, state, cache, least.txnOps()));
-    this.hints = new LeaderHints(state, cache, leadership, least.valueBytes());
+    this.loop = services.loop();
+    this.cache = services.cache();
+    this.cloud = services.cloud();
+    this.leadership = services.leadership();
+    this.metrics = services.metrics();
     this.operators = operators;
-    this.metrics = metrics;
-    this.firstTerm = leadership.term();
+    this.firstToken = leadership.term();
     double startedAt = loop.now();
-    this.core = new Scheduler(policy, firstTerm, leadership.process(), random, loop.now());
+    this.core = new Scheduler(policy, firstToken, leadership.process(), random, loop.now());
     core.onTypes(types);
+    this.hints = new FailoverHints(services.state(), cache, leadership, leastLimits.valueBytes());
+    this.cloudScaler = new CloudScaler(this, services, firstToken, startedAt, policy.listLagS());
+    FinalStateLookup finalStates =
+        new FinalStateLookup(loop, services.state(), cache, leastLimits.txnOps());
     this.actions =
         new LeaderActions(
             this,
-            loop,
-            state,
-            cache,
-            leadership,
-            cloud,
-            workers,
-            core,
-            metrics,
+            services,
             hints,
-            cancellationResolver,
-            least,
-            firstTerm,
-            startedAt,
-            policy.listLagS());
+            new CancellationResolver(cache, finalStates),
+            new TransactionExecutor(this, services, leastLimits),
+            cloudScaler);
   }
 
   Scheduler core() {
     return core;
   }
 
+  /** The time of day, in milliseconds since the epoch. */
+  long wallMs() {
+    return loop.wallMs();
+  }
+
   boolean isClosed() {
     return closed;
   }
@@ -107,25 +106,30 @@
     double now = loop.now();
     hints.images().forEach(core::onImages);
     core.onImageParts(hints.imagePartsPerThousand());
-    for (Cache.Entry e : cache.jobs().values()) {
-      onJob(e);
-    }
-    for (Cache.Entry e : cache.jobs().values()) {
-      e.taskBatches.forEach(
-          (i, s) ->
-              core.onTaskBatch(new TaskBatchKey(e.spec.id(), i), s.record(), s.revision(), now));
-    }
-    cache.looseBatches().forEach((k, s) -> core.onTaskBatch(k, s.record(), s.revision(), now));
-    JsonNode demand = hints.demand();
-    if (demand != null) {
-      core.onDemand(StateCodec.demand(demand, loop.wallMs()), now);
-    }
+    loadJobs(now);
+    core.onDemand(hints.demand(loop.wallMs()), now);
     onQuota();
     core.loaded(now);
     listMachines();
     tick();
   }
 
+  /** Every job comes before the first task batch. */
+  private void loadJobs(double now) {
+    for (Cache.Entry job : cache.jobs().values()) {
+      onJob(job);
+    }
+    for (Cache.Entry job : cache.jobs().values()) {
+      job.taskBatches.forEach(
+          (index, batch) ->
+              core.onTaskBatch(
+                  new TaskBatchKey(job.spec.id(), index), batch.record(), batch.revision(), now));
+    }
+    cache
+        .looseBatches()
+        .forEach((key, batch) -> core.onTaskBatch(key, batch.record(), batch.revision(), now));
+  }
+
   /** Ends the term: no timer fires and no outcome is taken any more. */
   void close() {
     closed = true;
@@ -136,37 +140,67 @@
     }
   }
 
+  // ---------------------------------------------------------------- outcomes of actions
+
+  /** Carries out what the core has decided on so far, without waiting for its next step. */
+  void carryOut() {
+    actions.carryOut();
+  }
+
+  /**
+   * Passes an action's outcome to the core, which then steps soon; passed over once the term is
+   * closed.
+   *
+   * @param outcome takes the loop's time in seconds
+   */
+  void takeOutcome(DoubleConsumer outcome) {
+    if (!closed) {
+      outcome.accept(loop.now());
+      stepSoon();
+    }
+  }
+
   // ---------------------------------------------------------------- records
 
-  void onJob(Cache.Entry e) {
-    double at = loop.now() - (loop.wallMs() - e.spec.submittedMs()) / 1000.0;
-    core.onJob(e.spec, e.stop, e.revision, Math.min(at, loop.now()), loop.now());
+  /** A live job's record is new or has changed. */
+  void onJob(Cache.Entry job) {
+    double submittedAt = secondsAt(job.spec.submittedMs());
+    core.onJob(job.spec, job.stop, job.revision, Math.min(submittedAt, loop.now()), loop.now());
     stepSoon();
   }
 
+  /** The loop's time in seconds at a time of day, which is in milliseconds. */
+  private double secondsAt(long wallMs) {
+    return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
+  }
+
+  /** A job was cancelled, which its record may not show yet. */
   void onCancelled(String job) {
     core.onCancelled(job, loop.now());
     stepSoon();
   }
 
   /** A job's final state is known. */
-  void onEnd(String id, Cache.End e) {
-    // Records of earlier versions don't say when: then it was just now, for all that is known.
-    double at = e.atMs() == 0 ? loop.now() : loop.now() - (loop.wallMs() - e.atMs()) / 1000.0;
-    core.onEnd(id, e.cancelled(), at, loop.now());
+  void onEnd(String job, Cache.End end) {
+    // Records of earlier versions lack the time: they count as ended just now.
+    double endedAt = end.atMs() == 0 ? loop.now() : secondsAt(end.atMs());
+    core.onEnd(job, end.cancelled(), endedAt, loop.now());
     stepSoon();
   }
 
-  void onJobGone(String id) {
-    core.onJobGone(id, loop.now());
+  /** A job's record was removed. */
+  void onJobGone(String job) {
+    core.onJobGone(job, loop.now());
     stepSoon();
   }
 
-  void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry s) {
-    core.onTaskBatch(key, s.record(), s.revision(), loop.now());
+  /** A task batch's record is new or has changed. */
+  void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry batch) {
+    core.onTaskBatch(key, batch.record(), batch.revision(), loop.now());
     stepSoon();
   }
 
+  /** A task batch's record was removed. */
   void onTaskBatchGone(TaskBatchKey key) {
     core.onTaskBatchGone(key);
   }
@@ -179,11 +213,12 @@
   }
 
   /**
-   * Stored limits or accounts have changed; the task batches of the same moment were told before.
+   * Stored limits or accounts have changed. The caller has passed on the task batches of the same
+   * revision before.
    */
   void onQuota() {
-    boolean on = cache.features().gate().enabled(Feature.STORED_LIMITS);
-    core.onQuota(on ? cache.quota().asOf(cache.revisionSeen()) : null);
+    boolean stored = cache.features().gate().enabled(Feature.STORED_LIMITS);
+    core.onQuota(stored ? cache.quota().asOf(cache.revisionSeen()) : null);
     stepSoon();
   }
 
@@ -193,16 +228,17 @@
     stepSoon();
   }
 
+  /** The cloud has listed its machine types anew. */
   void onTypes(List<MachineType> types) {
     core.onTypes(types);
     stepSoon();
   }
 
   /** The operators' settings changed: tuning, cordons and graceful evictions. */
-  void onSettings(OperatorSettings s) {
-    core.onTuning(s.tuning());
-    core.onCordons(s.cordoned(), s.drained(), loop.now());
-    operators = s;
+  void onSettings(OperatorSettings changed) {
+    core.onTuning(changed.tuning());
+    core.onCordons(changed.cordoned(), changed.drained(), loop.now());
+    operators = changed;
     stepSoon();
   }
 
@@ -211,42 +247,50 @@
   /**
    * Takes a heartbeat and returns the worker commands for its response; the caller has checked our
    * session lease.
+   *
+   * @param via the controller that the worker sent it to
    */
-  List<WorkerCommand> onReport(Heartbeat r, String via) {
+  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
     double now = loop.now();
-    boolean fresh = core.onReport(r, via, now);
+    boolean fresh = core.onReport(heartbeat, via, now);
     if (core.staleReports() > staleHeartbeats) {
       staleHeartbeats = core.staleReports();
       metrics.count("graderelay.dropped", "what", "stale report");
     }
-    List<WorkerCommand> orders = core.ordersFor(r, now);
+    List<WorkerCommand> commands = core.ordersFor(heartbeat, now);
     if (fresh) {
-      core.answered(r.machine(), now);
+      core.answered(heartbeat.machine(), now);
     }
     stepSoon();
-    return orders;
+    return commands;
   }
 
   /**
-   * A peer asks to be our lease delegate; the caller has checked that we may speak. Null if the
+   * A peer asks to be our lease delegate; the caller has checked our session lease. Null if the
    * core does not know the peer's incarnation.
    */
-  PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation d) {
+  PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
     boolean known =
         core.onDelegate(
-            d.member(), d.process(), d.number(), d.grantedBy(), d.echo(), d.aloneS(), now);
-    return known ? new PeerAnswer.Grant(leadership.term(), firstTerm, now) : null;
+            request.member(),
+            request.process(),
+            request.number(),
+            request.grantedBy(),
+            request.echo(),
+            request.aloneS(),
+            now);
+    return known ? new PeerAnswer.Grant(leadership.term(), firstToken, now) : null;
   }
 
   /** A lease delegate's record was released. */
-  void onLeaseDelegateFreed(String member, JsonNode n) {
+  void onLeaseDelegateReleased(String member, JsonNode record) {
     core.onDelegateReleased(
         member,
-        n.path("self").asText(),
-        n.path("n").asLong(),
-        n.path("of").asLong(),
-        n.path("alone").asDouble(),
+        record.path("self").asText(),
+        record.path("n").asLong(),
+        record.path("of").asLong(),
+        record.path("alone").asDouble(),
         loop.now());
   }
 
@@ -261,7 +305,7 @@
     tickTimer = loop.after(ControllerNode.TICK_S, this::tick);
   }
 
-  /** Several events of one moment are decided on together. */
+  /** Has the core step after the events of this moment, which it decides on together. */
   void stepSoon() {
     if (!stepping && !closed) {
       stepping = true;
@@ -292,13 +336,13 @@
             return;
           }
           if (machines != null) {
-            actions.markListed();
+            cloudScaler.markListed();
             core.onList(machines, loop.now());
             core.onCordons(operators.cordoned(), operators.drained(), loop.now());
             stepSoon();
           }
-          int known = machines == null ? 0 : machines.size();
-          listTimer = loop.after(cloud.listEveryS(known), this::listMachines);
+          int listed = machines == null ? 0 : machines.size();
+          listTimer = loop.after(cloud.listEveryS(listed), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -26,7 +26,7 @@
   /**
    * Makes the poller; it reads nothing before {@link #start}.
    *
-   * @param leading whether this node is the leader now
+   * @param leading whether this controller is the leader now
    * @param onTypes hears every list that is not empty
    */
   MachineTypePoller(
--- a/src/main/java/graderelay/service/Membership.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 
 /**
- * Publishes what this process supports, in a record that replaces what an earlier process of the
- * same controller has published. If a later process replaces it in turn, this one has been taken
- * for dead, and leaves.
+ * Publishes the feature levels that this process supports, in a record that replaces the one of an
+ * earlier process of the same controller. If a later process replaces it in turn, this one has been
+ * taken for dead, and leaves.
  */
-final class Membership {
+final class MembershipPublisher {
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
@@ -23,12 +23,13 @@
   private boolean sending;
 
   /**
-   * Makes the duty.
+   * Makes the publisher.
    *
    * @param self what to publish
    * @param superseded hears why this process has to leave
    */
-  Membership(Loop loop, StateClient state, Cache cache, Member self, Consumer<String> superseded) {
+  MembershipPublisher(
+      Loop loop, StateClient state, Cache cache, Member self, Consumer<String> superseded) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
@@ -36,8 +37,8 @@
     this.superseded = superseded;
   }
 
-  /** Looks at the record; to be called after each change and now and then. */
-  void look() {
+  /** Publishes unless the record is this process's; to be called after changes and regularly. */
+  void checkRecord() {
     FeatureRecords records = cache.features();
     if (!cache.loaded() || sending || !records.gate().isOpen()) {
       return;
@@ -49,26 +50,28 @@
     if (stored != null && stored.beganMs() > self.beganMs()) {
       superseded.accept("a later process runs as " + self.name());
     } else {
-      // Also over what an earlier process sent and was carried out late.
+      // Also over a record of an earlier process whose write was carried out late.
       publish(records.memberRevision(self.name()));
     }
   }
 
-  /** On the record as it is: a late copy of what an earlier process sent must not undo ours. */
+  /**
+   * Conditioned on the record's revision: a late write of an earlier process must not undo ours.
+   */
   private void publish(long revision) {
     sending = true;
     String key = FeatureCodec.memberKey(self.name());
     state.commit(
         new StateClient.Txn().when(key, revision).put(key, FeatureCodec.member(self)),
         Use.SUBMISSION,
-        r ->
+        result ->
             cache.catchUp(
-                ok -> {
+                caughtUp -> {
                   sending = false;
-                  if (ok) {
-                    look();
+                  if (caughtUp) {
+                    checkRecord();
                   } else {
-                    loop.after(StateClient.STATE_RETRY_S, this::look);
+                    loop.after(StateClient.STATE_RETRY_S, this::checkRecord);
                   }
                 }));
   }
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -21,7 +21,7 @@
  * a registry costs start-up time and memory that a small machine has better use for.
  */
 public final class Metrics {
-  /** Seconds between looks at how late the event loop is. */
+  /** Seconds between measurements of how late the event loop is. */
   private static final double DELAY_PROBE_S = 1;
 
   /** Measured times kept until somebody reads the metrics for the first time. */
--- /dev/null
+++ b/src/main/java/graderelay/service/RecordChangeDispatcher.java
@@ -0,0 +1,81 @@
+package graderelay.service;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import graderelay.core.TaskBatchKey;
+import graderelay.state.Cache;
+
+/**
+ * Passes changes of the stored records on to the parts of this controller that act on them. The
+ * cache needs its listener before those parts exist, so they are connected afterwards.
+ */
+final class RecordChangeDispatcher implements Cache.Listener {
+  /**
+   * The parts that act on changed records.
+   *
+   * @param leader the leader's term, while this controller leads
+   * @param onLeaderRecord called after a change of the leader record
+   * @param onQuotaRecords called after a change of stored limits or accounts
+   * @param operators the operators' settings, read anew when their record changes
+   */
+  record Targets(
+      LeaderLifecycle leader,
+      Runnable onLeaderRecord,
+      Runnable onQuotaRecords,
+      StoredOperatorSettings operators) {}
+
+  private Cache cache;
+  private Targets targets;
+
+  /** Connects the parts; to be called once, before the cache starts to read. */
+  void connect(Cache cache, Targets targets) {
+    this.cache = cache;
+    this.targets = targets;
+  }
+
+  @Override
+  public void onJob(Cache.Entry job) {
+    targets.leader().ifLeading(term -> term.onJob(job));
+  }
+
+  @Override
+  public void onJobGone(String job) {
+    targets.leader().ifLeading(term -> term.onJobGone(job));
+  }
+
+  @Override
+  public void onTaskBatch(TaskBatchKey key, Cache.TaskBatchEntry batch) {
+    targets.leader().ifLeading(term -> term.onTaskBatch(key, batch));
+  }
+
+  @Override
+  public void onTaskBatchGone(TaskBatchKey key) {
+    targets.leader().ifLeading(term -> term.onTaskBatchGone(key));
+  }
+
+  @Override
+  public void onEnd(String job, Cache.End end) {
+    targets.leader().ifLeading(term -> term.onEnd(job, end));
+  }
+
+  @Override
+  public void onLeader() {
+    targets.onLeaderRecord().run();
+  }
+
+  @Override
+  public void onQuota() {
+    targets.onQuotaRecords().run();
+    targets.leader().ifLeading(LeaderTerm::onQuota);
+  }
+
+  @Override
+  public void onDelegateReleased(String member, JsonNode record) {
+    targets.leader().ifLeading(term -> term.onLeaseDelegateReleased(member, record));
+  }
+
+  @Override
+  public void onSettings() {
+    var changed = targets.operators().reload(cache.settings());
+    targets.leader().ifLeading(term -> term.onSettings(changed));
+  }
+}
