--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -1,7 +1,7 @@
 package graderelay.core;
 
 import graderelay.quota.AccountChange;
-import graderelay.quota.Difference;
+import graderelay.quota.AccountDiscrepancy;
 import java.util.List;
 
 /** What the core wants done outside. The outside reports back under the same id or names. */
@@ -74,7 +74,7 @@
   record Seen(String what, double waitedS) implements Action {}
 
   /** An account is not what it should be. */
-  record DifferenceFound(Difference difference) implements Action {}
+  record DifferenceFound(AccountDiscrepancy difference) implements Action {}
 
   /** One line of the story, for the log. */
   record Note(String text) implements Action {}
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -45,7 +45,7 @@
 
   /** Open tasks of the job whose record, or team's account, is being changed. */
   static int blocked(ClusterState cluster, Job j) {
-    if (cluster.admission.isPassing(j.spec.team())) {
+    if (cluster.admission.isTemporarilyRefused(j.spec.team())) {
       return j.open.cardinality();
     }
     int n = 0;
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import graderelay.quota.Obstacle;
+import graderelay.quota.AdmissionRefusal;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -61,14 +61,14 @@
 
   /** True if nothing of the job's team may be claimed at the moment; sets its wait reason. */
   boolean obstructed(Job j) {
-    Obstacle obstacle = cluster.admission.obstacle(j.spec.team());
-    if (obstacle == null) {
+    AdmissionRefusal refusal = cluster.admission.refusal(j.spec.team());
+    if (refusal == null) {
       return false;
     }
-    if (obstacle.passing()) {
+    if (refusal.temporary()) {
       cluster.admission.wantSettled(j.spec.team());
     }
-    j.waitReason = obstacle.reason();
+    j.waitReason = refusal.reason();
     return true;
   }
 }
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import graderelay.quota.Difference;
+import graderelay.quota.AccountDiscrepancy;
 import graderelay.quota.StoredQuota;
 import java.util.ArrayList;
 import java.util.List;
@@ -58,7 +58,7 @@
   }
 
   void tellDifferences() {
-    for (Difference d : cluster.admission.takeDifferences()) {
+    for (AccountDiscrepancy d : cluster.admission.takeDiscrepancies()) {
       cluster.out.add(new Action.DifferenceFound(d));
     }
   }
--- a/src/main/java/graderelay/quota/Account.java
+++ b/src/main/java/graderelay/quota/Account.java
@@ -1,10 +1,10 @@
 package graderelay.quota;
 
 /**
- * The stored account of one team: what is reserved for its claims.
+ * The stored account of one team: the part of its limit that is reserved for its claims.
  *
  * @param use at least the sum of the team's committed claims, and at most its limit of the time
- * @param writer tells the write that made it from all others
+ * @param writer the unique name of the write that made it
  * @param revision the version of the record, the condition of claims and changes; 0 if there is
  *     none
  * @param malformed why the record can't be read, or null
@@ -23,6 +23,7 @@
     return new Account(Amount.NONE, "", revision, why);
   }
 
+  /** False if the record is malformed. */
   public boolean isReadable() {
     return malformed == null;
   }
--- a/src/main/java/graderelay/quota/AccountChange.java
+++ b/src/main/java/graderelay/quota/AccountChange.java
@@ -1,12 +1,12 @@
 package graderelay.quota;
 
 /**
- * What a transaction says of a team's account: the version that it was decided on, and the new
- * value if it has one.
+ * A transaction's part on a team's account: the version that it was decided on, and the new value
+ * if the account is written.
  *
  * @param onRevision the version of the account that must still stand
  * @param use the new value, or null if the account stays as it is and is only a condition
- * @param writer tells this write from all others, "" if it writes nothing
+ * @param writer the unique name of this write, "" if it writes nothing
  * @param onLimits the version of the team's limits that must still stand, or {@link #ANY_LIMITS}
  */
 public record AccountChange(
--- a/src/main/java/graderelay/quota/Difference.java
+++ b/src/main/java/graderelay/quota/AccountDiscrepancy.java
@@ -1,12 +1,13 @@
 package graderelay.quota;
 
 /**
- * An account that is not what it should be. It is told of and never mended in silence.
+ * An account that does not agree with its team's claims, limit or last known record. It is logged
+ * and counted, and never mended silently.
  *
  * @param found what the account says
- * @param claims what the committed claims of the team take
+ * @param claims what the committed claims of the team use
  */
-public record Difference(String team, Kind kind, Amount found, Amount claims) {
+public record AccountDiscrepancy(String team, Kind kind, Amount found, Amount claims) {
   /** What is wrong. */
   public enum Kind {
     /** The account says less than the committed claims take. */
--- /dev/null
+++ b/src/main/java/graderelay/quota/AccountWriter.java
@@ -0,0 +1,121 @@
+package graderelay.quota;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Decides on changes of the teams' accounts: it raises an account for claims, fences it before the
+ * leader relies on it, and lowers it once it has reserved too much for a while.
+ */
+final class AccountWriter {
+  /** An account may reserve so many times what is admitted before it is lowered. */
+  private static final int EXCESSIVE_RATIO = 2;
+
+  private final String name;
+  private final double releaseAfterS;
+  private final TeamAccounts accounts;
+  private long nextWrite = 1;
+
+  /**
+   * Makes the writer of one leader term.
+   *
+   * @param name tells this writer from all others, also from those of the same term
+   * @param releaseAfterS seconds for which an account may reserve too much
+   */
+  AccountWriter(String name, double releaseAfterS, TeamAccounts accounts) {
+    this.name = name;
+    this.releaseAfterS = releaseAfterS;
+    this.accounts = accounts;
+  }
+
+  /** True if the account has to be raised for what has been placed. */
+  boolean mustRaise(String team) {
+    return !accounts.account(team).stored().use().covers(accounts.admitted(team));
+  }
+
+  /** The condition or write of the team's account in a transaction with claims of the team. */
+  AccountChange claim(String team) {
+    long limitsRevision = accounts.limits(team).revision();
+    if (mustRaise(team)) {
+      return write(team, reservation(team), limitsRevision);
+    }
+    long accountRevision = accounts.account(team).stored().revision();
+    return new AccountChange(team, accountRevision, null, "", limitsRevision);
+  }
+
+  /** What to reserve for the team: its claims and half as much again, up to its limit. */
+  private Amount reservation(String team) {
+    Amount admitted = accounts.admitted(team);
+    LimitRecord record = accounts.limits(team);
+    Amount limit = record != null && record.isReadable() ? record.quota().limit() : Amount.NONE;
+    return new Amount(
+        reservation(admitted.cpuMillis(), limit.cpuMillis()),
+        reservation(admitted.gpuMillis(), limit.gpuMillis()));
+  }
+
+  private static long reservation(long admitted, long limit) {
+    long wanted = admitted + admitted / 2;
+    return limit == 0 ? wanted : Math.max(admitted, Math.min(limit, wanted));
+  }
+
+  /** Fences of accounts that something waits for, at most so many. */
+  List<AccountChange> fences(int most) {
+    List<AccountChange> changes = new ArrayList<>();
+    accounts.forEach(
+        (team, account) -> {
+          if (changes.size() < most && account.needsFence() && accounts.limits(team) != null) {
+            changes.add(fence(team));
+          }
+        });
+    return changes;
+  }
+
+  /**
+   * Does not lower the account, since claims that it covers may still commit before the fence. An
+   * account below the known claims is reported: something went wrong before.
+   */
+  private AccountChange fence(String team) {
+    Account found = accounts.account(team).stored();
+    boolean exists = found.revision() > 0 && found.isReadable();
+    if (exists && !found.use().covers(accounts.committed().of(team))) {
+      accounts.report(team, AccountDiscrepancy.Kind.BELOW_CLAIMS, found.use());
+    }
+    return write(team, found.use().orMore(reservation(team)), AccountChange.ANY_LIMITS);
+  }
+
+  /**
+   * Writes that lower accounts which have reserved too much for a while, at most so many.
+   *
+   * @param now seconds on the loop's clock
+   */
+  List<AccountChange> releases(int most, double now) {
+    List<AccountChange> changes = new ArrayList<>();
+    accounts.forEach(
+        (team, account) -> {
+          boolean due = account.releaseIsDue(isExcessive(team), releaseAfterS, now);
+          if (due && !account.isSettled()) {
+            account.requestSettling();
+          } else if (due && changes.size() < most) {
+            changes.add(write(team, reservation(team), AccountChange.ANY_LIMITS));
+          }
+        });
+    return changes;
+  }
+
+  /** True if far more is reserved than admitted, or more than the limit allows. */
+  private boolean isExcessive(String team) {
+    Amount reserved = accounts.account(team).stored().use();
+    Amount admitted = accounts.admitted(team);
+    boolean aboveLimit = !accounts.limitAllows(team, reserved) && !admitted.covers(reserved);
+    return aboveLimit || !admitted.times(EXCESSIVE_RATIO).covers(reserved);
+  }
+
+  private AccountChange write(String team, Amount use, long onLimits) {
+    TeamAccount account = accounts.account(team);
+    String writer = name + "-" + nextWrite++;
+    AccountChange change =
+        new AccountChange(team, account.stored().revision(), use, writer, onLimits);
+    account.sent(change);
+    return change;
+  }
+}
--- a/src/main/java/graderelay/quota/Amount.java
+++ b/src/main/java/graderelay/quota/Amount.java
@@ -4,7 +4,8 @@
 import java.math.RoundingMode;
 
 /**
- * CPUs and GPUs in integer thousandths, so that sums are exact whatever their order.
+ * An amount of resources: CPUs and GPUs in integer thousandths, so that sums are exact whatever
+ * their order.
  *
  * @param cpuMillis thousandths of a CPU
  * @param gpuMillis thousandths of a GPU
@@ -55,14 +56,17 @@
     return gpuMillis / (double) MILLIS;
   }
 
+  /** The sum of each part. */
   public Amount plus(Amount other) {
     return new Amount(cpuMillis + other.cpuMillis, gpuMillis + other.gpuMillis);
   }
 
+  /** The difference of each part, which may be negative. */
   public Amount minus(Amount other) {
     return new Amount(cpuMillis - other.cpuMillis, gpuMillis - other.gpuMillis);
   }
 
+  /** So many times each part. */
   public Amount times(int count) {
     return new Amount(cpuMillis * count, gpuMillis * count);
   }
@@ -83,6 +87,7 @@
         Math.max(0, cpuMillis - other.cpuMillis), Math.max(0, gpuMillis - other.gpuMillis));
   }
 
+  /** True if a part is below zero. */
   public boolean isNegative() {
     return cpuMillis < 0 || gpuMillis < 0;
   }
--- a/src/main/java/graderelay/quota/CommittedUse.java
+++ b/src/main/java/graderelay/quota/CommittedUse.java
@@ -4,13 +4,15 @@
 import java.util.Map;
 
 /**
- * What the committed claims of each team take, summed over the stored task batches as they are
- * known. Of each task batch the newest version counts, whether it came by a read or by a write of
- * one's own.
+ * What the committed claims of each team use, summed over the stored task batches as they are
+ * known. Of each task batch the newest version counts, whether it was read or written by this
+ * controller.
  */
 public final class CommittedUse {
+  /** What the claims of one task batch use, at a revision of its record. */
   private record BatchUse(Amount use, long revision) {}
 
+  /** What the claims of one job use, by the index of the task batch. */
   private static final class JobUse {
     final String team;
     final Map<Integer, BatchUse> taskBatches = new HashMap<>();
@@ -23,30 +25,33 @@
   private final Map<String, JobUse> jobs = new HashMap<>();
   private final Map<String, Amount> teams = new HashMap<>();
 
-  /** What the committed claims of a team take. */
+  /** What the committed claims of a team use. */
   public Amount of(String team) {
     return teams.getOrDefault(team, Amount.NONE);
   }
 
   /**
-   * A task batch was stored with claims that take so much; an older version than known is passed
-   * over.
+   * A task batch was stored with claims that use so much; a version older than the known one is
+   * ignored.
    */
   public void put(String job, int taskBatch, String team, long revision, Amount use) {
-    JobUse j = jobs.computeIfAbsent(job, x -> new JobUse(team));
-    BatchUse old = j.taskBatches.get(taskBatch);
+    JobUse jobUse = jobs.computeIfAbsent(job, x -> new JobUse(team));
+    BatchUse old = jobUse.taskBatches.get(taskBatch);
     if (old != null && old.revision() >= revision) {
       return;
     }
-    j.taskBatches.put(taskBatch, new BatchUse(use, revision));
+    jobUse.taskBatches.put(taskBatch, new BatchUse(use, revision));
     add(team, old == null ? use : use.minus(old.use()));
   }
 
   /** The job's end has committed, and with it the end of every attempt. */
   public void removeJob(String job) {
-    JobUse j = jobs.remove(job);
-    if (j != null) {
-      j.taskBatches.values().forEach(s -> add(j.team, Amount.NONE.minus(s.use())));
+    JobUse removed = jobs.remove(job);
+    if (removed != null) {
+      removed
+          .taskBatches
+          .values()
+          .forEach(batch -> add(removed.team, Amount.NONE.minus(batch.use())));
     }
   }
 
--- a/src/main/java/graderelay/quota/LimitRecord.java
+++ b/src/main/java/graderelay/quota/LimitRecord.java
@@ -21,6 +21,7 @@
     return new LimitRecord(null, revision, "", 0, why);
   }
 
+  /** False if the record is malformed. */
   public boolean isReadable() {
     return malformed == null;
   }
--- a/src/main/java/graderelay/quota/TeamAccount.java
+++ b/src/main/java/graderelay/quota/TeamAccount.java
@@ -7,30 +7,37 @@
  * The leader's view of one team's account.
  *
  * <p>Before the leader relies on an account it fences it: a conditional write gives the record a
- * new version, on which nothing that others have on the way is conditioned. Once the leader has
- * read the task batches as of that write, it knows every claim that will ever have committed under
- * the versions before, and the account counts as settled.
+ * new version, so that writes of others that are still in flight fail on the old one. Once the
+ * leader has read the task batches as of that write, it knows every claim that will ever have
+ * committed under the versions before, and the account counts as settled.
  */
 final class TeamAccount {
   private Account stored = Account.ABSENT;
+
+  /** True while the leader may rely on the account. */
   private boolean settled;
-  private boolean wanted;
+
+  /** True while something waits for the account to be settled. */
+  private boolean settlingRequested;
 
   /** The version that our fence has given the record, 0 if there is no fence to be read up to. */
-  private long fencedAt;
+  private long fenceRevision;
 
   /** An operator has asked to write a record anew that can't be read. */
-  private boolean replacing;
+  private boolean rewriteRequested;
 
-  /** The write that is under way, or null. */
-  private AccountChange underWay;
+  /** The write whose answer is awaited, or null. */
+  private AccountChange writeInFlight;
 
   /** Writes that may have been carried out, or may still be. */
-  private final List<AccountChange> possible = new ArrayList<>();
+  private final List<AccountChange> unresolvedWrites = new ArrayList<>();
 
   private Amount placed = Amount.NONE;
+
+  /** When the account was first seen to reserve too much, in seconds; NaN if it does not. */
   private double excessiveSince = Double.NaN;
-  private boolean toldAboveLimit;
+
+  private boolean wasAboveLimit;
 
   Account stored() {
     return stored;
@@ -40,55 +47,60 @@
     return settled;
   }
 
-  boolean isUnderWay() {
-    return underWay != null;
+  boolean isWriteInFlight() {
+    return writeInFlight != null;
   }
 
   /** True if the record can't be read and nobody has asked to write it anew. */
   boolean isMalformed() {
-    return !stored.isReadable() && !replacing;
+    return !stored.isReadable() && !rewriteRequested;
   }
 
   /** Something of the team waits for its account to be settled. */
-  void want() {
-    wanted = true;
+  void requestSettling() {
+    settlingRequested = true;
   }
 
+  /** True if the account is to be settled and a fence can be sent now. */
   boolean needsFence() {
-    return wanted && !settled && fencedAt == 0 && !isUnderWay() && !isMalformed();
+    return settlingRequested
+        && !settled
+        && fenceRevision == 0
+        && !isWriteInFlight()
+        && !isMalformed();
   }
 
   /** The record has to be fenced again before the next claim. */
   void unsettle() {
     settled = false;
-    fencedAt = 0;
-    wanted = true;
+    fenceRevision = 0;
+    settlingRequested = true;
   }
 
   /** Everything up to this revision has been read, task batches included. */
   void readUpTo(long revision) {
-    if (fencedAt > 0 && revision >= fencedAt) {
+    if (fenceRevision > 0 && revision >= fenceRevision) {
       settled = true;
-      wanted = false;
-      fencedAt = 0;
+      settlingRequested = false;
+      fenceRevision = 0;
     }
   }
 
   /** An operator wants the record written anew, whatever it says. */
   void replace() {
     unsettle();
-    replacing = true;
+    rewriteRequested = true;
   }
 
   /** The record has been removed with its team. */
   void forget() {
     stored = Account.ABSENT;
     settled = false;
-    wanted = false;
-    fencedAt = 0;
-    replacing = false;
-    underWay = null;
-    possible.clear();
+    settlingRequested = false;
+    fenceRevision = 0;
+    rewriteRequested = false;
+    writeInFlight = null;
+    unresolvedWrites.clear();
   }
 
   /** Claims that were placed and have neither committed nor been given up. */
@@ -96,42 +108,44 @@
     return placed;
   }
 
+  /** Adds to what is placed, or takes away from it if the amount is negative. */
   void place(Amount change) {
     placed = placed.plus(change);
   }
 
-  /** A write leaves. */
+  /** A write is sent. */
   void sent(AccountChange write) {
-    underWay = write;
-    possible.add(write);
+    writeInFlight = write;
+    unresolvedWrites.add(write);
     excessiveSince = Double.NaN;
   }
 
   /** A write has committed at this revision. */
   void committed(AccountChange write, long revision) {
-    if (!possible.contains(write)) {
+    if (!unresolvedWrites.contains(write)) {
       return; // Read already, or sent before the stored limits were last switched on.
     }
     answered(write);
     if (revision < stored.revision()) {
       return;
     }
-    possible.removeIf(p -> p != underWay); // What was sent before can't commit any more.
-    written(Account.of(write.use(), write.writer(), revision));
+    // What was sent before can't commit any more.
+    unresolvedWrites.removeIf(other -> other != writeInFlight);
+    takeOwnWrite(Account.of(write.use(), write.writer(), revision));
   }
 
   /** The record says what we have written. */
-  private void written(Account account) {
+  private void takeOwnWrite(Account account) {
     stored = account;
-    replacing = false;
+    rewriteRequested = false;
     if (!settled) {
-      fencedAt = account.revision();
+      fenceRevision = account.revision();
     }
   }
 
   /** A write was refused and won't be carried out. */
   void refused(AccountChange write) {
-    possible.remove(write);
+    unresolvedWrites.remove(write);
     answered(write);
   }
 
@@ -146,9 +160,10 @@
     }
   }
 
+  /** The answer of a write has come, or it will not come any more. */
   private void answered(AccountChange change) {
-    if (change.equals(underWay)) {
-      underWay = null;
+    if (change.equals(writeInFlight)) {
+      writeInFlight = null;
     }
   }
 
@@ -161,24 +176,24 @@
     if (account.revision() == stored.revision()) {
       return false;
     }
-    AccountChange ours = possibleWrite(account);
+    AccountChange ours = unresolvedWriteOf(account);
     if (ours != null) {
-      possible.remove(ours);
+      unresolvedWrites.remove(ours);
       answered(ours); // The read has come before the answer.
-      written(account);
+      takeOwnWrite(account);
       return false;
     }
     boolean reliedOn = settled;
     stored = account;
     settled = false;
-    fencedAt = 0;
-    replacing = false;
+    fenceRevision = 0;
+    rewriteRequested = false;
     return reliedOn;
   }
 
-  /** The write of ours that made the record, or null: another one may have written the same. */
-  private AccountChange possibleWrite(Account account) {
-    for (AccountChange write : possible) {
+  /** The write of ours that made the record, or null: other writers write under other names. */
+  private AccountChange unresolvedWriteOf(Account account) {
+    for (AccountChange write : unresolvedWrites) {
       if (account.isReadable() && write.writer().equals(account.writer())) {
         return write;
       }
@@ -188,7 +203,7 @@
 
   /** True if the account has reserved too much for so long that it should be lowered. */
   boolean releaseIsDue(boolean excessive, double afterS, double now) {
-    if (!excessive || isMalformed() || isUnderWay()) {
+    if (!excessive || isMalformed() || isWriteInFlight()) {
       excessiveSince = Double.NaN;
       return false;
     }
@@ -199,9 +214,9 @@
   }
 
   /** True once each time that the claims have come to be above the limit. */
-  boolean tellsAboveLimit(boolean above) {
-    boolean tells = above && !toldAboveLimit;
-    toldAboveLimit = above;
-    return tells;
+  boolean hasRisenAboveLimit(boolean above) {
+    boolean hasRisen = above && !wasAboveLimit;
+    wasAboveLimit = above;
+    return hasRisen;
   }
 }
--- a/src/main/java/graderelay/quota/TeamQuota.java
+++ b/src/main/java/graderelay/quota/TeamQuota.java
@@ -1,9 +1,9 @@
 package graderelay.quota;
 
 /**
- * What one team may use.
+ * The quota of one team: what it is guaranteed and what it may use.
  *
- * @param guarantee what it need not wait for; zero for none
+ * @param guarantee the fair share it need not wait for; zero for none
  * @param limit what it may use at most; a zero part is no limit
  */
 public record TeamQuota(Amount guarantee, Amount limit) {
--- a/src/main/java/graderelay/quota/TeamStanding.java
+++ b/src/main/java/graderelay/quota/TeamStanding.java
@@ -1,10 +1,10 @@
 package graderelay.quota;
 
 /**
- * How the account of a team stands with the leader.
+ * The reservation and usage of one team, as the leader knows them.
  *
- * @param account what the account says
- * @param claims what the committed claims take
+ * @param account what the account reserves
+ * @param claims what the committed claims use
  * @param settled true once this leader has settled it
  * @param stoppedBecause why nothing of the team is claimed before operators mend a record, or null
  */
--- a/src/test/java/graderelay/quota/AdmissionControlTest.java
+++ b/src/test/java/graderelay/quota/AdmissionControlTest.java
@@ -114,9 +114,9 @@
     control.wantSettled("team");
     List<AccountChange> fences = control.fences(9);
     control.committed(fences, 11);
-    assertThat(control.obstacle("team").passing()).isTrue(); // It has not read that far.
+    assertThat(control.refusal("team").temporary()).isTrue(); // It has not read that far.
     control.update(stored(Account.of(Amount.NONE, fences.get(0).writer(), 11), 3, 11));
-    assertThat(control.obstacle("team")).isNull();
+    assertThat(control.refusal("team")).isNull();
     return control;
   }
 
@@ -129,7 +129,7 @@
     AdmissionControl control = new AdmissionControl("leader", 5);
     control.enable();
     control.update(stored(Account.of(Amount.granted(3, 0), "before", 7), 3, 10));
-    assertThat(control.obstacle("team").passing()).isTrue();
+    assertThat(control.refusal("team").temporary()).isTrue();
     assertThat(control.fences(9)).isEmpty(); // Nobody waits for it.
     control.wantSettled("team");
     AccountChange fence = control.fences(9).get(0);
@@ -147,11 +147,11 @@
     assertThat(raise.use()).isEqualTo(Amount.granted(3, 0)); // Half as much again.
     assertThat(raise.onRevision()).isEqualTo(11);
     assertThat(raise.onLimits()).isEqualTo(3);
-    assertThat(control.obstacle("team").reason()).contains("is being changed");
+    assertThat(control.refusal("team").reason()).contains("is being changed");
     control.committed().put("job", 0, "team", 12, Amount.granted(2, 0));
     control.committed(List.of(raise), 12);
     control.noLongerPlaced("team", Amount.granted(2, 0));
-    assertThat(control.obstacle("team")).isNull();
+    assertThat(control.refusal("team")).isNull();
     place(control, 0.5);
     assertThat(control.claim("team")).isEqualTo(new AccountChange("team", 12, null, "", 3));
     place(control, 0.5);
@@ -169,13 +169,13 @@
     AccountChange first = control.claim("team");
     control.committed().put("job", 0, "team", 12, Amount.granted(1, 0));
     control.update(stored(Account.of(first.use(), first.writer(), 12), 3, 12));
-    assertThat(control.obstacle("team")).isNull();
+    assertThat(control.refusal("team")).isNull();
     place(control, 1);
     AccountChange second = control.claim("team");
     assertThat(second.onRevision()).isEqualTo(12);
     control.committed(List.of(first), 12); // Late: it must not free the second one's place.
-    assertThat(control.obstacle("team").passing()).isTrue();
-    assertThat(control.takeDifferences()).isEmpty();
+    assertThat(control.refusal("team").temporary()).isTrue();
+    assertThat(control.takeDiscrepancies()).isEmpty();
   }
 
   @Test
@@ -185,7 +185,7 @@
     AccountChange raise = control.claim("team");
     control.unanswered(List.of(raise));
     control.noLongerPlaced("team", Amount.granted(1, 0));
-    assertThat(control.obstacle("team").passing()).isTrue();
+    assertThat(control.refusal("team").temporary()).isTrue();
     assertThat(control.fences(9)).singleElement().matches(f -> f.onRevision() == 11);
   }
 
@@ -193,9 +193,9 @@
   void anAccountThatSomebodyElseChangesIsToldOfAndFencedAgain() {
     AdmissionControl control = settled();
     control.update(stored(Account.of(Amount.NONE, "another", 15), 3, 15));
-    assertThat(control.takeDifferences())
+    assertThat(control.takeDiscrepancies())
         .singleElement()
-        .satisfies(d -> assertThat(d.kind()).isEqualTo(Difference.Kind.CHANGED_BY_OTHERS))
+        .satisfies(d -> assertThat(d.kind()).isEqualTo(AccountDiscrepancy.Kind.CHANGED_BY_OTHERS))
         .satisfies(d -> assertThat(d.toString()).contains("team team").contains("0 CPUs"));
     assertThat(control.fences(9)).singleElement().matches(f -> f.onRevision() == 15);
   }
@@ -208,9 +208,9 @@
     control.update(stored(Account.of(Amount.granted(1, 0), "before", 7), 3, 10));
     control.wantSettled("team");
     assertThat(control.fences(9).get(0).use().covers(Amount.granted(3, 0))).isTrue();
-    assertThat(control.takeDifferences())
+    assertThat(control.takeDiscrepancies())
         .singleElement()
-        .satisfies(d -> assertThat(d.kind()).isEqualTo(Difference.Kind.BELOW_CLAIMS));
+        .satisfies(d -> assertThat(d.kind()).isEqualTo(AccountDiscrepancy.Kind.BELOW_CLAIMS));
   }
 
   @Test
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -164,8 +164,8 @@
   private void claim(Step.Claim s) {
     AdmissionControl claimer = claimers[s.claimer()];
     Amount use = new Amount(s.millis(), 0);
-    Obstacle obstacle = claimer.obstacle(TEAM);
-    if (obstacle != null) {
+    AdmissionRefusal refusal = claimer.refusal(TEAM);
+    if (refusal != null) {
       claimer.wantSettled(TEAM);
     } else if (claimer.fits(TEAM, use)) {
       claimer.placed(TEAM, use);
