--- a/src/main/java/graderelay/features/ClusterLevel.java
+++ b/src/main/java/graderelay/features/ClusterLevel.java
@@ -7,9 +7,10 @@
  * @param target the level to which the cluster is on its way down, or {@code level} itself
  */
 public record ClusterLevel(int level, int target) {
-  /** What a cluster has whose state service holds no record of a level. */
+  /** The level of a cluster whose store holds no record of one. */
   public static final ClusterLevel BASE = of(Feature.BASE_LEVEL);
 
+  /** Checks that the target is no higher than the level. */
   public ClusterLevel {
     if (target < Feature.BASE_LEVEL || target > level) {
       throw new IllegalArgumentException("no feature level: " + level + " towards " + target);
--- a/src/main/java/graderelay/features/ClusterStore.java
+++ b/src/main/java/graderelay/features/ClusterStore.java
@@ -5,10 +5,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What the {@link UpgradeCoordinator} needs of the controller that it runs in. */
+/**
+ * The stored records of feature levels, as the {@link UpgradeCoordinator} reads and changes them.
+ */
 public interface ClusterStore {
   /** How a change of the stored records ended. */
   enum Outcome {
+    /** Committed. */
     DONE,
     /** A condition failed: somebody has changed a record meanwhile. */
     CONFLICT,
@@ -40,8 +43,7 @@
   void hold(boolean on, Consumer<Outcome> done);
 
   /**
-   * Reads which keys only a feature uses, as they are in the state service now; null if it can't be
-   * read.
+   * Reads which keys only a feature uses, as they are in the store now; null if it can't be read.
    */
   void keysOf(Feature feature, Consumer<List<String>> done);
 
--- a/src/main/java/graderelay/features/FeatureGate.java
+++ b/src/main/java/graderelay/features/FeatureGate.java
@@ -15,6 +15,7 @@
   private String leftBecause;
   private boolean wasOpen;
 
+  /** A gate before the cluster's level is known: neither open nor shut. */
   public FeatureGate(FeatureRange supported) {
     this.supported = supported;
   }
@@ -63,7 +64,7 @@
 
   /**
    * True if this program is known to have no part in the cluster. Before the level is known it is
-   * neither open nor shut: what needs no level, like keeping leases with the word of all others,
+   * neither open nor shut: what needs no level, like renewing leases with the pledges of all peers,
    * may be done.
    */
   public boolean isShut() {
--- a/src/main/java/graderelay/features/FeatureRange.java
+++ b/src/main/java/graderelay/features/FeatureRange.java
@@ -2,13 +2,14 @@
 
 /** The feature levels that a program supports, both ends included. */
 public record FeatureRange(int min, int max) {
+  /** Checks that the range is not empty. */
   public FeatureRange {
     if (min < Feature.BASE_LEVEL || min > max) {
       throw new IllegalArgumentException("no range of feature levels: " + min + " to " + max);
     }
   }
 
-  /** Everything that this program knows. */
+  /** The levels that this program supports. */
   public static FeatureRange ofThisProgram() {
     return new FeatureRange(Feature.BASE_LEVEL, Feature.LATEST_LEVEL);
   }
--- a/src/main/java/graderelay/features/Finalization.java
+++ b/src/main/java/graderelay/features/Finalization.java
@@ -3,12 +3,13 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * Decides whether the cluster may go to a higher feature level: every configured controller must
- * have published that it supports it, and the process that published it must have been heard
- * without a gap for a soak time.
+ * Decides whether a higher feature level may be finalized, that is, used by all: every configured
+ * controller must have published that it supports it, and the process that published it must have
+ * been heard without a gap for a soak time.
  */
 final class Finalization {
   private Finalization() {}
@@ -17,13 +18,18 @@
   static int commonLevel(Collection<String> configured, Map<String, Member> published) {
     int common = Feature.LATEST_LEVEL;
     for (String name : configured) {
-      Member m = published.get(name);
-      common = Math.min(common, m == null ? Feature.BASE_LEVEL : m.range().max());
+      Member member = published.get(name);
+      common = Math.min(common, member == null ? Feature.BASE_LEVEL : member.range().max());
     }
     return common;
   }
 
-  /** What keeps the cluster from a level; empty if it may be finalized now. */
+  /**
+   * The controllers that keep the cluster from a level; empty if it may be finalized now.
+   *
+   * @param soakS seconds for which each controller must have been heard without a gap
+   * @param now seconds on the clock of {@code liveness}
+   */
   static List<Blocker> blockers(
       int level,
       Collection<String> configured,
@@ -33,11 +39,11 @@
       double now) {
     List<Blocker> blockers = new ArrayList<>();
     for (String name : configured) {
-      Member m = published.get(name);
+      Member member = published.get(name);
       String reason =
-          m == null
+          member == null
               ? "has published no feature levels: it is of a version before them"
-              : reason(level, m, liveness, soakS, now);
+              : reason(level, member, liveness, soakS, now);
       if (reason != null) {
         blockers.add(new Blocker(name, reason));
       }
@@ -45,20 +51,20 @@
     return blockers;
   }
 
+  /** Why a member keeps the cluster from a level, or null if it does not. */
   private static String reason(
-      int level, Member m, MemberLiveness liveness, double soakS, double now) {
-    if (!m.range().supports(level)) {
-      return "supports feature levels " + m.range();
+      int level, Member member, MemberLiveness liveness, double soakS, double now) {
+    if (!member.range().supports(level)) {
+      return "supports feature levels " + member.range();
     }
-    double steadyS = liveness.steadyS(m.name(), m.incarnation(), now);
+    double steadyS = liveness.steadyS(member.name(), member.incarnation(), now);
     if (Double.isNaN(steadyS)) {
-      return liveness.hears(m.name(), now)
+      return liveness.hears(member.name(), now)
           ? "was restarted and has not published its feature levels since"
           : "gives no answer";
     }
     return steadyS >= soakS
         ? null
-        : String.format(
-            java.util.Locale.ROOT, "has been up for %.0f of %.0f s", Math.floor(steadyS), soakS);
+        : String.format(Locale.ROOT, "has been up for %.0f of %.0f s", Math.floor(steadyS), soakS);
   }
 }
--- a/src/main/java/graderelay/features/Member.java
+++ b/src/main/java/graderelay/features/Member.java
@@ -7,7 +7,7 @@
  * @param version the program's version, for people
  * @param range the feature levels that it supports
  * @param incarnation tells the process that published it from earlier and later ones
- * @param beganMs the time of day at which that process began
+ * @param beganMs the time of day at which that process began, in milliseconds since the epoch
  * @param revision the version of the record, the condition of a finalization
  */
 public record Member(
--- a/src/main/java/graderelay/features/MemberLiveness.java
+++ b/src/main/java/graderelay/features/MemberLiveness.java
@@ -9,11 +9,17 @@
  * still there and that no other, older one has taken its place.
  */
 final class MemberLiveness {
+  /** The process that answered last, and the seconds of the first and last answer it gave. */
   private record Heard(String incarnation, double since, double last) {}
 
   private final double mostSilentS;
   private final Map<String, Heard> heard = new HashMap<>();
 
+  /**
+   * Knows nobody yet.
+   *
+   * @param mostSilentS seconds without an answer after which a controller counts as not heard
+   */
   MemberLiveness(double mostSilentS) {
     this.mostSilentS = mostSilentS;
   }
@@ -32,18 +38,21 @@
 
   /** Seconds for which that process has been heard, or NaN if it is not heard now. */
   double steadyS(String member, String incarnation, double now) {
-    Heard h = heard.get(member);
+    Heard latest = heard.get(member);
     boolean here =
-        h != null && h.incarnation().equals(incarnation) && now - h.last() <= mostSilentS;
-    return here ? now - h.since() : Double.NaN;
+        latest != null
+            && latest.incarnation().equals(incarnation)
+            && now - latest.last() <= mostSilentS;
+    return here ? now - latest.since() : Double.NaN;
   }
 
   /** True if a process of the controller is heard, though perhaps another one. */
   boolean hears(String member, double now) {
-    Heard h = heard.get(member);
-    return h != null && now - h.last() <= mostSilentS;
+    Heard latest = heard.get(member);
+    return latest != null && now - latest.last() <= mostSilentS;
   }
 
+  /** Forgets every answer. */
   void clear() {
     heard.clear();
   }
