--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -1,17 +1,40 @@
 package graderelay.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import graderelay.core.LeaseTiming;
 import graderelay.core.Team;
-import java.io.File;
-import java.io.IOException;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What the platform's file says, checked; fields that are not known are ignored. */
+/**
+ * The checked settings of the platform's file, with the durations that follow from them. {@link
+ * SettingsParser} has the names of the fields.
+ *
+ * @param member the name of this controller
+ * @param zone the zone that it runs in
+ * @param apiAddress where users, workers and operators reach it
+ * @param peerAddress where the other controllers reach it
+ * @param peers the other controllers
+ * @param cloudAddress where the cloud's machine API is
+ * @param stateAddress where the key-value store is
+ * @param teams the teams with their quotas
+ * @param waits by job class, the shortest waiting time in seconds that is an objective
+ * @param waitSteps by job class, all waiting times in seconds that are objectives, in rising order
+ * @param finishes by job class, the shortest time in seconds to finish in that is an objective
+ * @param reportS seconds between heartbeats of a worker
+ * @param leaseS seconds that a worker's lease lasts
+ * @param cancelS seconds within which a cancelled job must have stopped everywhere
+ * @param stateRps requests to the store in a second that are allowed to this controller
+ * @param stateChangesPerS changes of stored records in a second that are allowed at present
+ * @param valueKb the largest stored value at present, in units of 1024 bytes
+ * @param txnOps the most operations in one transaction at present
+ * @param cloudRps requests to the cloud in a second that are allowed to this controller
+ * @param listLagS seconds by which the cloud's list of machines may lag behind a scale-out
+ * @param cpuShare the share of a core that this controller has
+ * @param maxConnections the most connections that this controller may have open
+ * @param next the store's limits from some moment on
+ */
 public record Settings(
     String member,
     String zone,
@@ -39,60 +62,66 @@
   /** Bytes of a value that are left free, since its size may be counted in another way. */
   private static final int VALUE_MARGIN_BYTES = 48;
 
-  /** Share of a worker's lease that the leader's hold lasts: takeovers must beat the lease. */
-  private static final double HOLD_OF_LEASE = 0.3;
+  /** Share of a worker's lease that the session lease lasts: failovers must beat the lease. */
+  private static final double SESSION_LEASE_SHARE = 0.3;
 
   /**
-   * Seconds that the hold lasts at most: four renewals, each with time for a slow answer. With a
-   * longer one nobody owns the fleet for longer after each end of a leader.
+   * Seconds that the session lease lasts at most: four renewals, each with time for a slow answer.
+   * A longer one would leave the cluster without a leader for longer after each leader's end.
    */
-  private static final double MOST_HOLD_S = 3.6;
+  private static final double MOST_SESSION_LEASE_S = 3.6;
 
   /**
    * Seconds of a cancellation's time that are left when the last lease that was renewed without
-   * knowing of it is over: for answers under way and for a worker that is slow to look.
+   * knowing of it is over: for answers in flight and for a worker that is slow to notice.
    */
   private static final double CANCEL_MARGIN_S = 1;
 
   /**
-   * Seconds by which what is known of cancellations may always be old: a slow answer of the state
-   * service costs no lease, also where leases are about as long as cancellations may take.
+   * Seconds by which the known cancellations may always be out of date: a slow answer of the store
+   * costs no lease, also where leases are about as long as cancellations may take.
    */
   private static final double LEAST_RENEW_S = 4;
 
-  /** Share of the time that is left to spare for processes that have just begun. */
-  private static final double BEGINNERS_SHARE = 0.4;
+  /** Share of a cancellation's spare time that processes which have just started may use. */
+  private static final double STARTUP_SHARE = 0.4;
 
-  /** Seconds below which a process that has just begun had better wait for the records. */
-  private static final double LEAST_BEGINNERS_S = 0.5;
+  /** Seconds below which a process that has just started had better wait for the records. */
+  private static final double LEAST_STARTUP_S = 0.5;
 
   /**
-   * Workers' leases for which a zone's lease delegate may keep them alive after the leader's last
-   * word. Cuts of a zone last about two leases; what really died there starts elsewhere that much
-   * later.
+   * How many worker lease lengths a zone's lease delegate may renew leases for after the leader's
+   * last message. Partitions of a zone last about two leases; tasks whose machines really died
+   * there start elsewhere that much later.
    */
   private static final double DELEGATE_LEASES = 2;
 
   /**
    * Seconds left of a cancellation's time when the last lease that a lease delegate kept is over: a
-   * job may be cancelled outside just after the cut, of which the lease delegate knows nothing.
+   * job may be cancelled outside the zone just after it was cut off, unknown to the lease delegate.
    */
   private static final double DELEGATE_CANCEL_MARGIN_S = 2;
 
-  /** What the state service allows. */
+  /**
+   * Limits of the key-value store.
+   *
+   * @param changesPerS changes of records in a second
+   * @param valueKb the largest value, in units of 1024 bytes
+   * @param txnOps the most operations in one transaction
+   */
   public record StateLimits(double changesPerS, double valueKb, int txnOps) {
-    /** The largest value, with some room for what is counted in other ways. */
+    /** The largest value in bytes, less a margin for other ways of counting. */
     public int valueBytes() {
       return (int) (valueKb * 1024) - VALUE_MARGIN_BYTES;
     }
   }
 
-  /** What it allows at present, as far as the platform's file says. */
+  /** The store's limits at present, as far as the platform's file says. */
   public StateLimits now() {
     return new StateLimits(stateChangesPerS, valueKb, txnOps);
   }
 
-  /** What fits its present limits and those that it will have from some moment on. */
+  /** The lower of each of the store's present and coming limits. */
   public StateLimits least() {
     return new StateLimits(
         Math.min(stateChangesPerS, next.changesPerS()),
@@ -100,18 +129,18 @@
         Math.min(txnOps, next.txnOps()));
   }
 
-  /** Another controller. */
+  /** Another controller: its name, its zone and where it listens to its peers. */
   public record Peer(String member, String zone, String address) {}
 
-  /** Seconds that the leader's hold lasts. */
+  /** Seconds that the leader's session lease lasts. */
   public double holdS() {
-    return Math.min(MOST_HOLD_S, leaseS * HOLD_OF_LEASE);
+    return Math.min(MOST_SESSION_LEASE_S, leaseS * SESSION_LEASE_SHARE);
   }
 
   /**
-   * Seconds for which a zone's lease delegate may keep leases alive after the leader's last word.
-   * What it keeps must be gone within a cancellation's time: the leader's last word comes a hold
-   * after the cut at the latest, and the last lease ends a lease after the grant.
+   * Seconds for which a zone's lease delegate may renew leases after the leader's last message. The
+   * leases it renews must be over within a cancellation's time: the leader's last message comes a
+   * session lease after the cut at the latest, and the last lease ends one lease after the grant.
    */
   public double grantS() {
     double most = cancelS - leaseS - holdS() - DELEGATE_CANCEL_MARGIN_S;
@@ -119,9 +148,9 @@
   }
 
   /**
-   * Seconds by which what is known of cancellations may be old when a worker's lease is renewed: a
+   * Seconds by which the known cancellations may be out of date when a worker's lease is renewed: a
    * task lives for a lease from then, and must be gone within a cancellation's time. Less where
-   * processes that have just begun may renew without knowing anything.
+   * processes that have just started may renew without knowing any.
    */
   public double renewWithinS() {
     double beginners = beginnersS();
@@ -130,29 +159,31 @@
   }
 
   /**
-   * Seconds from the start of a process for which it may renew leases without knowing anything of
+   * Seconds from the start of a process for which it may renew leases without knowing any
    * cancellations. Whoever renewed them before was at most {@link #renewWithinS} behind, and it
    * ended a lease ago at the most, since there would be none to renew. Where zones have lease
    * delegates, which use all of the time that a cancellation leaves, there is nothing to give away.
    */
   public double beginnersS() {
     double spare = cancelSpareS() - longestLeaseS();
-    double s = Math.min(spare * BEGINNERS_SHARE, spare - LEAST_RENEW_S);
-    return delegates().isEmpty() && s > LEAST_BEGINNERS_S ? s : 0;
+    double startupS = Math.min(spare * STARTUP_SHARE, spare - LEAST_RENEW_S);
+    return delegates().isEmpty() && startupS > LEAST_STARTUP_S ? startupS : 0;
   }
 
+  /** Seconds that a worker's lease lasts at most, whatever its clock does. */
   private double longestLeaseS() {
     return leaseS * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
   }
 
+  /** Seconds of a cancellation's time that a lease renewed without knowing of it leaves. */
   private double cancelSpareS() {
     return cancelS * (1 - LeaseTiming.DRIFT) - longestLeaseS() - CANCEL_MARGIN_S;
   }
 
-  /** The other controllers by zone, or nobody where all are in one. */
+  /** The zones of the other controllers by name, or none where all controllers are in one zone. */
   public Map<String, String> delegates() {
     Map<String, String> zones = new HashMap<>();
-    peers.forEach(p -> zones.put(p.member(), p.zone()));
+    peers.forEach(peer -> zones.put(peer.member(), peer.zone()));
     return zones.values().stream().allMatch(zone::equals) ? Map.of() : zones;
   }
 
@@ -165,156 +196,13 @@
     }
   }
 
+  /** Reads and checks the platform's file, which is TOML. */
   public static Settings load(String file) throws Wrong {
-    try {
-      return parse(new TomlMapper().readTree(new File(file)));
-    } catch (IOException e) {
-      String first = String.valueOf(e.getMessage()).split("\n", 2)[0];
-      throw new Wrong("the file can't be read as TOML: " + first);
-    }
+    return parse(TomlFile.read(file));
   }
 
   /** Checks a tree of settings. */
-  public static Settings parse(JsonNode n) throws Wrong {
-    List<Peer> peers = new ArrayList<>();
-    int i = 0;
-    for (JsonNode p : list(n, "peers", "peers")) {
-      String at = "peers[" + i++ + "].";
-      peers.add(new Peer(text(p, "member", at), text(p, "zone", at), address(p, "address", at)));
-    }
-    JsonNode outside = table(n, "outside");
-    JsonNode d = table(n, "deployment");
-    JsonNode workers = table(d, "workers", "deployment.");
-    JsonNode state = table(d, "state", "deployment.");
-    JsonNode next =
-        state.has("next") ? table(state, "next", "deployment.state.") : state.path("next");
-    JsonNode cloud = table(d, "cloud", "deployment.");
-    JsonNode resources = table(d, "resources", "deployment.");
-    List<Team> teams = new ArrayList<>();
-    i = 0;
-    for (JsonNode t : list(d, "teams", "deployment.teams")) {
-      String at = "deployment.teams[" + i++ + "].";
-      String name = text(t, "name", at);
-      if (teams.stream().anyMatch(other -> other.name().equals(name))) {
-        throw new Wrong(at + "name: there are two teams " + name);
-      }
-      double[] cpus = limits(t, "cpus", at);
-      double[] gpus = limits(t, "gpus", at);
-      teams.add(new Team(name, cpus[0], cpus[1], gpus[0], gpus[1]));
-    }
-    if (teams.isEmpty()) {
-      throw new Wrong("deployment.teams is missing or empty");
-    }
-    Map<String, Double> waits = new HashMap<>();
-    Map<String, List<Double>> steps = new HashMap<>();
-    Map<String, Double> finishes = new HashMap<>();
-    i = 0;
-    for (JsonNode o : list(d, "objectives", "deployment.objectives")) {
-      String at = "deployment.objectives[" + i++ + "].";
-      if (o.path("kind").asText().equals("wait") && o.has("class")) {
-        String jobClass = text(o, "class", at);
-        double within = number(o, "within_s", at, 0);
-        waits.merge(jobClass, within, Math::min);
-        steps.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(within);
-      } else if (o.path("kind").asText().equals("finished") && o.has("class")) {
-        finishes.merge(text(o, "class", at), number(o, "within_s", at, 0), Math::min);
-      }
-    }
-    steps.values().forEach(l -> l.sort(null));
-    return new Settings(
-        text(n, "member", ""),
-        text(n, "zone", ""),
-        address(n, "api_addr", ""),
-        address(n, "mesh_addr", ""),
-        List.copyOf(peers),
-        address(outside, "cloud", "outside."),
-        address(outside, "state", "outside."),
-        List.copyOf(teams),
-        Map.copyOf(waits),
-        steps,
-        Map.copyOf(finishes),
-        number(workers, "report_s", "deployment.workers.", 0.001),
-        number(workers, "lease_s", "deployment.workers.", 0.001),
-        number(workers, "cancel_s", "deployment.workers.", 0.001),
-        number(state, "rps", "deployment.state.", 0.001),
-        number(state, "write_rps", "deployment.state.", 0.001),
-        number(state, "value_kb", "deployment.state.", 1),
-        (int) number(state, "txn_ops", "deployment.state.", 2),
-        number(cloud, "rps", "deployment.cloud.", 0.001),
-        number(cloud, "list_lag_s", "deployment.cloud.", 0),
-        number(resources, "cpu_share", "deployment.resources.", 0.001),
-        (int) number(resources, "max_connections", "deployment.resources.", 16),
-        new StateLimits(
-            limit(state, next, "write_rps", 0.001),
-            limit(state, next, "value_kb", 1),
-            (int) limit(state, next, "txn_ops", 3)));
-  }
-
-  /** A limit to come; the present one stands where none is given. */
-  private static double limit(JsonNode state, JsonNode next, String name, double least)
-      throws Wrong {
-    return next.has(name)
-        ? number(next, name, "deployment.state.next.", least)
-        : state.path(name).doubleValue();
-  }
-
-  /** What a team is guaranteed and what it may use at most, where 0 means none of either. */
-  private static double[] limits(JsonNode t, String name, String at) throws Wrong {
-    double least = number(t, name, at, 0);
-    double most = number(t, name + "_max", at, 0);
-    if (most > 0 && least > most) {
-      throw new Wrong(at + name + " must be at most " + name + "_max, which is " + most);
-    }
-    return new double[] {least, most};
-  }
-
-  private static JsonNode list(JsonNode n, String name, String shown) throws Wrong {
-    JsonNode v = n.path(name);
-    if (!v.isMissingNode() && !v.isArray()) {
-      throw new Wrong(shown + " must be a list");
-    }
-    return v;
-  }
-
-  private static JsonNode table(JsonNode n, String name) throws Wrong {
-    return table(n, name, "");
-  }
-
-  private static JsonNode table(JsonNode n, String name, String at) throws Wrong {
-    JsonNode v = n.path(name);
-    if (!v.isObject()) {
-      throw new Wrong(at + name + " must be a table");
-    }
-    return v;
-  }
-
-  private static String text(JsonNode n, String name, String at) throws Wrong {
-    JsonNode v = n.path(name);
-    if (!v.isTextual() || v.textValue().isEmpty()) {
-      throw new Wrong(at + name + " must be a string that is not empty");
-    }
-    return v.textValue();
-  }
-
-  private static String address(JsonNode n, String name, String at) throws Wrong {
-    String s = text(n, name, at);
-    int colon = s.lastIndexOf(':');
-    try {
-      int port = Integer.parseInt(s.substring(colon + 1));
-      if (colon > 0 && port >= 0 && port < 65536) {
-        return s;
-      }
-    } catch (NumberFormatException e) {
-      // Said below.
-    }
-    throw new Wrong(at + name + " must be an address like 10.0.0.1:8080");
-  }
-
-  private static double number(JsonNode n, String name, String at, double least) throws Wrong {
-    JsonNode v = n.path(name);
-    if (!v.isNumber() || !(v.doubleValue() >= least)) {
-      throw new Wrong(at + name + " must be a number of at least " + least);
-    }
-    return v.doubleValue();
+  public static Settings parse(JsonNode tree) throws Wrong {
+    return SettingsParser.parse(tree);
   }
 }
