--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -10,8 +10,10 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.function.ToDoubleFunction;
@@ -27,12 +29,15 @@
   /** Measured times kept until somebody reads the metrics for the first time. */
   private static final int MOST_UNREAD_SPANS = 256;
 
+  private static final double NANOS_PER_SECOND = 1e9;
+
   /** Something whose present value is asked for. */
   private record Source(String name, Tags tags, ToDoubleFunction<Metrics> value) {}
 
-  /** A value of the moment; which there are may change. */
+  /** A value of the moment, of a set that may change from one time to the next. */
   record Reading(String name, Tags tags, double value) {}
 
+  /** How long something took, kept until there is a registry. */
   private record Span(String name, double seconds) {}
 
   private final Loop loop;
@@ -40,6 +45,11 @@
   private final List<Source> sources = new ArrayList<>();
   private final List<Supplier<List<Reading>>> readings = new ArrayList<>();
   private final List<Span> unread = new ArrayList<>();
+  private final Set<Tags> fleetTags = new HashSet<>();
+
+  /** Cells that gauges of passing values read, by name and tag values. */
+  private final Map<String, double[]> shown = new HashMap<>();
+
   private PrometheusMeterRegistry registry;
   private boolean closed;
 
@@ -71,19 +81,23 @@
     counts.merge(name + "|" + tag + "|" + value, 1L, Long::sum);
   }
 
-  /** How long something took, in seconds; shown as a distribution. */
+  /** Measures how long something took, in seconds; shown as a distribution. */
   public void span(String name, double seconds) {
     if (registry != null) {
-      timer(name).record((long) (seconds * 1e9), TimeUnit.NANOSECONDS);
+      record(name, seconds);
     } else if (unread.size() < MOST_UNREAD_SPANS) {
       unread.add(new Span(name, seconds));
     }
   }
 
-  private Timer timer(String name) {
-    return Timer.builder(name).publishPercentileHistogram(false).register(registry);
+  private void record(String name, double seconds) {
+    Timer.builder(name)
+        .publishPercentileHistogram(false)
+        .register(registry)
+        .record((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
   }
 
+  /** Shows a value that is asked for each time that somebody reads the metrics. */
   void gauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {
     sources.add(new Source(name, tags, value));
   }
@@ -93,11 +107,12 @@
     readings.add(source);
   }
 
-  void bucket(String name, TokenBucket b) {
-    Tags t = Tags.of("bucket", name);
-    gauge("graderelay.tokens.waiting", t, m -> b.waiting());
-    gauge("graderelay.tokens.refused", t, m -> b.refused());
-    gauge("graderelay.tokens.waited.seconds", t, m -> b.waitedSeconds());
+  /** Shows how requests wait for the tokens of a bucket. */
+  void bucket(String name, TokenBucket bucket) {
+    Tags tags = Tags.of("bucket", name);
+    gauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
+    gauge("graderelay.tokens.refused", tags, m -> bucket.refused());
+    gauge("graderelay.tokens.waited.seconds", tags, m -> bucket.waitedSeconds());
   }
 
   /**
@@ -108,61 +123,74 @@
    */
   public String scrape(Map<String, Map<String, Long>> calls, Scheduler core) {
     if (registry == null) {
-      registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-      for (Source s : sources) {
-        registry.gauge(s.name(), s.tags(), this, s.value());
-      }
-      registry.gauge("graderelay.heap.bytes", Runtime.getRuntime(), r -> used(r));
-      unread.forEach(s -> timer(s.name()).record((long) (s.seconds() * 1e9), TimeUnit.NANOSECONDS));
-      unread.clear();
+      makeRegistry();
     }
-    calls.forEach(
-        (service, byOutcome) ->
-            byOutcome.forEach(
-                (outcome, n) ->
-                    show("graderelay.calls", Tags.of("service", service, "call", outcome), n)));
+    showCalls(calls);
     counts.forEach(
-        (k, n) -> {
-          String[] p = k.split("\\|", 3);
-          show(p[0], Tags.of(p[1], p[2]), n);
+        (key, count) -> {
+          String[] parts = key.split("\\|", 3);
+          show(parts[0], Tags.of(parts[1], parts[2]), count);
         });
-    readings.forEach(r -> r.get().forEach(v -> show(v.name(), v.tags(), v.value())));
+    readings.forEach(
+        source -> source.get().forEach(value -> show(value.name(), value.tags(), value.value())));
     if (core != null) {
-      Map<String, Long> fleet = new HashMap<>();
-      for (Scheduler.MachineView m : core.machines(loop.now())) {
-        fleet.merge(
-            m.type() + "|" + (m.spot() ? "spot" : "ordinary") + "|" + m.state(), 1L, Long::sum);
-      }
-      fleetTags.forEach(t -> show("graderelay.fleet", t, 0));
-      fleet.forEach(
-          (k, n) -> {
-            String[] p = k.split("\\|", 3);
-            Tags t = Tags.of("type", p[0], "kind", p[1], "state", p[2]);
-            fleetTags.add(t);
-            show("graderelay.fleet", t, n);
-          });
+      showMachines(core);
     }
     return registry.scrape();
   }
 
-  private final java.util.Set<Tags> fleetTags = new java.util.HashSet<>();
-  private final Map<String, double[]> shown = new HashMap<>();
+  /** Registers the gauges, and the times that were measured before anybody asked. */
+  private void makeRegistry() {
+    registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    for (Source source : sources) {
+      registry.gauge(source.name(), source.tags(), this, source.value());
+    }
+    registry.gauge("graderelay.heap.bytes", Runtime.getRuntime(), Metrics::usedBytes);
+    unread.forEach(span -> record(span.name(), span.seconds()));
+    unread.clear();
+  }
+
+  private void showCalls(Map<String, Map<String, Long>> calls) {
+    calls.forEach(
+        (service, byOutcome) ->
+            byOutcome.forEach(
+                (outcome, count) ->
+                    show("graderelay.calls", Tags.of("service", service, "call", outcome), count)));
+  }
+
+  /** Counts machines by type, kind and state; a combination that was shown once stays, as zero. */
+  private void showMachines(Scheduler core) {
+    Map<String, Long> machines = new HashMap<>();
+    for (Scheduler.MachineView machine : core.machines(loop.now())) {
+      String kind = machine.spot() ? "spot" : "ordinary";
+      machines.merge(machine.type() + "|" + kind + "|" + machine.state(), 1L, Long::sum);
+    }
+    fleetTags.forEach(tags -> show("graderelay.fleet", tags, 0));
+    machines.forEach(
+        (key, count) -> {
+          String[] parts = key.split("\\|", 3);
+          Tags tags = Tags.of("type", parts[0], "kind", parts[1], "state", parts[2]);
+          fleetTags.add(tags);
+          show("graderelay.fleet", tags, count);
+        });
+  }
 
+  /** Shows the value of the moment; its gauge is registered once and reads the same cell again. */
   private void show(String name, Tags tags, double value) {
     StringBuilder key = new StringBuilder(name);
-    for (Tag t : tags) {
-      key.append('|').append(t.getValue());
+    for (Tag tag : tags) {
+      key.append('|').append(tag.getValue());
     }
     double[] cell = shown.get(key.toString());
     if (cell == null) {
       cell = new double[1];
       shown.put(key.toString(), cell);
-      registry.gauge(name, tags, cell, c -> c[0]);
+      registry.gauge(name, tags, cell, values -> values[0]);
     }
     cell[0] = value;
   }
 
-  private static double used(Runtime r) {
-    return r.totalMemory() - r.freeMemory();
+  private static double usedBytes(Runtime runtime) {
+    return runtime.totalMemory() - runtime.freeMemory();
   }
 }
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells operators how teams stand with their limits, and of settings that say something else. */
+/** Shows operators the quota and usage of teams, and where settings and stored limits differ. */
 final class QuotaMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("quota");
   private static final String NAME = "graderelay.quota";
@@ -20,40 +20,45 @@
 
   private final TeamLimits limits;
   private final Supplier<Scheduler> core;
-  private List<String> told = List.of();
+  private List<String> logged = List.of();
 
+  /**
+   * Makes the monitor.
+   *
+   * @param core the core of the leader's term, or null on a follower
+   */
   QuotaMonitor(TeamLimits limits, Supplier<Scheduler> core) {
     this.limits = limits;
     this.core = core;
   }
 
-  /** The records have changed: what differs from the settings is logged once. */
+  /** The records have changed: their differences from the settings are logged once. */
   void onQuota() {
     List<String> differences = limits.differences();
-    if (!differences.equals(told)) {
-      told = differences;
-      differences.forEach(d -> LOG.warn("{}; the stored limits count", d));
+    if (!differences.equals(logged)) {
+      logged = differences;
+      differences.forEach(difference -> LOG.warn("{}; the stored limits count", difference));
     }
   }
 
-  /** What is in force of each team and, on the leader, what it uses. */
+  /** The quota of each team and, on the leader, its usage. */
   List<Metrics.Reading> readings() {
     List<Metrics.Reading> readings = new ArrayList<>();
     readings.add(reading("settings_differ", "", limits.differences().size()));
     limits.malformed().keySet().forEach(team -> readings.add(reading(STOPPED, team, 1)));
-    for (Team t : limits.teams()) {
-      TeamQuota quota = t.quota();
-      add(readings, "guarantee", t.name(), quota.guarantee());
-      add(readings, "limit", t.name(), quota.limit());
+    for (Team team : limits.teams()) {
+      TeamQuota quota = team.quota();
+      add(readings, "guarantee", team.name(), quota.guarantee());
+      add(readings, "limit", team.name(), quota.limit());
       if (core.get() != null && limits.stored()) {
-        Scheduler.TeamUsage usage = core.get().teamUsage(t.name());
+        Scheduler.TeamUsage usage = core.get().teamUsage(team.name());
         Amount claims = usage.standing().claims();
-        add(readings, "used", t.name(), claims);
-        add(readings, "reserved", t.name(), usage.standing().account());
-        add(readings, "beyond_guarantee", t.name(), claims.beyond(quota.guarantee()));
-        add(readings, "waiting", t.name(), usage.waiting());
+        add(readings, "used", team.name(), claims);
+        add(readings, "reserved", team.name(), usage.standing().account());
+        add(readings, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
+        add(readings, "waiting", team.name(), usage.waiting());
         int stopped = usage.standing().stoppedBecause() == null ? 0 : 1;
-        readings.add(reading(STOPPED, t.name(), stopped));
+        readings.add(reading(STOPPED, team.name(), stopped));
       }
     }
     return readings;
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -14,12 +14,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Passes requests of users, workers, operators and other controllers on to whom they concern. */
+/** Passes requests of users, workers, operators and peers on to the interface that serves them. */
 final class RequestRouter {
   private static final String JOBS = "/v1/jobs";
   private static final String WITHDRAW = "/withdraw";
 
-  /** Whom requests concern. */
+  /** The interfaces that serve requests. */
   record Targets(
       UserApi users, WorkerApi workers, AdminApi admin, FeaturesApi features, QuotaApi quota) {}
 
@@ -53,41 +53,41 @@
   }
 
   /** Requests of users, workers, operators and the load balancer. */
-  void handle(Exchange e) {
-    String path = e.path();
+  void handle(Exchange exchange) {
+    String path = exchange.path();
     switch (path) {
-      case "/ready" -> only("GET", e, () -> showReady(e));
-      case "/checkin" -> only("POST", e, () -> targets.workers().checkin(e));
-      case "/metrics" -> only("GET", e, () -> showMetrics(e));
+      case "/ready" -> withMethod("GET", exchange, () -> showReady(exchange));
+      case "/checkin" -> withMethod("POST", exchange, () -> targets.workers().checkin(exchange));
+      case "/metrics" -> withMethod("GET", exchange, () -> showMetrics(exchange));
       default -> {
-        if (!routedToOperatorApis(e)) {
-          routeUserRequest(e);
+        if (!routedToOperatorApis(exchange)) {
+          routeUserRequest(exchange);
         }
       }
     }
   }
 
-  /** What another controller passes on. */
-  void handleRelayed(Exchange e) {
-    if (routedToOperatorApis(e)) {
+  /** A request that a peer passes on. */
+  void handleRelayed(Exchange exchange) {
+    if (routedToOperatorApis(exchange)) {
       return;
     }
     if (gate.isShut()) {
-      UserApi.unavailable(e, gate.closedBecause());
+      UserApi.unavailable(exchange, gate.closedBecause());
     } else {
-      handleHere(e);
+      handleHere(exchange);
     }
   }
 
   /** Hands an operators' request to its interface; false if the request is none. */
-  private boolean routedToOperatorApis(Exchange e) {
-    String path = e.path();
+  private boolean routedToOperatorApis(Exchange exchange) {
+    String path = exchange.path();
     if (FeaturesApi.owns(path)) {
-      targets.features().handle(e);
+      targets.features().handle(exchange);
     } else if (QuotaApi.owns(path)) {
-      targets.quota().handle(e);
+      targets.quota().handle(exchange);
     } else if (AdminApi.owns(path)) {
-      targets.admin().handle(e);
+      targets.admin().handle(exchange);
     } else {
       return false;
     }
@@ -97,59 +97,60 @@
   /**
    * A user's request, hedged with a peer; a submission goes to a peer first if it would wait here.
    */
-  private void routeUserRequest(Exchange e) {
-    boolean submission = e.method().equals("POST") && e.path().equals(JOBS);
+  private void routeUserRequest(Exchange exchange) {
+    boolean submission = exchange.method().equals("POST") && exchange.path().equals(JOBS);
     if (gate.isShut()) {
-      UserApi.unavailable(e, gate.closedBecause());
+      UserApi.unavailable(exchange, gate.closedBecause());
     } else if (submission && submissionsWaitHere.getAsBoolean()) {
-      hedger.handleElsewhere(e, this::handleHere);
+      hedger.handleElsewhere(exchange, this::handleHere);
     } else {
-      hedger.handle(e, this::handleHere);
+      hedger.handle(exchange, this::handleHere);
     }
   }
 
-  private void showReady(Exchange e) {
+  private void showReady(Exchange exchange) {
     if (ready.getAsBoolean()) {
-      e.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
+      exchange.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
     } else {
-      UserApi.unavailable(e, gate.isShut() ? gate.closedBecause() : "not ready");
+      UserApi.unavailable(exchange, gate.isShut() ? gate.closedBecause() : "not ready");
     }
   }
 
-  private void showMetrics(Exchange e) {
+  private void showMetrics(Exchange exchange) {
     byte[] text = metrics.get().getBytes(StandardCharsets.UTF_8);
-    e.to().accept(new Answer(200, text, "text/plain; version=0.0.4", 0, false));
+    exchange.to().accept(new Answer(200, text, "text/plain; version=0.0.4", 0, false));
   }
 
   /** Requests about jobs, decided by this controller itself. */
-  private void handleHere(Exchange e) {
-    String path = e.path();
+  private void handleHere(Exchange exchange) {
+    String path = exchange.path();
     if (path.equals(JOBS)) {
-      only("POST", e, () -> targets.users().submit(e));
+      withMethod("POST", exchange, () -> targets.users().submit(exchange));
     } else if (path.startsWith(JOBS + "/")) {
-      routeJobRequest(e, path.substring(JOBS.length() + 1));
+      routeJobRequest(exchange, path.substring(JOBS.length() + 1));
     } else {
-      UserApi.refuse(e, 404, "no such path");
+      UserApi.refuse(exchange, 404, "no such path");
     }
   }
 
   /** A request about one job: {@code rest} is the path after {@code /v1/jobs/}. */
-  private void routeJobRequest(Exchange e, String rest) {
+  private void routeJobRequest(Exchange exchange, String rest) {
     if (rest.endsWith(WITHDRAW) && rest.indexOf('/') == rest.length() - WITHDRAW.length()) {
       String id = rest.substring(0, rest.length() - WITHDRAW.length());
-      only("POST", e, () -> targets.users().cancel(e, id));
+      withMethod("POST", exchange, () -> targets.users().cancel(exchange, id));
     } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
-      UserApi.refuse(e, 404, "no such path");
+      UserApi.refuse(exchange, 404, "no such path");
     } else {
-      only("GET", e, () -> targets.users().poll(e, rest));
+      withMethod("GET", exchange, () -> targets.users().poll(exchange, rest));
     }
   }
 
-  private static void only(String method, Exchange e, Runnable then) {
-    if (e.method().equals(method)) {
+  /** Refuses the request unless it has this method. */
+  private static void withMethod(String method, Exchange exchange, Runnable then) {
+    if (exchange.method().equals(method)) {
       then.run();
     } else {
-      UserApi.refuse(e, 405, "method not allowed");
+      UserApi.refuse(exchange, 405, "method not allowed");
     }
   }
 }
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -6,13 +6,13 @@
 import graderelay.core.TaskBatchRecord;
 import graderelay.state.StateClient;
 
-/** Builds the core's {@link Policy} from the settings and what the state service allows now. */
+/** Builds the core's {@link Policy} from the settings and what the store allows now. */
 final class SchedulerPolicy {
   /**
-   * Orders sent straight to workers in a second, for each core that a controller has: each may cost
-   * a connection, about a millisecond, so this many take about a fifth of what it has.
+   * Worker commands sent directly in a second, for each core that a controller has: each may cost a
+   * connection, about a millisecond, so this many take about a fifth of its processor time.
    */
-  private static final double DIRECT_PER_CORE_S = 200;
+  private static final double DIRECT_COMMANDS_PER_CORE_S = 200;
 
   private SchedulerPolicy() {}
 
@@ -28,7 +28,7 @@
         settings.least().txnOps(),
         (int) ((state.smaller() ? settings.least() : settings.now()).valueKb() * 1024),
         state.leadersChanges(),
-        settings.cpuShare() * DIRECT_PER_CORE_S,
+        settings.cpuShare() * DIRECT_COMMANDS_PER_CORE_S,
         settings.waits(),
         settings.waitSteps(),
         settings.finishes(),
@@ -36,8 +36,9 @@
   }
 
   /** The most tasks in one task batch record, at least one. */
-  static int mostBatchTasks(Settings s) {
-    // New records fit what the state service will allow as well.
-    return Math.max(1, (int) (s.least().valueKb() * 1024 / TaskBatchRecord.BATCH_BYTES_PER_TASK));
+  static int mostBatchTasks(Settings settings) {
+    // New records must fit the limits that the store will have later as well.
+    return Math.max(
+        1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.BATCH_BYTES_PER_TASK));
   }
 }
