--- a/src/main/java/graderelay/config/Logs.java
+++ b/src/main/java/graderelay/config/Logs.java
@@ -14,25 +14,26 @@
   private static final Map<String, Level> LEVELS =
       Map.of("error", Level.SEVERE, "info", Level.INFO, "debug", Level.FINE);
 
-  /** Netty tells more than an operator wants; held strongly, or its level would be forgotten. */
+  /** Netty logs more than operators want; held strongly, or its level would be forgotten. */
   private static final Logger NETTY = Logger.getLogger("io.netty");
 
   private Logs() {}
 
+  /** True for the name of a level that operators may set. */
   public static boolean known(String level) {
     return level != null && LEVELS.containsKey(level);
   }
 
-  /** Sets up the one handler. */
+  /** Replaces all handlers by one that writes a line for each event. */
   public static void start(String level) {
     Logger root = Logger.getLogger("");
-    for (var h : root.getHandlers()) {
-      root.removeHandler(h);
+    for (var handler : root.getHandlers()) {
+      root.removeHandler(handler);
     }
-    ConsoleHandler handler = new ConsoleHandler();
-    handler.setFormatter(new Line());
-    handler.setLevel(Level.ALL);
-    root.addHandler(handler);
+    ConsoleHandler console = new ConsoleHandler();
+    console.setFormatter(new Line());
+    console.setLevel(Level.ALL);
+    root.addHandler(console);
     NETTY.setLevel(Level.WARNING);
     level(level);
   }
@@ -42,23 +43,33 @@
     Logger.getLogger("").setLevel(known(level) ? LEVELS.get(level) : Level.INFO);
   }
 
+  /** The level, the logger's name, the message and, if there is one, the stack trace. */
   private static final class Line extends Formatter {
     @Override
-    public String format(LogRecord r) {
-      int v = r.getLevel().intValue();
-      String level =
-          v >= Level.SEVERE.intValue()
-              ? "ERROR"
-              : v >= Level.WARNING.intValue()
-                  ? "WARN"
-                  : v >= Level.INFO.intValue() ? "INFO" : "DEBUG";
-      String line = level + " " + r.getLoggerName() + " - " + formatMessage(r) + "\n";
-      if (r.getThrown() == null) {
+    public String format(LogRecord event) {
+      String line =
+          level(event.getLevel().intValue())
+              + " "
+              + event.getLoggerName()
+              + " - "
+              + formatMessage(event)
+              + "\n";
+      if (event.getThrown() == null) {
         return line;
       }
-      StringWriter w = new StringWriter();
-      r.getThrown().printStackTrace(new PrintWriter(w));
-      return line + w;
+      StringWriter trace = new StringWriter();
+      event.getThrown().printStackTrace(new PrintWriter(trace));
+      return line + trace;
+    }
+
+    private static String level(int value) {
+      if (value >= Level.SEVERE.intValue()) {
+        return "ERROR";
+      }
+      if (value >= Level.WARNING.intValue()) {
+        return "WARN";
+      }
+      return value >= Level.INFO.intValue() ? "INFO" : "DEBUG";
     }
   }
 }
--- a/src/main/java/graderelay/config/Options.java
+++ b/src/main/java/graderelay/config/Options.java
@@ -1,12 +1,9 @@
 package graderelay.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import graderelay.features.Feature;
 import graderelay.features.FeatureRange;
 import graderelay.features.UpgradePolicy;
-import java.io.File;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -39,37 +36,33 @@
 
   /** The options of a file. */
   public static Options load(String file) throws Settings.Wrong {
-    try {
-      return parse(new TomlMapper().readTree(new File(file)));
-    } catch (IOException e) {
-      String first = String.valueOf(e.getMessage()).split("\n", 2)[0];
-      throw new Settings.Wrong("the file can't be read as TOML: " + first);
-    }
+    return parse(TomlFile.read(file));
   }
 
   /** Checks a tree of options; a field that is not known is a mistake here. */
-  public static Options parse(JsonNode n) throws Settings.Wrong {
-    known(n, "", TABLES);
-    if (!n.has("features")) {
+  public static Options parse(JsonNode tree) throws Settings.Wrong {
+    checkNames(tree, "", TABLES);
+    if (!tree.has("features")) {
       return none();
     }
-    JsonNode f = n.get("features");
-    if (!f.isObject()) {
+    JsonNode features = tree.get("features");
+    if (!features.isObject()) {
       throw new Settings.Wrong("features must be a table");
     }
-    known(f, "features.", FIELDS);
-    int min = level(f, "min_level", Feature.BASE_LEVEL);
-    int max = level(f, "max_level", Feature.LATEST_LEVEL);
+    checkNames(features, "features.", FIELDS);
+    int min = level(features, "min_level", Feature.BASE_LEVEL);
+    int max = level(features, "max_level", Feature.LATEST_LEVEL);
     if (min > max) {
       throw new Settings.Wrong(
           "features.min_level is " + min + ", above features.max_level, which is " + max);
     }
-    UpgradePolicy policy = new UpgradePolicy(automatic(f), soak(f));
+    UpgradePolicy policy = new UpgradePolicy(automatic(features), soakS(features));
     return new Options(policy, new FeatureRange(min, max));
   }
 
-  private static void known(JsonNode n, String at, Set<String> names) throws Settings.Wrong {
-    for (var fields = n.fieldNames(); fields.hasNext(); ) {
+  private static void checkNames(JsonNode table, String at, Set<String> names)
+      throws Settings.Wrong {
+    for (var fields = table.fieldNames(); fields.hasNext(); ) {
       String name = fields.next();
       if (!names.contains(name)) {
         throw new Settings.Wrong(at + name + " is not known; there are " + sorted(names));
@@ -84,17 +77,19 @@
   }
 
   /** A feature level, as a number or as the name of the feature that begins with it. */
-  private static int level(JsonNode f, String name, int otherwise) throws Settings.Wrong {
-    JsonNode v = f.path(name);
-    if (v.isMissingNode()) {
+  private static int level(JsonNode features, String name, int otherwise) throws Settings.Wrong {
+    JsonNode value = features.path(name);
+    if (value.isMissingNode()) {
       return otherwise;
     }
-    if (v.isTextual()) {
-      return Feature.byExternalName(v.textValue())
-          .orElseThrow(() -> new Settings.Wrong("features." + name + ": " + notAFeature(v)))
+    if (value.isTextual()) {
+      return Feature.byExternalName(value.textValue())
+          .orElseThrow(() -> new Settings.Wrong("features." + name + ": " + notAFeature(value)))
           .level();
     }
-    if (!v.isInt() || v.intValue() < Feature.BASE_LEVEL || v.intValue() > Feature.LATEST_LEVEL) {
+    if (!value.isInt()
+        || value.intValue() < Feature.BASE_LEVEL
+        || value.intValue() > Feature.LATEST_LEVEL) {
       throw new Settings.Wrong(
           "features."
               + name
@@ -104,33 +99,33 @@
               + Feature.LATEST_LEVEL
               + ", or a feature's name");
     }
-    return v.intValue();
+    return value.intValue();
   }
 
-  private static String notAFeature(JsonNode v) {
+  private static String notAFeature(JsonNode value) {
     List<String> names = new ArrayList<>();
     for (Feature feature : Feature.values()) {
       names.add(feature.externalName());
     }
-    return v.textValue() + " is not a feature; there are " + String.join(", ", names);
+    return value.textValue() + " is not a feature; there are " + String.join(", ", names);
   }
 
-  private static boolean automatic(JsonNode f) throws Settings.Wrong {
-    String v = f.path("finalize").asText("automatic");
-    if (!v.equals("automatic") && !v.equals("manual")) {
+  private static boolean automatic(JsonNode features) throws Settings.Wrong {
+    String value = features.path("finalize").asText("automatic");
+    if (!value.equals("automatic") && !value.equals("manual")) {
       throw new Settings.Wrong("features.finalize must be \"automatic\" or \"manual\"");
     }
-    return v.equals("automatic");
+    return value.equals("automatic");
   }
 
-  private static double soak(JsonNode f) throws Settings.Wrong {
-    JsonNode v = f.path("soak_s");
-    if (v.isMissingNode()) {
+  private static double soakS(JsonNode features) throws Settings.Wrong {
+    JsonNode value = features.path("soak_s");
+    if (value.isMissingNode()) {
       return FEATURE_SOAK_S;
     }
-    if (!v.isNumber() || !(v.doubleValue() >= 0 && v.doubleValue() <= MOST_SOAK_S)) {
+    if (!value.isNumber() || !(value.doubleValue() >= 0 && value.doubleValue() <= MOST_SOAK_S)) {
       throw new Settings.Wrong("features.soak_s must be a number from 0 to " + (long) MOST_SOAK_S);
     }
-    return v.doubleValue();
+    return value.doubleValue();
   }
 }
