--- a/src/main/java/graderelay/cli/Check.java
+++ b/src/main/java/graderelay/cli/Check.java
@@ -14,17 +14,17 @@
   @Override
   public Integer call() {
     try {
-      Settings s = Settings.load(file);
+      Settings settings = Settings.load(file);
       System.out.println(
           file
               + ": good; "
-              + s.member()
+              + settings.member()
               + " in "
-              + s.zone()
+              + settings.zone()
               + ", "
-              + s.peers().size()
+              + settings.peers().size()
               + " peers, "
-              + s.teams().size()
+              + settings.teams().size()
               + " teams");
       return 0;
     } catch (Settings.Wrong e) {
--- a/src/main/java/graderelay/cli/FeaturesTool.java
+++ b/src/main/java/graderelay/cli/FeaturesTool.java
@@ -66,11 +66,11 @@
     JsonNode features = rest.remove("features");
     JsonNode members = rest.remove("members");
     JsonNode waits = rest.remove("waits_for");
-    fields(rest);
-    table(features, "name", "level", "used");
-    table(members, "member", "version", "min", "max");
+    TextOutput.fields(rest);
+    TextOutput.table(features, "name", "level", "used");
+    TextOutput.table(members, "member", "version", "min", "max");
     if (waits != null) {
-      table(waits, "member", "reason");
+      TextOutput.table(waits, "member", "reason");
     }
   }
 }
--- a/src/main/java/graderelay/cli/Main.java
+++ b/src/main/java/graderelay/cli/Main.java
@@ -23,31 +23,43 @@
     subcommands = {
       Serve.class,
       Check.class,
-      Tools.Status.class,
-      Tools.Jobs.class,
-      Tools.Submit.class,
-      Tools.Cancel.class,
-      Tools.Machines.class,
-      Tools.SettingsTool.class,
+      StatusTool.class,
+      JobsTool.class,
+      SubmitTool.class,
+      CancelTool.class,
+      MachinesTool.class,
+      SettingsTool.class,
       FeaturesTool.class,
       QuotaTool.class,
       Warmup.class
     })
 public final class Main implements Runnable {
+  /** The service failed, or the tool was interrupted. */
   static final int FAILED = 1;
+
+  /** Wrong usage or wrong settings. */
   static final int USAGE = 2;
+
+  /** The server can't be reached. */
   static final int UNREACHABLE = 3;
+
+  /** The server refused the request. */
   static final int REFUSED = 4;
+
+  /** The server can't take the request now. */
   static final int UNAVAILABLE = 5;
+
+  /** The cluster has gone on without this controller. */
   static final int LEFT = 6;
 
   private Main() {}
 
+  /** Runs a command and exits with its code, unless a controller goes on running. */
   public static void main(String[] args) {
     String level = System.getenv("LOG_LEVEL");
     Logs.start(level);
-    // The platform's own calls go straight to work: the argument parser's classes can't be
-    // archived and would cost every restart a good part of a second of a small machine.
+    // The platform's own calls bypass the argument parser: its classes can't be archived and would
+    // cost every restart a good part of a second on a small machine.
     int code = Serve.RUNNING;
     if (args.length == 3 && args[0].equals("serve") && args[1].equals("--config")) {
       code = Serve.run(args[2], null);
@@ -73,8 +85,8 @@
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
-      String v = Main.class.getPackage().getImplementationVersion();
-      return new String[] {"graderelay " + (v == null ? "(not from a jar)" : v)};
+      String version = Main.class.getPackage().getImplementationVersion();
+      return new String[] {"graderelay " + (version == null ? "(not from a jar)" : version)};
     }
   }
 }
--- a/src/main/java/graderelay/cli/QuotaTool.java
+++ b/src/main/java/graderelay/cli/QuotaTool.java
@@ -77,7 +77,7 @@
     return set.isEmpty() ? ask("GET", path, null) : ask("PUT", path, change());
   }
 
-  /** The server says what is wrong with a value, and names its field. */
+  /** The body of a change, unchecked: the server names the field that is wrong. */
   private ObjectNode change() {
     ObjectNode body = Json.object().put("by", System.getProperty("user.name", "operator"));
     set.forEach((name, value) -> body.set(name.replace('-', '_'), value(value)));
@@ -88,8 +88,8 @@
   }
 
   private static JsonNode value(String text) {
-    JsonNode n = Json.read(text.getBytes(StandardCharsets.UTF_8));
-    return n == null ? TextNode.valueOf(text) : n;
+    JsonNode parsed = Json.read(text.getBytes(StandardCharsets.UTF_8));
+    return parsed == null ? TextNode.valueOf(text) : parsed;
   }
 
   @Override
@@ -99,16 +99,16 @@
     } else if (answer.has("teams")) {
       showTeams(answer);
     } else {
-      fields(answer);
+      TextOutput.fields(answer);
     }
   }
 
   private void showTeams(JsonNode answer) {
     JsonNode teams = answer.get("teams");
     if (team != null && teams.size() == 1) {
-      fields(teams.get(0));
+      TextOutput.fields(teams.get(0));
     } else {
-      table(
+      TextOutput.table(
           teams,
           "team",
           "cpus",
@@ -122,7 +122,7 @@
           "version",
           "changed_by");
     }
-    teams.forEach(t -> warn(t.path("stopped_because")));
+    teams.forEach(shown -> warn(shown.path("stopped_because")));
     answer.path("settings_differ").forEach(QuotaTool::warn);
     if (!answer.path("stored").asBoolean()) {
       System.out.println("limits are not stored; those of the settings count");
--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -7,6 +7,7 @@
 import graderelay.net.NettyLoop;
 import graderelay.service.ControllerNode;
 import io.netty.channel.nio.NioEventLoopGroup;
+import java.nio.ByteBuffer;
 import java.security.SecureRandom;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
@@ -19,12 +20,13 @@
 final class Serve implements Callable<Integer> {
   /**
    * Share of the allowed connections that users and workers may have: the rest is for the state
-   * service, the other controllers and direct orders, also when a whole fleet comes at once.
+   * service, the other controllers and direct worker commands, also when all workers connect at
+   * once.
    */
   private static final double ACCEPT_SHARE = 0.9;
 
   /** Share of the allowed connections that idle ones to the outside may take. */
-  private static final double IDLE_LINES_SHARE = 0.06;
+  private static final double IDLE_CONNECTIONS_SHARE = 0.06;
 
   /** Not an exit code: the service goes on after the command line is done. */
   static final int RUNNING = -1;
@@ -44,23 +46,24 @@
   }
 
   /**
-   * Runs a controller with the settings of a file; the exit code, or that it goes on.
+   * Runs a controller with the settings of a file; returns the exit code, or {@link #RUNNING} if it
+   * goes on.
    *
    * @param optionsFile may be null
    */
   static int run(String file, String optionsFile) {
     String reading = file;
-    Settings s;
+    Settings settings;
     Options options;
     try {
-      s = Settings.load(file);
+      settings = Settings.load(file);
       reading = optionsFile;
       options = optionsFile == null ? Options.none() : Options.load(optionsFile);
     } catch (Settings.Wrong e) {
       System.err.println("graderelay: " + reading + ": " + e.getMessage());
       return Main.USAGE;
     }
-    return start(s, options) ? RUNNING : Main.FAILED;
+    return start(settings, options) ? RUNNING : Main.FAILED;
   }
 
   /** The cluster has gone on without this process: it ends with a message and a code. */
@@ -69,27 +72,28 @@
     System.exit(Main.LEFT);
   }
 
-  /** Starts a node on its sockets; false if an address can't be had. */
-  private static boolean start(Settings s, Options options) {
+  /** Starts a controller on its sockets; false if an address can't be had. */
+  private static boolean start(Settings settings, Options options) {
     var group = new NioEventLoopGroup(1);
     var loop = group.next();
     var clock = new NettyLoop(loop);
     byte[] seed = new SecureRandom().generateSeed(8);
-    var random = new SplittableRandom(java.nio.ByteBuffer.wrap(seed).getLong());
-    var client = new HttpClient(loop, (int) (s.maxConnections() * IDLE_LINES_SHARE));
-    ControllerNode node = new ControllerNode(clock, client, s, options, random);
+    var random = new SplittableRandom(ByteBuffer.wrap(seed).getLong());
+    var client = new HttpClient(loop, (int) (settings.maxConnections() * IDLE_CONNECTIONS_SHARE));
+    ControllerNode node = new ControllerNode(clock, client, settings, options, random);
     node.onLeave(Serve::leave);
-    int most = (int) (s.maxConnections() * ACCEPT_SHARE);
-    HttpServer api = new HttpServer(loop, clock, most, node::handle);
-    HttpServer peerClient = new HttpServer(loop, clock, s.maxConnections(), node::handlePeer);
+    int mostAccepted = (int) (settings.maxConnections() * ACCEPT_SHARE);
+    HttpServer api = new HttpServer(loop, clock, mostAccepted, node::handle);
+    HttpServer peerServer =
+        new HttpServer(loop, clock, settings.maxConnections(), node::handlePeer);
     try {
-      api.listen(s.apiAddress()).sync();
-      peerClient.listen(s.peerAddress()).sync();
+      api.listen(settings.apiAddress()).sync();
+      peerServer.listen(settings.peerAddress()).sync();
     } catch (Exception e) {
       LoggerFactory.getLogger("serve").error("an address can't be had: {}", e.getMessage());
       return false;
     }
-    node.watchConnections(() -> api.connections() + peerClient.connections(), client::connections);
+    node.watchConnections(() -> api.connections() + peerServer.connections(), client::connections);
     clock.execute(node::start);
     return true;
   }
--- a/src/main/java/graderelay/cli/Tool.java
+++ b/src/main/java/graderelay/cli/Tool.java
@@ -10,6 +10,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 import java.util.concurrent.Callable;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import picocli.CommandLine.Option;
@@ -19,6 +20,9 @@
  */
 abstract class Tool implements Callable<Integer> {
   private static final int ABSENT = 404;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int UNAVAILABLE = 503;
+  private static final int GATEWAY_TIMEOUT = 504;
 
   @Option(
       names = "--server",
@@ -37,24 +41,29 @@
   @Option(names = "--json", description = "print the server's answer as it is")
   private boolean json;
 
-  /** Asks for all pages of a list, of which each entry has a name, and shows them as one. */
+  /**
+   * Asks for all pages of a list, shows them as one and returns the exit code.
+   *
+   * @param list the field of the answer that holds the list
+   * @param name the field of an entry that the next page begins after
+   */
   final int pages(String path, String list, String name) {
+    String separator = path.contains("?") ? "&" : "?";
     ObjectNode whole = null;
     String after = "";
     while (true) {
-      JsonNode[] got = {null};
-      String sep = path.contains("?") ? "&" : "?";
-      int code = ask("GET", path + sep + "after=" + after, null, a -> got[0] = a);
+      AtomicReference<JsonNode> page = new AtomicReference<>();
+      int code = ask("GET", path + separator + "after=" + after, null, page::set);
       if (code != 0) {
         return code;
       }
-      JsonNode rows = got[0].path(list);
+      JsonNode rows = page.get().path(list);
       if (whole == null) {
-        whole = got[0].deepCopy();
+        whole = page.get().deepCopy();
       } else {
         rows.forEach(whole.withArray("/" + list)::add);
       }
-      if (!got[0].path("truncated").asBoolean() || rows.isEmpty()) {
+      if (!page.get().path("truncated").asBoolean() || rows.isEmpty()) {
         whole.remove("truncated");
         print(whole);
         return 0;
@@ -88,23 +97,9 @@
   /** The same; {@code ifAbsent}, if it is not null, takes the place of the answer 404. */
   private int ask(
       String method, String path, JsonNode body, Consumer<JsonNode> then, IntSupplier ifAbsent) {
-    HttpResponse<byte[]> r;
+    HttpResponse<byte[]> response;
     try {
-      HttpRequest request =
-          HttpRequest.newBuilder(URI.create("http://" + server + path))
-              .timeout(Duration.ofMillis((long) (timeoutS * 1000)))
-              .method(
-                  method,
-                  body == null
-                      ? HttpRequest.BodyPublishers.noBody()
-                      : HttpRequest.BodyPublishers.ofByteArray(Json.write(body)))
-              .build();
-      HttpClient client =
-          HttpClient.newBuilder()
-              .version(HttpClient.Version.HTTP_1_1)
-              .connectTimeout(Duration.ofMillis((long) (timeoutS * 1000)))
-              .build();
-      r = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
+      response = send(method, path, body);
     } catch (IllegalArgumentException e) {
       System.err.println("graderelay: --server must be an address like 127.0.0.1:8080");
       return Main.USAGE;
@@ -116,8 +111,8 @@
       Thread.currentThread().interrupt();
       return Main.FAILED;
     }
-    JsonNode answer = Json.read(r.body());
-    int status = r.statusCode();
+    JsonNode answer = Json.read(response.body());
+    int status = response.statusCode();
     if (status >= 200 && status < 300 && answer != null) {
       then.accept(answer);
       return 0;
@@ -125,8 +120,32 @@
     if (status == ABSENT && ifAbsent != null) {
       return ifAbsent.getAsInt();
     }
-    String error = answer == null ? "" : answer.path("error").asText();
-    if (status == 503 || status == 429 || status == 504) {
+    return explain(status, answer == null ? "" : answer.path("error").asText());
+  }
+
+  private HttpResponse<byte[]> send(String method, String path, JsonNode body)
+      throws IOException, InterruptedException {
+    Duration timeout = Duration.ofMillis((long) (timeoutS * 1000));
+    HttpRequest request =
+        HttpRequest.newBuilder(URI.create("http://" + server + path))
+            .timeout(timeout)
+            .method(
+                method,
+                body == null
+                    ? HttpRequest.BodyPublishers.noBody()
+                    : HttpRequest.BodyPublishers.ofByteArray(Json.write(body)))
+            .build();
+    HttpClient client =
+        HttpClient.newBuilder()
+            .version(HttpClient.Version.HTTP_1_1)
+            .connectTimeout(timeout)
+            .build();
+    return client.send(request, HttpResponse.BodyHandlers.ofByteArray());
+  }
+
+  /** Tells why there is no answer, and returns the exit code. */
+  private static int explain(int status, String error) {
+    if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS || status == GATEWAY_TIMEOUT) {
       System.err.println("graderelay: not now (" + status + "): " + error);
       return Main.UNAVAILABLE;
     }
@@ -136,49 +155,4 @@
 
   /** Prints an answer for people. */
   abstract void show(JsonNode answer);
-
-  /** Prints rows under a header, each column as wide as it needs. */
-  static void table(JsonNode rows, String... columns) {
-    int[] width = new int[columns.length];
-    for (int i = 0; i < columns.length; i++) {
-      width[i] = columns[i].length();
-      for (JsonNode r : rows) {
-        width[i] = Math.max(width[i], cell(r, columns[i]).length());
-      }
-    }
-    StringBuilder line = new StringBuilder();
-    for (int i = 0; i < columns.length; i++) {
-      line.append(pad(columns[i], width[i]));
-    }
-    System.out.println(line.toString().stripTrailing());
-    for (JsonNode r : rows) {
-      line.setLength(0);
-      for (int i = 0; i < columns.length; i++) {
-        line.append(pad(cell(r, columns[i]), width[i]));
-      }
-      System.out.println(line.toString().stripTrailing());
-    }
-  }
-
-  /** Prints an object's fields, one a line. */
-  static void fields(JsonNode n) {
-    n.fields()
-        .forEachRemaining(
-            f ->
-                System.out.println(
-                    pad(f.getKey(), 18)
-                        + (f.getValue().isTextual() ? f.getValue().asText() : f.getValue())));
-  }
-
-  private static String cell(JsonNode r, String column) {
-    JsonNode v = r.path(column);
-    if (v.isMissingNode() || v.isNull()) {
-      return "-";
-    }
-    return v.isDouble() ? String.format("%.1f", v.doubleValue()) : v.asText();
-  }
-
-  private static String pad(String s, int width) {
-    return s + " ".repeat(Math.max(0, width - s.length()) + 2);
-  }
 }
