--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -1,7 +1,7 @@
 package graderelay.core;
 
 import graderelay.quota.AccountChange;
-import graderelay.quota.Difference;
+import graderelay.quota.AccountDiscrepancy;
 import java.util.List;
 import java.util.Map;
 
@@ -88,7 +88,7 @@
   record MetricEvent(String what, double waitedS) implements Action {}
 
   /** A team's account is not what its committed claims make it. */
-  record DifferenceFound(Difference difference) implements Action {}
+  record DifferenceFound(AccountDiscrepancy difference) implements Action {}
 
   /** One line for the log. */
   record LogLine(String text) implements Action {}
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -48,7 +48,7 @@
 
   /** Open tasks of the job whose task batch record, or team's account, is being changed. */
   static int awaitingCommit(ClusterState cluster, Job job) {
-    if (cluster.admission.isPassing(job.spec.team())) {
+    if (cluster.admission.isTemporarilyRefused(job.spec.team())) {
       return job.openTasks.cardinality();
     }
     int open = 0;
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import graderelay.quota.Obstacle;
+import graderelay.quota.AdmissionRefusal;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -69,14 +69,14 @@
 
   /** True if nothing of the job's team may be claimed at the moment; sets its wait reason. */
   boolean obstructed(Job job) {
-    Obstacle obstacle = cluster.admission.obstacle(job.spec.team());
-    if (obstacle == null) {
+    AdmissionRefusal refusal = cluster.admission.refusal(job.spec.team());
+    if (refusal == null) {
       return false;
     }
-    if (obstacle.passing()) {
+    if (refusal.temporary()) {
       cluster.admission.wantSettled(job.spec.team());
     }
-    job.waitReason = obstacle.reason();
+    job.waitReason = refusal.reason();
     return true;
   }
 }
--- a/src/main/java/graderelay/service/FeatureStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -26,8 +26,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The records behind the duty for feature levels, in the state service. */
-final class FeatureStore implements ClusterStore {
+/** The records of feature levels in the key-value store, as the leader changes them. */
+final class FeatureLevelStore implements ClusterStore {
   private final StateClient state;
   private final Cache cache;
   private final Leadership leadership;
@@ -37,7 +37,12 @@
   private final List<Team> teams;
   private final LongSupplier clock;
 
-  FeatureStore(
+  /**
+   * Makes the store for one controller.
+   *
+   * @param clock the time of day, in milliseconds since the epoch
+   */
+  FeatureLevelStore(
       StateClient state,
       Cache cache,
       Leadership leadership,
@@ -76,20 +81,24 @@
   @Override
   public void changeLevel(ClusterLevel to, Collection<Member> on, Consumer<Outcome> done) {
     leadership.changeLevel(
-        new LevelChange(to, on, members, mostChanges), how -> done.accept(outcome(how)));
+        new LevelChange(to, on, members, mostChanges), result -> done.accept(outcome(result)));
   }
 
+  /** A transaction that fails unless this controller is still the leader. */
   private Transaction asLeader() {
     return new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
   private void commit(Transaction txn, Consumer<Outcome> done) {
-    // What is decided next is decided on the records as they are then.
-    state.commit(txn, Use.CLAIM, r -> cache.catchUp(ok -> done.accept(outcome(r.outcome()))));
+    // The next decision is made on the records as they are after this one.
+    state.commit(
+        txn,
+        Use.CLAIM,
+        result -> cache.catchUp(caughtUp -> done.accept(outcome(result.outcome()))));
   }
 
-  private static Outcome outcome(StoreOutcome how) {
-    return switch (how) {
+  private static Outcome outcome(StoreOutcome outcome) {
+    return switch (outcome) {
       case SUCCEEDED -> Outcome.DONE;
       case CONDITION_FAILED -> Outcome.CONFLICT;
       default -> Outcome.UNANSWERED;
@@ -128,13 +137,7 @@
     state.list(
         prefixOf(feature),
         Use.CLAIM,
-        listing -> {
-          if (listing == null) {
-            done.accept(null);
-            return;
-          }
-          done.accept(listing.keys());
-        });
+        listing -> done.accept(listing == null ? null : listing.keys()));
   }
 
   @Override
@@ -153,7 +156,7 @@
     }
   }
 
-  /** Stores the limits of the settings, and that they are complete with the last of them. */
+  /** Stores the settings' limits; the last transaction also records that they are complete. */
   private void storeLimits(Consumer<Boolean> done) {
     QuotaRecords quota = cache.quota();
     if (quota.isSeeded()) {
@@ -163,12 +166,12 @@
     List<Team> missing = new ArrayList<>();
     teams.stream().filter(t -> quota.limits(t.name()) == null).forEach(missing::add);
     Transaction txn = asLeader();
-    List<Team> now = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
-    for (Team t : now) {
-      String key = QuotaCodec.limitKey(t.name());
-      txn.when(key, 0).put(key, QuotaCodec.encodeLimits(t.quota(), member, clock.getAsLong()));
+    List<Team> batch = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
+    for (Team team : batch) {
+      String key = QuotaCodec.limitKey(team.name());
+      txn.when(key, 0).put(key, QuotaCodec.encodeLimits(team.quota(), member, clock.getAsLong()));
     }
-    if (now.size() == missing.size()) {
+    if (batch.size() == missing.size()) {
       txn.when(QuotaCodec.SEEDED, 0).put(QuotaCodec.SEEDED, Json.object());
     }
     commit(txn, outcome -> done.accept(false));
@@ -191,7 +194,7 @@
     }
   }
 
-  /** Hints in the form of before would be ever more out of date. */
+  /** Removes hints in the older form, which would be ever more out of date. */
   private void removePlainHints(Consumer<Boolean> done) {
     List<String> plain = new ArrayList<>(cache.hints().images().keySet());
     if (cache.hints().demand() != null) {
--- /dev/null
+++ b/src/main/java/graderelay/service/RecordChangeDispatcher.java
@@ -0,0 +1,85 @@
+package graderelay.service;
+
+import graderelay.core.TaskBatchKey;
+import graderelay.state.Cache;
+import graderelay.state.JobEntry;
+import graderelay.state.RecordListener;
+import graderelay.state.TaskBatchEntry;
+import graderelay.wire.FinalState;
+import graderelay.wire.StateCodec;
+
+/**
+ * Passes changes of the stored records on to the parts of this controller that act on them. The
+ * cache needs its listener before those parts exist, so they are connected afterwards.
+ */
+final class RecordChangeDispatcher implements RecordListener {
+  /**
+   * The parts that act on changed records.
+   *
+   * @param leader the leader's term, while this controller leads
+   * @param onLeaderRecord called after a change of the leader record
+   * @param onQuotaRecords called after a change of stored limits or accounts
+   * @param operators the operators' settings, read anew when their record changes
+   */
+  record Targets(
+      LeaderLifecycle leader,
+      Runnable onLeaderRecord,
+      Runnable onQuotaRecords,
+      StoredOperatorSettings operators) {}
+
+  private Cache cache;
+  private Targets targets;
+
+  /** Connects the parts; to be called once, before the cache starts to read. */
+  void connect(Cache cache, Targets targets) {
+    this.cache = cache;
+    this.targets = targets;
+  }
+
+  @Override
+  public void onJob(JobEntry job) {
+    targets.leader().ifLeading(term -> term.onJob(job));
+  }
+
+  @Override
+  public void onJobGone(String job) {
+    targets.leader().ifLeading(term -> term.onJobGone(job));
+  }
+
+  @Override
+  public void onTaskBatch(TaskBatchKey key, TaskBatchEntry batch) {
+    targets.leader().ifLeading(term -> term.onTaskBatch(key, batch));
+  }
+
+  @Override
+  public void onTaskBatchGone(TaskBatchKey key) {
+    targets.leader().ifLeading(term -> term.onTaskBatchGone(key));
+  }
+
+  @Override
+  public void onFinalState(String job, FinalState end) {
+    targets.leader().ifLeading(term -> term.onEnd(job, end));
+  }
+
+  @Override
+  public void onLeader() {
+    targets.onLeaderRecord().run();
+  }
+
+  @Override
+  public void onQuota() {
+    targets.onQuotaRecords().run();
+    targets.leader().ifLeading(LeaderTerm::onQuota);
+  }
+
+  @Override
+  public void onDelegateReleased(String member, StateCodec.DelegateRelease release) {
+    targets.leader().ifLeading(term -> term.onLeaseDelegateReleased(member, release));
+  }
+
+  @Override
+  public void onSettings() {
+    var changed = targets.operators().reload(cache.settings());
+    targets.leader().ifLeading(term -> term.onSettings(changed));
+  }
+}
