--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -27,7 +27,10 @@
    */
   private static final double LIST_SHARE = 0.4;
 
-  /** Seconds before a failed read of the types is repeated; without them nothing is accepted. */
+  /**
+   * Seconds before a failed call is repeated: a read of the types, without which nothing is
+   * accepted, or a scale-out.
+   */
   public static final double TYPES_RETRY_S = 1;
 
   /** Seconds to wait for the cloud. */
@@ -45,17 +48,14 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int UNAVAILABLE = 503;
 
-  /** What the cloud says in a {@link #UNAVAILABLE} answer if a pool is empty. */
-  private static final String NO_CAPACITY = "no capacity";
-
   /**
    * What a scale-out came to.
    *
-   * @param names the machines, or null if there are none or nobody knows
+   * @param names the new machines, or null if there are none or nobody knows
    * @param noCapacity true if the pool is empty
    */
   public record ScaledOut(List<String> names, boolean noCapacity) {
-    static ScaledOut rented(List<String> names) {
+    static ScaledOut created(List<String> names) {
       return new ScaledOut(names, false);
     }
 
@@ -83,9 +83,7 @@
     }
 
     boolean saysNoCapacity() {
-      return status == UNAVAILABLE
-          && body != null
-          && body.path("error").asText().equals(NO_CAPACITY);
+      return status == UNAVAILABLE && CloudCodec.decodeNoCapacity(body);
     }
   }
 
@@ -168,8 +166,8 @@
   }
 
   /**
-   * Rents machines under a name that is used for this one request for ever. A request without an
-   * answer is repeated under the same name, so that it rents once.
+   * Scales out by {@code count} machines under a name that is used for this one request for ever. A
+   * request without an answer is repeated under the same name, so that it creates them once.
    */
   public void scaleOut(
       String name, String type, String zone, boolean spot, int count, Consumer<ScaledOut> done) {
@@ -185,7 +183,7 @@
             request.name(), request.type(), request.zone(), request.spot(), request.count()),
         answer -> {
           if (answer.hasResult()) {
-            done.accept(ScaledOut.rented(CloudCodec.decodeMachineNames(answer.body())));
+            done.accept(ScaledOut.created(CloudCodec.decodeMachineNames(answer.body())));
           } else if (answer.saysNoCapacity()) {
             done.accept(ScaledOut.emptyPool());
           } else if (attemptsLeft > 1) {
