--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -24,7 +24,7 @@
   private double lastAnsweredAlone;
 
   /**
-   * Makes an object that holds no grant yet.
+   * Makes a grant that does not count before the leader, or this controller itself, gives one.
    *
    * @param lengthS seconds for which a grant counts from the moment at which it was asked for
    */
@@ -79,7 +79,7 @@
   }
 
   /**
-   * The grant that the leader itself has while it leads. Should it lose the lead, the next leader
+   * The grant that the leader itself has while it leads. Should it lose leadership, the next leader
    * counts as much from its own failover.
    */
   void grantToSelf(long leaderTerm, double now) {
--- a/src/main/java/graderelay/worker/DelegationRequests.java
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -155,7 +155,7 @@
 
   /**
    * Users and workers are better served by the leader, which must not wait for us: so a controller
-   * that the store still answers gives its grant up.
+   * that the store still answers releases its grant.
    */
   private void releaseIfLeaderIsLost(double now) {
     boolean lost =
--- a/src/main/java/graderelay/worker/RedirectedWorkers.java
+++ b/src/main/java/graderelay/worker/RedirectedWorkers.java
@@ -58,24 +58,29 @@
       return false;
     }
     boolean relay = isCutOffFromLeader(heartbeat, last, leader, now);
-    double relayedSince =
-        !relay ? NOT_RELAYED : last == null ? now : Math.min(now, last.relayedSince());
+    double relayedSince = relay ? relayedSince(last, now) : NOT_RELAYED;
     remember(
         heartbeat.machine(),
         new LastHeartbeat(now, relayedSince, heartbeat.session(), heartbeat.seq()));
     return relay;
   }
 
+  /** Since when a worker's heartbeats are relayed, if the one at {@code now} is relayed. */
+  private static double relayedSince(LastHeartbeat last, double now) {
+    return last == null ? now : Math.min(now, last.relayedSince());
+  }
+
   private static boolean isCutOffFromLeader(
       Heartbeat heartbeat, LastHeartbeat last, StateCodec.LeaderRecord leader, double now) {
     boolean cameBack = last != null && now - last.at() < RELAY_MEMORY_S;
+    boolean notRedirectedLately = last == null || (!cameBack && last.relayedSince() == NOT_RELAYED);
     // A worker with the leader's own term was answered by it before: it is here since the leader no
     // longer answers, and to redirect it would cost it half its lease. That it was redirected long
     // ago, before it was answered, is no reason to do so again.
-    boolean longAgo = last == null || (!cameBack && last.relayedSince() == NOT_RELAYED);
-    cameBack |= longAgo && leader != null && heartbeat.term() >= leader.term();
-    boolean relayedLongEnough = cameBack && last != null && now - last.relayedSince() > RELAY_FOR_S;
-    return cameBack && !relayedLongEnough;
+    boolean wasAnsweredByLeader =
+        notRedirectedLately && leader != null && heartbeat.term() >= leader.term();
+    boolean relayedLongEnough = last != null && now - last.relayedSince() > RELAY_FOR_S;
+    return (cameBack || wasAnsweredByLeader) && !relayedLongEnough;
   }
 
   private void remember(String machine, LastHeartbeat last) {
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -24,6 +24,12 @@
  * loop.
  */
 public final class WorkerApi {
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+
+  /** Sends the worker to another controller. */
+  private static final int MISDIRECTED_REQUEST = 421;
+
   /** The scheduler's side of heartbeats. */
   @FunctionalInterface
   public interface HeartbeatListener {
@@ -31,7 +37,8 @@
      * Takes a heartbeat in.
      *
      * @param relayedBy the member that relayed it, or "" if the worker sent it here
-     * @return the commands for the worker; none while the leader still reads the records
+     * @return the commands for the worker, never null; none while the leader still reads the
+     *     records
      */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String relayedBy);
   }
@@ -75,24 +82,24 @@
    * Answers a worker's heartbeat: 200 with commands renews its lease, 421 names the leader if it is
    * known, 400 says that it was no heartbeat.
    */
-  public void checkin(Exchange e) {
-    Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(e.body()));
+  public void checkin(Exchange exchange) {
+    Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(exchange.body()));
     if (heartbeat == null) {
-      refuseMalformed(e.to());
+      refuseMalformed(exchange.to());
     } else if (cache.features().gate().isShut()) {
-      redirect(e.to(), leaderName(cache.leader()));
+      redirect(exchange.to(), leaderName(cache.leader()));
     } else if (leadership.isLeader()) {
-      answerAsLeader(heartbeat, "", e.to());
+      answerAsLeader(heartbeat, "", exchange.to());
     } else if (leadership.holdsLeaderlessPledges()
         && heartbeat.term() > 0
         && cancellations.mayRenew()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
-      renew(e.to(), heartbeat.term(), cancellations.kills(heartbeat));
+      renew(exchange.to(), heartbeat.term(), cancellations.kills(heartbeat));
     } else if (leaseDelegate.mayAnswer(heartbeat)) {
-      renew(e.to(), leaseDelegate.term(), cancellations.kills(heartbeat));
+      renew(exchange.to(), leaseDelegate.term(), cancellations.kills(heartbeat));
     } else {
       leadership.seekLeaderlessPledges();
-      relayOrRedirect(e, heartbeat);
+      relayOrRedirect(exchange, heartbeat);
     }
   }
 
@@ -107,36 +114,35 @@
   }
 
   private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Answer> to) {
-    boolean mayRenew = leadership.mayActAsLeader() && cancellations.mayRenew();
-    List<WorkerCommand> commands = mayRenew ? scheduler.onHeartbeat(heartbeat, relayedBy) : null;
-    if (commands == null) {
+    if (leadership.mayActAsLeader() && cancellations.mayRenew()) {
+      List<WorkerCommand> commands = scheduler.onHeartbeat(heartbeat, relayedBy);
+      renew(to, leadership.term(), cancellations.withKills(heartbeat, commands));
+    } else {
       redirect(to, null);
-      return;
     }
-    renew(to, leadership.term(), cancellations.withKills(heartbeat, commands));
   }
 
-  private void relayOrRedirect(Exchange e, Heartbeat heartbeat) {
+  private void relayOrRedirect(Exchange exchange, Heartbeat heartbeat) {
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
     if (redirected.shouldRelay(heartbeat, leader, address != null, loop.now())) {
-      relay(e, address, leader.member());
+      relay(exchange, address, leader.member());
     } else {
-      redirect(e.to(), leaderName(leader));
+      redirect(exchange.to(), leaderName(leader));
     }
   }
 
-  private void relay(Exchange e, String address, String leaderName) {
+  private void relay(Exchange exchange, String address, String leaderName) {
     peerClient.send(
         address,
-        new PeerRequest.RelayedReport(member, e.body()),
+        new PeerRequest.RelayedReport(member, exchange.body()),
         PeerCodec::decodeRelayed,
         peerClient.timeoutS(),
         relayed -> {
-          if (relayed != null && relayed.answer().status() == 200) {
-            e.to().accept(relayed.answer());
+          if (relayed != null && relayed.answer().status() == OK) {
+            exchange.to().accept(relayed.answer());
           } else {
-            redirect(e.to(), leaderName);
+            redirect(exchange.to(), leaderName);
           }
         });
   }
@@ -150,15 +156,15 @@
     byte[] body =
         Json.write(
             WorkerCodec.encodeHeartbeatResponse(term, commands, SchedulerLimits.MOST_ORDERS));
-    to.accept(Answer.json(200, body));
+    to.accept(Answer.json(OK, body));
   }
 
   /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
   private static void redirect(Consumer<Answer> to, String member) {
-    to.accept(Answer.json(421, Json.write(WorkerCodec.encodeRedirect(member))));
+    to.accept(Answer.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(member))));
   }
 
   private static void refuseMalformed(Consumer<Answer> to) {
-    to.accept(Answer.json(400, Json.error("not a report")));
+    to.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -16,6 +16,10 @@
   /** Seconds to wait for a worker's answer to direct commands. */
   private static final double WORKER_TIMEOUT_S = 2.0;
 
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int CONFLICT = 409;
+
   /** Hears how commands ended. */
   @FunctionalInterface
   public interface Done {
@@ -51,15 +55,15 @@
 
   private static CommandDelivery outcome(Reply reply) {
     return switch (reply.status()) {
-      case 200 -> CommandDelivery.EXECUTED;
-      case 409, 400 -> CommandDelivery.REFUSED;
-      case 0 -> reply.sent() ? CommandDelivery.UNKNOWN : CommandDelivery.NEVER_LEFT;
+      case OK -> CommandDelivery.EXECUTED;
+      case CONFLICT, BAD_REQUEST -> CommandDelivery.REFUSED;
+      case Reply.NO_ANSWER -> reply.sent() ? CommandDelivery.UNKNOWN : CommandDelivery.NEVER_LEFT;
       default -> CommandDelivery.UNKNOWN;
     };
   }
 
   private static Heartbeat heartbeat(Reply reply) {
-    boolean hasStatus = reply.status() == 200 || reply.status() == 409;
+    boolean hasStatus = reply.ok() || reply.status() == CONFLICT;
     return hasStatus ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
   }
 }
