--- a/src/main/java/graderelay/net/ClientConnection.java
+++ b/src/main/java/graderelay/net/ClientConnection.java
@@ -63,7 +63,7 @@
             });
   }
 
-  /** Closes the connection without a word to the call that it carries. */
+  /** Closes the connection without finishing the call that it carries. */
   void abandonCall() {
     call = null;
     channel.close();
--- a/src/main/java/graderelay/net/ServerConnection.java
+++ b/src/main/java/graderelay/net/ServerConnection.java
@@ -123,9 +123,9 @@
 
   private static Exchange exchange(FullHttpRequest request, Consumer<Exchange.Answer> to) {
     String uri = request.uri();
-    int mark = uri.indexOf('?');
-    String path = mark < 0 ? uri : uri.substring(0, mark);
-    String query = mark < 0 ? "" : uri.substring(mark + 1);
+    int questionMark = uri.indexOf('?');
+    String path = questionMark < 0 ? uri : uri.substring(0, questionMark);
+    String query = questionMark < 0 ? "" : uri.substring(questionMark + 1);
     byte[] body = ByteBufUtil.getBytes(request.content());
     return new Exchange(request.method().name(), path, query, body, to);
   }
--- a/src/main/java/graderelay/net/Transport.java
+++ b/src/main/java/graderelay/net/Transport.java
@@ -2,7 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Makes HTTP calls. The one door to the outside, so that tests can put a simulated world there. */
+/**
+ * Makes HTTP calls. All of a controller's calls to other processes pass through it, so that tests
+ * can put a simulated network there.
+ */
 public interface Transport {
   /**
    * Makes a call from the event loop; calls {@code done} on it once, at the latest after the
--- a/src/main/java/graderelay/peer/ForwardedRequest.java
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -6,13 +6,13 @@
 import graderelay.net.Loop;
 
 /**
- * One user's request that a peer is asked to decide in this controller's place. It is taken back if
- * the peer refuses it or gives no answer at once. Used on the event loop only.
+ * One user's request that a peer is asked to decide in this controller's place. It is decided here
+ * after all if the peer refuses it or does not answer at once. Used on the event loop only.
  */
 final class ForwardedRequest {
   /**
    * Seconds for which a submission that the leader has forwarded may stay with a peer before the
-   * leader takes it back: a few usual answers of the store.
+   * leader decides it itself: a few usual answers of the store.
    */
   private static final double FORWARDED_S = 0.15;
 
@@ -29,9 +29,9 @@
     this.exchange = exchange;
   }
 
-  /** Forwards the request to {@code peer}; runs {@code takeBack} if the peer does not decide it. */
-  void run(Settings.Peer peer, Runnable takeBack) {
-    Loop.Timer slow = loop.after(FORWARDED_S, () -> settleHere(takeBack));
+  /** Forwards the request to {@code peer}; runs {@code here} if the peer does not decide it. */
+  void run(Settings.Peer peer, Runnable here) {
+    Loop.Timer slow = loop.after(FORWARDED_S, () -> settleHere(here));
     forwarder.forward(
         exchange,
         peer,
@@ -42,15 +42,15 @@
             settled = true;
             exchange.to().accept(answer);
           } else {
-            settleHere(takeBack);
+            settleHere(here);
           }
         });
   }
 
-  private void settleHere(Runnable takeBack) {
+  private void settleHere(Runnable here) {
     if (!settled) {
       settled = true;
-      takeBack.run();
+      here.run();
     }
   }
 
--- a/src/main/java/graderelay/peer/PeerForwarder.java
+++ b/src/main/java/graderelay/peer/PeerForwarder.java
@@ -56,8 +56,7 @@
   Settings.Peer nextResponsive() {
     for (int i = 0; i < peerCount(); i++) {
       Settings.Peer peer = peerClient.peers().get(turn++ % peerCount());
-      if (passedOverUntil.getOrDefault(peer.address(), 0.0) <= loop.now()
-          && hears.test(peer.member())) {
+      if (!isPassedOver(peer) && hears.test(peer.member())) {
         return peer;
       }
     }
@@ -96,10 +95,10 @@
    * came within {@code timeoutS} seconds, and then the peer is passed over for {@link
    * #PASS_OVER_S}.
    */
-  void forward(Exchange e, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
+  void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
     peerClient.send(
         peer.address(),
-        new PeerRequest.UserRequest(e.method(), e.path(), e.body()),
+        new PeerRequest.UserRequest(exchange.method(), exchange.path(), exchange.body()),
         PeerCodec::decodeRelayed,
         timeoutS,
         relayed -> {
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -58,8 +58,8 @@
    * Handles a request here, and puts it to a peer as well if it is slow or refused here; the first
    * answer that is not a refusal goes to the user.
    */
-  public void handle(Exchange e, Exchange.Handler here) {
-    new HedgedRequest(loop, forwarder, policy, e).run(here);
+  public void handle(Exchange exchange, Exchange.Handler here) {
+    new HedgedRequest(loop, forwarder, policy, exchange).run(here);
   }
 
   /**
@@ -67,12 +67,12 @@
    * can do: a peer is asked first, and one that doesn't answer at once or can't take it either
    * leaves it to us.
    */
-  public void handleAtPeerFirst(Exchange e, Exchange.Handler here) {
+  public void handleAtPeerFirst(Exchange exchange, Exchange.Handler here) {
     Settings.Peer peer = forwarder.nextResponsive();
     if (peer == null) {
-      handle(e, here);
+      handle(exchange, here);
     } else {
-      new ForwardedRequest(loop, forwarder, e).run(peer, () -> handle(e, here));
+      new ForwardedRequest(loop, forwarder, exchange).run(peer, () -> handle(exchange, here));
     }
   }
 }
