--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -40,7 +40,7 @@
    * Makes the handler of the operators' requests under {@code /admin}.
    *
    * @param platform this controller's settings of the deploy file
-   * @param mostBatchTasks the most tasks that a task batch may hold
+   * @param mostBatchTasks the most tasks in one task batch
    * @param scheduler the scheduler while this controller leads, else null
    * @param ready true once this controller may answer
    */
@@ -66,7 +66,7 @@
 
   /** True if the path is {@code /admin} or below it. */
   public static boolean owns(String path) {
-    return PREFIX.owns(path);
+    return PREFIX.covers(path);
   }
 
   /** Answers a request below {@code /admin}: 404 for no such path, 405 for a wrong method. */
--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -30,7 +30,8 @@
    * Makes the interface.
    *
    * @param member this controller's name
-   * @param coordinator the leader's duty, or null where feature levels are left alone
+   * @param coordinator changes the level while this controller leads, or null where feature levels
+   *     are left alone
    * @param leads true while this controller leads
    */
   public FeaturesApi(
@@ -47,7 +48,7 @@
 
   /** True if the path is {@code /admin/features} or below it. */
   public static boolean owns(String path) {
-    return PREFIX.owns(path);
+    return PREFIX.covers(path);
   }
 
   /** Answers a request below {@code /admin/features}: 405 for a wrong method. */
--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -27,7 +27,8 @@
   /**
    * Makes the view.
    *
-   * @param coordinator the leader's duty, or null where feature levels are left alone
+   * @param coordinator knows on the leader what a higher level waits for, or null where feature
+   *     levels are left alone
    * @param leads true while this controller leads
    */
   FeaturesView(String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier leads) {
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -13,7 +13,7 @@
 import graderelay.state.Transaction;
 import graderelay.wire.StateCodec;
 import graderelay.wire.UserCodec;
-import java.util.function.BooleanSupplier;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,38 +34,27 @@
   private final Cancellations cancellations;
   private final Settings settings;
   private final JobLookup lookup;
-  private final BooleanSupplier stateUnreachable;
 
-  /**
-   * Makes the handler of cancellations.
-   *
-   * @param stateUnreachable true while calls to the store fail
-   */
   JobCancellations(
       Loop loop,
       StateClient state,
       Cache cache,
       Cancellations cancellations,
       Settings settings,
-      JobLookup lookup,
-      BooleanSupplier stateUnreachable) {
+      JobLookup lookup) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.cancellations = cancellations;
     this.settings = settings;
     this.lookup = lookup;
-    this.stateUnreachable = stateUnreachable;
   }
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
   void cancel(Exchange exchange, String id) {
-    if (!UserCodec.isId(id)) {
-      ApiError.NO_SUCH_JOB.sendTo(exchange);
-      return;
-    }
-    if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
-      ApiError.STORE_UNREACHABLE.sendTo(exchange);
+    Optional<ApiError> refusal = lookup.refusal(id);
+    if (refusal.isPresent()) {
+      refusal.get().sendTo(exchange);
       return;
     }
     cancel(new PendingAnswer(loop, exchange, RequestHedger.USER_DEADLINE_S), id);
--- a/src/main/java/graderelay/api/JobCreation.java
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -62,8 +62,8 @@
     if (Json.write(StateCodec.encodeJob(spec, true)).length <= mostBytes) {
       return Optional.empty();
     }
-    JobSpec withoutNeeds = spec.needing(List.of());
-    if (Json.write(StateCodec.encodeJob(withoutNeeds, true)).length <= mostBytes) {
+    JobSpec withoutDependencies = spec.needing(List.of());
+    if (Json.write(StateCodec.encodeJob(withoutDependencies, true)).length <= mostBytes) {
       String open =
           UserCodec.DEPENDENCIES
               + " names "
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -6,6 +6,8 @@
 import graderelay.state.FinalStateLookup;
 import graderelay.state.JobEntry;
 import graderelay.wire.FinalState;
+import graderelay.wire.UserCodec;
+import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
@@ -42,6 +44,20 @@
     this.stateUnreachable = stateUnreachable;
   }
 
+  /**
+   * Why a request about job {@code id} is refused without a look at the records: it is no job's id,
+   * or the store can't be reached and the job's final state is not known here. Empty if neither.
+   */
+  Optional<ApiError> refusal(String id) {
+    if (!UserCodec.isId(id)) {
+      return Optional.of(ApiError.NO_SUCH_JOB);
+    }
+    if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
+      return Optional.of(ApiError.STORE_UNREACHABLE);
+    }
+    return Optional.empty();
+  }
+
   /** Answers 503 if the store can't be reached, else runs {@code again} after a moment. */
   void retryOrGiveUp(PendingAnswer pending, Runnable again) {
     if (stateUnreachable.getAsBoolean()) {
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -1,8 +1,6 @@
 package graderelay.api;
 
-import graderelay.core.TaskBatchRecord;
 import graderelay.state.JobEntry;
-import graderelay.state.TaskBatchEntry;
 import graderelay.wire.FinalState;
 
 /**
@@ -26,15 +24,12 @@
 
   /** The state of a live job, summed over its task batches. */
   static JobState live(JobEntry entry) {
-    int done = 0;
-    int claimed = 0;
-    for (TaskBatchEntry batch : entry.taskBatches.values()) {
-      TaskBatchRecord record = batch.record();
-      done += record.doneCount();
-      claimed += record.claimedCount();
+    TaskCounts counts = TaskCounts.of(entry);
+    if (entry.isCancelled()) {
+      return new JobState(CANCELLED, counts.done(), 0, entry);
     }
-    String stage = entry.isCancelled() ? CANCELLED : claimed > 0 ? RUNNING : PENDING;
-    return new JobState(stage, done, entry.isCancelled() ? 0 : claimed, entry);
+    String stage = counts.claimed() > 0 ? RUNNING : PENDING;
+    return new JobState(stage, counts.done(), counts.claimed(), entry);
   }
 
   /** The state of a live job that is cancelled with a DAG dependency of it. */
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -57,7 +57,7 @@
   /**
    * Makes the handler of submissions.
    *
-   * @param types the machine types that may be rented, or null while they are not known yet
+   * @param types the machine types that the cloud offers, or null while they are not known yet
    * @param batchCapacity tasks in one task batch of a job submitted now
    * @param stateUnreachable true while calls to the store fail
    */
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -8,7 +8,6 @@
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.JobEntry;
-import graderelay.state.TaskBatchEntry;
 import graderelay.wire.Json;
 import java.util.HashSet;
 import java.util.Optional;
@@ -79,23 +78,18 @@
   }
 
   private ObjectNode describe(JobEntry job) {
-    int done = 0;
-    int claimed = 0;
-    for (TaskBatchEntry batch : job.taskBatches.values()) {
-      done += batch.record().doneCount();
-      claimed += batch.record().claimedCount();
-    }
+    TaskCounts counts = TaskCounts.of(job);
     boolean stops =
         job.isCancelled() || CancellationResolver.cancelled(cache, job.spec, new HashSet<>());
-    String stage = stops ? "stopping" : claimed > 0 ? "running" : "waiting";
+    String stage = stops ? "stopping" : counts.claimed() > 0 ? "running" : "waiting";
     return Json.object()
         .put("id", job.spec.id())
         .put("class", job.spec.jobClass())
         .put("team", job.spec.team())
         .put("stage", stage)
         .put("tasks", job.spec.tasks())
-        .put("done", done)
-        .put("claimed", claimed);
+        .put("done", counts.done())
+        .put("claimed", counts.claimed());
   }
 
   /** Adds the live jobs that depend on this one, by id. */
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -112,18 +112,18 @@
    * @param behind true if the sender has missed a change of the feature level
    */
   private boolean answerBetweenMembers(Exchange exchange, PeerRequest request, boolean behind) {
-    if (request instanceof PeerRequest.Pledge p) {
-      boolean granted = !behind && leadership.pledge(p.term(), p.seconds());
+    if (request instanceof PeerRequest.Pledge pledge) {
+      boolean granted = !behind && leadership.pledge(pledge.term(), pledge.seconds());
       answer(exchange, pledged(granted));
-    } else if (request instanceof PeerRequest.KeepPledge p) {
-      answer(exchange, pledged(!behind && leadership.pledgeLeaderless(p.seconds())));
+    } else if (request instanceof PeerRequest.KeepPledge pledge) {
+      answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(exchange, new PeerAnswer.Identified(incarnation));
     } else if (request instanceof PeerRequest.Share share) {
       leadership.takeShare(share.term(), share.changesPerS());
       answer(exchange, new PeerAnswer.Wanted(state.budget().takeWantedChanges()));
-    } else if (request instanceof PeerRequest.Handover h) {
-      leadership.takeHandover(h.member(), h.term(), h.sessionLease());
+    } else if (request instanceof PeerRequest.Handover handover) {
+      leadership.takeHandover(handover.member(), handover.term(), handover.sessionLease());
       answer(exchange, new PeerAnswer.Received());
     } else if (request instanceof PeerRequest.Delegation delegation) {
       answer(exchange, delegations.apply(delegation));
@@ -137,11 +137,18 @@
   private boolean answerRelayed(Exchange exchange, PeerRequest request) {
     if (request instanceof PeerRequest.RelayedReport heartbeat) {
       heartbeats.accept(heartbeat.member(), heartbeat.body(), relayedTo(exchange));
-    } else if (request instanceof PeerRequest.UserRequest u) {
-      requests.handle(new Exchange(u.method(), u.path(), "", u.body(), true, relayedTo(exchange)));
-    } else if (request instanceof PeerRequest.AdminRequest a) {
+    } else if (request instanceof PeerRequest.UserRequest user) {
       requests.handle(
-          new Exchange(a.method(), a.path(), a.query(), a.body(), true, relayedTo(exchange)));
+          new Exchange(user.method(), user.path(), "", user.body(), true, relayedTo(exchange)));
+    } else if (request instanceof PeerRequest.AdminRequest admin) {
+      requests.handle(
+          new Exchange(
+              admin.method(),
+              admin.path(),
+              admin.query(),
+              admin.body(),
+              true,
+              relayedTo(exchange)));
     } else {
       return false;
     }
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -63,7 +63,7 @@
 
   /** True if the path is {@code /admin/quota} or below it. */
   public static boolean owns(String path) {
-    return PREFIX.owns(path);
+    return PREFIX.covers(path);
   }
 
   /** Answers a request below {@code /admin/quota}: 405 for a wrong method. */
@@ -95,14 +95,14 @@
 
   /** Goes on once the records as they are now have been read, if stored limits are in force. */
   private void onRecords(Exchange exchange, StoredLimitsRequest then) {
-    cache.catchUp(
-        ok -> {
-          if (!ok) {
-            ApiError.STORE_UNREACHABLE.sendTo(exchange);
-          } else if (!limits.stored()) {
-            NOT_STORED.sendTo(exchange);
-          } else {
+    FreshRecords.run(
+        cache,
+        exchange,
+        () -> {
+          if (limits.stored()) {
             runOrRefuse(exchange, then);
+          } else {
+            NOT_STORED.sendTo(exchange);
           }
         });
   }
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -34,7 +34,7 @@
    *
    * @param platform this controller's settings of the deploy file
    * @param defaults what counts for a setting that the record does not have
-   * @param mostBatchTasks the most tasks that a task batch may hold
+   * @param mostBatchTasks the most tasks in one task batch
    */
   SettingsWrites(
       Settings platform,
@@ -58,14 +58,7 @@
    * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
    */
   void read(Exchange exchange) {
-    cache.catchUp(
-        ok -> {
-          if (ok) {
-            Replies.json(exchange, 200, view());
-          } else {
-            ApiError.STORE_UNREACHABLE.sendTo(exchange);
-          }
-        });
+    FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, view()));
   }
 
   /** {@code PUT /admin/settings}; see {@link SettingsChange#decode} for the body. */
@@ -119,14 +112,7 @@
 
   /** Makes a change once the records are read anew; 409 if its revision is no longer there. */
   private void write(Exchange exchange, SettingsChange change) {
-    cache.catchUp(
-        ok -> {
-          if (ok) {
-            writeOnFreshRecord(exchange, change);
-          } else {
-            ApiError.STORE_UNREACHABLE.sendTo(exchange);
-          }
-        });
+    FreshRecords.run(cache, exchange, () -> writeOnFreshRecord(exchange, change));
   }
 
   private void writeOnFreshRecord(Exchange exchange, SettingsChange change) {
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -13,6 +13,7 @@
 import graderelay.state.TeamLimits;
 import graderelay.wire.UserCodec;
 import java.util.Collection;
+import java.util.Optional;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 
@@ -32,7 +33,7 @@
   /**
    * Makes the handler of the users' requests: submissions, polls and cancellations.
    *
-   * @param types the machine types that may be rented, or null while they are not known yet
+   * @param types the machine types that the cloud offers, or null while they are not known yet
    * @param batchCapacity tasks in one task batch of a job submitted now
    */
   public UserApi(
@@ -63,8 +64,7 @@
             dependencies,
             lookup,
             this::stateAway);
-    this.cancellations =
-        new JobCancellations(loop, state, cache, cancellations, settings, lookup, this::stateAway);
+    this.cancellations = new JobCancellations(loop, state, cache, cancellations, settings, lookup);
   }
 
   /** True while calls to the store fail: then nothing can be decided here. */
@@ -79,12 +79,9 @@
 
   /** Answers a poll of job {@code id}: 200 with its status, 404, or 503 with Retry-After. */
   public void poll(Exchange exchange, String id) {
-    if (!UserCodec.isId(id)) {
-      ApiError.NO_SUCH_JOB.sendTo(exchange);
-      return;
-    }
-    if (cache.finalState(id) == null && stateAway()) {
-      ApiError.STORE_UNREACHABLE.sendTo(exchange);
+    Optional<ApiError> refusal = lookup.refusal(id);
+    if (refusal.isPresent()) {
+      refusal.get().sendTo(exchange);
       return;
     }
     PendingAnswer pending = new PendingAnswer(loop, exchange, RequestHedger.POLL_DEADLINE_S);
