--- a/src/main/java/graderelay/cli/FeaturesTool.java
+++ b/src/main/java/graderelay/cli/FeaturesTool.java
@@ -63,9 +63,9 @@
       return;
     }
     ObjectNode rest = answer.deepCopy();
-    JsonNode features = rest.remove("features");
-    JsonNode members = rest.remove("members");
-    JsonNode waits = rest.remove("waits_for");
+    final JsonNode features = rest.remove("features");
+    final JsonNode members = rest.remove("members");
+    final JsonNode waits = rest.remove("waits_for");
     TextOutput.fields(rest);
     TextOutput.table(features, "name", "level", "used");
     TextOutput.table(members, "member", "version", "min", "max");
--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -80,12 +80,12 @@
     byte[] seed = new SecureRandom().generateSeed(8);
     var random = new SplittableRandom(ByteBuffer.wrap(seed).getLong());
     var client = new HttpClient(loop, (int) (settings.maxConnections() * IDLE_CONNECTIONS_SHARE));
-    ControllerNode node = new ControllerNode(clock, client, settings, options, random);
-    node.onLeave(Serve::leave);
+    ControllerNode controller = new ControllerNode(clock, client, settings, options, random);
+    controller.onLeave(Serve::leave);
     int mostAccepted = (int) (settings.maxConnections() * ACCEPT_SHARE);
-    HttpServer api = new HttpServer(loop, clock, mostAccepted, node::handle);
+    HttpServer api = new HttpServer(loop, clock, mostAccepted, controller::handle);
     HttpServer peerServer =
-        new HttpServer(loop, clock, settings.maxConnections(), node::handlePeer);
+        new HttpServer(loop, clock, settings.maxConnections(), controller::handlePeer);
     try {
       api.listen(settings.apiAddress()).sync();
       peerServer.listen(settings.peerAddress()).sync();
@@ -93,8 +93,9 @@
       LoggerFactory.getLogger("serve").error("an address can't be had: {}", e.getMessage());
       return false;
     }
-    node.watchConnections(() -> api.connections() + peerServer.connections(), client::connections);
-    clock.execute(node::start);
+    controller.watchConnections(
+        () -> api.connections() + peerServer.connections(), client::connections);
+    clock.execute(controller::start);
     return true;
   }
 }
--- a/src/main/java/graderelay/cli/Tool.java
+++ b/src/main/java/graderelay/cli/Tool.java
@@ -77,19 +77,6 @@
     return ask(method, path, body, this::print);
   }
 
-  /** Reads the first path, or the second if there is nothing under the first. */
-  final int askEither(String path, String otherwise) {
-    return ask("GET", path, null, this::print, () -> ask("GET", otherwise, null));
-  }
-
-  private void print(JsonNode answer) {
-    if (json) {
-      System.out.println(answer.toPrettyString());
-    } else {
-      show(answer);
-    }
-  }
-
   private int ask(String method, String path, JsonNode body, Consumer<JsonNode> then) {
     return ask(method, path, body, then, null);
   }
@@ -123,6 +110,19 @@
     return explain(status, answer == null ? "" : answer.path("error").asText());
   }
 
+  /** Reads the first path, or the second if there is nothing under the first. */
+  final int askEither(String path, String otherwise) {
+    return ask("GET", path, null, this::print, () -> ask("GET", otherwise, null));
+  }
+
+  private void print(JsonNode answer) {
+    if (json) {
+      System.out.println(answer.toPrettyString());
+    } else {
+      show(answer);
+    }
+  }
+
   private HttpResponse<byte[]> send(String method, String path, JsonNode body)
       throws IOException, InterruptedException {
     Duration timeout = Duration.ofMillis((long) (timeoutS * 1000));
--- a/src/main/java/graderelay/cli/WarmupWorld.java
+++ b/src/main/java/graderelay/cli/WarmupWorld.java
@@ -16,15 +16,16 @@
       {"ref":"j-000001","lot":"w","crew":"w","cut":"array","urgency":"normal","boards":2,
        "cpus":1.0,"cards":0.0,"mem_gb":1.0,"blade":"i","pull_gb":1.0,"rigs":null,"yard":null,
        "one_zone":false,"apart":false,"borrowed":true,"expected_s":1.0,"stack_s":1.0,
-       "stack_write_s":1.0,"ship_s":10.0}""";
+       "stack_write_s":1.0,"ship_s":10.0}\
+      """;
 
   /** The heartbeat of a machine that runs a task of another job. */
   static final String HEARTBEAT =
       """
       {"saw":"n-000001","address":"127.0.0.1:2","rig":"t","yard":"w","borrowed":false,
-       "shift":1,"tally":%d,"foreman":0,"recall_s":null,
-       "boards":[{"board":"j-000009/0","pass":1,"stage":"running"}]}"""
-          .formatted(1);
+       "shift":1,"tally":1,"foreman":0,"recall_s":null,
+       "boards":[{"board":"j-000009/0","pass":1,"stage":"running"}]}\
+      """;
 
   /** A stored value and the revision at which it was written. */
   private record Item(JsonNode value, long revision) {}
--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -49,7 +49,7 @@
   /** Times the spare room that the arrivals of the last minutes suggest. */
   private static final double SPARE_FACTOR = 1.0;
 
-  /** The defaults; a task batch must fit a value of the deployment's state service. */
+  /** The defaults; a task batch must fit a value of the deployment's key-value store. */
   public static OperatorSettings defaults(int mostBatchTasks, String logLevel) {
     return new OperatorSettings(
         Math.min(BATCH_CAPACITY, mostBatchTasks),
--- a/src/main/java/graderelay/config/Options.java
+++ b/src/main/java/graderelay/config/Options.java
@@ -84,7 +84,7 @@
     }
     if (value.isTextual()) {
       return Feature.byExternalName(value.textValue())
-          .orElseThrow(() -> new Settings.Wrong("features." + name + ": " + notAFeature(value)))
+          .orElseThrow(() -> new Settings.Wrong("features." + name + ": " + unknownFeature(value)))
           .level();
     }
     if (!value.isInt()
@@ -102,7 +102,7 @@
     return value.intValue();
   }
 
-  private static String notAFeature(JsonNode value) {
+  private static String unknownFeature(JsonNode value) {
     List<String> names = new ArrayList<>();
     for (Feature feature : Feature.values()) {
       names.add(feature.externalName());
--- a/src/main/java/graderelay/features/FeatureGate.java
+++ b/src/main/java/graderelay/features/FeatureGate.java
@@ -30,7 +30,7 @@
     return current;
   }
 
-  /** Takes the level that the state service holds. */
+  /** Takes the level that is stored. */
   public void onLevel(ClusterLevel level) {
     current = level;
     known = true;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The state service holds something that is no level: nothing may be assumed. */
+  /** The stored record is no level: nothing may be assumed. */
   public void onMalformed(String why) {
     known = true;
     shutBecause = "the record of the cluster's feature level is malformed: " + why;
--- a/src/main/java/graderelay/quota/AccountChange.java
+++ b/src/main/java/graderelay/quota/AccountChange.java
@@ -11,7 +11,7 @@
  */
 public record AccountChange(
     String team, long onRevision, Amount use, String writer, long onLimits) {
-  /** The transaction admits nothing, so it holds under any limits. */
+  /** The transaction admits nothing, so it is valid under any limits. */
   public static final long ANY_LIMITS = -1;
 
   /** True if the account is written, and not only compared. */
--- a/src/main/java/graderelay/quota/AdmissionControl.java
+++ b/src/main/java/graderelay/quota/AdmissionControl.java
@@ -4,11 +4,11 @@
 
 /**
  * The leader's admission of claims by the stored limits and accounts. An account reserves a part of
- * its team's limit for whoever holds its present version. A claim's transaction is conditioned on
+ * its team's limit for the writer of its present version. A claim's transaction is conditioned on
  * the versions of account and limits; it raises the account where that does not cover the claims.
  *
  * <p>So at every commit the claims of a team take no more than its account, and that no more than
- * the limit under which it was decided, whoever claims: the holder of a version knows every claim
+ * the limit under which it was decided, whoever claims: the writer of a version knows every claim
  * that has committed before it, since it has read the task batches as of the write that made the
  * version, and every claim since is its own.
  */
@@ -34,11 +34,6 @@
     return enabled;
   }
 
-  /** What the committed claims use; kept up to date while this is enabled. */
-  public CommittedUse committed() {
-    return accounts.committed();
-  }
-
   /** Stored limits do not count any more. */
   public void disable() {
     enabled = false;
@@ -181,6 +176,11 @@
     }
   }
 
+  /** What the teams' committed claims use; kept up to date while this is enabled. */
+  public CommittedUse committed() {
+    return accounts.committed();
+  }
+
   /** The changes were refused; the records read since say why. */
   public void refused(List<AccountChange> changes) {
     if (enabled) {
--- a/src/main/java/graderelay/quota/Amount.java
+++ b/src/main/java/graderelay/quota/Amount.java
@@ -25,7 +25,7 @@
     return new Amount(up(cpus), up(gpus));
   }
 
-  /** What is allowed or promised, rounded down: it never counts as more than was given. */
+  /** A limit or guarantee, rounded down: it never counts as more than was given. */
   public static Amount granted(double cpus, double gpus) {
     return new Amount(down(cpus), down(gpus));
   }
--- a/src/main/java/graderelay/quota/TeamAccount.java
+++ b/src/main/java/graderelay/quota/TeamAccount.java
@@ -183,7 +183,7 @@
       takeOwnWrite(account);
       return false;
     }
-    boolean reliedOn = settled;
+    final boolean reliedOn = settled;
     stored = account;
     settled = false;
     fenceRevision = 0;
--- a/src/main/java/graderelay/quota/TeamAccounts.java
+++ b/src/main/java/graderelay/quota/TeamAccounts.java
@@ -20,10 +20,6 @@
   /** The store's revision up to which everything has been read. */
   private long readRevision;
 
-  CommittedUse committed() {
-    return committed;
-  }
-
   /** True once the settings' limits have been stored as a whole. */
   boolean areSeeded() {
     return seeded;
@@ -74,13 +70,14 @@
     seeded = stored.seeded();
     readRevision = Math.max(readRevision, stored.asOf());
     stored.accounts().forEach((team, account) -> takeRecord(team, account, stored.asOf()));
-    for (Map.Entry<String, TeamAccount> e : accounts.entrySet()) {
-      if (!limits.containsKey(e.getKey())) {
-        e.getValue().forget(); // Removed with its team.
-      } else if (!stored.accounts().containsKey(e.getKey())) {
-        takeRecord(e.getKey(), Account.ABSENT, stored.asOf());
+    for (Map.Entry<String, TeamAccount> entry : accounts.entrySet()) {
+      String team = entry.getKey();
+      if (!limits.containsKey(team)) {
+        entry.getValue().forget(); // Removed with its team.
+      } else if (!stored.accounts().containsKey(team)) {
+        takeRecord(team, Account.ABSENT, stored.asOf());
       }
-      e.getValue().readUpTo(readRevision);
+      entry.getValue().readUpTo(readRevision);
     }
   }
 
@@ -107,6 +104,11 @@
     account.readUpTo(readRevision);
   }
 
+  /** What the committed claims use, by team. */
+  CommittedUse committed() {
+    return committed;
+  }
+
   // ---------------------------------------------------------------- discrepancies
 
   /** Keeps a discrepancy until it is taken. */
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -149,11 +149,13 @@
 
   @Override
   public void complete(Feature feature, Consumer<Boolean> done) {
-    switch (feature) {
-      case SEALED_ELECTION -> sealMembers(done);
-      case COMPACT_HINTS -> removePlainHints(done);
-      case STORED_LIMITS -> storeLimits(done);
-    }
+    Consumer<Consumer<Boolean>> step =
+        switch (feature) {
+          case SEALED_ELECTION -> this::sealMembers;
+          case COMPACT_HINTS -> this::removePlainHints;
+          case STORED_LIMITS -> this::storeLimits;
+        };
+    step.accept(done);
   }
 
   /** Stores the settings' limits; the last transaction also records that they are complete. */
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -5,7 +5,7 @@
 import graderelay.config.OperatorSettings;
 
 /**
- * The operators' settings as stored in the state service, over the defaults of this process; the
+ * The operators' settings as stored in the key-value store, over the defaults of this process; the
  * log's level follows them.
  */
 final class StoredOperatorSettings {
