--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -103,7 +103,7 @@
         found -> {
           for (String job : find.jobs()) {
             if (!term.isClosed() && cache.finalState(job) != null) {
-              term.onEnd(job, cache.finalState(job));
+              term.records().onEnd(job, cache.finalState(job));
             }
           }
         });
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -120,7 +120,7 @@
 
   /** A peer says that a job was cancelled: its tasks are stopped now, its record read later. */
   void onCancelled(String job) {
-    ifLeading(t -> t.onCancelled(job));
+    ifLeading(term -> term.records().onCancelled(job));
   }
 
   /** Ends the current term for good, as the process ends. */
@@ -166,7 +166,7 @@
 
   @Override
   public void onTermRaised(long term) {
-    ifLeading(t -> t.onTermRaised(term));
+    ifLeading(running -> running.onTermRaised(term));
   }
 
   @Override
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -8,36 +8,31 @@
 import graderelay.core.Policy;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerLimits;
-import graderelay.core.TaskBatchKey;
 import graderelay.core.WorkerCommand;
-import graderelay.features.Feature;
 import graderelay.net.Loop;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
-import graderelay.state.JobEntry;
 import graderelay.state.Leadership;
-import graderelay.state.TaskBatchEntry;
-import graderelay.wire.FinalState;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
-import graderelay.wire.StateCodec;
 import java.util.List;
 import java.util.function.DoubleConsumer;
 import java.util.random.RandomGenerator;
 
 /**
- * One term of this controller's leadership: feeds the core scheduler with the records, heartbeats
- * and the cloud's list, steps it, and has {@link LeaderActions} carry out what it decides. Made
- * when the term is won and the records are caught up with; closed on failover.
+ * One term of this controller's leadership: feeds the core scheduler with heartbeats, the cloud's
+ * list and, through {@link TermRecords}, the stored records; steps it, and has {@link
+ * LeaderActions} carry out what it decides. Made when the term is won and the records are caught up
+ * with; closed on failover.
  */
 final class LeaderTerm {
   private final Loop loop;
-  private final Cache cache;
   private final CloudClient cloud;
   private final Leadership leadership;
   private final Scheduler core;
   private final FailoverHints hints;
+  private final TermRecords records;
   private final CloudScaler cloudScaler;
   private final LeaderActions actions;
   private final Metrics metrics;
@@ -68,16 +63,17 @@
       RandomGenerator random,
       List<MachineType> types) {
     this.loop = services.loop();
-    this.cache = services.cache();
     this.cloud = services.cloud();
     this.leadership = services.leadership();
     this.metrics = services.metrics();
     this.operators = operators;
     this.firstToken = leadership.term();
-    double startedAt = loop.now();
+    final double startedAt = loop.now();
     this.core = new Scheduler(policy, firstToken, leadership.process(), random, loop.now());
     core.onTypes(types);
+    Cache cache = services.cache();
     this.hints = new FailoverHints(services.state(), cache, leadership, leastLimits.valueBytes());
+    this.records = new TermRecords(loop, cache, core, hints, this::stepSoon);
     this.cloudScaler = new CloudScaler(this, services, firstToken, startedAt, policy.listLagS());
     FinalStateLookup finalStates =
         new FinalStateLookup(loop, services.state(), cache, leastLimits.txnOps());
@@ -95,6 +91,11 @@
     return core;
   }
 
+  /** What passes the stored records on to the core. */
+  TermRecords records() {
+    return records;
+  }
+
   /** The time of day, in milliseconds since the epoch. */
   long wallMs() {
     return loop.wallMs();
@@ -106,33 +107,11 @@
 
   /** Takes the records as they are now, which the caller has just caught up with. */
   void start() {
-    double now = loop.now();
-    hints.images().forEach(core::onImages);
-    core.onImageParts(hints.imagePartsPerThousand());
-    loadJobs(now);
-    core.onDemand(hints.demand(loop.wallMs()), now);
-    onQuota();
-    core.loaded(now);
+    records.load();
     listMachines();
     tick();
   }
 
-  /** Every job comes before the first task batch. */
-  private void loadJobs(double now) {
-    for (JobEntry job : cache.jobs().values()) {
-      onJob(job);
-    }
-    for (JobEntry job : cache.jobs().values()) {
-      job.taskBatches.forEach(
-          (index, batch) ->
-              core.onTaskBatch(
-                  new TaskBatchKey(job.spec.id(), index), batch.record(), batch.revision(), now));
-    }
-    cache
-        .orphanedTaskBatches()
-        .forEach((key, batch) -> core.onTaskBatch(key, batch.record(), batch.revision(), now));
-  }
-
   /** Ends the term: no timer fires and no outcome is taken any more. */
   void close() {
     closed = true;
@@ -163,51 +142,7 @@
     }
   }
 
-  // ---------------------------------------------------------------- records
-
-  /** A live job's record is new or has changed. */
-  void onJob(JobEntry job) {
-    double submittedAt = secondsAt(job.spec.submittedMs());
-    core.onJob(
-        job.spec, job.isCancelled(), job.revision(), Math.min(submittedAt, loop.now()), loop.now());
-    stepSoon();
-  }
-
-  /** The loop's time in seconds at a time of day, which is in milliseconds. */
-  private double secondsAt(long wallMs) {
-    return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
-  }
-
-  /** A job was cancelled, which its record may not show yet. */
-  void onCancelled(String job) {
-    core.onCancelled(job, loop.now());
-    stepSoon();
-  }
-
-  /** A job's final state is known. */
-  void onEnd(String job, FinalState end) {
-    // Records of earlier versions lack the time: they count as ended just now.
-    double endedAt = end.writtenAtMs() == 0 ? loop.now() : secondsAt(end.writtenAtMs());
-    core.onEnd(job, end.cancelled(), endedAt, loop.now());
-    stepSoon();
-  }
-
-  /** A job's record was removed. */
-  void onJobGone(String job) {
-    core.onJobGone(job, loop.now());
-    stepSoon();
-  }
-
-  /** A task batch's record is new or has changed. */
-  void onTaskBatch(TaskBatchKey key, TaskBatchEntry batch) {
-    core.onTaskBatch(key, batch.record(), batch.revision(), loop.now());
-    stepSoon();
-  }
-
-  /** A task batch's record was removed. */
-  void onTaskBatchGone(TaskBatchKey key) {
-    core.onTaskBatchGone(key);
-  }
+  // ---------------------------------------------------------------- term, quota and settings
 
   /** The term was raised with a change of the feature level, which may change the hints' form. */
   void onTermRaised(long term) {
@@ -216,16 +151,6 @@
     stepSoon();
   }
 
-  /**
-   * Stored limits or accounts have changed. The caller has passed on the task batches of the same
-   * revision before.
-   */
-  void onQuota() {
-    boolean stored = cache.features().gate().enabled(Feature.STORED_LIMITS);
-    core.onQuota(stored ? cache.quota().asOf(cache.revisionSeen()) : null);
-    stepSoon();
-  }
-
   /** An operator wants a team's account written anew from its committed claims. */
   void replaceAccount(String team) {
     core.replaceAccount(team);
@@ -287,17 +212,6 @@
     return known ? new PeerAnswer.Grant(leadership.term(), firstToken, now) : null;
   }
 
-  /** A lease delegate has released grants, as its record says. */
-  void onLeaseDelegateReleased(String member, StateCodec.DelegateRelease release) {
-    core.onDelegateReleased(
-        member,
-        release.incarnation(),
-        release.releasedUpTo(),
-        release.grantedBy(),
-        release.aloneS(),
-        loop.now());
-  }
-
   // ---------------------------------------------------------------- time
 
   private void tick() {
--- a/src/main/java/graderelay/service/RecordChangeDispatcher.java
+++ b/src/main/java/graderelay/service/RecordChangeDispatcher.java
@@ -7,6 +7,7 @@
 import graderelay.state.TaskBatchEntry;
 import graderelay.wire.FinalState;
 import graderelay.wire.StateCodec;
+import java.util.function.Consumer;
 
 /**
  * Passes changes of the stored records on to the parts of this controller that act on them. The
@@ -38,27 +39,27 @@
 
   @Override
   public void onJob(JobEntry job) {
-    targets.leader().ifLeading(term -> term.onJob(job));
+    ifLeading(records -> records.onJob(job));
   }
 
   @Override
   public void onJobGone(String job) {
-    targets.leader().ifLeading(term -> term.onJobGone(job));
+    ifLeading(records -> records.onJobGone(job));
   }
 
   @Override
   public void onTaskBatch(TaskBatchKey key, TaskBatchEntry batch) {
-    targets.leader().ifLeading(term -> term.onTaskBatch(key, batch));
+    ifLeading(records -> records.onTaskBatch(key, batch));
   }
 
   @Override
   public void onTaskBatchGone(TaskBatchKey key) {
-    targets.leader().ifLeading(term -> term.onTaskBatchGone(key));
+    ifLeading(records -> records.onTaskBatchGone(key));
   }
 
   @Override
   public void onFinalState(String job, FinalState end) {
-    targets.leader().ifLeading(term -> term.onEnd(job, end));
+    ifLeading(records -> records.onEnd(job, end));
   }
 
   @Override
@@ -69,12 +70,12 @@
   @Override
   public void onQuota() {
     targets.onQuotaRecords().run();
-    targets.leader().ifLeading(LeaderTerm::onQuota);
+    ifLeading(TermRecords::onQuota);
   }
 
   @Override
   public void onDelegateReleased(String member, StateCodec.DelegateRelease release) {
-    targets.leader().ifLeading(term -> term.onLeaseDelegateReleased(member, release));
+    ifLeading(records -> records.onLeaseDelegateReleased(member, release));
   }
 
   @Override
@@ -82,4 +83,8 @@
     var changed = targets.operators().reload(cache.settings());
     targets.leader().ifLeading(term -> term.onSettings(changed));
   }
+
+  private void ifLeading(Consumer<TermRecords> change) {
+    targets.leader().ifLeading(term -> change.accept(term.records()));
+  }
 }
