--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -19,9 +19,8 @@
 @Command(name = "serve", description = "Run a controller.", mixinStandardHelpOptions = true)
 final class Serve implements Callable<Integer> {
   /**
-   * Share of the allowed connections that users and workers may have: the rest is for the state
-   * service, the other controllers and direct worker commands, also when all workers connect at
-   * once.
+   * Share of the allowed connections that users and workers may have: the rest is for the key-value
+   * store, the other controllers and direct worker commands, also when all workers connect at once.
    */
   private static final double ACCEPT_SHARE = 0.9;
 
--- a/src/main/java/graderelay/features/Downgrade.java
+++ b/src/main/java/graderelay/features/Downgrade.java
@@ -30,22 +30,22 @@
 
   /** An operator asks to go down to a level. */
   void request(int target, Consumer<Answer> done) {
-    ClusterLevel now = gate.current();
+    ClusterLevel current = gate.current();
     List<Blocker> blockers = membersAbove(target);
-    if (target < Feature.BASE_LEVEL || target >= now.level()) {
+    if (target < Feature.BASE_LEVEL || target >= current.level()) {
       done.accept(
           new Answer.Refused(
-              "level must be from " + Feature.BASE_LEVEL + " to " + (now.level() - 1)));
-    } else if (now.lowering() && target != now.target()) {
-      done.accept(new Answer.Refused("a downgrade to " + now.target() + " is under way"));
+              "level must be from " + Feature.BASE_LEVEL + " to " + (current.level() - 1)));
+    } else if (current.lowering() && target != current.target()) {
+      done.accept(new Answer.Refused("a downgrade to " + current.target() + " is under way"));
     } else if (!blockers.isEmpty()) {
       done.accept(new Answer.Refused("level " + target + ": " + Blocker.describe(blockers)));
     } else if (transition.isInFlight()) {
       done.accept(new Answer.Unavailable("another change of the level is under way"));
-    } else if (now.lowering()) {
+    } else if (current.lowering()) {
       done.accept(new Answer.Accepted("the downgrade to " + target + " is under way"));
     } else {
-      start(new ClusterLevel(now.level(), target), done);
+      start(new ClusterLevel(current.level(), target), done);
     }
   }
 
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -174,14 +174,14 @@
 
   /** An operator asks to go to a higher level. */
   public void finalizeLevel(int level, Consumer<Answer> done) {
-    int now = gate.current().level();
+    int current = gate.current().level();
     if (gate.current().lowering()) {
       done.accept(new Answer.Refused("a downgrade is under way"));
-    } else if (level == now) {
-      done.accept(new Answer.Accepted("the cluster's feature level is " + now));
-    } else if (level < now) {
+    } else if (level == current) {
+      done.accept(new Answer.Accepted("the cluster's feature level is " + current));
+    } else if (level < current) {
       done.accept(
-          new Answer.Refused("level " + level + " is below " + now + "; that is a downgrade"));
+          new Answer.Refused("level " + level + " is below " + current + "; that is a downgrade"));
     } else if (!blockers(level).isEmpty()) {
       done.accept(new Answer.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
     } else if (transition.isInFlight()) {
