--- a/src/main/java/graderelay/service/package-info.java
+++ b/src/main/java/graderelay/service/package-info.java
@@ -1,8 +1,8 @@
 /**
- * One controller as a whole: {@link graderelay.service.ControllerNode} wires its parts and starts
- * and ends them; {@link graderelay.service.LeaderLifecycle} runs a {@link
- * graderelay.service.LeaderTerm} while the controller leads, in which the core decides and {@link
- * graderelay.service.LeaderActions} carries out; the rest are request routing, feature levels,
- * operators' settings and metrics.
+ * One controller as a whole: {@link graderelay.service.ControllerParts} makes its parts and
+ * connects them; {@link graderelay.service.ControllerNode} starts and ends them; {@link
+ * graderelay.service.LeaderLifecycle} runs a {@link graderelay.service.LeaderTerm} while the
+ * controller leads, in which the core decides and {@link graderelay.service.LeaderActions} carries
+ * out; the rest are request routing, feature levels, operators' settings and metrics.
  */
 package graderelay.service;
