--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -99,10 +99,10 @@
     int active = pool.size();
     while (samplesLeft > 0 && active > 0) {
       int drawn = random.nextInt(active);
-      Machine machine = pool.get(drawn);
       active--;
-      pool.set(drawn, pool.get(active));
       cluster.examinedCount++;
+      Machine machine = pool.get(drawn);
+      pool.set(drawn, pool.get(active));
       if (!machine.holds(job.taskResources)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
@@ -110,7 +110,7 @@
       }
       pool.set(active, machine);
       samplesLeft--;
-      double cpusLeftOver = machine.capacity.cpus() - machine.used.cpus() - job.spec.cpus();
+      double cpusLeftOver = machine.freeCpus() - job.spec.cpus();
       if (chosen == null || cpusLeftOver < chosenLeftOver) {
         chosen = machine;
         chosenLeftOver = cpusLeftOver;
--- a/src/main/java/graderelay/core/ClaimReconciliation.java
+++ b/src/main/java/graderelay/core/ClaimReconciliation.java
@@ -109,8 +109,8 @@
         cluster.log(attempt(claim) + " vanished from " + machine.name);
         records.end(claim, false, now);
       }
-      case DIRECT -> {
-        // Undecided until the worker's answer to the command, or its loss, is known.
+      default -> {
+        // Sent directly: undecided until the worker's answer to the command, or its loss, is known.
       }
     }
     if (claim.launch == Claim.Launch.NONE
--- a/src/main/java/graderelay/core/CommandDeliveryEvents.java
+++ b/src/main/java/graderelay/core/CommandDeliveryEvents.java
@@ -57,15 +57,14 @@
     if (!underWay) {
       return;
     }
-    switch (delivery) {
-      case EXECUTED -> claim.launch = Claim.Launch.CONFIRMED;
-      case REFUSED, NEVER_LEFT -> {
-        claim.launch = Claim.Launch.NONE;
-        if (claim.job.cancelRequested || claim.stopRequested) {
-          records.end(claim, false, now);
-        }
-      }
-      case UNKNOWN -> claim.launch = Claim.Launch.UNACKNOWLEDGED;
+    claim.launch =
+        switch (delivery) {
+          case EXECUTED -> Claim.Launch.CONFIRMED;
+          case REFUSED, NEVER_LEFT -> Claim.Launch.NONE;
+          case UNKNOWN -> Claim.Launch.UNACKNOWLEDGED;
+        };
+    if (claim.launch == Claim.Launch.NONE && (claim.job.cancelRequested || claim.stopRequested)) {
+      records.end(claim, false, now);
     }
   }
 }
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -80,7 +80,7 @@
       freeCpus = 0;
       cluster.examinedCount += usable.size();
       for (Machine machine : usable) {
-        freeCpus += machine.capacity.cpus() - machine.used.cpus();
+        freeCpus += machine.freeCpus();
       }
       countedClaims = claims.size();
     }
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -83,10 +83,12 @@
   /** What the transaction's task batches say has been taken before. */
   private void onAccountsAnswer(
       List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
-    switch (outcome) {
-      case COMMITTED -> cluster.admission.committed(accounts, revision);
-      case REFUSED -> cluster.admission.refused(accounts);
-      case UNKNOWN -> cluster.admission.unanswered(accounts);
+    if (outcome == TransactionOutcome.COMMITTED) {
+      cluster.admission.committed(accounts, revision);
+    } else if (outcome == TransactionOutcome.REFUSED) {
+      cluster.admission.refused(accounts);
+    } else {
+      cluster.admission.unanswered(accounts);
     }
   }
 
--- a/src/main/java/graderelay/core/HeartbeatIntake.java
+++ b/src/main/java/graderelay/core/HeartbeatIntake.java
@@ -48,7 +48,7 @@
       return false; // Delayed on the way: its list is older than what we know.
     }
     boolean first = !machine.heartbeatReceived;
-    boolean wasAvailable = MachineAvailability.isAvailable(cluster, machine, now);
+    final boolean wasAvailable = MachineAvailability.isAvailable(cluster, machine, now);
     if (first || machine.type == null || !machine.type.equals(heartbeat.type())) {
       cluster.setTypeAndZone(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
     }
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -184,7 +184,7 @@
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
     return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= capacity.cpus() - used.cpus() + Resources.SLACK
+        && need.cpus() <= freeCpus() + Resources.SLACK
         && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
         && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
@@ -194,6 +194,11 @@
     return capacity.minus(used);
   }
 
+  /** The CPUs of {@link #free()}, without an object for each question. */
+  double freeCpus() {
+    return capacity.cpus() - used.cpus();
+  }
+
   /** Counts a claim that was just added to {@link #claims}. */
   void allocate(Claim c) {
     used = used.plus(c.resources());
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -45,10 +45,10 @@
 
   PlacementRound(ClusterState cluster, RandomGenerator random) {
     this.cluster = cluster;
-    PlacementRules rules = new PlacementRules(cluster);
     this.quota = new QuotaGate(cluster);
     this.order = new QueueOrder(cluster);
     this.reservations = new CommitReservations(cluster);
+    PlacementRules rules = new PlacementRules(cluster);
     this.placer = new JobPlacer(cluster, random, rules, quota);
     this.preemption = new Preemption(cluster, rules, quota);
   }
@@ -70,10 +70,10 @@
     if (queue.isEmpty()) {
       return claims;
     }
-    List<Machine> usable = usableMachines(now);
     queue.sort(null);
     quota.reserveForStarvedJobs(now);
     reservations.reserve(queue, now);
+    List<Machine> usable = usableMachines(now);
     Context context = new Context(usable, withRoom(usable, queue), claims, now);
     int changesLeft = changes - startOverdueJobs(queue, context);
     for (int from = 0, to; from < queue.size(); from = to) {
@@ -175,7 +175,7 @@
     double smallest = leastCpus - Resources.SLACK;
     List<Machine> withRoom = new ArrayList<>();
     for (Machine machine : usable) {
-      if (machine.capacity.cpus() - machine.used.cpus() >= smallest) {
+      if (machine.freeCpus() >= smallest) {
         withRoom.add(machine);
       }
     }
--- a/src/main/java/graderelay/core/Policy.java
+++ b/src/main/java/graderelay/core/Policy.java
@@ -74,11 +74,6 @@
     return with(teams, newTuning, valueBytes, changesPerS);
   }
 
-  /** The same where the store allows no more than this many bytes a value, and changes a second. */
-  Policy within(int bytes, double changes) {
-    return with(teams, tuning, Math.min(valueBytes, bytes), Math.min(changesPerS, changes));
-  }
-
   /** The same with other guarantees and limits. */
   Policy with(List<Team> newTeams) {
     return with(newTeams, tuning, valueBytes, changesPerS);
@@ -101,4 +96,9 @@
         completionObjectivesS,
         newTuning);
   }
+
+  /** The same where the store allows no more than this many bytes a value, and changes a second. */
+  Policy within(int bytes, double changes) {
+    return with(teams, tuning, Math.min(valueBytes, bytes), Math.min(changesPerS, changes));
+  }
 }
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -74,7 +74,8 @@
       for (Job job : waiting) {
         if (job.spec.isService() == services) {
           ZoneRoom zones = ZoneRoom.of(job);
-          pack(new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareRoomMachines);
+          packGroup(
+              new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareRoomMachines);
         }
       }
       for (var spare : spareRoom.entrySet()) {
@@ -82,7 +83,7 @@
         int tasks = spare.getValue();
         if (spec.isService() == services) {
           ZoneRoom zones = ZoneRoom.ofSpareRoom(spec, tasks);
-          pack(new TaskGroup(spec, tasks, zones, true), spareRoomMachines);
+          packGroup(new TaskGroup(spec, tasks, zones, true), spareRoomMachines);
         }
       }
     }
@@ -133,7 +134,8 @@
     return tasks;
   }
 
-  private void pack(TaskGroup group, Set<Machine> spareRoomMachines) {
+  /** Puts the group into the bins there are, and adds machines to request for the rest. */
+  private void packGroup(TaskGroup group, Set<Machine> spareRoomMachines) {
     int left = fillBins(group, spareRoomMachines);
     if (left > 0) {
       addMachines(group, left);
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -41,7 +41,6 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.cluster = new ClusterState(policy, process + "-" + term);
-    PlacementRound placement = new PlacementRound(cluster, random);
     this.planner = new FleetPlanner(cluster, now);
     cluster.term = term;
     cluster.firstTerm = term;
@@ -50,11 +49,7 @@
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
-    TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
-    CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
-    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
     this.workers = WorkerTasks.create(cluster, records);
-    TerminationProofs proofs = new TerminationProofs(cluster, records);
     DeletedMachines deleted = new DeletedMachines();
     ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
     this.heartbeats =
@@ -62,6 +57,7 @@
     this.responses = new HeartbeatResponses(cluster);
     this.deliveries = new CommandDeliveryEvents(cluster, records, heartbeats);
     this.jobEvents = new JobRecordEvents(cluster, planner, records, workers.stops());
+    TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
     this.answers =
         new CompareAndSwapAnswers(
             cluster,
@@ -69,8 +65,12 @@
             inFlight,
             (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
     this.quota = new QuotaUpdates(cluster, records, policy.teams());
+    TerminationProofs proofs = new TerminationProofs(cluster, records);
     this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stops());
     this.views = new AdminViews(cluster);
+    PlacementRound placement = new PlacementRound(cluster, random);
+    CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
+    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
     this.rounds =
         new SchedulingRounds(
             cluster, placement, planner, writer, jobEnds, workers, proofs, machineEvents, quota);
--- a/src/main/java/graderelay/core/SilentWorkerProbes.java
+++ b/src/main/java/graderelay/core/SilentWorkerProbes.java
@@ -28,7 +28,7 @@
     for (boolean services : new boolean[] {true, false}) {
       for (Machine machine : cluster.machines.values()) {
         if (hasServices(machine) == services && isDue(machine, now)) {
-          probe(machine, now);
+          sendProbe(machine, now);
         }
       }
     }
@@ -58,7 +58,7 @@
         && now - machine.lastHeartbeatAt > cluster.policy.heartbeatIntervalS() * SILENT_INTERVALS;
   }
 
-  private void probe(Machine machine, double now) {
+  private void sendProbe(Machine machine, double now) {
     double reserve =
         hasServices(machine)
             ? DirectCommandRate.RESERVE_FOR_SERVICES
