--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -16,65 +16,65 @@
   /** One line on each machine, {@code now} in seconds on this leader's clock. */
   List<Scheduler.MachineView> machines(double now) {
     List<Scheduler.MachineView> views = new ArrayList<>();
-    for (Machine m : cluster.machines.values()) {
-      String state = stateOf(m, now);
+    for (Machine machine : cluster.machines.values()) {
+      String state = stateOf(machine, now);
       views.add(
           new Scheduler.MachineView(
-              m.name,
-              m.type,
-              m.zone,
-              m.spot,
+              machine.name,
+              machine.type,
+              machine.zone,
+              machine.spot,
               state,
-              m.claims.size(),
-              m.used.cpus(),
-              m.capacity.cpus(),
-              now - m.lastHeartbeatAt));
+              machine.claims.size(),
+              machine.used.cpus(),
+              machine.capacity.cpus(),
+              now - machine.lastHeartbeatAt));
     }
     return views;
   }
 
   /** The machine's state as the administration API shows it; the first that holds counts. */
-  private static String stateOf(Machine m, double now) {
-    if (m.scalingIn) {
+  private static String stateOf(Machine machine, double now) {
+    if (machine.scalingIn) {
       return "returning";
     }
-    if (!m.heartbeatReceived) {
+    if (!machine.heartbeatReceived) {
       return "booting";
     }
-    if (m.leaseExpired) {
+    if (machine.leaseExpired) {
       return "silent";
     }
-    if (m.interruptionAt != null) {
+    if (machine.interruptionAt != null) {
       return "noticed";
     }
-    if (m.drain || m.operatorDrain) {
+    if (machine.drain || machine.operatorDrain) {
       return "draining";
     }
-    if (m.cordoned) {
+    if (machine.cordoned) {
       return "cordoned";
     }
-    return now < m.quarantineUntil ? "quarantined" : "up";
+    return now < machine.quarantineUntil ? "quarantined" : "up";
   }
 
   /** How a team stands; for the administration API. */
   Scheduler.TeamUsage teamUsage(String team) {
     long tasks = 0;
     Amount waiting = Amount.NONE;
-    for (Job j : cluster.jobs.values()) {
-      if (j.waiting() && j.spec.team().equals(team)) {
-        tasks += j.openTasks.cardinality();
-        waiting = waiting.plus(j.taskAmount.times(j.openTasks.cardinality()));
+    for (Job job : cluster.jobs.values()) {
+      if (job.waiting() && job.spec.team().equals(team)) {
+        tasks += job.openTasks.cardinality();
+        waiting = waiting.plus(job.taskAmount.times(job.openTasks.cardinality()));
       }
     }
     return new Scheduler.TeamUsage(cluster.admission.standing(team), tasks, waiting);
   }
 
   /** Why a job has tasks that wait, or null if it is not known or has none. */
-  String whyWaiting(String job) {
-    Job j = cluster.jobs.get(job);
-    if (j != null && j.awaitsDependencies() && !j.cancelRequested) {
-      return "it needs " + String.join(", ", new TreeSet<>(j.pendingDependencies));
+  String whyWaiting(String id) {
+    Job job = cluster.jobs.get(id);
+    if (job != null && job.awaitsDependencies() && !job.cancelRequested) {
+      return "it needs " + String.join(", ", new TreeSet<>(job.pendingDependencies));
     }
-    return j == null || !j.waiting() ? null : j.waitReason;
+    return job == null || !job.waiting() ? null : job.waitReason;
   }
 }
--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -108,7 +108,7 @@
     return slowestS;
   }
 
-  /** The boot time that the cloud promises for the type, in seconds; 0 for an unknown type. */
+  /** The boot time that the cloud states for the type, in seconds; 0 for an unknown type. */
   private double nominalS(String type) {
     MachineType machineType = cluster.types.get(type);
     return machineType == null ? 0 : machineType.bootS();
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -121,8 +121,8 @@
 
   /**
    * True if the job should start sooner than its image can be fetched, and work that it may preempt
-   * stands on a machine that has the image. Only for a moment: after that any room will do. Worked
-   * out once for the job.
+   * runs on a machine that has the image. Only for a short time: after that any room will do.
+   * Worked out once for the job.
    */
   boolean warmRoomCanBeMade(List<Machine> usable, double now) {
     if (warmRoomCanBeMade == null) {
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -110,10 +110,12 @@
     this.quotas = new TeamQuotas(this);
   }
 
-  /** Machines are shared out anew among the records, so that all of them have to be written. */
+  /**
+   * Redistributes the machines among so many image records, all of which have to be written again.
+   */
   void imageParts(int parts) {
     imageParts = parts;
-    machines.values().forEach(m -> m.imagesChanged = !m.images.isEmpty());
+    machines.values().forEach(machine -> machine.imagesChanged = !machine.images.isEmpty());
   }
 
   /** Adds a line to the log. */
@@ -123,23 +125,23 @@
 
   /** The machine of this name, which is added if it is not known yet. */
   Machine getOrAddMachine(String name, double now) {
-    Machine m = machines.get(name);
-    if (m == null) {
-      m = new Machine(name, now);
+    Machine machine = machines.get(name);
+    if (machine == null) {
+      machine = new Machine(name, now);
       for (String image : knownImages.getOrDefault(name, List.of())) {
-        m.learnImage(image, now);
+        machine.learnImage(image, now);
       }
-      m.imagesChanged = false;
-      machines.put(name, m);
+      machine.imagesChanged = false;
+      machines.put(name, machine);
     }
-    return m;
+    return machine;
   }
 
   /** Counts a claim in every sum. */
   void addClaim(Claim claim, double now) {
-    Machine m = getOrAddMachine(claim.machine, now);
-    m.claims.put(claim.taskId(), claim);
-    m.allocate(claim);
+    Machine machine = getOrAddMachine(claim.machine, now);
+    machine.claims.put(claim.taskId(), claim);
+    machine.allocate(claim);
     byPriority.add(claim.priority);
     quotas.allocate(claim.job.spec.team(), claim.resources());
     if (claim.phase == Claim.Phase.CLAIMING) {
@@ -147,9 +149,9 @@
     }
     claim.job.claims.put(claim.task, claim);
     claim.job.openTasks.clear(claim.task);
-    if (m.zone != null) {
-      claim.job.zoneClaims.merge(m.zone, 1, Integer::sum);
-      claim.zone = m.zone;
+    if (machine.zone != null) {
+      claim.job.zoneClaims.merge(machine.zone, 1, Integer::sum);
+      claim.zone = machine.zone;
     }
   }
 
@@ -161,17 +163,17 @@
 
   /** Takes a claim out of every sum; does nothing if it was taken out before. */
   void removeClaim(Claim claim, double now) {
-    Machine m = getOrAddMachine(claim.machine, now);
-    if (!m.claims.remove(claim.taskId(), claim)) {
+    Machine machine = getOrAddMachine(claim.machine, now);
+    if (!machine.claims.remove(claim.taskId(), claim)) {
       return;
     }
-    m.release(claim);
+    machine.release(claim);
     byPriority.remove(claim.priority);
     stoppingClaims.remove(claim);
     maybeEndedJobs.add(claim.job);
     roomVersion++;
-    if (m.claims.isEmpty()) {
-      m.idleSince = now;
+    if (machine.claims.isEmpty()) {
+      machine.idleSince = now;
     }
     quotas.release(claim.job.spec.team(), claim.resources());
     if (claim.phase == Claim.Phase.CLAIMING) {
@@ -194,15 +196,15 @@
     stoppingClaims.add(claim);
   }
 
-  /** Learns where a machine stands; claims loaded before that are counted in its zone now. */
-  void setTypeAndZone(Machine m, String type, String zone, boolean spot) {
-    m.type = type;
-    m.spot = spot;
-    MachineType t = types.get(type);
-    m.capacity = t == null ? Resources.NONE : Resources.of(t);
-    if (m.zone == null && zone != null) {
-      m.zone = zone;
-      for (Claim claim : m.claims.values()) {
+  /** Sets a machine's type and zone; claims loaded before that are counted in its zone now. */
+  void setTypeAndZone(Machine machine, String type, String zone, boolean spot) {
+    machine.type = type;
+    machine.spot = spot;
+    MachineType machineType = types.get(type);
+    machine.capacity = machineType == null ? Resources.NONE : Resources.of(machineType);
+    if (machine.zone == null && zone != null) {
+      machine.zone = zone;
+      for (Claim claim : machine.claims.values()) {
         if (claim.zone == null) {
           claim.zone = zone;
           claim.job.zoneClaims.merge(zone, 1, Integer::sum);
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Writes the latest arrivals of each class for the next leader, if they changed; now and then.
+   * Stores the latest arrivals of each class for the next leader, if they changed; at intervals.
    */
   void store(double now) {
     if (!changedSinceStored || now - lastStored < STORE_EVERY_S) {
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -110,7 +110,7 @@
     return all;
   }
 
-  /** Works out anew which dependencies are urgent; to be called now and then. */
+  /** Recomputes which dependencies are urgent; to be called periodically. */
   void updateUrgency(double now) {
     for (String id : dependents.keySet()) {
       Job dependency = cluster.jobs.get(id);
--- a/src/main/java/graderelay/core/DependencyUrgency.java
+++ b/src/main/java/graderelay/core/DependencyUrgency.java
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Works out anew whether a job that others depend on has to hurry for them. */
+  /** Recomputes whether a job that others depend on has to hurry for them. */
   void update(Job job, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     job.updateUrgency(estimate.applyAsDouble(job.spec), startObjectiveS, now);
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Consolidation before scale in: marks as closing the on-demand machines that deadlines don't need,
- * the dearest first. Arrays on them run to their end; {@link ServiceMoves} moves their services
- * off. A closing machine is scaled in once it is empty.
+ * Consolidation before scale in: closes the on-demand machines that deadlines don't need, the
+ * dearest first. Arrays on them run to their end; {@link ServiceMoves} moves their services off. A
+ * closing machine is scaled in once it is empty.
  */
 final class FleetConsolidation {
   /** Seconds that a machine is charged at least; before that there is nothing to save. */
@@ -25,7 +25,9 @@
   /** Machines looked at in one plan as candidates for closing, for each thousand machines. */
   private static final int CANDIDATES_PER_THOUSAND = 8;
 
-  /** Share of a machine's own size that must be left over when it is closed: no to and fro. */
+  /**
+   * Share of a machine's own size that must be left over when it is closed, against oscillation.
+   */
   private static final double LEFT_OVER_SHARE = 0.5;
 
   /** Jobs of the largest size seen that warm machines must have room for when one is closed. */
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -91,7 +91,9 @@
     return deferrable;
   }
 
-  /** Plans the fleet and adds the scale-out, scale-in and record actions to the cluster's out. */
+  /**
+   * Plans the fleet and adds the scale-out, scale-in and record actions to the cluster's actions.
+   */
   void plan(double now) {
     if (cluster.types.isEmpty()) {
       return;
--- a/src/main/java/graderelay/core/Heartbeat.java
+++ b/src/main/java/graderelay/core/Heartbeat.java
@@ -6,7 +6,7 @@
 
 /**
  * A worker's heartbeat with status: what it says of itself and of the task attempts it holds. The
- * wire calls it a report ({@code graderelay.wire.WorkerCodec} maps it once).
+ * wire protocol calls it a report ({@code graderelay.wire.WorkerCodec} maps it once).
  *
  * @param session the worker's incarnation (agent epoch); a restarted worker has a larger one
  * @param seq the heartbeat's sequence number within its incarnation
--- a/src/main/java/graderelay/core/HeartbeatIntake.java
+++ b/src/main/java/graderelay/core/HeartbeatIntake.java
@@ -63,7 +63,8 @@
     if (first) {
       machine.idleSince = now;
       planner.onUp(machine, now);
-      cluster.log("machine " + machine.name + " reports: " + machine.type + " in " + machine.zone);
+      cluster.log(
+          "machine " + machine.name + " sends heartbeats: " + machine.type + " in " + machine.zone);
     }
     takeInterruptionNotice(machine, heartbeat, now);
     learnImages(machine, heartbeat, now);
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -39,7 +39,7 @@
     lastStored = now;
     int partCount = cluster.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(cluster);
     if (partCount > cluster.imageParts) {
-      // It does not shrink with the fleet, or it would go to and fro.
+      // It does not shrink with the fleet, or it would oscillate.
       cluster.imageParts(partCount);
     }
     Map<Integer, Map<String, List<String>>> parts = changedParts();
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -100,7 +100,7 @@
   /** When it could begin: its submission, or the end of the last job it needed. */
   double eligibleSince;
 
-  /** When the queue's head began to wait; for fairness and for the operator's question why. */
+  /** When the queue's head began to wait; for fairness, and to tell operators why it waits. */
   double waitingSince;
 
   /** No task is placed before this time, after failures on several machines. */
@@ -255,8 +255,8 @@
 
   /** When it has to be done, on our clock, or infinite. */
   double dueAt() {
-    double own =
+    double ownDueAt =
         spec.deadlineS() == null ? Double.POSITIVE_INFINITY : acceptedAt + spec.deadlineS();
-    return Math.min(own, dependentsDueAt);
+    return Math.min(ownDueAt, dependentsDueAt);
   }
 }
--- a/src/main/java/graderelay/core/JobPlacer.java
+++ b/src/main/java/graderelay/core/JobPlacer.java
@@ -61,7 +61,7 @@
     return null;
   }
 
-  /** The job is left out of rounds for a moment, or until room is given back. */
+  /** Leaves the job out of rounds for a short pause, or until room is freed. */
   private void noRoomFound(Job job, double now) {
     job.noRoomVersion = cluster.roomVersion;
     job.noRoomSince = now;
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -6,9 +6,10 @@
 /**
  * The controllers that may renew workers' leases in a zone that is cut off, as the leader counts
  * it. A lease delegate answers its zone's workers by itself, without commands, only while it
- * reaches neither the leader nor the key-value store, and only for so long after the leader's last
- * word. Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed
- * until its grant has run out; from one that speaks we know that it does not answer by itself.
+ * reaches neither the leader nor the key-value store, and only for a limited time after the
+ * leader's last grant. Nothing is known of a lease delegate that is silent, so its zone's leases
+ * count as renewed until its grant has run out; from one that speaks we know that it does not
+ * answer by itself.
  */
 final class LeaseDelegates {
   /**
@@ -29,10 +30,10 @@
       double aloneS) {}
 
   /**
-   * A lease delegate gives its grants back, since it reaches the key-value store but not us.
+   * A lease delegate releases its grants, since it reaches the key-value store but not the leader.
    *
    * @param process tells its process from earlier ones of the same member
-   * @param number number of the last request whose grant is given back
+   * @param number number of the last request whose grant is released
    * @param grantTerm term of the leader whose grant it has
    * @param aloneS seconds since it last answered by itself, or since its process began
    */
@@ -51,7 +52,7 @@
     /** When we sent the last grant that it is known to have heard of. */
     double heardAt = Double.NEGATIVE_INFINITY;
 
-    /** When it may last have answered its workers by itself, as far as it told. */
+    /** When it may last have answered its workers by itself, as far as it has said. */
     double aloneAt = Double.NEGATIVE_INFINITY;
 
     LeaseDelegate(String zone, double grantedUntil) {
@@ -105,7 +106,7 @@
     return true;
   }
 
-  /** Takes grants back, unless one was granted since: that may hold. */
+  /** Withdraws the member's grants, unless it was granted one since, which may be in effect. */
   void release(GrantRelease release, double now) {
     LeaseDelegate delegate = byMember.get(release.member());
     if (delegate != null
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -200,21 +200,22 @@
   }
 
   /** Counts a claim that was just added to {@link #claims}. */
-  void allocate(Claim c) {
-    used = used.plus(c.resources());
-    byPriority.add(c.priority);
-    if (c.job.spec.isService()) {
-      serviceResources = serviceResources.plus(c.resources());
+  void allocate(Claim claim) {
+    used = used.plus(claim.resources());
+    byPriority.add(claim.priority);
+    if (claim.job.spec.isService()) {
+      serviceResources = serviceResources.plus(claim.resources());
     }
   }
 
   /** Takes out a claim that was just removed from {@link #claims}. */
-  void release(Claim c) {
+  void release(Claim claim) {
     // An empty machine starts from nothing, so that rounding doesn't add up.
-    used = claims.isEmpty() ? Resources.NONE : used.minus(c.resources());
-    byPriority.remove(c.priority);
-    if (c.job.spec.isService()) {
-      serviceResources = claims.isEmpty() ? Resources.NONE : serviceResources.minus(c.resources());
+    used = claims.isEmpty() ? Resources.NONE : used.minus(claim.resources());
+    byPriority.remove(claim.priority);
+    if (claim.job.spec.isService()) {
+      serviceResources =
+          claims.isEmpty() ? Resources.NONE : serviceResources.minus(claim.resources());
     }
   }
 
--- a/src/main/java/graderelay/core/MachineAvailability.java
+++ b/src/main/java/graderelay/core/MachineAvailability.java
@@ -15,27 +15,27 @@
    * this leader (a copy of a heartbeat from before the failover can't), and nothing is known
    * against it.
    */
-  static boolean isAvailable(ClusterState cluster, Machine m, double now) {
-    return m.heartbeatReceived
-        && !m.leaseExpired
-        && m.answersLostSince == null
-        && m.lastSeenTerm >= cluster.firstTerm
-        && !m.drain
-        && !m.cordoned
-        && !m.scalingIn
-        && m.interruptionAt == null
-        && now >= m.quarantineUntil
-        && m.capacity.cpus() > 0
-        && secondsSilent(m, now) < silentAfter(cluster);
+  static boolean isAvailable(ClusterState cluster, Machine machine, double now) {
+    return machine.heartbeatReceived
+        && !machine.leaseExpired
+        && machine.answersLostSince == null
+        && machine.lastSeenTerm >= cluster.firstTerm
+        && !machine.drain
+        && !machine.cordoned
+        && !machine.scalingIn
+        && machine.interruptionAt == null
+        && now >= machine.quarantineUntil
+        && machine.capacity.cpus() > 0
+        && secondsSilent(machine, now) < silentAfter(cluster);
   }
 
   /** True if the machine has sent no heartbeat for longer than a little more than two intervals. */
-  static boolean isSilent(ClusterState cluster, Machine m, double now) {
-    return secondsSilent(m, now) > silentAfter(cluster);
+  static boolean isSilent(ClusterState cluster, Machine machine, double now) {
+    return secondsSilent(machine, now) > silentAfter(cluster);
   }
 
-  private static double secondsSilent(Machine m, double now) {
-    return now - m.lastHeartbeatAt;
+  private static double secondsSilent(Machine machine, double now) {
+    return now - machine.lastHeartbeatAt;
   }
 
   private static double silentAfter(ClusterState cluster) {
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -90,7 +90,7 @@
       if (machine == null || !machine.scalingIn) {
         continue;
       }
-      proofs.machineGone(machine, "it was given back", now);
+      proofs.machineGone(machine, "it was scaled in", now);
       deleted.add(name);
       toForget.add(name);
     }
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -11,7 +11,7 @@
  * stopped. {@link JobPlacer} places the tasks of one job.
  */
 final class PlacementRound {
-  /** Seconds for which a job that found no room waits while no room was given back. */
+  /** Seconds for which a job that found no room waits while no room was freed. */
   private static final double NO_ROOM_PAUSE_S = 0.25;
 
   /**
--- a/src/main/java/graderelay/core/PreemptionOffers.java
+++ b/src/main/java/graderelay/core/PreemptionOffers.java
@@ -43,7 +43,7 @@
     this.rules = rules;
   }
 
-  /** Counts anew what teams are about to lose. */
+  /** Recounts what teams are about to lose. */
   void beginRound() {
     stopping.clear();
     for (Claim claim : cluster.stoppingClaims) {
@@ -111,7 +111,7 @@
     cluster.examinedCount += machine.claims.size();
     for (Claim claim : machine.claims.values()) {
       if (claim.stopRequested || claim.phase == Claim.Phase.ENDING) {
-        // Its room comes back soon, but it is promised to whom it was stopped for, if anybody.
+        // Its room is free soon, but reserved for the job it was preempted for, if any.
         if (claim.preemptedFor == null) {
           free = free.plus(claim.resources());
         }
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -21,7 +21,7 @@
   /**
    * Chooses, once a round, the job of each team for which room is reserved. A job as large as its
    * team's limit would never begin beside a stream of small ones, each of which takes what the last
-   * one gave back.
+   * one released.
    */
   void reserveForStarvedJobs(double now) {
     reservedFor.clear();
@@ -38,10 +38,10 @@
   }
 
   /** The one of two jobs that the queue puts first: by priority, then by age. */
-  private static Job goesBefore(Job a, Job b) {
-    int order = a.priority().compareTo(b.priority());
-    boolean first = order != 0 ? order < 0 : a.eligibleSince <= b.eligibleSince;
-    return first ? a : b;
+  private static Job goesBefore(Job one, Job other) {
+    int byPriority = one.priority().compareTo(other.priority());
+    boolean oneFirst = byPriority != 0 ? byPriority < 0 : one.eligibleSince <= other.eligibleSince;
+    return oneFirst ? one : other;
   }
 
   /** True if the team's limit has room for one more task beside what is reserved. */
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -23,8 +23,8 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the task
-   * batches of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be called after the
+   * task batches of the same store update were taken in.
    */
   void onQuota(StoredQuota stored) {
     cluster.roundNeeded = true;
@@ -41,7 +41,7 @@
     }
     cluster.admission.update(stored);
     cluster.policy = cluster.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
-    tellDifferences();
+    addDiscrepancies();
   }
 
   private static List<Team> teams(StoredQuota stored) {
@@ -57,13 +57,14 @@
     return teams;
   }
 
-  void tellDifferences() {
-    for (AccountDiscrepancy d : cluster.admission.takeDiscrepancies()) {
-      cluster.actions.add(new Action.DifferenceFound(d));
+  /** Adds an action for each account that was found to differ from its committed claims. */
+  void addDiscrepancies() {
+    for (AccountDiscrepancy discrepancy : cluster.admission.takeDiscrepancies()) {
+      cluster.actions.add(new Action.DifferenceFound(discrepancy));
     }
   }
 
-  /** An operator wants a team's account written anew from its committed claims. */
+  /** An operator has a team's account rewritten from its committed claims. */
   void replaceAccount(String team) {
     cluster.admission.replaceAccount(team);
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -116,24 +116,24 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the task
-   * batches of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be called after the
+   * task batches of the same store update were taken in.
    */
   public void onQuota(StoredQuota stored) {
     quota.onQuota(stored);
   }
 
-  /** An operator wants a team's account written anew from its committed claims. */
+  /** An operator has a team's account rewritten from its committed claims. */
   public void replaceAccount(String team) {
     quota.replaceAccount(team);
   }
 
-  /** What an earlier leader kept of the demand. */
+  /** The arrivals of work, by job class, that an earlier leader stored. */
   public void onDemand(List<Action.Demand> classes, double now) {
-    classes.forEach(d -> planner.onDemand(d, now));
+    classes.forEach(classDemand -> planner.onDemand(classDemand, now));
   }
 
-  /** What an earlier leader kept of the images on machines; to be told before the task batches. */
+  /** The images on machines that an earlier leader stored; to be called before the task batches. */
   public void onImages(Map<String, List<String>> machines) {
     cluster.knownImages.putAll(machines);
   }
@@ -216,7 +216,7 @@
   }
 
   /**
-   * A lease delegate that doesn't reach us has given back its grants, up to the one for its request
+   * A lease delegate that doesn't reach us has released its grants, up to the one for its request
    * {@code number}; see {@link #onDelegate}.
    */
   public void onDelegateReleased(
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -67,7 +67,7 @@
       cluster.roundNeeded = true;
     }
     step(now);
-    quota.tellDifferences();
+    quota.addDiscrepancies();
   }
 
   /** Asks the store for the final records of DAG dependencies whose end is not known yet. */
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -74,20 +74,20 @@
       return;
     }
     int left = most;
-    Map<Machine, Resources> promised = new HashMap<>();
+    Map<Machine, Resources> planned = new HashMap<>();
     for (Machine machine : onDemand) {
       if (!machine.consolidating) {
         continue;
       }
       for (Claim claim : machine.claims.values()) {
         Machine target =
-            settled(claim, now) ? target(claim, machine, onDemand, promised, now) : null;
+            settled(claim, now) ? target(claim, machine, onDemand, planned, now) : null;
         if (target == null) {
           continue;
         }
         cluster.requestStop(claim, now);
         lastMove = now;
-        promised.merge(target, claim.resources(), Resources::plus);
+        planned.merge(target, claim.resources(), Resources::plus);
         cluster.log("move " + claim.taskId() + " off " + machine.name);
         if (--left <= 0) {
           return;
@@ -108,13 +108,13 @@
   /**
    * The first machine that takes the service, or null.
    *
-   * @param promised what other moves of this plan will take there
+   * @param planned what the moves of this plan so far will take on each machine
    */
   private Machine target(
       Claim claim,
       Machine from,
       List<Machine> onDemand,
-      Map<Machine, Resources> promised,
+      Map<Machine, Resources> planned,
       double now) {
     for (Machine target : onDemand) {
       if (target != from
@@ -122,14 +122,14 @@
           && target.holds(claim.resources())
           && suits(claim, target)
           && MachineAvailability.isAvailable(cluster, target, now)
-          && freeBeside(promised, target).holds(claim.resources())) {
+          && freeBeside(planned, target).holds(claim.resources())) {
         return target;
       }
     }
     return null;
   }
 
-  private static Resources freeBeside(Map<Machine, Resources> promised, Machine machine) {
-    return machine.free().minus(promised.getOrDefault(machine, Resources.NONE));
+  private static Resources freeBeside(Map<Machine, Resources> planned, Machine machine) {
+    return machine.free().minus(planned.getOrDefault(machine, Resources.NONE));
   }
 }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -163,9 +163,9 @@
   }
 
   /** Counts what a task batch's committed claims take, where stored limits are switched on. */
-  void track(Job job, TaskBatchKey key, TaskBatchRecord r, long revision) {
+  void track(Job job, TaskBatchKey key, TaskBatchRecord record, long revision) {
     if (cluster.admission.enabled()) {
-      Amount use = job.taskAmount.times(r.claimedCount());
+      Amount use = job.taskAmount.times(record.claimedCount());
       cluster.admission.committed().put(job.spec.id(), key.index(), job.spec.team(), revision, use);
     }
   }
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -13,6 +13,12 @@
   /** Bytes that one task takes in a task batch record at most, machine name included. */
   public static final int BATCH_BYTES_PER_TASK = 32;
 
+  /** Bytes of an empty record's stored form, at most. */
+  private static final int EMPTY_BYTES = 32;
+
+  /** Below this a number is one character of one byte, see the codec; the backslash takes two. */
+  private static final int ONE_BYTE = 50;
+
   private final int[] attempts;
   private final String[] machines;
   private final long[] sessions;
@@ -65,20 +71,20 @@
 
   /** The number of tasks that are done. */
   public int doneCount() {
-    int n = 0;
-    for (boolean d : done) {
-      n += d ? 1 : 0;
+    int count = 0;
+    for (boolean taskDone : done) {
+      count += taskDone ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
   /** The number of tasks that are claimed on a machine. */
   public int claimedCount() {
-    int n = 0;
-    for (String m : machines) {
-      n += m != null ? 1 : 0;
+    int count = 0;
+    for (String machine : machines) {
+      count += machine != null ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
   /** True if it is to be stored in fewer bytes, in a form that earlier versions can't read. */
@@ -88,39 +94,41 @@
 
   /** The same, to be stored in that form. */
   public TaskBatchRecord packedCopy() {
-    TaskBatchRecord r = copy();
-    r.packed = true;
-    return r;
+    TaskBatchRecord copy = copy();
+    copy.packed = true;
+    return copy;
   }
 
   /** Bytes of its stored form at most; {@code small}: of the one with a character a task. */
   int bytes(boolean small) {
-    int n = 32;
-    Map<String, Integer> index = new HashMap<>();
+    int bytes = EMPTY_BYTES;
+    Map<String, Integer> placeByIncarnation = new HashMap<>();
     for (int i = 0; i < attempts.length; i++) {
-      String m = machines[i];
-      Integer place = m == null ? null : index.get(m + "#" + sessions[i]);
-      if (m != null && place == null) {
-        place = index.size();
-        index.put(m + "#" + sessions[i], place);
-        n += m.length() + 6 + digits(sessions[i]);
+      String machine = machines[i];
+      Integer place = null;
+      if (machine != null) {
+        String incarnation = machine + "#" + sessions[i];
+        place = placeByIncarnation.get(incarnation);
+        if (place == null) {
+          place = placeByIncarnation.size();
+          placeByIncarnation.put(incarnation, place);
+          bytes += machine.length() + 6 + digits(sessions[i]);
+        }
       }
       if (small) {
-        n += (attempts[i] < ONE_BYTE ? 1 : 3) + (place == null || place < ONE_BYTE ? 1 : 3);
+        bytes += (attempts[i] < ONE_BYTE ? 1 : 3) + (place == null || place < ONE_BYTE ? 1 : 3);
       } else {
-        n += digits(attempts[i]) + 1 + (place == null ? 3 : digits(place) + 1);
+        bytes += digits(attempts[i]) + 1 + (place == null ? 3 : digits(place) + 1);
       }
     }
-    return n;
+    return bytes;
   }
 
-  /** Below this a number is one character of one byte, see the codec; the backslash takes two. */
-  private static final int ONE_BYTE = 50;
-
-  private static int digits(long n) {
-    return Long.toString(n).length();
+  private static int digits(long number) {
+    return Long.toString(number).length();
   }
 
+  /** A copy that may be changed by {@link #claim} and {@link #release} before it is shared. */
   TaskBatchRecord copy() {
     return new TaskBatchRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
   }
@@ -140,12 +148,12 @@
   }
 
   @Override
-  public boolean equals(Object o) {
-    return o instanceof TaskBatchRecord s
-        && Arrays.equals(attempts, s.attempts)
-        && Arrays.equals(machines, s.machines)
-        && Arrays.equals(sessions, s.sessions)
-        && Arrays.equals(done, s.done);
+  public boolean equals(Object other) {
+    return other instanceof TaskBatchRecord record
+        && Arrays.equals(attempts, record.attempts)
+        && Arrays.equals(machines, record.machines)
+        && Arrays.equals(sessions, record.sessions)
+        && Arrays.equals(done, record.done);
   }
 
   @Override
--- a/src/main/java/graderelay/core/TeammateYielding.java
+++ b/src/main/java/graderelay/core/TeammateYielding.java
@@ -15,7 +15,7 @@
  * after the other. By deadline, whenever the sum is too long, the longest yields.
  */
 final class TeammateYielding {
-  /** Times its own time to the deadline that a late job yields to others at most. */
+  /** Spans from acceptance to due time by which a job may be late before it stops yielding. */
   private static final double OVERDUE_SPANS = 2;
 
   /**
