--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What the core wants done outside. Whoever carries it out reports back to {@link Scheduler} under
- * the same id or names.
+ * An action that the core asks its caller to carry out. The outcome comes back as an event of
+ * {@link Scheduler} under the same id or names.
  */
 public sealed interface Action {
 
@@ -62,7 +62,7 @@
   record RaiseTerm() implements Action {}
 
   /**
-   * Keeps what the last minutes asked for, so that the next leader doesn't send machines away that
+   * Stores the demand of the last minutes, so that the next leader doesn't scale in machines that
    * will be needed. Ages are in seconds.
    */
   record KeepDemand(List<Demand> classes) implements Action {}
@@ -71,16 +71,16 @@
   record Demand(JobSpec latest, List<double[]> arrivals) {}
 
   /**
-   * Keeps which images machines have, so that the next leader finds the warm ones. {@code part} is
+   * Stores which images machines have, so that the next leader finds the warm ones. {@code part} is
    * one of a few records that share the machines.
    */
   record KeepImages(int part, Map<String, List<String>> machines) implements Action {}
 
-  /** Asks for the final records of jobs that others need. */
+  /** Asks for the final records of jobs that others depend on. */
   record FindEnds(List<String> jobs) implements Action {}
 
   /**
-   * Something to be counted.
+   * An event to be counted in the metrics.
    *
    * @param what "started", or how a task ended
    * @param waitedS seconds that a started task's job waited, or less than 0 for an end
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -33,7 +33,10 @@
     return views;
   }
 
-  /** The machine's state as the administration API shows it; the first that holds counts. */
+  /**
+   * The machine's state as the administration API shows it; the first condition that is met
+   * decides.
+   */
   private static String stateOf(Machine machine, double now) {
     if (machine.scalingIn) {
       return "returning";
@@ -56,7 +59,7 @@
     return now < machine.quarantineUntil ? "quarantined" : "up";
   }
 
-  /** How a team stands; for the administration API. */
+  /** A team's standing against its quota, and what of it waits; for the administration API. */
   Scheduler.TeamUsage teamUsage(String team) {
     long tasks = 0;
     Amount waiting = Amount.NONE;
@@ -69,7 +72,7 @@
     return new Scheduler.TeamUsage(cluster.admission.standing(team), tasks, waiting);
   }
 
-  /** Why a job has tasks that wait, or null if it is not known or has none. */
+  /** Why the job has tasks that wait, or null if the job is not known or has none. */
   String whyWaiting(String id) {
     Job job = cluster.jobs.get(id);
     if (job != null && job.awaitsDependencies() && !job.cancelRequested) {
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -89,7 +89,7 @@
   }
 
   /**
-   * The best fit of a few machines drawn at random without putting back, or null; machines that are
+   * The best fit of a few machines drawn at random without replacement, or null; machines that are
    * full by now are dropped from the pool. Drawn ones move behind the first {@code active}.
    */
   private Machine sample(List<Machine> pool) {
--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -73,7 +73,7 @@
   /** It has run for a while, which speaks for its job and its machine. */
   boolean ranLongEnough;
 
-  /** Told to stop, by us, for a reason other than its job's cancellation. */
+  /** Asked to stop by the leader for a reason other than its job's cancellation. */
   boolean stopRequested;
 
   double stopRequestedAt;
@@ -111,7 +111,7 @@
     return job.taskResources;
   }
 
-  /** True if the claim stands and nothing that could still start it is under way. */
+  /** True if the claim is live and nothing that could still start it is under way. */
   boolean neverLaunched() {
     return phase == Phase.COMMITTED && launch == Launch.NONE && !fromEarlierLeader;
   }
--- a/src/main/java/graderelay/core/CommitReservations.java
+++ b/src/main/java/graderelay/core/CommitReservations.java
@@ -6,9 +6,9 @@
 
 /**
  * Room kept in a placement round for tasks that can't be claimed yet, since a change of their task
- * batch record, or of their team's account, is on its way. Lower work would take it meanwhile and
- * be preempted for them a moment later, and again: on a full fleet an array of a hundred thousand
- * small tasks was preempted half a million times.
+ * batch record, or of their team's account, is on its way. Work of lower priority would take it
+ * meanwhile and be preempted for them a moment later, and again: on a full fleet an array of a
+ * hundred thousand small tasks was preempted half a million times.
  */
 final class CommitReservations {
   private final ClusterState cluster;
@@ -64,7 +64,7 @@
   }
 
   /**
-   * How many tasks of the job fit beside what is kept for work above it.
+   * How many tasks of the job fit beside what is reserved for work of higher priority.
    *
    * @param claims the claims of this round so far
    */
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -120,7 +120,7 @@
     return added.isEmpty() ? null : change(batch, List.of(), ended, now);
   }
 
-  /** Takes claims back that were never sent. */
+  /** Withdraws claims that were never sent. */
   private void giveUp(List<Claim> claims, double now) {
     for (Claim claim : claims) {
       cluster.removeClaim(claim, now);
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Fences accounts that somebody waits for, and lowers those that reserve too much. */
+  /** Fences accounts that a team waits for, and lowers those that reserve too much. */
   private void writeAccounts(double now) {
     if (!cluster.admission.enabled()) {
       return;
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -38,7 +38,9 @@
   /** Seconds in which all work should be done at the latest when no deadline presses. */
   private static final double RELAXED_RUN_S = 60;
 
-  /** Share of its run time that a task which overran its estimate is taken to run on. */
+  /**
+   * Share of its run time so far for which a task that overran its estimate is expected to go on.
+   */
   private static final double LEAST_REMAINING_SHARE = 0.25;
 
   /**
@@ -88,8 +90,8 @@
 
   /**
    * Jobs that may wait for room to come free instead of preempting others' work for it: they have a
-   * deadline, with time left for their tasks to run once and half again, and nothing else is wanted
-   * of their class.
+   * deadline, time is left for their tasks to run one and a half times, and their class has no
+   * objectives.
    */
   Set<Job> deferrable(double now) {
     Set<Job> jobs = new HashSet<>();
--- a/src/main/java/graderelay/core/DeletedMachines.java
+++ b/src/main/java/graderelay/core/DeletedMachines.java
@@ -24,6 +24,7 @@
     }
   }
 
+  /** True if the machine is among the deleted ones that are still remembered. */
   boolean contains(String machine) {
     return names.contains(machine);
   }
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/Dependencies.java
@@ -15,10 +15,10 @@
  * DAG dependencies between jobs: which wait for which. A job is claimed only once the committed
  * final record of each of its dependencies says done; such a record never changes, so no claim can
  * be too early, whoever leads. A job that depends on a cancelled one is cancelled with it: it can't
- * have begun, so this is a matter of records alone, which are written in their own time.
+ * have begun, so only records change, which are written as the rate of the store allows.
  */
 final class Dependencies {
-  /** Seconds between questions for the final record of a dependency that nobody has seen end. */
+  /** Seconds between requests for the final record of a dependency that was not seen to end. */
   private static final double FETCH_EVERY_S = 2;
 
   /** Final records asked for at once, a batch. */
--- a/src/main/java/graderelay/core/DependencyUrgency.java
+++ b/src/main/java/graderelay/core/DependencyUrgency.java
@@ -12,8 +12,8 @@
  */
 final class DependencyUrgency {
   /**
-   * Seconds between the end of a job and the start of one that depends on it: heartbeat, changes,
-   * image.
+   * Seconds between the end of a job and the start of one that depends on it: heartbeat,
+   * transactions, image fetch.
    */
   private static final double STAGE_S = 4;
 
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -64,7 +64,7 @@
   /** Revision of the job's own record. */
   long revision;
 
-  /** Its user, or the cancellation of a job that it needs, has asked to cancel it. */
+  /** Its user, or the cancellation of a job that it depends on, has asked to cancel it. */
   boolean cancelRequested;
 
   /** The transaction that writes its final record is under way. */
@@ -89,7 +89,7 @@
   /** Tasks that are done. */
   int doneCount;
 
-  /** Claims that already give their place up for a waiting task of this job. */
+  /** Claims that are being preempted for a waiting task of this job. */
   int pendingPreemptions;
 
   // ---------------------------------------------------------------- times, on the leader's clock
@@ -97,7 +97,7 @@
   /** When its user submitted it: its deadline counts from then, all else from eligibleSince. */
   double acceptedAt;
 
-  /** When it could begin: its submission, or the end of the last job it needed. */
+  /** When it could begin: its submission, or the end of the last job it depended on. */
   double eligibleSince;
 
   /** When the queue's head began to wait; for fairness, and to tell operators why it waits. */
@@ -144,7 +144,7 @@
    */
   final Set<String> pendingDependencies = new HashSet<>();
 
-  /** When the last job that it needed ended, so far. */
+  /** The latest end, so far, of a job that it depended on. */
   double dependenciesEndedAt = Double.NEGATIVE_INFINITY;
 
   /** When it has to be done for its dependents to be in time, or infinite. */
@@ -219,7 +219,7 @@
   }
 
   /**
-   * A dependent has this priority; claims that stand keep theirs.
+   * A dependent has this priority; live claims keep theirs.
    *
    * @return true if it is higher than the one inherited so far
    */
@@ -230,7 +230,7 @@
   }
 
   /**
-   * Looks how much time is left for its dependents.
+   * Updates whether its dependents leave it little time.
    *
    * @param estimateS how long a task of it takes, in seconds
    * @param wantedWaitS seconds within which its class should start, or null if none is wanted
@@ -253,7 +253,7 @@
     return dueAt() < Double.POSITIVE_INFINITY;
   }
 
-  /** When it has to be done, on our clock, or infinite. */
+  /** When it has to be done, in seconds on the leader's clock, or infinite. */
   double dueAt() {
     double ownDueAt =
         spec.deadlineS() == null ? Double.POSITIVE_INFINITY : acceptedAt + spec.deadlineS();
--- a/src/main/java/graderelay/core/JobEndWriter.java
+++ b/src/main/java/graderelay/core/JobEndWriter.java
@@ -51,7 +51,7 @@
       }
     }
     // Their records say already that they are cancelled, and nobody waits for their ends: hundreds
-    // that go with one job that they need must not hold up the claims of others.
+    // that go with one job that they depend on must not delay the claims of others.
     for (Job job : cancelled) {
       if (inFlight.cancelledEndsOut() > 0
           && inFlight.changesLeft() <= inFlight.mostChangesOut() / 2) {
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -2,7 +2,8 @@
 
 /**
  * Takes in job records for {@link Scheduler}: submissions, cancellations, final records and their
- * DAG dependencies. A cancelled job's claims are stopped at once, and so are the jobs that need it.
+ * DAG dependencies. A cancelled job's claims are stopped at once, and the jobs that depend on it
+ * are cancelled too.
  */
 final class JobRecordEvents {
   private final ClusterState cluster;
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Stops a cancelled job's tasks, and cancels the jobs that need it. */
+  /** Stops a cancelled job's tasks, and cancels the jobs that depend on it. */
   private void onCancellation(Job job, double now) {
     cluster.cancelledJobs.add(job);
     cluster.maybeEndedJobs.add(job);
@@ -71,7 +72,9 @@
         .forEach(dependent -> cancelWithNeeded(dependent, now));
   }
 
-  /** It needs a job that is cancelled. Nothing of it was ever claimed: its record only ends. */
+  /**
+   * It depends on a job that is cancelled. Nothing of it was ever claimed: its record only ends.
+   */
   private void cancelWithNeeded(Job dependent, double now) {
     cluster.log(dependent.spec.id() + " is cancelled with a job that it needs");
     dependent.cancelRequested = true;
@@ -80,7 +83,10 @@
     cluster.roundNeeded = true;
   }
 
-  /** The committed final record of a job, which others may need; {@code at} is when it was made. */
+  /**
+   * The committed final record of a job, which others may depend on; {@code at} is when it was
+   * made.
+   */
   void onEnd(String id, boolean cancelled, double at, double now) {
     if (!cluster.dependencies.hasDependents(id)) {
       return;
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -4,12 +4,11 @@
 import java.util.Map;
 
 /**
- * The controllers that may renew workers' leases in a zone that is cut off, as the leader counts
- * it. A lease delegate answers its zone's workers by itself, without commands, only while it
- * reaches neither the leader nor the key-value store, and only for a limited time after the
- * leader's last grant. Nothing is known of a lease delegate that is silent, so its zone's leases
- * count as renewed until its grant has run out; from one that speaks we know that it does not
- * answer by itself.
+ * The leader's record of the controllers that may renew workers' leases in a zone that is cut off.
+ * A lease delegate answers its zone's workers by itself, without commands, only while it reaches
+ * neither the leader nor the key-value store, and only for a limited time after the leader's last
+ * grant. Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed
+ * until its grant has run out; from one that speaks we know that it does not answer by itself.
  */
 final class LeaseDelegates {
   /**
@@ -18,7 +17,7 @@
    * @param process tells its process from earlier ones of the same member
    * @param number number of the request within its process
    * @param grantTerm term of the leader whose grant it has, 0 if it has none
-   * @param lastHeardAt our time of the last grant that it has heard of
+   * @param lastHeardAt the leader's time of the last grant that it has heard of
    * @param aloneS seconds since it last answered by itself, or since its process began
    */
   record GrantRequest(
--- a/src/main/java/graderelay/core/LeaseTiming.java
+++ b/src/main/java/graderelay/core/LeaseTiming.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-/** Timing of worker and leader leases that every package that reckons with leases shares. */
+/** Timing of worker and leader leases shared by every package that computes with leases. */
 public final class LeaseTiming {
   /** Seconds beyond a worker's lease: timers fire late on a starved process. */
   public static final double LEASE_MARGIN_S = 0.5;
@@ -10,7 +10,7 @@
 
   /**
    * Seconds since the leader's last answer before which a lease delegate never answers by itself:
-   * several of its questions, and less than a worker needs to find it.
+   * several of its requests, and less than a worker needs to find it.
    */
   public static final double DELEGATE_ALONE_S = 4;
 
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -30,7 +30,7 @@
   /** Where its worker takes commands, null until known. */
   String address;
 
-  /** When we first knew of it. */
+  /** When this leader first knew of it. */
   final double knownSince;
 
   /** When its creation was requested, as far as known. */
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -113,7 +113,8 @@
 
   /**
    * Places the first task of each job that has waited longest, whatever its priority; returns the
-   * records changed. On a fleet that work above it fills, a guest's job would not begin at all.
+   * records changed. On a fleet filled by work of higher priority, a job of the lowest priority
+   * would not begin at all.
    */
   private int startOverdueJobs(List<QueueOrder.Entry> queue, Context context) {
     int changed = 0;
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -73,7 +73,7 @@
 
   /**
    * True if the job should start sooner than its image can be fetched, and work that it may preempt
-   * stands on a machine that has the image.
+   * runs on a machine that has the image.
    */
   boolean warmRoomCanBeMade(Job job, List<Machine> usable, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -26,6 +26,7 @@
     private double until;
     private double pauseS = FIRST_BACKOFF_S;
 
+    /** Backs off from now on, the next time for twice as long up to the longest backoff. */
     void start(double now) {
       until = now + pauseS;
       pauseS = Math.min(LONGEST_BACKOFF_S, pauseS * 2);
@@ -41,12 +42,12 @@
     this.boots = boots;
   }
 
-  /** The pool gave fewer machines than asked for, or none. */
+  /** The pool provided fewer machines than asked for, or none. */
   void noCapacity(InstancePool pool, double now) {
     backoffs.computeIfAbsent(pool, p -> new PoolBackoff()).start(now);
   }
 
-  /** The pool gave all machines asked for. */
+  /** The pool provided all machines asked for. */
   void hadCapacity(InstancePool pool) {
     backoffs.remove(pool);
   }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -19,7 +19,8 @@
   private static final int GONE_PROBES = 2;
 
   /**
-   * Share of the on-demand machines that may be silent at most: more is a trouble of the network.
+   * Share of the on-demand machines that may be silent at most: more points to a fault of the
+   * network.
    */
   private static final double MOST_SILENT_SHARE = 0.15;
 
@@ -105,7 +106,7 @@
   /**
    * True for a silent machine that is better scaled in than waited for: its services would be down
    * until its lease expiry, while the cloud's answer to a deletion proves them gone at once. Only
-   * if it is alone in this, since otherwise the trouble may be ours.
+   * if it is alone in this, since otherwise the fault may be the leader's network.
    */
   private boolean betterReplaced(Machine machine, double now) {
     // One whose heartbeats come but that hears nothing will lose its services all the same.
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -58,7 +58,10 @@
     return null;
   }
 
-  /** Zone rules make moves of some services delicate; those stay where they are. */
+  /**
+   * True if the service may be moved to the target. Services with rules on zones stay where they
+   * are, since moves of some of them are delicate.
+   */
   private static boolean suits(Claim claim, Machine target) {
     JobSpec spec = claim.job.spec;
     return target.hasImage(spec.image())
--- a/src/main/java/graderelay/core/SilentMachines.java
+++ b/src/main/java/graderelay/core/SilentMachines.java
@@ -5,9 +5,15 @@
 
 /** How many on-demand machines are silent, in all and by zone, counted once a plan. */
 final class SilentMachines {
+  /** When the machines were counted, in seconds on the leader's clock. */
   final double countedAt;
+
+  /** Machines counted so far, silent ones included. */
   int up;
+
+  /** Those of them that are silent. */
   int silent;
+
   private final Map<String, Integer> upIn = new HashMap<>();
   private final Map<String, Integer> silentIn = new HashMap<>();
 
@@ -15,13 +21,14 @@
     countedAt = now;
   }
 
-  void count(String zone, boolean quiet) {
-    int one = quiet ? 1 : 0;
+  /** Counts one machine; {@code zone} is null while its zone is not known. */
+  void count(String zone, boolean isSilent) {
+    int silentOne = isSilent ? 1 : 0;
     up++;
-    silent += one;
+    silent += silentOne;
     if (zone != null) {
       upIn.merge(zone, 1, Integer::sum);
-      silentIn.merge(zone, one, Integer::sum);
+      silentIn.merge(zone, silentOne, Integer::sum);
     }
   }
 
--- a/src/main/java/graderelay/core/SilentWorkerProbes.java
+++ b/src/main/java/graderelay/core/SilentWorkerProbes.java
@@ -46,7 +46,10 @@
         && now - machine.lastProbeAt >= INTERVAL_S;
   }
 
-  /** Claimed by an earlier leader. Most send a heartbeat within an interval of the failover. */
+  /**
+   * True if the machine has claims of an earlier leader and has not sent this one a heartbeat. Most
+   * send a heartbeat within an interval of the failover.
+   */
   private boolean isUnheard(Machine machine, double now) {
     return !machine.heartbeatReceived
         && !machine.claims.isEmpty()
--- a/src/main/java/graderelay/core/TaskBatchChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -20,6 +20,7 @@
     return record.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK;
   }
 
+  /** The write of this change, conditioned on the revisions of the batch and of its job. */
   Action.TaskBatchPut put() {
     return new Action.TaskBatchPut(taskBatch.key, taskBatch.revision, record, job.revision);
   }
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The stored record of one task batch: up to a batch cap (the settings' task batch cap) of tasks of
- * one job array. It is the truth about which attempt of which task is claimed on which machine and
+ * The stored record of one task batch: up to as many tasks of one job array as the job's batch
+ * capacity. It is the truth about which attempt of which task is claimed on which machine and
  * incarnation (session). Immutable: a change makes a copy.
  */
 public final class TaskBatchRecord {
@@ -99,7 +99,11 @@
     return copy;
   }
 
-  /** Bytes of its stored form at most; {@code small}: of the one with a character a task. */
+  /**
+   * Upper bound on the bytes of its stored form.
+   *
+   * @param small whether it is stored in the packed form, with a character for each small number
+   */
   int bytes(boolean small) {
     int bytes = EMPTY_BYTES;
     Map<String, Integer> placeByIncarnation = new HashMap<>();
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -80,7 +80,7 @@
 
   /**
    * How many changes may be under way: what is sent beyond the rate only queues, and what comes
-   * later and is more urgent would stand behind it.
+   * later and is more urgent would queue behind it.
    */
   int mostChangesOut() {
     return Math.max(LEAST_CHANGES_OUT, (int) (cluster.policy.changesPerS() * CHANGES_OUT_S));
