--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -39,7 +39,8 @@
   private static final double RELAXED_RUN_S = 60;
 
   /**
-   * Share of its run time so far for which a task that overran its estimate is expected to go on.
+   * Share of its expected run time that a running task counts as having left at least, also once it
+   * has overrun that time.
    */
   private static final double LEAST_REMAINING_SHARE = 0.25;
 
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -166,7 +166,7 @@
     }
     double spanS = Math.max(LEAST_AVERAGING_S, Math.min(ARRIVAL_MEMORY_S, now - startedAt));
     double mean = tasks / spanS * bootS * MEAN_FACTOR;
-    // Arrays come in lumps, and several at once on a bad day.
+    // Arrays arrive in bursts, at times several at once.
     double wanted = typical.isService() ? Math.max(mean, largest) : mean + BURST_JOBS * largest;
     return wanted * cluster.policy.tuning().spareFactor();
   }
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /**
- * Consolidation before scale in: closes the on-demand machines that deadlines don't need, the
- * dearest first. Arrays on them run to their end; {@link ServiceMoves} moves their services off. A
- * closing machine is scaled in once it is empty.
+ * Consolidation before scale in: closes the on-demand machines that deadlines don't need, the most
+ * expensive first. Arrays on them run to their end; {@link ServiceMoves} moves their services off.
+ * A closing machine is scaled in once it is empty.
  */
 final class FleetConsolidation {
   /** Seconds that a machine is charged at least; before that there is nothing to save. */
@@ -110,7 +110,7 @@
     return surplusLeft;
   }
 
-  /** Closes the first machines, of those given the dearest first, that can be spared. */
+  /** Closes the first machines that can be spared, of those given the most expensive first. */
   private void closeSome(
       List<Machine> dearestFirst, double surplusCpus, Set<Machine> spareRoomMachines, double now) {
     double surplusLeft = surplusCpus;
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -8,7 +8,7 @@
 
 /**
  * The leader's view of one machine: what the cloud and its worker say of it, its lease, the claims
- * on it, and whether it may be given more.
+ * on it, and whether it may take more tasks.
  */
 final class Machine {
   /** Images remembered of a machine; only a guide for placement. */
@@ -154,7 +154,7 @@
   /** Images this machine has fetched, by last use; a guess that only guides placement. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** An image is there that no record of ours names yet. */
+  /** An image is there that none of the leader's image records names yet. */
   boolean imagesChanged;
 
   /** Images that a task here waits for, as of the last heartbeat. */
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -165,8 +165,8 @@
 
   /**
    * The machines on which the smallest task that waits may fit. Room only shrinks while a round
-   * places, so nobody finds any on the others; on a busy fleet those are most, and each job that
-   * waits would look at every one of them.
+   * places, so no job finds any on the others; on a busy fleet those are most, and each waiting job
+   * would examine all of them.
    */
   private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> queue) {
     double leastCpus = Double.MAX_VALUE;
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -103,7 +103,7 @@
 
   /**
    * Takes out the machines on which not even the smallest task of the plan fits. On a busy fleet
-   * these are most, and each job that waits would look at every one of them.
+   * these are most, and each waiting job would examine all of them.
    */
   private void dropFullBins(List<Job> waiting, Set<JobSpec> spare) {
     double leastCpus = Double.MAX_VALUE;
