--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -89,7 +89,7 @@
   }
 
   /**
-   * The best fit of a few machines drawn at random without putting back, or null; machines that are
+   * The best fit of a few machines drawn at random without replacement, or null; machines that are
    * full by now are dropped from the pool. Drawn ones move behind the first {@code active}.
    */
   private Machine sample(List<Machine> pool) {
@@ -99,10 +99,10 @@
     int active = pool.size();
     while (samplesLeft > 0 && active > 0) {
       int drawn = random.nextInt(active);
-      Machine machine = pool.get(drawn);
       active--;
-      pool.set(drawn, pool.get(active));
       cluster.examinedCount++;
+      Machine machine = pool.get(drawn);
+      pool.set(drawn, pool.get(active));
       if (!machine.holds(job.taskResources)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
@@ -110,7 +110,7 @@
       }
       pool.set(active, machine);
       samplesLeft--;
-      double cpusLeftOver = machine.capacity.cpus() - machine.used.cpus() - job.spec.cpus();
+      double cpusLeftOver = machine.freeCpus() - job.spec.cpus();
       if (chosen == null || cpusLeftOver < chosenLeftOver) {
         chosen = machine;
         chosenLeftOver = cpusLeftOver;
@@ -121,8 +121,8 @@
 
   /**
    * True if the job should start sooner than its image can be fetched, and work that it may preempt
-   * stands on a machine that has the image. Only for a moment: after that any room will do. Worked
-   * out once for the job.
+   * runs on a machine that has the image. Only for a short time: after that any room will do.
+   * Worked out once for the job.
    */
   boolean warmRoomCanBeMade(List<Machine> usable, double now) {
     if (warmRoomCanBeMade == null) {
--- a/src/main/java/graderelay/core/DependencyUrgency.java
+++ b/src/main/java/graderelay/core/DependencyUrgency.java
@@ -12,8 +12,8 @@
  */
 final class DependencyUrgency {
   /**
-   * Seconds between the end of a job and the start of one that depends on it: heartbeat, changes,
-   * image.
+   * Seconds between the end of a job and the start of one that depends on it: heartbeat,
+   * transactions, image fetch.
    */
   private static final double STAGE_S = 4;
 
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Works out anew whether a job that others depend on has to hurry for them. */
+  /** Recomputes whether a job that others depend on has to hurry for them. */
   void update(Job job, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     job.updateUrgency(estimate.applyAsDouble(job.spec), startObjectiveS, now);
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -8,7 +8,7 @@
 
 /**
  * The leader's view of one machine: what the cloud and its worker say of it, its lease, the claims
- * on it, and whether it may be given more.
+ * on it, and whether it may take more tasks.
  */
 final class Machine {
   /** Images remembered of a machine; only a guide for placement. */
@@ -30,7 +30,7 @@
   /** Where its worker takes commands, null until known. */
   String address;
 
-  /** When we first knew of it. */
+  /** When this leader first knew of it. */
   final double knownSince;
 
   /** When its creation was requested, as far as known. */
@@ -154,7 +154,7 @@
   /** Images this machine has fetched, by last use; a guess that only guides placement. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** An image is there that no record of ours names yet. */
+  /** An image is there that none of the leader's image records names yet. */
   boolean imagesChanged;
 
   /** Images that a task here waits for, as of the last heartbeat. */
@@ -184,7 +184,7 @@
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
     return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= capacity.cpus() - used.cpus() + Resources.SLACK
+        && need.cpus() <= freeCpus() + Resources.SLACK
         && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
         && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
@@ -194,22 +194,28 @@
     return capacity.minus(used);
   }
 
+  /** The CPUs of {@link #free()}, without an object for each question. */
+  double freeCpus() {
+    return capacity.cpus() - used.cpus();
+  }
+
   /** Counts a claim that was just added to {@link #claims}. */
-  void allocate(Claim c) {
-    used = used.plus(c.resources());
-    byPriority.add(c.priority);
-    if (c.job.spec.isService()) {
-      serviceResources = serviceResources.plus(c.resources());
+  void allocate(Claim claim) {
+    used = used.plus(claim.resources());
+    byPriority.add(claim.priority);
+    if (claim.job.spec.isService()) {
+      serviceResources = serviceResources.plus(claim.resources());
     }
   }
 
   /** Takes out a claim that was just removed from {@link #claims}. */
-  void release(Claim c) {
+  void release(Claim claim) {
     // An empty machine starts from nothing, so that rounding doesn't add up.
-    used = claims.isEmpty() ? Resources.NONE : used.minus(c.resources());
-    byPriority.remove(c.priority);
-    if (c.job.spec.isService()) {
-      serviceResources = claims.isEmpty() ? Resources.NONE : serviceResources.minus(c.resources());
+    used = claims.isEmpty() ? Resources.NONE : used.minus(claim.resources());
+    byPriority.remove(claim.priority);
+    if (claim.job.spec.isService()) {
+      serviceResources =
+          claims.isEmpty() ? Resources.NONE : serviceResources.minus(claim.resources());
     }
   }
 
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -11,7 +11,7 @@
  * stopped. {@link JobPlacer} places the tasks of one job.
  */
 final class PlacementRound {
-  /** Seconds for which a job that found no room waits while no room was given back. */
+  /** Seconds for which a job that found no room waits while no room was freed. */
   private static final double NO_ROOM_PAUSE_S = 0.25;
 
   /**
@@ -45,10 +45,10 @@
 
   PlacementRound(ClusterState cluster, RandomGenerator random) {
     this.cluster = cluster;
-    PlacementRules rules = new PlacementRules(cluster);
     this.quota = new QuotaGate(cluster);
     this.order = new QueueOrder(cluster);
     this.reservations = new CommitReservations(cluster);
+    PlacementRules rules = new PlacementRules(cluster);
     this.placer = new JobPlacer(cluster, random, rules, quota);
     this.preemption = new Preemption(cluster, rules, quota);
   }
@@ -70,10 +70,10 @@
     if (queue.isEmpty()) {
       return claims;
     }
-    List<Machine> usable = usableMachines(now);
     queue.sort(null);
     quota.reserveForStarvedJobs(now);
     reservations.reserve(queue, now);
+    List<Machine> usable = usableMachines(now);
     Context context = new Context(usable, withRoom(usable, queue), claims, now);
     int changesLeft = changes - startOverdueJobs(queue, context);
     for (int from = 0, to; from < queue.size(); from = to) {
@@ -113,7 +113,8 @@
 
   /**
    * Places the first task of each job that has waited longest, whatever its priority; returns the
-   * records changed. On a fleet that work above it fills, a guest's job would not begin at all.
+   * records changed. On a fleet filled by work of higher priority, a job of the lowest priority
+   * would not begin at all.
    */
   private int startOverdueJobs(List<QueueOrder.Entry> queue, Context context) {
     int changed = 0;
@@ -164,8 +165,8 @@
 
   /**
    * The machines on which the smallest task that waits may fit. Room only shrinks while a round
-   * places, so nobody finds any on the others; on a busy fleet those are most, and each job that
-   * waits would look at every one of them.
+   * places, so no job finds any on the others; on a busy fleet those are most, and each waiting job
+   * would examine all of them.
    */
   private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> queue) {
     double leastCpus = Double.MAX_VALUE;
@@ -175,7 +176,7 @@
     double smallest = leastCpus - Resources.SLACK;
     List<Machine> withRoom = new ArrayList<>();
     for (Machine machine : usable) {
-      if (machine.capacity.cpus() - machine.used.cpus() >= smallest) {
+      if (machine.freeCpus() >= smallest) {
         withRoom.add(machine);
       }
     }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -41,7 +41,6 @@
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.cluster = new ClusterState(policy, process + "-" + term);
-    PlacementRound placement = new PlacementRound(cluster, random);
     this.planner = new FleetPlanner(cluster, now);
     cluster.term = term;
     cluster.firstTerm = term;
@@ -50,11 +49,7 @@
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
-    TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
-    CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
-    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
     this.workers = WorkerTasks.create(cluster, records);
-    TerminationProofs proofs = new TerminationProofs(cluster, records);
     DeletedMachines deleted = new DeletedMachines();
     ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
     this.heartbeats =
@@ -62,6 +57,7 @@
     this.responses = new HeartbeatResponses(cluster);
     this.deliveries = new CommandDeliveryEvents(cluster, records, heartbeats);
     this.jobEvents = new JobRecordEvents(cluster, planner, records, workers.stops());
+    TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
     this.answers =
         new CompareAndSwapAnswers(
             cluster,
@@ -69,8 +65,12 @@
             inFlight,
             (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
     this.quota = new QuotaUpdates(cluster, records, policy.teams());
+    TerminationProofs proofs = new TerminationProofs(cluster, records);
     this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stops());
     this.views = new AdminViews(cluster);
+    PlacementRound placement = new PlacementRound(cluster, random);
+    CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
+    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
     this.rounds =
         new SchedulingRounds(
             cluster, placement, planner, writer, jobEnds, workers, proofs, machineEvents, quota);
@@ -116,24 +116,24 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be told after the task
-   * batches of the same moment.
+   * The stored limits and accounts, or null while they are switched off; to be called after the
+   * task batches of the same store update were taken in.
    */
   public void onQuota(StoredQuota stored) {
     quota.onQuota(stored);
   }
 
-  /** An operator wants a team's account written anew from its committed claims. */
+  /** An operator has a team's account rewritten from its committed claims. */
   public void replaceAccount(String team) {
     quota.replaceAccount(team);
   }
 
-  /** What an earlier leader kept of the demand. */
+  /** The arrivals of work, by job class, that an earlier leader stored. */
   public void onDemand(List<Action.Demand> classes, double now) {
-    classes.forEach(d -> planner.onDemand(d, now));
+    classes.forEach(classDemand -> planner.onDemand(classDemand, now));
   }
 
-  /** What an earlier leader kept of the images on machines; to be told before the task batches. */
+  /** The images on machines that an earlier leader stored; to be called before the task batches. */
   public void onImages(Map<String, List<String>> machines) {
     cluster.knownImages.putAll(machines);
   }
@@ -216,7 +216,7 @@
   }
 
   /**
-   * A lease delegate that doesn't reach us has given back its grants, up to the one for its request
+   * A lease delegate that doesn't reach us has released its grants, up to the one for its request
    * {@code number}; see {@link #onDelegate}.
    */
   public void onDelegateReleased(
--- a/src/main/java/graderelay/core/SilentWorkerProbes.java
+++ b/src/main/java/graderelay/core/SilentWorkerProbes.java
@@ -28,7 +28,7 @@
     for (boolean services : new boolean[] {true, false}) {
       for (Machine machine : cluster.machines.values()) {
         if (hasServices(machine) == services && isDue(machine, now)) {
-          probe(machine, now);
+          sendProbe(machine, now);
         }
       }
     }
@@ -46,7 +46,10 @@
         && now - machine.lastProbeAt >= INTERVAL_S;
   }
 
-  /** Claimed by an earlier leader. Most send a heartbeat within an interval of the failover. */
+  /**
+   * True if the machine has claims of an earlier leader and has not sent this one a heartbeat. Most
+   * send a heartbeat within an interval of the failover.
+   */
   private boolean isUnheard(Machine machine, double now) {
     return !machine.heartbeatReceived
         && !machine.claims.isEmpty()
@@ -58,7 +61,7 @@
         && now - machine.lastHeartbeatAt > cluster.policy.heartbeatIntervalS() * SILENT_INTERVALS;
   }
 
-  private void probe(Machine machine, double now) {
+  private void sendProbe(Machine machine, double now) {
     double reserve =
         hasServices(machine)
             ? DirectCommandRate.RESERVE_FOR_SERVICES
