--- a/src/main/java/graderelay/state/ElectionAttempt.java
+++ b/src/main/java/graderelay/state/ElectionAttempt.java
@@ -3,6 +3,7 @@
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.StateCodec;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.Optional;
 import java.util.function.Consumer;
 
@@ -56,7 +57,7 @@
         (long) (leaseS * 1000),
         created -> {
           if (created.succeeded()) {
-            sessionLease = created.sessionLease();
+            sessionLease = created.createdSessionLease();
             writeLeaderRecord();
           } else {
             done.accept(Optional.empty());
@@ -107,8 +108,8 @@
         cache.election().leaderKey(),
         Use.RENEWAL,
         result -> {
-          if (result.succeeded() && isOurRecord(result)) {
-            won(result.valueRevision());
+          if (result.succeeded() && isOurRecord(result.entry())) {
+            won(result.entry().revision());
           } else if (result.succeeded() || result.outcome() == StoreOutcome.NOT_FOUND) {
             abandon(); // A late copy of the transaction must fail.
           } else {
@@ -117,11 +118,11 @@
         });
   }
 
-  private boolean isOurRecord(StoreResult result) {
-    StateCodec.LeaderRecord record = StateCodec.decodeLeader(result.value());
+  private boolean isOurRecord(StoreEntry entry) {
+    StateCodec.LeaderRecord record = StateCodec.decodeLeader(entry.value());
     return record.member().equals(self.member())
         && record.term() == term
-        && result.sessionLease() == sessionLease;
+        && entry.sessionLease() == sessionLease;
   }
 
   private void won(long recordRevision) {
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -35,8 +35,7 @@
       }
       if (key.startsWith(suspensionPrefix)) {
         suspensions.put(
-            key.substring(suspensionPrefix.length()),
-            new StateCodec.Suspension(value.path("leaving").asText(), revision));
+            key.substring(suspensionPrefix.length()), StateCodec.decodeSuspension(value, revision));
         return true;
       }
       return false;
@@ -141,8 +140,9 @@
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(StateCodec.TERM)) {
       if (revision > termRevision) {
-        term = value.path("term").asLong();
-        termMember = value.path("member").asText();
+        StateCodec.TermRecord record = StateCodec.decodeTerm(value);
+        term = record.term();
+        termMember = record.member();
         termRevision = revision;
       }
       return true;
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -1,6 +1,5 @@
 package graderelay.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.StateCodec;
@@ -95,12 +94,12 @@
         });
   }
 
-  private static Set<String> idsWithRecord(JsonNode failedKeys) {
+  private static Set<String> idsWithRecord(List<String> failedKeys) {
     Set<String> ids = new HashSet<>();
-    for (JsonNode key : failedKeys) {
+    for (String key : failedKeys) {
       // It may also be the fence: then nothing is known, and all are asked again.
-      if (key.asText().startsWith(StateCodec.FINAL_STATES)) {
-        ids.add(key.asText().substring(StateCodec.FINAL_STATES.length()));
+      if (key.startsWith(StateCodec.FINAL_STATES)) {
+        ids.add(key.substring(StateCodec.FINAL_STATES.length()));
       }
     }
     return ids;
@@ -128,7 +127,7 @@
         Use.READ,
         result -> {
           if (result.succeeded()) {
-            cache.rememberFinalState(id, StateCodec.decodeFinalState(result.value()));
+            cache.rememberFinalState(id, StateCodec.decodeFinalState(result.entry().value()));
             tell(askers, Found.KNOWN);
           } else {
             boolean absent = result.outcome() == StoreOutcome.NOT_FOUND;
--- a/src/main/java/graderelay/state/LeaderElection.java
+++ b/src/main/java/graderelay/state/LeaderElection.java
@@ -3,6 +3,7 @@
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.StateCodec;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
@@ -117,8 +118,8 @@
         Use.RENEWAL,
         result -> {
           busy = false;
-          long lease = result.succeeded() ? result.sessionLease() : 0;
-          if (lease > 0 && isOurRecord(result) && !status.isLeader()) {
+          long lease = result.succeeded() ? result.entry().sessionLease() : 0;
+          if (lease > 0 && isOurRecord(result.entry()) && !status.isLeader()) {
             LOG.info("revoking the session lease of this controller's earlier process");
             state.revokeSessionLease(lease, ended -> retryLater());
           } else {
@@ -127,8 +128,8 @@
         });
   }
 
-  private boolean isOurRecord(StoreResult result) {
-    return StateCodec.decodeLeader(result.value()).member().equals(self.member());
+  private boolean isOurRecord(StoreEntry entry) {
+    return StateCodec.decodeLeader(entry.value()).member().equals(self.member());
   }
 
   private void stand() {
--- a/src/main/java/graderelay/state/Listing.java
+++ b/src/main/java/graderelay/state/Listing.java
@@ -1,5 +1,6 @@
 package graderelay.state;
 
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
@@ -10,9 +11,9 @@
  * @param revision the store's revision when it gave the first page; later pages may show changes
  *     after it
  */
-public record Listing(long revision, List<StoredRecord> records) {
+public record Listing(long revision, List<StoreEntry> records) {
   /** The keys of all records. */
   public List<String> keys() {
-    return records.stream().map(StoredRecord::key).collect(Collectors.toCollection(ArrayList::new));
+    return records.stream().map(StoreEntry::key).collect(Collectors.toCollection(ArrayList::new));
   }
 }
--- a/src/main/java/graderelay/state/PagedRead.java
+++ b/src/main/java/graderelay/state/PagedRead.java
@@ -1,6 +1,8 @@
 package graderelay.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import graderelay.wire.StoreCodec;
+import graderelay.wire.StoreCodec.RangeResponse;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -10,7 +12,7 @@
 final class PagedRead {
   private final BiConsumer<String, Consumer<StoreResult>> readPage;
   private final Consumer<Listing> done;
-  private final List<StoredRecord> records = new ArrayList<>();
+  private final List<StoreEntry> records = new ArrayList<>();
   private long revision;
 
   /**
@@ -39,16 +41,13 @@
       done.accept(null);
       return;
     }
-    JsonNode items = result.body().path("items");
-    for (JsonNode item : items) {
-      records.add(
-          new StoredRecord(
-              item.path("key").asText(), item.path("data"), item.path("mark").asLong()));
-    }
-    if (result.body().path("truncated").asBoolean(false) && items.size() > 0) {
-      readPage.accept(records.get(records.size() - 1).key(), this::onPage);
-    } else {
+    RangeResponse page = StoreCodec.decodeRange(result.body());
+    records.addAll(page.entries());
+    String nextAfter = page.nextAfter();
+    if (nextAfter == null) {
       done.accept(new Listing(revision, records));
+    } else {
+      readPage.accept(nextAfter, this::onPage);
     }
   }
 }
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -5,6 +5,8 @@
 import graderelay.features.FeatureGate;
 import graderelay.wire.FinalState;
 import graderelay.wire.StateCodec;
+import graderelay.wire.StoreCodec.StoreChange;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.List;
 
 /**
@@ -90,8 +92,8 @@
   }
 
   private void putAll(Listing listing) {
-    for (StoredRecord record : listing.records()) {
-      put(record.key(), record.value(), record.revision());
+    for (StoreEntry entry : listing.records()) {
+      put(entry.key(), entry.value(), entry.revision());
     }
   }
 
@@ -115,15 +117,15 @@
   // ---------------------------------------------------------------- changes
 
   /** Takes changes up to a revision; those that another read has shown already are left out. */
-  void apply(List<RecordChange> changes, long upTo) {
-    for (RecordChange change : changes) {
+  void apply(List<StoreChange> changes, long upTo) {
+    for (StoreChange change : changes) {
       if (change.revision() <= revision) {
         continue;
       }
-      if (change.isDeletion()) {
-        delete(change.key(), change.revision());
+      if (change instanceof StoreChange.Put written) {
+        put(written.key(), written.value(), written.revision());
       } else {
-        put(change.key(), change.value(), change.revision());
+        delete(change.key(), change.revision());
       }
     }
     revision = Math.max(revision, upTo);
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -8,6 +8,7 @@
 import graderelay.net.TokenBucket.Use;
 import graderelay.net.Transport;
 import graderelay.wire.Json;
+import graderelay.wire.StoreCodec;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
@@ -162,7 +163,7 @@
       // Now, and not when there are tokens: this is the level that the transaction was made for.
       transaction.when(fenceKey, fenceRevision.getAsLong());
     }
-    ObjectNode body = transaction.toJson();
+    ObjectNode body = transaction.encode();
     budget.takeChanges(
         use,
         transaction.changeCount(),
@@ -183,7 +184,7 @@
    * @param lifeMs milliseconds for which it lives after each renewal
    */
   public void createSessionLease(long lifeMs, Consumer<StoreResult> done) {
-    ObjectNode body = Json.object().put("life_ms", lifeMs);
+    ObjectNode body = StoreCodec.encodeLeaseRequest(lifeMs);
     call(Use.RENEWAL, "POST", LEASES_PATH, body, STATE_TIMEOUT_S, done);
   }
 
@@ -254,18 +255,21 @@
       case 404, 410 -> StoreOutcome.NOT_FOUND;
       case 409 -> StoreOutcome.CONDITION_FAILED;
       case 400 ->
-          body != null && body.path("error").asText().contains("lease")
+          StoreCodec.decodeLeaseExpired(body)
               ? StoreOutcome.LEASE_EXPIRED
               : StoreOutcome.NOT_EXECUTED;
       case 429, 503 -> StoreOutcome.NOT_EXECUTED;
       case 0 -> reply.sent() ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_EXECUTED;
-        // More has changed than one answer may hold: as if the revision were too old.
-      case Reply.TOO_LARGE ->
-          path.startsWith(WATCH_PATH) ? StoreOutcome.NOT_FOUND : StoreOutcome.UNKNOWN;
+      case Reply.TOO_LARGE -> outcomeOfTooLarge(path);
       default -> StoreOutcome.UNKNOWN;
     };
   }
 
+  /** A watch whose changes are too many for one answer ends as if its revision were too old. */
+  private static StoreOutcome outcomeOfTooLarge(String path) {
+    return path.startsWith(WATCH_PATH) ? StoreOutcome.NOT_FOUND : StoreOutcome.UNKNOWN;
+  }
+
   /**
    * Sees from the answer to a transaction whether the store's reduced limits are in force. Too many
    * changes at once say nothing of the size that a value may have: the smaller form of a record
--- a/src/main/java/graderelay/state/StoreResult.java
+++ b/src/main/java/graderelay/state/StoreResult.java
@@ -1,7 +1,9 @@
 package graderelay.state;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
+import graderelay.wire.StoreCodec;
+import graderelay.wire.StoreCodec.StoreChange;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.List;
 
 /**
@@ -23,40 +25,26 @@
 
   /** The store's revision when it answered, 0 without an answer. */
   public long revision() {
-    return body == null ? 0 : body.path("ledger").asLong();
+    return StoreCodec.decodeStoreRevision(body);
   }
 
-  /** The value of the key that was read. */
-  JsonNode value() {
-    return body.path("data");
+  /** The key that was read, with its value; to be asked for only if the read succeeded. */
+  StoreEntry entry() {
+    return StoreCodec.decodeEntry(body);
   }
 
-  /** The revision at which the key that was read was last changed. */
-  long valueRevision() {
-    return body.path("mark").asLong();
+  /** The id of the session lease that was created; to be asked for only if the call succeeded. */
+  long createdSessionLease() {
+    return StoreCodec.decodeSessionLease(body);
   }
 
-  /** The session lease that was created, or that the key that was read is bound to; 0 if none. */
-  long sessionLease() {
-    return body.path("permit").asLong();
-  }
-
-  /** The keys whose conditions did not hold. */
-  JsonNode failedKeys() {
-    return body.path("failed");
+  /** The keys whose conditions did not hold; to be asked for only if the store refused for them. */
+  List<String> failedKeys() {
+    return StoreCodec.decodeFailedConditions(body);
   }
 
   /** The changes that a watch has shown, in the order of their revisions. */
-  List<RecordChange> changes() {
-    List<RecordChange> changes = new ArrayList<>();
-    for (JsonNode event : body.path("news")) {
-      long changedAt = event.path("mark").asLong();
-      if (event.has("put")) {
-        changes.add(new RecordChange(event.get("put").asText(), event.path("data"), changedAt));
-      } else if (event.has("drop")) {
-        changes.add(new RecordChange(event.get("drop").asText(), null, changedAt));
-      }
-    }
-    return changes;
+  List<StoreChange> changes() {
+    return StoreCodec.decodeWatch(body).changes();
   }
 }
--- a/src/main/java/graderelay/wire/StoreCodec.java
+++ b/src/main/java/graderelay/wire/StoreCodec.java
@@ -7,9 +7,8 @@
 
 /**
  * The protocol of the consensus-backed key-value store ("state service"): how its answers are read
- * and its requests for session leases are written. {@link TransactionRequest} writes
- * compare-and-swap transactions; {@link StateCodec} and the codecs beside it read and write the
- * values.
+ * and its requests for session leases are written. {@link TransactionCodec} writes compare-and-swap
+ * transactions; {@link StateCodec} and the codecs beside it read and write the values.
  *
  * <p>Reading is lenient, as the protocol asks of receivers: unknown fields are ignored, and a
  * number that is absent reads as 0.
--- a/src/main/java/graderelay/wire/package-info.java
+++ b/src/main/java/graderelay/wire/package-info.java
@@ -13,7 +13,7 @@
  *   <tr><td>life_ms</td><td>time to live of a session lease</td><td>StoreCodec</td></tr>
  *   <tr><td>news</td><td>changes that a watch tells of</td><td>StoreCodec</td></tr>
  *   <tr><td>multi, if, then</td><td>compare-and-swap transaction</td>
- *     <td>{@link graderelay.wire.TransactionRequest}</td></tr>
+ *     <td>{@link graderelay.wire.TransactionCodec}</td></tr>
  *   <tr><td>g/owner</td><td>leader</td><td>{@link graderelay.wire.StateCodec}</td></tr>
  *   <tr><td>mesh</td><td>peer address of the leader</td><td>StateCodec</td></tr>
  *   <tr><td>g/term</td><td>counter of terms (fencing tokens)</td><td>StateCodec</td></tr>
--- a/src/test/java/graderelay/wire/StoreCodecTest.java
+++ b/src/test/java/graderelay/wire/StoreCodecTest.java
@@ -74,30 +74,6 @@
                     new StoreChange.Delete("c/d", 432))));
   }
 
-  @Test
-  void aTransactionHasTheBytesOfItsTreeBefore() {
-    TransactionRequest txn =
-        new TransactionRequest()
-            .when("a/b", 0)
-            .when("c", 412)
-            .put("a/b", json("{\"x\":1}"), 7)
-            .put("c", json("2"))
-            .drop("c/d");
-    assertThat(txn.changeCount()).isEqualTo(3);
-    assertThat(text(txn.encode()))
-        .isEqualTo(
-            "{\"if\":[{\"key\":\"a/b\",\"mark\":0},{\"key\":\"c\",\"mark\":412}],"
-                + "\"then\":[{\"put\":\"a/b\",\"data\":{\"x\":1},\"permit\":7},"
-                + "{\"put\":\"c\",\"data\":2},{\"drop\":\"c/d\"}]}");
-  }
-
-  @Test
-  void aTransactionThatOnlyComparesHasNoChanges() {
-    assertThat(text(new TransactionRequest().when("a", 1).encode()))
-        .isEqualTo("{\"if\":[{\"key\":\"a\",\"mark\":1}]}");
-    assertThat(text(new TransactionRequest().encode())).isEqualTo("{\"if\":[]}");
-  }
-
   @Test
   void failedConditionsAreReadInTheirOrder() {
     assertThat(StoreCodec.decodeFailedConditions(json("{\"failed\":[\"b\",\"a\"],\"ledger\":431}")))
