--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -164,10 +164,12 @@
     return election().leader();
   }
 
+  /** The revision of the leader record, 0 if there is none: the condition of a leader's writes. */
   public long leaderRevision() {
     return election().leaderRevision();
   }
 
+  /** The highest term that was ever won, 0 before the first election. */
   public long term() {
     return election().term();
   }
@@ -182,6 +184,7 @@
     return tables.settings();
   }
 
+  /** The revision of the settings record, 0 if no settings were stored. */
   public long settingsRevision() {
     return tables.settingsRevision();
   }
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -18,7 +18,7 @@
 
   private final FeatureGate gate;
   private long levelRevision;
-  private long holdRevision;
+  private long pauseRevision;
   private final Map<String, Member> members = new HashMap<>();
   private final Map<String, Long> memberRevisions = new HashMap<>();
 
@@ -36,14 +36,14 @@
     return levelRevision;
   }
 
-  /** True if operators hold the level where it is. */
+  /** True if operators have paused changes of the feature level. */
   public boolean held() {
-    return holdRevision != 0;
+    return pauseRevision != 0;
   }
 
-  /** The revision of the record of that hold, 0 if there is none. */
+  /** The revision of the record of that pause, 0 if there is none. */
   public long holdRevision() {
-    return holdRevision;
+    return pauseRevision;
   }
 
   /** What controllers have published in a form that can be read, by name. */
@@ -60,7 +60,7 @@
   void clear() {
     members.clear();
     memberRevisions.clear();
-    holdRevision = 0;
+    pauseRevision = 0;
   }
 
   /** All records were read; without a record of a level it is the one before all others. */
@@ -75,7 +75,7 @@
     if (key.equals(FeatureCodec.LEVEL)) {
       putLevel(value, revision);
     } else if (key.equals(FeatureCodec.HOLD)) {
-      holdRevision = Math.max(holdRevision, revision);
+      pauseRevision = Math.max(pauseRevision, revision);
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       putMember(key.substring(FeatureCodec.MEMBERS.length()), value, revision);
     } else {
@@ -112,7 +112,7 @@
   /** Takes the deletion of a record and returns true if it is one of these. */
   boolean delete(String key, long revision) {
     if (key.equals(FeatureCodec.HOLD)) {
-      holdRevision = revision > holdRevision ? 0 : holdRevision;
+      pauseRevision = revision > pauseRevision ? 0 : pauseRevision;
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       String name = key.substring(FeatureCodec.MEMBERS.length());
       if (revision > memberRevision(name)) {
--- a/src/main/java/graderelay/state/LeaderHandover.java
+++ b/src/main/java/graderelay/state/LeaderHandover.java
@@ -48,7 +48,7 @@
     long sessionLease = status.sessionLease();
     long term = status.term();
     loseLeadership.accept(
-        "only this controller can't reach the state service; leaving the leadership to "
+        "only this controller can't reach the key-value store; leaving the leadership to "
             + peer.member());
     pledges.standBack(ElectionTiming.PLEDGE_S);
     peerClient.send(
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -7,7 +7,7 @@
 /**
  * Collects pledges that keep worker leases renewed while there is no leader and the key-value store
  * is away. While every other controller has pledged not to stand for election there is no leader
- * and none can come, so whoever holds the pledges may renew leases. That only keeps running tasks
+ * and none can come, so whoever has the pledges may renew leases. That only keeps running tasks
  * alive; it gives no worker command but the kills of cancelled tasks.
  */
 final class LeaderlessPledges {
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -180,7 +180,7 @@
 
   private boolean mayChangeSuspensions() {
     boolean answersOutstanding = loop.now() < wonAt + FIRST_ANSWERS_S;
-    boolean leaseLasts = loop.now() <= renewal.heldUntil();
+    boolean leaseLasts = loop.now() <= renewal.leaseEndsAt();
     return !changing && cache.loaded() && leaseLasts && !answersOutstanding;
   }
 
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -45,16 +45,16 @@
     return limits.get(team);
   }
 
-  /** The stored account of a team; {@link Account#ABSENT} if there is none. */
-  public Account account(String team) {
-    return accounts.getOrDefault(team, Account.ABSENT);
-  }
-
   /** All stored limits, by team. */
   public Map<String, LimitRecord> limits() {
     return Map.copyOf(limits);
   }
 
+  /** The stored account of a team; {@link Account#ABSENT} if there is none. */
+  public Account account(String team) {
+    return accounts.getOrDefault(team, Account.ABSENT);
+  }
+
   /** Everything as it stood at a revision. */
   public StoredQuota asOf(long revision) {
     return new StoredQuota(Map.copyOf(limits), Map.copyOf(accounts), isSeeded(), revision);
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -23,7 +23,7 @@
   private final Runnable onFailing;
   private final Consumer<String> loseLeadership;
   private Loop.Timer renewal;
-  private double heldUntil;
+  private double leaseEndsAt;
 
   /** When the first of the renewals was sent that have failed since, or NaN. */
   private double failingSince = Double.NaN;
@@ -58,7 +58,7 @@
 
   /** The leadership is over, and the lease with it. */
   void end() {
-    heldUntil = Double.NEGATIVE_INFINITY;
+    leaseEndsAt = Double.NEGATIVE_INFINITY;
     failingSince = Double.NaN;
     close();
   }
@@ -71,13 +71,13 @@
   }
 
   /** The end of the time for which {@link #isLeaseHeld}, in the loop's seconds. */
-  double heldUntil() {
-    return heldUntil;
+  double leaseEndsAt() {
+    return leaseEndsAt;
   }
 
   /** True if the lease lasts, counted with a margin on this controller's clock. */
   boolean isLeaseHeld() {
-    return loop.now() < heldUntil;
+    return loop.now() < leaseEndsAt;
   }
 
   /** True if the last renewal failed. */
@@ -91,7 +91,7 @@
   }
 
   private void extendTo(double sentAt) {
-    heldUntil = Math.max(heldUntil, sentAt + leaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
+    leaseEndsAt = Math.max(leaseEndsAt, sentAt + leaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
   }
 
   private void renewLater() {
--- a/src/main/java/graderelay/state/TermRaise.java
+++ b/src/main/java/graderelay/state/TermRaise.java
@@ -83,7 +83,7 @@
       return;
     }
     if (!change.fits()) {
-      LOG.error("the state service's transactions are too small to change the feature level");
+      LOG.error("the key-value store's transactions are too small to change the feature level");
       done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -58,7 +58,7 @@
 
   private static final String STAGE = "stage";
 
-  /** Wire name "age_s": seconds since the request that rented the machine. */
+  /** Wire name "age_s": seconds since the scale-out request that started the machine. */
   private static final String AGE_S = "age_s";
 
   /** Wire name that tells whether machines follow after this page. */
@@ -122,7 +122,7 @@
 
   /**
    * A request to scale out by {@code count} machines. {@code name} must never be used for another
-   * request: repeating it rents nothing more.
+   * request: repeating it starts no more machines.
    */
   public static ObjectNode encodeScaleOut(
       String name, String type, String zone, boolean spot, int count) {
@@ -134,7 +134,7 @@
         .put(COUNT, count);
   }
 
-  /** The machines that a scale-out request has rented. */
+  /** The machines that a scale-out request has started. */
   public static List<String> decodeMachineNames(JsonNode n) {
     List<String> names = new ArrayList<>();
     n.path(MACHINES).forEach(m -> names.add(m.asText()));
--- a/src/main/java/graderelay/wire/ElectionRecordCodec.java
+++ b/src/main/java/graderelay/wire/ElectionRecordCodec.java
@@ -10,7 +10,7 @@
 /**
  * The stored records that decide who leads: the leader ("owner", {@code g/owner}), the counter of
  * terms ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
- * that lease delegates have given back ("deputies", {@code g/deputy/MEMBER}).
+ * that lease delegates have released ("deputies", {@code g/deputy/MEMBER}).
  */
 final class ElectionRecordCodec {
   static final String MEMBER = "member";
@@ -25,10 +25,10 @@
   /** Wire name "self": the lease delegate's incarnation. */
   static final String DELEGATE_INCARNATION = "self";
 
-  /** Wire name "n": the last question whose grant was given back. */
+  /** Wire name "n": the last request whose grant was released. */
   static final String RELEASED_UP_TO = "n";
 
-  /** Wire name "of": the term whose grants were given back. */
+  /** Wire name "of": the term whose grants were released. */
   static final String GRANTED_BY = "of";
 
   /** Wire name "alone": seconds since the lease delegate last answered workers by itself. */
@@ -64,11 +64,12 @@
     return new Suspension(n.path(LEAVING_INCARNATION).asText(), revision);
   }
 
-  static ObjectNode encodeDelegateRelease(String self, long n, long of, double aloneS) {
+  static ObjectNode encodeDelegateRelease(
+      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
     return Json.object()
-        .put(DELEGATE_INCARNATION, self)
-        .put(RELEASED_UP_TO, n)
-        .put(GRANTED_BY, of)
+        .put(DELEGATE_INCARNATION, incarnation)
+        .put(RELEASED_UP_TO, releasedUpTo)
+        .put(GRANTED_BY, grantedBy)
         .put(ALONE_S, aloneS);
   }
 
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -64,9 +64,9 @@
   private FeatureCodec() {}
 
   /** The cluster's level; the target is left out unless the level is being lowered. */
-  public static ObjectNode encodeLevel(ClusterLevel l) {
-    ObjectNode n = Json.object().put(LEVEL_NUMBER, l.level());
-    return l.lowering() ? n.put(TARGET_LEVEL, l.target()) : n;
+  public static ObjectNode encodeLevel(ClusterLevel level) {
+    ObjectNode n = Json.object().put(LEVEL_NUMBER, level.level());
+    return level.lowering() ? n.put(TARGET_LEVEL, level.target()) : n;
   }
 
   /** Reads the record; a level that this program does not know is no mistake of the record. */
@@ -85,13 +85,13 @@
   }
 
   /** What a controller publishes of itself. */
-  public static ObjectNode encodeMember(Member m) {
+  public static ObjectNode encodeMember(Member member) {
     return Json.object()
-        .put(VERSION, m.version())
-        .put(MIN_LEVEL, m.range().min())
-        .put(MAX_LEVEL, m.range().max())
-        .put(INCARNATION, m.incarnation())
-        .put(BEGAN_MS, m.beganMs());
+        .put(VERSION, member.version())
+        .put(MIN_LEVEL, member.range().min())
+        .put(MAX_LEVEL, member.range().max())
+        .put(INCARNATION, member.incarnation())
+        .put(BEGAN_MS, member.beganMs());
   }
 
   /** Controller {@code name} from its record and the record's revision. */
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -42,28 +42,28 @@
   private JobRecordCodec() {}
 
   /** A job's record. */
-  static ObjectNode encode(JobSpec s, boolean stopRequested) {
+  static ObjectNode encode(JobSpec spec, boolean stopRequested) {
     ObjectNode n = Json.object();
-    n.put(CLASS, s.jobClass()).put(TEAM, s.team()).put(KIND, s.kind().name());
-    n.put(PRIORITY, s.priority().name()).put(TASKS, s.tasks());
-    n.put(CPUS, s.cpus()).put(GPUS, s.gpus()).put(MEMORY_GB, s.memGb());
-    n.put(IMAGE, s.image()).put(IMAGE_GB, s.imageGb());
-    if (s.types() != null) {
+    n.put(CLASS, spec.jobClass()).put(TEAM, spec.team()).put(KIND, spec.kind().name());
+    n.put(PRIORITY, spec.priority().name()).put(TASKS, spec.tasks());
+    n.put(CPUS, spec.cpus()).put(GPUS, spec.gpus()).put(MEMORY_GB, spec.memGb());
+    n.put(IMAGE, spec.image()).put(IMAGE_GB, spec.imageGb());
+    if (spec.types() != null) {
       ArrayNode types = n.putArray(MACHINE_TYPES);
-      s.types().forEach(types::add);
+      spec.types().forEach(types::add);
     }
-    if (s.zone() != null) {
-      n.put(ZONE, s.zone());
+    if (spec.zone() != null) {
+      n.put(ZONE, spec.zone());
     }
-    n.put(ONE_ZONE, s.oneZone()).put(SPREAD, s.spread()).put(SPOT, s.spot());
-    n.put(ESTIMATE_S, s.estimateS());
-    n.put(CHECKPOINT_S, s.checkpointS()).put(CHECKPOINT_SAVE_S, s.saveS());
-    if (s.deadlineS() != null) {
-      n.put(DEADLINE_S, s.deadlineS());
+    n.put(ONE_ZONE, spec.oneZone()).put(SPREAD, spec.spread()).put(SPOT, spec.spot());
+    n.put(ESTIMATE_S, spec.estimateS());
+    n.put(CHECKPOINT_S, spec.checkpointS()).put(CHECKPOINT_SAVE_S, spec.saveS());
+    if (spec.deadlineS() != null) {
+      n.put(DEADLINE_S, spec.deadlineS());
     }
-    n.put(SUBMITTED_MS, s.submittedMs()).put(BATCH_CAPACITY, s.batchCapacity());
-    if (!s.dependencies().isEmpty()) {
-      s.dependencies().forEach(n.putArray(DEPENDENCIES)::add);
+    n.put(SUBMITTED_MS, spec.submittedMs()).put(BATCH_CAPACITY, spec.batchCapacity());
+    if (!spec.dependencies().isEmpty()) {
+      spec.dependencies().forEach(n.putArray(DEPENDENCIES)::add);
     }
     if (stopRequested) {
       n.put(STOP_REQUESTED, true);
@@ -81,8 +81,8 @@
     List<String> types = null;
     if (n.has(MACHINE_TYPES)) {
       types = new ArrayList<>();
-      for (JsonNode t : n.get(MACHINE_TYPES)) {
-        types.add(t.asText());
+      for (JsonNode type : n.get(MACHINE_TYPES)) {
+        types.add(type.asText());
       }
     }
     return new JobSpec(
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.Action;
+import graderelay.core.JobSpec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -12,7 +13,7 @@
 
 /**
  * Hints that a leader leaves for the next one after failover, in their plain form: the recent
- * demand by job class ({@code g/demand}) and which images machines hold ({@code g/images/PART}).
+ * demand by job class ({@code g/demand}) and which images machines have ({@code g/images/PART}).
  * They are hints, so a record that would be too large leaves some of its content out.
  */
 final class LeaderHintCodec {
@@ -31,12 +32,13 @@
   static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs) {
     ObjectNode n = Json.object();
     ArrayNode list = n.putArray(CLASSES);
-    for (Action.Demand d : classes) {
-      ObjectNode c = list.addObject();
-      c.set(LATEST_JOB, JobRecordCodec.encode(d.latest().needing(List.of()), false));
-      ArrayNode a = c.putArray(ARRIVALS);
-      for (double[] x : d.arrivals()) {
-        a.addArray().add(nowMs - (long) (x[0] * 1000)).add((int) x[1]);
+    for (Action.Demand demand : classes) {
+      ObjectNode jobClass = list.addObject();
+      jobClass.set(LATEST_JOB, JobRecordCodec.encode(demand.latest().needing(List.of()), false));
+      ArrayNode arrivals = jobClass.putArray(ARRIVALS);
+      for (double[] ageAndJobs : demand.arrivals()) {
+        long arrivedAtMs = nowMs - (long) (ageAndJobs[0] * 1000);
+        arrivals.addArray().add(arrivedAtMs).add((int) ageAndJobs[1]);
       }
     }
     return n;
@@ -52,8 +54,8 @@
       if (most == 0 && list.size() > 0) {
         list.remove(list.size() - 1);
       }
-      for (JsonNode c : list) {
-        ArrayNode arrivals = (ArrayNode) c.get(ARRIVALS);
+      for (JsonNode jobClass : list) {
+        ArrayNode arrivals = (ArrayNode) jobClass.get(ARRIVALS);
         while (arrivals.size() > Math.max(1, most)) {
           arrivals.remove(arrivals.size() - 1);
         }
@@ -65,13 +67,14 @@
   /** Each arrival as [age in seconds now, at least 0; jobs]. */
   static List<Action.Demand> decodeDemand(JsonNode n, long nowMs) {
     List<Action.Demand> classes = new ArrayList<>();
-    for (JsonNode c : n.path(CLASSES)) {
+    for (JsonNode jobClass : n.path(CLASSES)) {
       List<double[]> arrivals = new ArrayList<>();
-      for (JsonNode a : c.path(ARRIVALS)) {
-        double age = (nowMs - a.path(0).asLong()) / 1000.0;
-        arrivals.add(new double[] {Math.max(0, age), a.path(1).asInt()});
+      for (JsonNode arrival : jobClass.path(ARRIVALS)) {
+        double ageS = (nowMs - arrival.path(0).asLong()) / 1000.0;
+        arrivals.add(new double[] {Math.max(0, ageS), arrival.path(1).asInt()});
       }
-      classes.add(new Action.Demand(JobRecordCodec.decode(NO_JOB, c.path(LATEST_JOB)), arrivals));
+      JobSpec latest = JobRecordCodec.decode(NO_JOB, jobClass.path(LATEST_JOB));
+      classes.add(new Action.Demand(latest, arrivals));
     }
     return classes;
   }
--- a/src/main/java/graderelay/wire/PeerAnswer.java
+++ b/src/main/java/graderelay/wire/PeerAnswer.java
@@ -8,7 +8,7 @@
   /**
    * To {@link PeerRequest.Pledge} and {@link PeerRequest.KeepPledge}.
    *
-   * @param reachesState the peer is served by the state service at the moment
+   * @param reachesState the peer is served by the key-value store at the moment
    */
   record Pledged(boolean granted, boolean reachesState, CancellationKnowledge cancellations)
       implements PeerAnswer {}
--- a/src/main/java/graderelay/wire/PeerAnswerCodec.java
+++ b/src/main/java/graderelay/wire/PeerAnswerCodec.java
@@ -55,26 +55,26 @@
   /** The tree of an answer. */
   static ObjectNode encode(PeerAnswer answer) {
     ObjectNode n = Json.object();
-    if (answer instanceof PeerAnswer.Pledged p) {
-      n.put(GRANTED, p.granted()).put(REACHES_STORE, p.reachesState());
-      return withCancellations(n, p.cancellations());
-    } else if (answer instanceof PeerAnswer.Wanted w) {
-      return n.put(WANTED_CHANGES, w.changes());
+    if (answer instanceof PeerAnswer.Pledged pledged) {
+      n.put(GRANTED, pledged.granted()).put(REACHES_STORE, pledged.reachesState());
+      return withCancellations(n, pledged.cancellations());
+    } else if (answer instanceof PeerAnswer.Wanted wanted) {
+      return n.put(WANTED_CHANGES, wanted.changes());
     } else if (answer instanceof PeerAnswer.Received) {
       return n;
-    } else if (answer instanceof PeerAnswer.Delegated d) {
-      if (d.grant() != null) {
-        n.put(GRANTED, true).put(TERM, d.grant().term());
-        n.put(GRANTED_BY, d.grant().grantedBy()).put(GRANTED_AT, d.grant().at());
+    } else if (answer instanceof PeerAnswer.Delegated delegated) {
+      if (delegated.grant() != null) {
+        n.put(GRANTED, true).put(TERM, delegated.grant().term());
+        n.put(GRANTED_BY, delegated.grant().grantedBy()).put(GRANTED_AT, delegated.grant().at());
       }
-      return withCancellations(n, d.cancellations());
-    } else if (answer instanceof PeerAnswer.Identified i) {
-      return n.put(INCARNATION, i.incarnation());
-    } else if (answer instanceof PeerAnswer.Relayed r) {
-      Answer a = r.answer();
-      return n.put(STATUS, a.status())
-          .put(PeerCodec.BODY, a.body())
-          .put(RETRY_AFTER_S, a.retryAfterS());
+      return withCancellations(n, delegated.cancellations());
+    } else if (answer instanceof PeerAnswer.Identified identified) {
+      return n.put(INCARNATION, identified.incarnation());
+    } else if (answer instanceof PeerAnswer.Relayed relayed) {
+      Answer passedOn = relayed.answer();
+      return n.put(STATUS, passedOn.status())
+          .put(PeerCodec.BODY, passedOn.body())
+          .put(RETRY_AFTER_S, passedOn.retryAfterS());
     }
     throw new IllegalArgumentException("no form for " + answer);
   }
--- a/src/main/java/graderelay/wire/PeerCodec.java
+++ b/src/main/java/graderelay/wire/PeerCodec.java
@@ -78,7 +78,7 @@
     return decode(bytes, PeerAnswerCodec::decodeWanted);
   }
 
-  /** The answer to the question for a process, or null if these bytes are none. */
+  /** The answer to the request for the identity of a process, or null if these bytes are none. */
   public static PeerAnswer.Identified decodeIdentified(byte[] bytes) {
     return decode(bytes, PeerAnswerCodec::decodeIdentified);
   }
--- a/src/main/java/graderelay/wire/PeerRequest.java
+++ b/src/main/java/graderelay/wire/PeerRequest.java
@@ -11,14 +11,16 @@
   /** The leader asks how a peer is and lends it changes a second for the moment. */
   record Share(String member, long term, double changesPerS) implements PeerRequest {}
 
-  /** The leader has stopped and leaves the fleet to a peer, which may end this session lease. */
+  /**
+   * The leader has stopped and leaves the leadership to a peer, which may end this session lease.
+   */
   record Handover(String member, long term, long sessionLease) implements PeerRequest {}
 
   /**
    * A controller asks the leader to be its lease delegate in its own zone.
    *
    * @param process tells this process from earlier ones of the same member
-   * @param number of the question
+   * @param number the sequence number of the request
    * @param grantedBy the term whose grant it has, 0 for none
    * @param echo the leader's time of the last grant that it has heard of
    * @param aloneS seconds since it last answered workers by itself, or since its process began
@@ -30,7 +32,7 @@
   /** The leader asks which process a controller is. */
   record Identify(String member) implements PeerRequest {}
 
-  /** Passes on a worker's report that came to this member. */
+  /** Passes on a worker's heartbeat that came to this member. */
   record RelayedReport(String member, byte[] body) implements PeerRequest {}
 
   /** Passes on a user's request. */
--- a/src/main/java/graderelay/wire/PeerRequestCodec.java
+++ b/src/main/java/graderelay/wire/PeerRequestCodec.java
@@ -38,8 +38,8 @@
   /** Wire name "self": tells the asking process from earlier ones of the same member. */
   private static final String PROCESS = "self";
 
-  /** Wire name "n": the number of the question. */
-  private static final String QUESTION_NUMBER = "n";
+  /** Wire name "n": the sequence number of the request. */
+  private static final String REQUEST_NUMBER = "n";
 
   /** Wire name "of": the term whose grant the asker has. */
   private static final String GRANTED_BY = "of";
@@ -54,26 +54,31 @@
 
   /** The tree of a request. */
   static ObjectNode encode(PeerRequest request) {
-    if (request instanceof PeerRequest.Pledge p) {
-      return ofMember(PLEDGE, p.member()).put(TERM, p.term()).put(SECONDS, p.seconds());
-    } else if (request instanceof PeerRequest.KeepPledge p) {
-      return ofMember(KEEP_PLEDGE, p.member()).put(SECONDS, p.seconds());
-    } else if (request instanceof PeerRequest.Share s) {
-      return ofMember(SHARE, s.member()).put(TERM, s.term()).put(CHANGES_PER_S, s.changesPerS());
-    } else if (request instanceof PeerRequest.Handover h) {
-      return ofMember(HANDOVER, h.member())
-          .put(TERM, h.term())
-          .put(SESSION_LEASE, h.sessionLease());
-    } else if (request instanceof PeerRequest.Delegation d) {
-      return encodeDelegation(d);
-    } else if (request instanceof PeerRequest.RelayedReport r) {
-      return ofMember(HEARTBEAT, r.member()).put(PeerCodec.BODY, r.body());
-    } else if (request instanceof PeerRequest.UserRequest u) {
-      return relayed(USER, u.method(), u.path(), u.body());
-    } else if (request instanceof PeerRequest.Identify i) {
-      return ofMember(IDENTIFY, i.member());
-    } else if (request instanceof PeerRequest.AdminRequest a) {
-      return relayed(ADMIN, a.method(), a.path(), a.body()).put(QUERY, a.query());
+    if (request instanceof PeerRequest.Pledge pledge) {
+      return ofMember(PLEDGE, pledge.member())
+          .put(TERM, pledge.term())
+          .put(SECONDS, pledge.seconds());
+    } else if (request instanceof PeerRequest.KeepPledge keepPledge) {
+      return ofMember(KEEP_PLEDGE, keepPledge.member()).put(SECONDS, keepPledge.seconds());
+    } else if (request instanceof PeerRequest.Share share) {
+      return ofMember(SHARE, share.member())
+          .put(TERM, share.term())
+          .put(CHANGES_PER_S, share.changesPerS());
+    } else if (request instanceof PeerRequest.Handover handover) {
+      return ofMember(HANDOVER, handover.member())
+          .put(TERM, handover.term())
+          .put(SESSION_LEASE, handover.sessionLease());
+    } else if (request instanceof PeerRequest.Delegation delegation) {
+      return encodeDelegation(delegation);
+    } else if (request instanceof PeerRequest.RelayedReport heartbeat) {
+      return ofMember(HEARTBEAT, heartbeat.member()).put(PeerCodec.BODY, heartbeat.body());
+    } else if (request instanceof PeerRequest.UserRequest userRequest) {
+      return relayed(USER, userRequest.method(), userRequest.path(), userRequest.body());
+    } else if (request instanceof PeerRequest.Identify identify) {
+      return ofMember(IDENTIFY, identify.member());
+    } else if (request instanceof PeerRequest.AdminRequest adminRequest) {
+      return relayed(ADMIN, adminRequest.method(), adminRequest.path(), adminRequest.body())
+          .put(QUERY, adminRequest.query());
     }
     throw new IllegalArgumentException("no form for " + request);
   }
@@ -82,13 +87,13 @@
     return Json.object().put(KIND, kind).put(MEMBER, member);
   }
 
-  private static ObjectNode encodeDelegation(PeerRequest.Delegation d) {
-    return ofMember(DELEGATION, d.member())
-        .put(PROCESS, d.process())
-        .put(QUESTION_NUMBER, d.number())
-        .put(GRANTED_BY, d.grantedBy())
-        .put(ECHO, d.echo())
-        .put(ALONE_S, d.aloneS());
+  private static ObjectNode encodeDelegation(PeerRequest.Delegation delegation) {
+    return ofMember(DELEGATION, delegation.member())
+        .put(PROCESS, delegation.process())
+        .put(REQUEST_NUMBER, delegation.number())
+        .put(GRANTED_BY, delegation.grantedBy())
+        .put(ECHO, delegation.echo())
+        .put(ALONE_S, delegation.aloneS());
   }
 
   private static ObjectNode relayed(String kind, String method, String path, byte[] body) {
@@ -126,7 +131,7 @@
     return new PeerRequest.Delegation(
         member,
         n.path(PROCESS).asText(),
-        n.path(QUESTION_NUMBER).asLong(),
+        n.path(REQUEST_NUMBER).asLong(),
         n.path(GRANTED_BY).asLong(),
         n.path(ECHO).asDouble(),
         n.path(ALONE_S).asDouble());
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -38,13 +38,15 @@
   /** The task batches ("slices") of jobs, by job and index. */
   public static final String TASK_BATCHES = "g/slice/";
 
-  /** Which images machines hold, in parts; a hint for the next leader. */
+  /** Which images machines have, in parts; a hint for the next leader. */
   public static final String IMAGES = "g/images/";
 
-  /** Grants that lease delegates ("deputies") have given back. */
+  /** Grants that lease delegates ("deputies") have released. */
   public static final String LEASE_DELEGATES = "g/deputy/";
 
-  /** Controllers that the leader has suspended ("bars"): they may not take over for the time. */
+  /**
+   * Controllers that the leader has suspended ("bars"): they can't win an election for the time.
+   */
   public static final String SUSPENSIONS = "g/bar/";
 
   /** Final states ("ends") of jobs; kept for good and never listed. */
@@ -63,8 +65,8 @@
   }
 
   /** The key of a task batch's record. */
-  public static String taskBatchKey(TaskBatchKey k) {
-    return TASK_BATCHES + k.job() + "/" + k.index();
+  public static String taskBatchKey(TaskBatchKey batch) {
+    return TASK_BATCHES + batch.job() + "/" + batch.index();
   }
 
   /** The task batch that a key below {@link #TASK_BATCHES} names. */
@@ -102,10 +104,10 @@
   public record Suspension(String leaving, long revision) {}
 
   /**
-   * A lease delegate ("deputy") has given grants back.
+   * A lease delegate ("deputy") has released grants.
    *
    * @param incarnation tells the delegate's process from earlier ones of the same member
-   * @param releasedUpTo the number of its last question whose grant it has given back
+   * @param releasedUpTo the sequence number of its last request whose grant it has released
    * @param grantedBy the term whose grants they were
    * @param aloneS seconds since it last answered workers by itself, or since its process began
    */
@@ -148,15 +150,15 @@
   }
 
   /**
-   * A lease delegate has given back all grants up to that of its question {@code releasedUpTo} by
-   * the term {@code grantedBy}; {@code aloneS} is how long ago it last acted alone, in seconds.
+   * A lease delegate has released all grants up to that of its request {@code releasedUpTo} by the
+   * term {@code grantedBy}; {@code aloneS} is how long ago it last acted alone, in seconds.
    */
   public static ObjectNode encodeDelegateRelease(
       String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
     return ElectionRecordCodec.encodeDelegateRelease(incarnation, releasedUpTo, grantedBy, aloneS);
   }
 
-  /** What a lease delegate has given back, from its record. */
+  /** What a lease delegate has released, from its record. */
   public static DelegateRelease decodeDelegateRelease(JsonNode n) {
     return ElectionRecordCodec.decodeDelegateRelease(n);
   }
@@ -176,8 +178,8 @@
   // ---------------------------------------------------------------- jobs
 
   /** A job's record: its terms, and whether its user asked to stop it. */
-  public static ObjectNode encodeJob(JobSpec s, boolean stop) {
-    return JobRecordCodec.encode(s, stop);
+  public static ObjectNode encodeJob(JobSpec spec, boolean stopRequested) {
+    return JobRecordCodec.encode(spec, stopRequested);
   }
 
   /** True if the job's user asked to stop it. */
@@ -197,8 +199,8 @@
    * that list. A task batch that is all done shrinks to its size; a packed one takes a character
    * per task.
    */
-  public static ObjectNode encodeTaskBatch(TaskBatchRecord r) {
-    return TaskBatchRecordCodec.encode(r);
+  public static ObjectNode encodeTaskBatch(TaskBatchRecord batch) {
+    return TaskBatchRecordCodec.encode(batch);
   }
 
   /** A task batch from its record, in any of its forms. */
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -12,7 +12,7 @@
 /**
  * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
  * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
- * holds for every task its attempt and its place: queued, done, or an index into the list of
+ * gives for every task its attempt and its place: queued, done, or an index into the list of
  * (machine, agent incarnation) pairs that hold claims.
  */
 final class TaskBatchRecordCodec {
@@ -32,11 +32,11 @@
   private TaskBatchRecordCodec() {}
 
   /** A task batch in the form that fits its state. */
-  static ObjectNode encode(TaskBatchRecord r) {
-    if (r.doneCount() == r.size()) {
-      return Json.object().put(ALL_DONE, r.size());
+  static ObjectNode encode(TaskBatchRecord batch) {
+    if (batch.doneCount() == batch.size()) {
+      return Json.object().put(ALL_DONE, batch.size());
     }
-    return r.packed() ? packed(r) : plain(r);
+    return batch.packed() ? packed(batch) : plain(batch);
   }
 
   /**
@@ -56,39 +56,39 @@
     }
   }
 
-  private static int placeOf(TaskBatchRecord r, int i, ClaimHolders holders) {
-    if (r.done(i)) {
+  private static int placeOf(TaskBatchRecord batch, int i, ClaimHolders holders) {
+    if (batch.done(i)) {
       return DONE;
     }
-    String machine = r.machine(i);
-    return machine == null ? QUEUED : holders.placeOf(machine, r.session(i));
+    String machine = batch.machine(i);
+    return machine == null ? QUEUED : holders.placeOf(machine, batch.session(i));
   }
 
-  private static ObjectNode plain(TaskBatchRecord r) {
+  private static ObjectNode plain(TaskBatchRecord batch) {
     ObjectNode n = Json.object();
     ClaimHolders holders = new ClaimHolders();
     ArrayNode attempts = n.putArray(ATTEMPTS);
     n.set(CLAIM_HOLDERS, holders.list);
     ArrayNode places = n.putArray(PLACES);
-    for (int i = 0; i < r.size(); i++) {
-      attempts.add(r.attempt(i));
-      places.add(placeOf(r, i, holders));
+    for (int i = 0; i < batch.size(); i++) {
+      attempts.add(batch.attempt(i));
+      places.add(placeOf(batch, i, holders));
     }
     return n;
   }
 
   /**
    * The same in fewer bytes, a character for each task instead of numbers. Only for task batches
-   * that an earlier version made too large for the state service's present limits; that version
-   * can't read it.
+   * that an earlier version made too large for the store's present limits; that version can't read
+   * it.
    */
-  private static ObjectNode packed(TaskBatchRecord r) {
+  private static ObjectNode packed(TaskBatchRecord batch) {
     ClaimHolders holders = new ClaimHolders();
     StringBuilder attempts = new StringBuilder();
     StringBuilder places = new StringBuilder();
-    for (int i = 0; i < r.size(); i++) {
-      attempts.append((char) (FIRST_CHAR + r.attempt(i)));
-      places.append((char) (FIRST_CHAR - DONE + placeOf(r, i, holders)));
+    for (int i = 0; i < batch.size(); i++) {
+      attempts.append((char) (FIRST_CHAR + batch.attempt(i)));
+      places.append((char) (FIRST_CHAR - DONE + placeOf(batch, i, holders)));
     }
     ObjectNode n = Json.object();
     n.put(PACKED_ATTEMPTS, attempts.toString()).put(PACKED_PLACES, places.toString());
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -97,48 +97,48 @@
   private UserCodec() {}
 
   /** True if a text has the form of a job id, like j-000412. */
-  public static boolean isId(String s) {
-    return ID.matcher(s).matches();
+  public static boolean isId(String text) {
+    return ID.matcher(text).matches();
   }
 
   /** Reads a submission, checking every field by the protocol's table. */
   public static JobSpec decodeSubmission(JsonNode body, long nowMs, int batchCapacity)
       throws BadRequest {
-    Fields f = new Fields(body);
-    String id = f.text(JOB_ID);
+    Fields fields = new Fields(body);
+    String id = fields.text(JOB_ID);
     if (!isId(id)) {
       throw new BadRequest(JOB_ID, "must look like j-000412");
     }
     // Before the other fields: of several mistakes, this one is told.
-    Kind kind = kind(f.text(KIND));
+    Kind kind = kind(fields.text(KIND));
     return new JobSpec(
         id,
-        f.text(JOB_CLASS),
-        f.text(TEAM),
+        fields.text(JOB_CLASS),
+        fields.text(TEAM),
         kind,
-        priority(f.text(PRIORITY)),
-        f.count(TASKS, 1, MOST_TASKS),
-        f.amount(CPUS, false),
-        f.amount(GPUS, true),
-        f.amount(MEMORY_GB, true),
-        f.text(IMAGE),
-        f.amount(IMAGE_GB, true),
-        types(f.raw(MACHINE_TYPES)),
-        f.textOrNull(ZONE),
-        f.flag(ONE_ZONE),
-        f.flag(SPREAD),
-        f.flag(SPOT),
-        f.amount(ESTIMATE_S, true),
-        f.amount(CHECKPOINT_S, true),
-        f.amount(CHECKPOINT_SAVE_S, true),
-        f.amountOrNull(DEADLINE_S),
+        priority(fields.text(PRIORITY)),
+        fields.count(TASKS, 1, MOST_TASKS),
+        fields.amount(CPUS, false),
+        fields.amount(GPUS, true),
+        fields.amount(MEMORY_GB, true),
+        fields.text(IMAGE),
+        fields.amount(IMAGE_GB, true),
+        types(fields.raw(MACHINE_TYPES)),
+        fields.textOrNull(ZONE),
+        fields.flag(ONE_ZONE),
+        fields.flag(SPREAD),
+        fields.flag(SPOT),
+        fields.amount(ESTIMATE_S, true),
+        fields.amount(CHECKPOINT_S, true),
+        fields.amount(CHECKPOINT_SAVE_S, true),
+        fields.amountOrNull(DEADLINE_S),
         nowMs,
         batchCapacity,
-        dependencies(f.raw(DEPENDENCIES), id));
+        dependencies(fields.raw(DEPENDENCIES), id));
   }
 
-  private static Kind kind(String s) throws BadRequest {
-    return switch (s) {
+  private static Kind kind(String text) throws BadRequest {
+    return switch (text) {
       case ARRAY -> Kind.ARRAY;
       case SERVICE -> Kind.SERVICE;
       default -> throw new BadRequest(KIND, "must be array or standing");
@@ -184,8 +184,8 @@
     return submission;
   }
 
-  private static Priority priority(String s) throws BadRequest {
-    return switch (s) {
+  private static Priority priority(String text) throws BadRequest {
+    return switch (text) {
       case "prod" -> Priority.PROD;
       case "urgent" -> Priority.URGENT;
       case "normal" -> Priority.NORMAL;
@@ -205,11 +205,11 @@
       throw new BadRequest(MACHINE_TYPES, "has more than " + MOST_TYPES + " entries");
     }
     List<String> types = new ArrayList<>();
-    for (JsonNode t : n) {
-      if (!t.isTextual() || t.textValue().length() > Fields.MOST_NAME) {
+    for (JsonNode type : n) {
+      if (!type.isTextual() || type.textValue().length() > Fields.MOST_NAME) {
         throw new BadRequest(MACHINE_TYPES, "must hold strings of at most " + Fields.MOST_NAME);
       }
-      types.add(t.textValue());
+      types.add(type.textValue());
     }
     return List.copyOf(types);
   }
--- a/src/test/java/graderelay/state/TransactionTest.java
+++ b/src/test/java/graderelay/state/TransactionTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void aTransactionHasTheBytesOfItsTreeBefore() {
+  void transactionHasTheBytesOfItsTreeBefore() {
     Transaction txn =
         new Transaction()
             .when("a/b", 0)
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aTransactionThatOnlyComparesHasNoChanges() {
+  void transactionThatOnlyComparesHasNoChanges() {
     assertThat(text(new Transaction().when("a", 1).encode()))
         .isEqualTo("{\"if\":[{\"key\":\"a\",\"mark\":1}]}");
     assertThat(text(new Transaction().encode())).isEqualTo("{\"if\":[]}");
