--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -15,7 +15,7 @@
 
 /**
  * This controller's copy of the live records, fed by a watch. It may be stale for everything but
- * final states; who needs the truth asks for a catch-up first, which many can share.
+ * final states; callers that need the present state request a catch-up first, which many can share.
  */
 public final class Cache {
   private static final Logger LOG = LoggerFactory.getLogger("cache");
--- a/src/main/java/graderelay/state/CancellationResolver.java
+++ b/src/main/java/graderelay/state/CancellationResolver.java
@@ -21,7 +21,7 @@
   public enum Verdict {
     CANCELLED,
     NOT_CANCELLED,
-    /** The store did not tell. */
+    /** The store could not be read. */
     UNDECIDED
   }
 
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -51,7 +51,7 @@
   /** Cancelled jobs that the copy of the records may not show yet, and when we learned of each. */
   private final Map<String, Double> learnedAt = new LinkedHashMap<>();
 
-  /** When we sent the last question that each peer answered with complete knowledge. */
+  /** When we sent the last request that each peer answered with complete knowledge. */
   private final Map<String, Double> completeAnswerAskedAt = new HashMap<>();
 
   private double knownFromPeersUntil = Double.NEGATIVE_INFINITY;
@@ -73,7 +73,7 @@
     this.peerTellsNobody = tellsNobody;
   }
 
-  /** Sets who hears of each job that a peer says was cancelled. */
+  /** Sets the listener for jobs that a peer says were cancelled. */
   public void listen(Consumer<String> newListener) {
     this.listener = newListener;
   }
@@ -186,7 +186,7 @@
     learnedAt.values().removeIf(at -> at < cache.completeAsOf());
   }
 
-  /** Takes a peer's knowledge, in answer to a question that we sent at {@code sentAt}. */
+  /** Takes a peer's knowledge, in answer to a request that we sent at {@code sentAt}. */
   public void onPeerKnowledge(String peer, double sentAt, CancellationKnowledge knowledge) {
     adopt(sentAt, knowledge);
     // What an earlier process of that peer has told is known only if it ended before our time.
@@ -197,7 +197,7 @@
     knownFromPeersUntil = Math.max(knownFromPeersUntil, oldestCompleteAnswer());
   }
 
-  /** When the question was sent since which every controller has answered completely. */
+  /** When the request was sent since which every controller has answered completely. */
   private double oldestCompleteAnswer() {
     double oldest = isComplete() ? loop.now() : Double.NEGATIVE_INFINITY;
     for (Settings.Peer peer : peers) {
--- a/src/main/java/graderelay/state/CatchUpReads.java
+++ b/src/main/java/graderelay/state/CatchUpReads.java
@@ -9,8 +9,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads that bring the copy up to date for those who need the truth (linearizable reads). All who
- * ask while one is on its way, or too soon after it, share the next one.
+ * Reads that bring the copy up to date for linearizable reads. All who ask while one is on its way,
+ * or too soon after it, share the next one.
  */
 final class CatchUpReads {
   /** Seconds between catch-up reads at the least. */
--- a/src/main/java/graderelay/state/ElectionTiming.java
+++ b/src/main/java/graderelay/state/ElectionTiming.java
@@ -10,7 +10,8 @@
   public static final double SUSPENSION_S = 30;
 
   /**
-   * Seconds of silence after which a peer is suspended: a few questions, and less than a restart.
+   * Seconds of silence after which a peer is suspended: a few status requests, and less than a
+   * restart.
    */
   public static final double SUSPEND_AFTER_S = 3.2;
 
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -15,7 +15,7 @@
 /**
  * Looks for final states that this controller doesn't know. Users ask again and again about old
  * jobs and about jobs that nobody submitted; one transaction that only compares tells of dozens of
- * ids that they have no final record, so that a storm of such questions costs a few requests a
+ * ids that they have no final record, so that a storm of such requests costs a few requests a
  * second.
  */
 public final class FinalStateLookup {
@@ -23,8 +23,10 @@
   public enum Found {
     /** The final state is in the cache now. */
     KNOWN,
+    /** The job has no final state, or was never submitted. */
     ABSENT,
-    /** The store did not tell. */
+
+    /** The store could not be read. */
     FAILED
   }
 
@@ -33,7 +35,7 @@
   private final Cache cache;
   private final int mostIds;
 
-  /** Who asks for each id that is not in a transaction yet, in the order of their asking. */
+  /** Callbacks by id, for ids that are in no transaction yet, in the order of the requests. */
   private Map<String, List<Consumer<Found>>> waiting = new LinkedHashMap<>();
 
   private boolean looking;
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -5,7 +5,7 @@
 
 /**
  * Pledges not to stand for election that this controller gave its peers, and how long they, and its
- * own stand-back, keep it from standing.
+ * own backoff after a handover, keep it from standing.
  */
 final class GivenPledges {
   private final Loop loop;
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -14,7 +14,7 @@
   /** Seconds between requests for pledges. */
   private static final double ASK_EVERY_S = 0.2;
 
-  /** Seconds since a worker last asked for which the pledges are kept up. */
+  /** Seconds for which the pledges are renewed after a worker's last heartbeat. */
   private static final double WANTED_S = 10;
 
   private final Loop loop;
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -113,7 +113,7 @@
         election::retryLater);
   }
 
-  // ---------------------------------------------------------------- questions
+  // ---------------------------------------------------------------- state and queries
 
   /** True while this controller is the leader, whether or not it may act at the moment. */
   public boolean isLeader() {
@@ -143,7 +143,7 @@
     return self.process();
   }
 
-  /** True if we lead and the peer answered our last questions. */
+  /** True if we lead and the peer answered our last status requests. */
   public boolean hears(String peer) {
     return supervisor.hears(peer);
   }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -17,13 +17,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the other controllers while this one leads: asks each every second how it is, lends it
- * write capacity, and suspends it from election while it is silent. A controller that is down can
- * give no pledge, and without that pledge an outage of the key-value store would cost every worker
- * its lease; so it is suspended by a record that its own election is conditioned on.
+ * Watches the other controllers while this one leads: requests the status of each every second,
+ * lends it write capacity, and suspends it from election while it is silent. A controller that is
+ * down can give no pledge, and without that pledge an outage of the key-value store would cost
+ * every worker its lease; so it is suspended by a record that its own election is conditioned on.
  */
 final class PeerSupervisor {
-  /** Seconds between a leader's questions to its peers. */
+  /** Seconds between a leader's status requests to each peer. */
   private static final double ASK_EVERY_S = 1;
 
   private static final Logger LOG = LoggerFactory.getLogger("owner");
@@ -89,7 +89,7 @@
     return changing;
   }
 
-  /** True if this controller leads and the peer answered its last questions. */
+  /** True if this controller leads and the peer answered its last status requests. */
   boolean hears(String peer) {
     double last = lastHeard.getOrDefault(peer, Double.NEGATIVE_INFINITY);
     return status.isActiveLeader() && loop.now() - last < ASK_EVERY_S * 1.5;
@@ -139,7 +139,7 @@
     loop.after(ASK_EVERY_S, this::askPeers);
   }
 
-  /** A peer answered a question of the given term, or did not ({@code wanted} is null). */
+  /** A peer answered a status request of the given term, or did not ({@code wanted} is null). */
   private void onAnswer(String peer, long term, PeerAnswer.Wanted wanted) {
     if (wanted != null) {
       lastHeard.put(peer, loop.now());
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -26,7 +26,9 @@
   private long settingsRevision;
   private long revision;
 
-  /** All records were read; listeners hear of settings, quota and the leader only then. */
+  /**
+   * All records were read; the listener is notified of settings, quota and the leader only then.
+   */
   private boolean loaded;
 
   /** Stored limits or accounts have changed since {@link RecordListener#onQuota} was called. */
@@ -70,7 +72,7 @@
     features.read();
   }
 
-  /** Tells the listener of the records of the election. */
+  /** Notifies the listener of the election records. */
   void announceElection() {
     leaderChanged = false;
     listener.onLeader();
@@ -102,7 +104,7 @@
     loaded = true;
   }
 
-  /** Tells the listener of everything that it does not hear of while records are loaded. */
+  /** Notifies the listener of everything that is not announced while records are loaded. */
   void announceLoaded() {
     listener.onLeader();
     listener.onSettings();
