--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -15,7 +15,7 @@
 
 /**
  * This controller's copy of the live records, fed by a watch. It may be stale for everything but
- * final states; who needs the truth asks for a catch-up first, which many can share.
+ * final states; callers that need the present state request a catch-up first, which many can share.
  */
 public final class Cache {
   private static final Logger LOG = LoggerFactory.getLogger("cache");
@@ -164,10 +164,12 @@
     return election().leader();
   }
 
+  /** The revision of the leader record, 0 if there is none: the condition of a leader's writes. */
   public long leaderRevision() {
     return election().leaderRevision();
   }
 
+  /** The highest term that was ever won, 0 before the first election. */
   public long term() {
     return election().term();
   }
@@ -182,6 +184,7 @@
     return tables.settings();
   }
 
+  /** The revision of the settings record, 0 if no settings were stored. */
   public long settingsRevision() {
     return tables.settingsRevision();
   }
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -1,6 +1,5 @@
 package graderelay.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.wire.StateCodec;
@@ -16,7 +15,7 @@
 /**
  * Looks for final states that this controller doesn't know. Users ask again and again about old
  * jobs and about jobs that nobody submitted; one transaction that only compares tells of dozens of
- * ids that they have no final record, so that a storm of such questions costs a few requests a
+ * ids that they have no final record, so that a storm of such requests costs a few requests a
  * second.
  */
 public final class FinalStateLookup {
@@ -24,8 +23,10 @@
   public enum Found {
     /** The final state is in the cache now. */
     KNOWN,
+    /** The job has no final state, or was never submitted. */
     ABSENT,
-    /** The store did not tell. */
+
+    /** The store could not be read. */
     FAILED
   }
 
@@ -34,7 +35,7 @@
   private final Cache cache;
   private final int mostIds;
 
-  /** Who asks for each id that is not in a transaction yet, in the order of their asking. */
+  /** Callbacks by id, for ids that are in no transaction yet, in the order of the requests. */
   private Map<String, List<Consumer<Found>>> waiting = new LinkedHashMap<>();
 
   private boolean looking;
@@ -95,12 +96,12 @@
         });
   }
 
-  private static Set<String> idsWithRecord(JsonNode failedKeys) {
+  private static Set<String> idsWithRecord(List<String> failedKeys) {
     Set<String> ids = new HashSet<>();
-    for (JsonNode key : failedKeys) {
+    for (String key : failedKeys) {
       // It may also be the fence: then nothing is known, and all are asked again.
-      if (key.asText().startsWith(StateCodec.FINAL_STATES)) {
-        ids.add(key.asText().substring(StateCodec.FINAL_STATES.length()));
+      if (key.startsWith(StateCodec.FINAL_STATES)) {
+        ids.add(key.substring(StateCodec.FINAL_STATES.length()));
       }
     }
     return ids;
@@ -128,7 +129,7 @@
         Use.READ,
         result -> {
           if (result.succeeded()) {
-            cache.rememberFinalState(id, StateCodec.decodeFinalState(result.value()));
+            cache.rememberFinalState(id, StateCodec.decodeFinalState(result.entry().value()));
             tell(askers, Found.KNOWN);
           } else {
             boolean absent = result.outcome() == StoreOutcome.NOT_FOUND;
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -7,14 +7,14 @@
 /**
  * Collects pledges that keep worker leases renewed while there is no leader and the key-value store
  * is away. While every other controller has pledged not to stand for election there is no leader
- * and none can come, so whoever holds the pledges may renew leases. That only keeps running tasks
+ * and none can come, so whoever has the pledges may renew leases. That only keeps running tasks
  * alive; it gives no worker command but the kills of cancelled tasks.
  */
 final class LeaderlessPledges {
   /** Seconds between requests for pledges. */
   private static final double ASK_EVERY_S = 0.2;
 
-  /** Seconds since a worker last asked for which the pledges are kept up. */
+  /** Seconds for which the pledges are renewed after a worker's last heartbeat. */
   private static final double WANTED_S = 10;
 
   private final Loop loop;
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -5,6 +5,8 @@
 import graderelay.features.FeatureGate;
 import graderelay.wire.FinalState;
 import graderelay.wire.StateCodec;
+import graderelay.wire.StoreCodec.StoreChange;
+import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.List;
 
 /**
@@ -24,7 +26,9 @@
   private long settingsRevision;
   private long revision;
 
-  /** All records were read; listeners hear of settings, quota and the leader only then. */
+  /**
+   * All records were read; the listener is notified of settings, quota and the leader only then.
+   */
   private boolean loaded;
 
   /** Stored limits or accounts have changed since {@link RecordListener#onQuota} was called. */
@@ -68,7 +72,7 @@
     features.read();
   }
 
-  /** Tells the listener of the records of the election. */
+  /** Notifies the listener of the election records. */
   void announceElection() {
     leaderChanged = false;
     listener.onLeader();
@@ -90,8 +94,8 @@
   }
 
   private void putAll(Listing listing) {
-    for (StoredRecord record : listing.records()) {
-      put(record.key(), record.value(), record.revision());
+    for (StoreEntry entry : listing.records()) {
+      put(entry.key(), entry.value(), entry.revision());
     }
   }
 
@@ -100,7 +104,7 @@
     loaded = true;
   }
 
-  /** Tells the listener of everything that it does not hear of while records are loaded. */
+  /** Notifies the listener of everything that is not announced while records are loaded. */
   void announceLoaded() {
     listener.onLeader();
     listener.onSettings();
@@ -115,15 +119,15 @@
   // ---------------------------------------------------------------- changes
 
   /** Takes changes up to a revision; those that another read has shown already are left out. */
-  void apply(List<RecordChange> changes, long upTo) {
-    for (RecordChange change : changes) {
+  void apply(List<StoreChange> changes, long upTo) {
+    for (StoreChange change : changes) {
       if (change.revision() <= revision) {
         continue;
       }
-      if (change.isDeletion()) {
-        delete(change.key(), change.revision());
+      if (change instanceof StoreChange.Put written) {
+        put(written.key(), written.value(), written.revision());
       } else {
-        put(change.key(), change.value(), change.revision());
+        delete(change.key(), change.revision());
       }
     }
     revision = Math.max(revision, upTo);
