--- a/src/test/java/graderelay/api/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -110,7 +110,7 @@
     w.users.submit(0, w.users.job("j-000004", 2, 1, 2, true));
     w.loop.run(20);
     String[] text = {""};
-    w.nodes[w.leader()].handle(
+    w.controllers[w.leader()].handle(
         new graderelay.net.Exchange(
             "GET",
             "/metrics",
--- a/src/test/java/graderelay/api/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -55,7 +55,7 @@
           world.start(follower);
         }
         case IN_AN_OUTAGE -> {
-          world.state.outage(true);
+          world.store.outage(true);
           world.loop.run(5);
         }
         case REFUSED_ALONE -> {
@@ -124,7 +124,7 @@
         assertThat(answer.path("error").asText()).contains("awaits").contains("j-");
       }
     }
-    jobs.world.state.outage(false);
+    jobs.world.store.outage(false);
     jobs.world.loop.run(20);
     assertThat(jobs.world.users.stage(node, OWN_ID)).isEmpty();
     fine(jobs.world);
@@ -143,7 +143,7 @@
     } else {
       assertThat(status).isEqualTo(201);
     }
-    jobs.world.state.outage(false);
+    jobs.world.store.outage(false);
     jobs.world.loop.run(20);
     assertThat(jobs.submit(node, body).path("http").asInt()).isIn(200, 201);
     jobs.world.loop.run(20);
@@ -165,7 +165,7 @@
     if (how == Asked.LEADER || how == Asked.FOLLOWER || how == Asked.REFUSED_ALONE) {
       assertThat(status).isEqualTo(200);
     }
-    jobs.world.state.outage(false);
+    jobs.world.store.outage(false);
     jobs.world.loop.run(20);
     JsonNode later = jobs.submit(node, body);
     assertThat(later.path("http").asInt()).isEqualTo(200);
--- a/src/test/java/graderelay/api/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/api/DependencySubmissionTest.java
@@ -50,11 +50,11 @@
     assertThat(http(w, 1, named(body, first.id, first.id, "j-999999"))).isEqualTo(422);
     assertThat(http(w, 1, named(body, first.id, first.id))).isEqualTo(201); // Long over.
     assertThat(http(w, 2, named(body, "j-999999"))).isEqualTo(200); // A retry, whatever it names.
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(5);
     ObjectNode other = w.users.body(job(w, 2, 1, 2));
     assertThat(http(w, 0, named(other, first.id))).isEqualTo(503);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(15);
     assertThat(w.users.stage(0, "j-000701")).isEqualTo("done");
     assertThat(w.users.stage(0, "j-000702")).isEmpty();
--- a/src/test/java/graderelay/api/RequestStormTest.java
+++ b/src/test/java/graderelay/api/RequestStormTest.java
@@ -33,7 +33,7 @@
     w.crash(node);
     w.start(node); // It remembers no final state.
     w.loop.run(5);
-    final int before = w.state.requests;
+    final int before = w.store.requests;
     int[] answered = {0, 0};
     for (int i = 0; i < 400; i++) {
       String id = i < 20 ? old.get(i).id : String.format("j-%06d", 900000 + i);
@@ -43,7 +43,7 @@
     }
     w.loop.run(2);
     assertThat(answered).containsExactly(400, 0);
-    assertThat(w.state.requests - before).isLessThan(120);
+    assertThat(w.store.requests - before).isLessThan(120);
     fine(w);
   }
 
@@ -51,7 +51,7 @@
   void swarmOfSubmissionsIsWrittenOnceEach() {
     SimWorld w = world(82, 3);
     int leader = w.leader();
-    final long before = w.state.revision();
+    final long before = w.store.revision();
     // More than the controller may write in two seconds: the rest is told at once to come back.
     int[] status = new int[600];
     for (int i = 0; i < 600; i++) {
@@ -71,8 +71,8 @@
     w.loop.run(4);
     assertThat(status[201] + status[429]).isEqualTo(600);
     assertThat(status[201]).isGreaterThan(100);
-    assertThat(w.state.conflicts).as("submissions written twice").isZero();
-    assertThat(w.state.revision()).isGreaterThan(before);
+    assertThat(w.store.conflicts).as("submissions written twice").isZero();
+    assertThat(w.store.revision()).isGreaterThan(before);
   }
 
   @Test
--- a/src/test/java/graderelay/api/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -72,7 +72,7 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"nothing", "refused", "lostAnswers", "slowState", "ownerEnds", "handover", "late"})
-  void noNodeAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
+  void noControllerAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
     SimWorld w = world(311, 3);
     w.users.lookClosely();
     final List<SimJob> jobs = arrays(w, 24, 0.7, 2);
@@ -80,16 +80,16 @@
     int leader = w.leader();
     switch (trouble) {
       case "refused" -> refuse(w, other(w, leader), true);
-      case "lostAnswers" -> w.state.loseAnswer = t -> w.random.nextInt(3) == 0;
-      case "slowState" -> w.state.slowS = 0.7;
+      case "lostAnswers" -> w.store.loseAnswer = t -> w.random.nextInt(3) == 0;
+      case "slowState" -> w.store.slowS = 0.7;
       case "ownerEnds" -> {
         w.crash(leader);
         w.loop.after(0.3, () -> w.start(leader));
       }
       case "handover" -> refuse(w, leader, true);
       case "late" -> {
-        w.state.delayS = 4;
-        w.state.delay = t -> w.random.nextInt(4) == 0;
+        w.store.delayS = 4;
+        w.store.delay = t -> w.random.nextInt(4) == 0;
       }
       default -> {}
     }
@@ -97,9 +97,9 @@
     for (int i = 0; i < 3; i++) {
       refuse(w, i, false);
     }
-    w.state.loseAnswer = t -> false;
-    w.state.delay = t -> false;
-    w.state.slowS = 0;
+    w.store.loseAnswer = t -> false;
+    w.store.delay = t -> false;
+    w.store.slowS = 0;
     w.loop.run(60);
     allOver(w, jobs);
   }
@@ -138,10 +138,10 @@
   void transactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
     SimWorld w = world(313, 3);
     w.users.lookClosely();
-    w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
+    w.store.loseAnswer = t -> w.random.nextInt(2) == 0;
     final List<SimJob> jobs = arrays(w, 20, 1, 3);
     w.loop.run(40);
-    w.state.loseAnswer = t -> false;
+    w.store.loseAnswer = t -> false;
     w.loop.run(60);
     allOver(w, jobs);
   }
@@ -158,7 +158,7 @@
         List.of(
             () -> {},
             () -> refuse(w, w.leader(), true),
-            () -> w.state.outage(true),
+            () -> w.store.outage(true),
             () -> {
               w.crashAll();
               w.startAll();
@@ -176,7 +176,7 @@
         }
       }
     }
-    w.state.outage(false);
+    w.store.outage(false);
     w.cloud.noTypes = false;
     for (int i = 0; i < 3; i++) {
       refuse(w, i, false);
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -48,7 +48,7 @@
    * changes, and nobody waits for them: work that has just come is claimed before they are written.
    */
   @Test
-  void endsOfWideFanDoNotHoldUpTheClaimsOfOthers() {
+  void endsOfWideFanDoNotDelayTheClaimsOfOthers() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
@@ -116,7 +116,7 @@
    * reads.
    */
   @Test
-  void slicesOfNewJobsFitTheLowerLimitsInThePlainForm() {
+  void taskBatchesOfNewJobsFitTheLowerLimitsInThePlainForm() {
     SimWorld world =
         new SimWorld(431, WorldShape.of(3).fleet(30, List.of("a", "b")), RandomDay.LOWER);
     world.loop.run(3);
@@ -125,7 +125,7 @@
     int plain = 0;
     for (int i = 0; i < 200; i++) {
       world.loop.run(0.2);
-      for (var item : world.state.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
+      for (var item : world.store.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
         if (item.getKey().startsWith(StateCodec.TASK_BATCHES)) {
           JsonNode taskBatch = item.getValue().value();
           assertThat(Json.write(taskBatch).length)
--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -47,7 +47,7 @@
         n++;
       }
       Heartbeat r =
-          SchedulerFixture.report(
+          SchedulerFixture.heartbeat(
               e.getKey(), 1, seq, s.term(), shown.toArray(new Heartbeat.Entry[0]));
       s.onHeartbeat(r, now);
       s.onHeartbeatAnswered(e.getKey(), now);
@@ -98,7 +98,8 @@
     }
     assertThat(tries).hasSizeBetween(4, 9); // Two seconds, then twice as long each time.
     assertThat(quarantined(s, 120)).isZero();
-    assertThat(SchedulerFixture.notes(s)).noneMatch(x -> x.contains("fails tasks of several jobs"));
+    assertThat(SchedulerFixture.logLines(s))
+        .noneMatch(x -> x.contains("fails tasks of several jobs"));
   }
 
   @Test
@@ -154,7 +155,7 @@
       SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
     }
     assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(x -> x.startsWith("preempt"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(x -> x.startsWith("preempt"));
   }
 
   @Test
--- a/src/test/java/graderelay/core/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -58,7 +58,7 @@
           .as(b)
           .isEqualTo(400);
     }
-    assertThat(w.nodes[leader].core().machines(0)).noneMatch(m -> m.name().equals("n-9"));
+    assertThat(w.controllers[leader].core().machines(0)).noneMatch(m -> m.name().equals("n-9"));
     String right = "{" + good + ",\"shift\":1,\"tally\":1,\"boards\":null,\"recall_s\":null}";
     assertThat(w.users.answer(leader, "POST", "/checkin", right.getBytes()).path("http").asInt())
         .isEqualTo(200);
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -34,7 +34,7 @@
   }
 
   private static long preempted(Scheduler s) {
-    return SchedulerFixture.notes(s).stream().filter(x -> x.startsWith("preempt")).count();
+    return SchedulerFixture.logLines(s).stream().filter(x -> x.startsWith("preempt")).count();
   }
 
   @Test
@@ -95,16 +95,16 @@
   @Test
   void leaseThatEndsJustAsTheNewLeaderAnswersIsNoSignOfDeafness() {
     Scheduler s = SchedulerFixture.scheduler(7);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 90, 6), 1);
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 90, 6), 1);
     s.onHeartbeatAnswered("n-1", 1);
     // It dropped the answer: its lease had ended while the answer was on its way.
-    s.onHeartbeat(SchedulerFixture.report("n-1", 2, 91, 6), 2);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 91, 6), 2);
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("does not hear us"));
     s.onHeartbeatAnswered("n-1", 2);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 2, 92, 7), 4);
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 92, 7), 4);
     s.onHeartbeatAnswered("n-1", 4);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 3, 93, 7), 6);
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 3, 93, 7), 6);
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("does not hear us"));
   }
 
   @Test
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -54,11 +54,11 @@
       SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.notes(scheduler)).noneMatch(n -> n.contains("preempt"));
+    assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(n -> n.contains("preempt"));
     for (int i = 16; i < 30; i += 2) {
       SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.notes(scheduler)).anyMatch(n -> n.contains("preempt j-000001"));
+    assertThat(SchedulerFixture.logLines(scheduler)).anyMatch(n -> n.contains("preempt j-000001"));
   }
 }
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -178,7 +178,7 @@
   }
 
   /** A heartbeat of a machine that shows these tasks. */
-  public static Heartbeat report(
+  public static Heartbeat heartbeat(
       String machine, long session, long seq, long term, Heartbeat.Entry... tasks) {
     return new Heartbeat(
         machine, machine + ":9000", "small", "a", false, session, seq, term, null, List.of(tasks));
@@ -186,7 +186,7 @@
 
   /** A heartbeat that is answered. */
   public static void machine(Scheduler s, String name, long session, long seq, double now) {
-    s.onHeartbeat(report(name, session, seq, s.term()), now);
+    s.onHeartbeat(heartbeat(name, session, seq, s.term()), now);
     s.onHeartbeatAnswered(name, now);
   }
 
@@ -224,15 +224,15 @@
     return names;
   }
 
-  /** Returns the texts of all notes so far. */
-  public static List<String> notes(Scheduler s) {
-    List<String> notes = new ArrayList<>();
+  /** Returns the texts of all log lines so far. */
+  public static List<String> logLines(Scheduler s) {
+    List<String> lines = new ArrayList<>();
     for (Action a : taken(s)) {
       if (a instanceof Action.LogLine n) {
-        notes.add(n.text());
+        lines.add(n.text());
       }
     }
-    return notes;
+    return lines;
   }
 
   private static final java.util.WeakHashMap<Scheduler, int[]> WRITES =
@@ -305,11 +305,11 @@
         start(c.commands(), running);
       }
     }
-    Heartbeat first = report(machine, 1, seq, s.term(), shown(running, 0));
+    Heartbeat first = heartbeat(machine, 1, seq, s.term(), shown(running, 0));
     s.onHeartbeat(first, now);
     s.onHeartbeatAnswered(machine, now);
     start(s.commandsFor(first, now), running);
-    Heartbeat second = report(machine, 1, seq + 1, s.term(), shown(running, done));
+    Heartbeat second = heartbeat(machine, 1, seq + 1, s.term(), shown(running, done));
     s.onHeartbeat(second, now + 0.5);
     s.onHeartbeatAnswered(machine, now + 0.5);
     var it = running.keySet().iterator();
@@ -319,8 +319,8 @@
     }
   }
 
-  private static void start(List<WorkerCommand> orders, Map<String, Integer> running) {
-    for (WorkerCommand o : orders) {
+  private static void start(List<WorkerCommand> commands, Map<String, Integer> running) {
+    for (WorkerCommand o : commands) {
       if (o instanceof WorkerCommand.Launch l) {
         running.put(l.task(), l.attempt());
       }
@@ -350,9 +350,9 @@
         .sum();
   }
 
-  /** Starts of a job's tasks that the notes tell of. */
+  /** Starts of a job's tasks that the log lines tell of. */
   public static long tasksStarted(Scheduler s, String job) {
-    return notes(s).stream().filter(n -> n.startsWith("start " + job + "/")).count();
+    return logLines(s).stream().filter(n -> n.startsWith("start " + job + "/")).count();
   }
 
   /** Returns how many claims a machine holds. */
--- a/src/test/java/graderelay/core/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -38,7 +38,7 @@
     s.step(0.2);
     long before = s.examinedCount();
     for (int i = 0; i < machines; i++) {
-      s.onHeartbeat(SchedulerFixture.report(name(i), 1, 2, 1), 0.3);
+      s.onHeartbeat(SchedulerFixture.heartbeat(name(i), 1, 2, 1), 0.3);
       s.step(0.3 + i * 1e-5);
     }
     assertThat(s.examinedCount() - before).isZero();
@@ -96,7 +96,7 @@
     SchedulerFixture.commitAll(s, 20, 1.7);
     SchedulerFixture.commitAll(s, 30, 1.9);
     assertThat(SchedulerFixture.writes(s) - before).isEqualTo(1); // With the job's own end.
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("j-1 is done"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("j-1 is done"));
   }
 
   @Test
@@ -134,7 +134,7 @@
     for (int i = 0; i < w.size; i++) {
       assertThat(w.users.stage(i, j.id)).isEqualTo("done");
     }
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 }
--- a/src/test/java/graderelay/features/DowngradeTest.java
+++ b/src/test/java/graderelay/features/DowngradeTest.java
@@ -25,18 +25,18 @@
     SimWorld w = finalized(seed, 3);
     w.users.submit(0, w.users.job("j-000650", 3, 1, 0, false));
     w.loop.run(40);
-    assertThat(w.state.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
+    assertThat(w.store.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
     final int starts = w.invariants.starts;
     assertThat(change(w, w.leader(), "downgrade", target).path("http").asInt()).isEqualTo(200);
     w.loop.run(10);
     assertThat(level(w)).isEqualTo(target);
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
     w.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
     assertThat(level(w)).isEqualTo(target);
     assertThat(w.invariants.starts).isEqualTo(starts);
     if (target == 0) {
-      assertThat(w.state.value(FeatureCodec.LEADER)).isNull();
-      assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SUSPENSIONS));
+      assertThat(w.store.value(FeatureCodec.LEADER)).isNull();
+      assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SUSPENSIONS));
       upgradeToProduction(w);
     }
     fine(w);
@@ -63,7 +63,7 @@
     w.loop.run(40);
     int[] steps = {0};
     int leader = w.leader();
-    w.state.loseAnswer =
+    w.store.loseAnswer =
         t -> {
           String changes = t.path("then").toString();
           boolean ofTheDowngrade =
@@ -78,13 +78,13 @@
         };
     change(w, leader, "downgrade", 0);
     w.loop.run(8);
-    w.state.loseAnswer = t -> false;
+    w.store.loseAnswer = t -> false;
     if (!w.isUp(leader)) {
       w.start(leader);
     }
     w.loop.run(25);
     assertThat(level(w)).as("after step " + step + " of " + steps[0]).isZero();
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
     assertThat(w.leader()).isNotNegative();
     allEnd(w, jobs);
   }
--- a/src/test/java/graderelay/features/FeatureLevelAdminTest.java
+++ b/src/test/java/graderelay/features/FeatureLevelAdminTest.java
@@ -59,7 +59,7 @@
   @CsvSource({"'{\"level\":\"two\"}', 226", "'{\"level\":-1}', 227", "'{}', 228"})
   void malformedLevelRecordStopsEverybodyUntilItIsMended(String record, long seed) {
     SimWorld w = finalized(seed, 3);
-    w.state.overwrite(FeatureCodec.LEVEL, Json.read(record.getBytes()));
+    w.store.overwrite(FeatureCodec.LEVEL, Json.read(record.getBytes()));
     w.loop.run(15);
     for (int i = 0; i < 3; i++) {
       JsonNode ready = w.users.answer(i, "GET", "/ready", null);
@@ -67,7 +67,7 @@
       assertThat(ready.path("error").asText()).contains("malformed").contains("level");
     }
     assertThat(w.left).isEmpty();
-    w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", LATEST));
+    w.store.overwrite(FeatureCodec.LEVEL, Json.object().put("level", LATEST));
     w.loop.run(10);
     assertThat(w.leader()).isNotNegative();
     SimJob job = w.users.job("j-000660", 1, 1, 2, true);
@@ -81,7 +81,7 @@
   void unknownFutureLevelIsRefusedWithMessage() {
     SimWorld w = new SimWorld(229, WorldShape.of(3));
     w.crashAll();
-    w.state.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
+    w.store.overwrite(FeatureCodec.LEVEL, Json.object().put("level", 99));
     w.startAll();
     w.loop.run(10);
     assertThat(w.leader()).isEqualTo(-1);
--- a/src/test/java/graderelay/features/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/features/RollingUpgradeTest.java
@@ -42,8 +42,8 @@
     }
     w.loop.run(SOAK_S + 3);
     assertThat(level(w)).isEqualTo(LATEST);
-    assertThat(w.state.value(FeatureCodec.LEADER)).isNotNull();
-    assertThat(w.state.value(StateCodec.LEADER).path("member").asText())
+    assertThat(w.store.value(FeatureCodec.LEADER)).isNotNull();
+    assertThat(w.store.value(StateCodec.LEADER).path("member").asText())
         .isEqualTo(FeatureCodec.SEALED_LEADER);
     assertThat(w.leader()).isNotNegative();
     allEnd(w, jobs);
@@ -57,7 +57,7 @@
     upgrade(w, 1, pinned(LATEST));
     w.loop.run(2 * SOAK_S);
     assertThat(level(w)).isZero();
-    for (String key : w.state.everWritten) {
+    for (String key : w.store.everWritten) {
       boolean ofLevels =
           key.startsWith(FeatureCodec.ROOT)
               || key.startsWith(FeatureCodec.HINTS)
@@ -114,7 +114,7 @@
       }
     }
     w.loop.run(4 * SOAK_S);
-    assertThat(w.state.value(FeatureCodec.memberKey("m-0"))).isNotNull();
+    assertThat(w.store.value(FeatureCodec.memberKey("m-0"))).isNotNull();
     assertThat(level(w)).isZero();
     JsonNode shown = show(w, w.leader() == 0 ? 1 : w.leader());
     if (shown.has("waits_for")) {
@@ -131,13 +131,13 @@
     final int other = (leader + 1) % 3;
     // The finalization is under way for so long that the other controller comes back in between.
     boolean[] delayed = {false};
-    w.state.delay =
+    w.store.delay =
         t -> {
           boolean raises = t.path("then").toString().contains(FeatureCodec.LEVEL);
           delayed[0] |= raises;
           return raises;
         };
-    w.state.delayS = 6;
+    w.store.delayS = 6;
     w.users.ask(
         leader,
         "POST",
@@ -150,7 +150,7 @@
     w.crash(other);
     w.start(other);
     w.loop.run(10);
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     assertThat(level(w)).isZero();
     w.loop.run(20);
     fine(w);
@@ -161,10 +161,10 @@
     SimWorld w = levelled(207, 3, manual(LATEST));
     final List<SimJob> jobs = steadyJobs(w, 40);
     w.loop.run(SOAK_S + 3);
-    w.state.loseAnswer = t -> t.path("then").toString().contains(FeatureCodec.LEVEL);
+    w.store.loseAnswer = t -> t.path("then").toString().contains(FeatureCodec.LEVEL);
     int before = w.leader();
     assertThat(change(w, before, "finalize", LATEST).path("http").asInt()).isEqualTo(503);
-    w.state.loseAnswer = t -> false;
+    w.store.loseAnswer = t -> false;
     w.loop.run(10);
     assertThat(level(w)).isEqualTo(LATEST);
     assertThat(w.leader()).isNotNegative();
@@ -179,16 +179,16 @@
     final List<SimJob> jobs = steadyJobs(w, 60);
     w.loop.run(SOAK_S - 6); // All are up, but not for long enough yet.
     final int starts = w.invariants.starts;
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(8);
-    w.state.outage(false);
+    w.store.outage(false);
     assertThat(level(w)).isZero();
     w.loop.run(3 * SOAK_S);
     assertThat(level(w)).isEqualTo(LATEST);
     assertThat(w.invariants.starts).isGreaterThanOrEqualTo(starts);
-    w.state.outage(true); // And again right after it.
+    w.store.outage(true); // And again right after it.
     w.loop.run(8);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(3);
     assertThat(w.users.stage(1, "j-000600")).isEqualTo("running");
     allEnd(w, jobs);
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -65,7 +65,7 @@
 
   /** The level that is stored. */
   static int level(SimWorld w) {
-    JsonNode record = w.state.value(FeatureCodec.LEVEL);
+    JsonNode record = w.store.value(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
--- a/src/test/java/graderelay/quota/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -71,14 +71,14 @@
     final QuotaRecorder recorder = new QuotaRecorder(w);
     final List<SimJob> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
     w.loop.run(14);
-    final int conflicts = w.state.conflicts;
-    w.state.delayS = 1;
-    w.state.delay = t -> isClaim(t);
+    final int conflicts = w.store.conflicts;
+    w.store.delayS = 1;
+    w.store.delay = t -> isClaim(t);
     w.loop.run(0.8);
     set(w, 0, "team", "{\"cpus_max\":8}");
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     w.loop.run(2);
-    assertThat(w.state.conflicts).isGreaterThan(conflicts);
+    assertThat(w.store.conflicts).isGreaterThan(conflicts);
     w.loop.run(150);
     QuotaSteps.allDone(w, recorder, jobs);
   }
@@ -105,8 +105,8 @@
     SimWorld w = stored(521, 3);
     final long version = shown(w, "team").path("version").asLong();
     JsonNode[] answers = new JsonNode[2];
-    w.state.delay = t -> t.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
-    w.state.delayS = 0.5;
+    w.store.delay = t -> t.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
+    w.store.delayS = 0.5;
     for (int i = 0; i < 2; i++) {
       int node = i;
       byte[] body = ("{\"cpus_max\":" + (10 + i) + ",\"by\":\"operator-" + i + "\"}").getBytes();
@@ -145,11 +145,11 @@
       })
   void invalidChangeIsRefusedWithItsFieldAndChangesNothing(String team, String body, String field) {
     SimWorld w = stored(531, 3);
-    JsonNode before = w.state.value(QuotaCodec.limitKey("team"));
+    JsonNode before = w.store.value(QuotaCodec.limitKey("team"));
     JsonNode answer = set(w, 1, team, body);
     assertThat(status(answer)).isEqualTo(400);
     assertThat(answer.path("error").asText()).contains(field);
-    assertThat(w.state.value(QuotaCodec.limitKey("team"))).isEqualTo(before);
+    assertThat(w.store.value(QuotaCodec.limitKey("team"))).isEqualTo(before);
   }
 
   @Test
@@ -162,7 +162,7 @@
   @Test
   void withoutTheStoreChangesArePutOffAndWithoutTheLevelRefused() {
     SimWorld w = stored(533, 3);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(2);
     assertThat(status(set(w, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(503);
     SimWorld before = plain(534, 3);
@@ -193,7 +193,7 @@
     w.loop.run(30);
     assertThat(w.users.stage(0, job.id)).isEqualTo("done");
     assertThat(status(w.users.answer(2, "DELETE", path, null))).isEqualTo(200);
-    assertThat(w.state.items.keySet()).noneMatch(key -> key.contains("night"));
+    assertThat(w.store.items.keySet()).noneMatch(key -> key.contains("night"));
     assertThat(status(w.users.answer(0, "GET", path, null))).isEqualTo(404);
     w.loop.run(5);
     assertThat(metrics(w)).doesNotContain("graderelay_quota_differences");
@@ -211,10 +211,10 @@
     SimJob job = w.users.job("j-004010", 1, 3, 5, true);
     JsonNode refused = w.users.answer(behind, "POST", "/v1/jobs", Json.write(w.users.body(job)));
     assertThat(status(refused)).isEqualTo(422);
-    w.state.holdWatches = true; // What it knows of the limits stays as it is.
+    w.store.holdWatches = true; // What it knows of the limits stays as it is.
     w.loop.run(0.2);
     TeamQuota raised = new TeamQuota(Amount.granted(1, 0), Amount.granted(8, 0));
-    w.state.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
+    w.store.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
     int[] answered = {0};
     w.users.ask(
         behind,
@@ -224,7 +224,7 @@
         (r, n) -> answered[0] = r.status());
     w.loop.run(1);
     assertThat(answered[0]).isNotIn(422, 400);
-    w.state.holdWatches = false;
+    w.store.holdWatches = false;
     w.users.submit(behind, job);
     w.loop.run(40);
     assertThat(w.users.stage(behind, job.id)).isEqualTo("done");
@@ -264,7 +264,7 @@
     final List<SimJob> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
     final List<SimJob> others = burst(w, "other", "37", 30, 1, 2, 3);
     w.loop.run(15);
-    w.state.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
+    w.store.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
     w.loop.run(6);
     int running = (int) w.invariants.running("team");
     assertThat(running).isZero();
@@ -303,7 +303,7 @@
   @Test
   void malformedLimitsStopTheirTeamAloneUntilTheyAreGivenAnew() {
     SimWorld w = stored(562, 3);
-    w.state.overwrite(QuotaCodec.limitKey("team"), Json.array());
+    w.store.overwrite(QuotaCodec.limitKey("team"), Json.array());
     w.loop.run(1);
     final List<SimJob> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
     List<SimJob> others = burst(w, "other", "39", 5, 0.1, 2, 3);
--- a/src/test/java/graderelay/quota/QuotaMeasurement.java
+++ b/src/test/java/graderelay/quota/QuotaMeasurement.java
@@ -102,9 +102,9 @@
       QuotaSteps.plain(w);
     }
     fill(w, setup.machines());
-    w.state.slowS = setup.slowS();
+    w.store.slowS = setup.slowS();
     final long cpu = processorNanos();
-    final long changes = w.state.changesMade;
+    final long changes = w.store.changesMade;
     final double from = w.loop.now();
     double everyS = setup.burstS() / setup.jobs();
     List<SimJob> jobs = QuotaSteps.burst(w, "team", "60", setup.jobs(), everyS, 1, RUN_S);
@@ -112,7 +112,7 @@
       w.loop.run(0.5);
     }
     final double startS = w.loop.now() - from;
-    final long changesToStart = w.state.changesMade - changes;
+    final long changesToStart = w.store.changesMade - changes;
     w.loop.run(SETTLE_S);
     Histogram waits = new Histogram(MOST_MS, DIGITS);
     for (int i = 0; i < jobs.size(); i++) {
@@ -124,7 +124,7 @@
         waits,
         changesToStart,
         startS,
-        w.state.changesMade - changes,
+        w.store.changesMade - changes,
         (processorNanos() - cpu) / 1e9);
   }
 
--- a/src/test/java/graderelay/quota/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -39,10 +39,10 @@
   static SimWorld stored(SimWorld w) {
     w.checkLevels();
     startWith(w, upTo(LEVEL));
-    for (int i = 0; i < 30 && w.state.value(QuotaCodec.SEEDED) == null; i++) {
+    for (int i = 0; i < 30 && w.store.value(QuotaCodec.SEEDED) == null; i++) {
       w.loop.run(1);
     }
-    assertThat(w.state.value(QuotaCodec.SEEDED)).isNotNull();
+    assertThat(w.store.value(QuotaCodec.SEEDED)).isNotNull();
     assertThat(w.leader()).isNotNegative();
     return w;
   }
@@ -56,7 +56,7 @@
   static SimWorld plain(SimWorld w) {
     startWith(w, upTo(LEVEL - 1));
     w.loop.run(12);
-    assertThat(w.state.value(FeatureCodec.LEADER)).isNotNull();
+    assertThat(w.store.value(FeatureCodec.LEADER)).isNotNull();
     return w;
   }
 
@@ -103,12 +103,12 @@
 
   /** What the account of a team says, in CPUs. */
   static double account(SimWorld w, String team) {
-    return QuotaCodec.decodeAccount(w.state.value(QuotaCodec.accountKey(team)), 1).use().cpus();
+    return QuotaCodec.decodeAccount(w.store.value(QuotaCodec.accountKey(team)), 1).use().cpus();
   }
 
   static void overwriteAccount(SimWorld w, String team, double cpus) {
     JsonNode value = Json.object().put("cpus", (long) (cpus * 1000)).put("gpus", 0);
-    w.state.overwrite(QuotaCodec.accountKey(team), value);
+    w.store.overwrite(QuotaCodec.accountKey(team), value);
   }
 
   /** All are done, no invariant was violated, and no limit was passed on the way. */
--- a/src/test/java/graderelay/quota/StoredLimitsTest.java
+++ b/src/test/java/graderelay/quota/StoredLimitsTest.java
@@ -69,11 +69,11 @@
     final QuotaRecorder recorder = new QuotaRecorder(w);
     final List<SimJob> jobs = burst(w, "team", "11", 60, 0.2, 2, 6);
     w.loop.run(8);
-    w.state.delayS = lateS;
-    w.state.delay = t -> isClaim(t);
+    w.store.delayS = lateS;
+    w.store.delay = t -> isClaim(t);
     w.loop.run(0.6);
     w.crash(w.leader());
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     w.loop.run(20);
     assertThat(w.leader()).isNotNegative();
     for (int i = 0; i < 3; i++) {
@@ -140,12 +140,12 @@
     final QuotaRecorder recorder = new QuotaRecorder(w);
     final List<SimJob> jobs = burst(w, "team", "15", 60, 0.2, 2, 5);
     w.loop.run(8);
-    w.state.loseAnswer = t -> isClaim(t);
+    w.store.loseAnswer = t -> isClaim(t);
     w.loop.run(0.5);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(15);
-    w.state.loseAnswer = t -> false;
-    w.state.outage(false);
+    w.store.loseAnswer = t -> false;
+    w.store.outage(false);
     w.loop.run(110);
     allDone(w, recorder, jobs);
     w.loop.run(10);
@@ -159,11 +159,11 @@
     final List<SimJob> others = guaranteed(w, 10);
     final List<SimJob> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
     w.loop.run(5);
-    w.state.lower(RandomDay.LOWER.valueKb(), RandomDay.LOWER.txnOps());
+    w.store.lower(RandomDay.LOWER.valueKb(), RandomDay.LOWER.txnOps());
     w.loop.run(90);
     jobs.addAll(others);
     allDone(w, recorder, jobs);
-    assertThat(w.state.tooLarge).isZero();
+    assertThat(w.store.tooLarge).isZero();
   }
 
   @Test
@@ -194,13 +194,13 @@
       w.loop.run(3);
     }
     w.loop.run(6);
-    assertThat(w.state.value(QuotaCodec.accountKey("team"))).isNotNull();
+    assertThat(w.store.value(QuotaCodec.accountKey("team"))).isNotNull();
     byte[] two = "{\"level\":2}".getBytes();
     assertThat(w.users.answer(0, "POST", "/admin/features/downgrade", two).path("http").asInt())
         .isEqualTo(200);
     w.loop.run(10);
-    assertThat(w.state.value(FeatureCodec.LEVEL).path("level").asInt()).isEqualTo(2);
-    assertThat(w.state.items.keySet()).noneMatch(key -> key.startsWith(QuotaCodec.ROOT));
+    assertThat(w.store.value(FeatureCodec.LEVEL).path("level").asInt()).isEqualTo(2);
+    assertThat(w.store.items.keySet()).noneMatch(key -> key.startsWith(QuotaCodec.ROOT));
     w.loop.run(160);
     allDone(w, recorder, jobs);
   }
@@ -249,16 +249,16 @@
     burst(w, "team", "20", 120, 0.1, 2, 4).forEach(job -> job.zone = "a");
     burst(w, "team", "21", 120, 0.1, 2, 4).forEach(job -> job.zone = "b");
     w.loop.run(16 + seed % 4 * 0.7);
-    w.state.ignoredCondition =
+    w.store.ignoredCondition =
         key ->
             key.equals(StateCodec.LEADER)
                 || key.equals(FeatureCodec.LEADER)
                 || key.equals(StateCodec.TERM);
-    w.state.delayS = 7 + seed % 3 * 2;
-    w.state.delay = t -> isClaim(t);
+    w.store.delayS = 7 + seed % 3 * 2;
+    w.store.delay = t -> isClaim(t);
     w.loop.run(1);
     w.suspend(w.leader());
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     // The next leader can't claim the same tasks of this zone again, and fills the other one.
     w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(x -> x.hang(20));
     w.loop.run(40);
--- a/src/test/java/graderelay/scenario/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -72,14 +72,14 @@
             w.loop.after(trouble.equals("crash") ? 4 : 0.2, () -> w.start(leader));
           }
         }
-        case "lostAnswers" -> w.state.loseAnswer = t -> w.random.nextInt(2) == 0;
+        case "lostAnswers" -> w.store.loseAnswer = t -> w.random.nextInt(2) == 0;
         case "late" -> {
-          w.state.delayS = 3;
-          w.state.delay = t -> w.random.nextInt(3) == 0;
+          w.store.delayS = 3;
+          w.store.delay = t -> w.random.nextInt(3) == 0;
         }
         case "outage" -> {
-          w.state.outage(true);
-          w.loop.after(4, () -> w.state.outage(false));
+          w.store.outage(true);
+          w.loop.after(4, () -> w.store.outage(false));
         }
         case "isolate" -> {
           if (leader >= 0) {
@@ -96,8 +96,8 @@
       }
       w.loop.run(6);
     }
-    w.state.loseAnswer = t -> false;
-    w.state.delay = t -> false;
+    w.store.loseAnswer = t -> false;
+    w.store.delay = t -> false;
     w.loop.run(60);
     everywhere(w, List.of(first, second, join, last), "done");
   }
@@ -150,7 +150,7 @@
       SchedulerFixture.machine(s, "n-1", 1, 1 + i, i);
       s.tick(i);
     }
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("preempt"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("preempt"));
     assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
     assertThat(s.whyWaiting("j-2")).contains("j-1");
   }
@@ -183,12 +183,12 @@
       SchedulerFixture.work(s, "n-1", 2L * i, 0, i);
       s.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("preempt"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("preempt"));
     for (int i = 304; i < 340; i += 2) {
       SchedulerFixture.work(s, "n-1", 2L * i, 0, i);
       s.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("preempt j-1"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("preempt j-1"));
   }
 
   @ParameterizedTest
@@ -212,7 +212,7 @@
     w.loop.run(60);
     everywhere(w, jobs.subList(0, which), "done");
     for (SimJob j : jobs) {
-      assertThat(w.state.value(StateCodec.finalStateKey(j.id))).isNotNull();
+      assertThat(w.store.value(StateCodec.finalStateKey(j.id))).isNotNull();
     }
     fine(w);
   }
@@ -256,7 +256,7 @@
     accept(w, 0, late);
     everywhere(w, List.of(first, soon, late), "cancelled");
     w.loop.run(20);
-    assertThat(w.state.value(StateCodec.jobKey(late.id))).isNull();
+    assertThat(w.store.value(StateCodec.jobKey(late.id))).isNull();
     assertThat(w.invariants.starts).isEqualTo(1);
   }
 
@@ -275,10 +275,10 @@
     w.users.cancel(1, root);
     w.loop.run(0.3);
     everywhere(w, fan, "cancelled");
-    int before = w.state.requests;
+    int before = w.store.requests;
     w.loop.run(20);
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.JOBS));
-    assertThat(w.state.requests - before).isLessThan(600);
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.JOBS));
+    assertThat(w.store.requests - before).isLessThan(600);
     fine(w);
   }
 }
--- a/src/test/java/graderelay/sim/FaultInjector.java
+++ b/src/test/java/graderelay/sim/FaultInjector.java
@@ -54,16 +54,16 @@
       case STATE_REFUSES_ONE -> refuse(controller, f.length());
       case STATE_REFUSES_LEADER -> refuse(leader, f.length());
       case STATE_SLOW -> {
-        world.state.slowS = 0.1 + f.pick() % 20 * 0.1;
-        world.loop.after(f.length(), () -> world.state.slowS = 0);
+        world.store.slowS = 0.1 + f.pick() % 20 * 0.1;
+        world.loop.after(f.length(), () -> world.store.slowS = 0);
       }
       case TRANSACTIONS_LATE -> delayTransactions(3, f.length(), true);
       case MANY_TRANSACTIONS_LATE ->
           delayTransactions(12, Math.min(6, f.length()), f.pick() % 2 == 0);
       case SOME_TRANSACTIONS_LATE -> delaySomeTransactions(f.length());
       case TRANSACTION_ANSWERS_LOST -> {
-        world.state.loseAnswer = t -> world.random.nextInt(3) == 0;
-        world.loop.after(f.length(), () -> world.state.loseAnswer = t -> false);
+        world.store.loseAnswer = t -> world.random.nextInt(3) == 0;
+        world.loop.after(f.length(), () -> world.store.loseAnswer = t -> false);
       }
       case ANSWERS_LOST -> {
         world.net.loseAnswers = 0.2;
@@ -139,8 +139,8 @@
   // ---------------------------------------------------------------- store and cloud
 
   private void outage(double length) {
-    world.state.outage(true);
-    world.loop.after(length, () -> world.state.outage(false));
+    world.store.outage(true);
+    world.loop.after(length, () -> world.store.outage(false));
   }
 
   private void refuse(int controller, double length) {
@@ -150,17 +150,17 @@
 
   private void delayTransactions(int count, double seconds, boolean any) {
     int[] left = {count};
-    world.state.delayS = seconds;
-    world.state.delay = t -> left[0]-- > 0 && any;
+    world.store.delayS = seconds;
+    world.store.delay = t -> left[0]-- > 0 && any;
   }
 
   private void delaySomeTransactions(double length) {
-    world.state.delay =
+    world.store.delay =
         t -> {
-          world.state.delayS = 2 + world.random.nextDouble() * 10;
+          world.store.delayS = 2 + world.random.nextDouble() * 10;
           return world.random.nextInt(3) == 0;
         };
-    world.loop.after(length, () -> world.state.delay = t -> false);
+    world.loop.after(length, () -> world.store.delay = t -> false);
   }
 
   private void boots(double factor, double failed, double length) {
@@ -179,9 +179,9 @@
   private void cancelBetweenRefusalAndOutage(Fault f, int leader) {
     world.refused[leader][0] = true;
     world.loop.after(f.pick() % 100 * 0.03, () -> cancelNow(3));
-    world.loop.after(f.pick() % 37 * 0.2, () -> world.state.outage(true));
+    world.loop.after(f.pick() % 37 * 0.2, () -> world.store.outage(true));
     world.loop.after(8, () -> world.refused[leader][0] = false);
-    world.loop.after(12 + f.length() * 2, () -> world.state.outage(false));
+    world.loop.after(12 + f.length() * 2, () -> world.store.outage(false));
   }
 
   /** Users cancel some jobs that run, at once and at any controller. */
--- a/src/test/java/graderelay/sim/LevelChanges.java
+++ b/src/test/java/graderelay/sim/LevelChanges.java
@@ -185,7 +185,7 @@
 
   /** True if the level that is stored is one that all support now. */
   boolean levelIsSupported() {
-    var record = world.state.value(FeatureCodec.LEVEL);
+    var record = world.store.value(FeatureCodec.LEVEL);
     return record == null || record.path("level").asInt() <= LATEST;
   }
 }
--- a/src/test/java/graderelay/sim/LevelChecker.java
+++ b/src/test/java/graderelay/sim/LevelChecker.java
@@ -56,7 +56,7 @@
   }
 
   private int level() {
-    JsonNode record = world.state.value(FeatureCodec.LEVEL);
+    JsonNode record = world.store.value(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -43,7 +43,7 @@
   /** Starts to compare at every commit and every start of this world. */
   public QuotaRecorder(SimWorld world) {
     this.world = world;
-    world.state.onCommitted = this::committed;
+    world.store.onCommitted = this::committed;
     world.invariants.onStart = this::started;
   }
 
@@ -123,14 +123,14 @@
     if (now.cpuMillis() > before.cpuMillis() && !quota.allows(now)) {
       breaks(team + " is given claims of " + now + " with a limit of " + quota.limit());
     }
-    JsonNode account = inForce() ? world.state.value(QuotaCodec.accountKey(team)) : null;
+    JsonNode account = inForce() ? world.store.value(QuotaCodec.accountKey(team)) : null;
     if (account != null && !QuotaCodec.decodeAccount(account, 1).use().covers(now)) {
       breaks(team + " has claims of " + now + " and an account of " + account);
     }
   }
 
   private TeamQuota quota(String team) {
-    JsonNode stored = world.state.value(QuotaCodec.limitKey(team));
+    JsonNode stored = world.store.value(QuotaCodec.limitKey(team));
     if (stored != null && inForce()) {
       return QuotaCodec.decodeLimits(stored, 1).quota();
     }
@@ -144,7 +144,7 @@
 
   /** True while the stored limits count: at their level, and not on the way down from it. */
   private boolean inForce() {
-    JsonNode level = world.state.value(FeatureCodec.LEVEL);
+    JsonNode level = world.store.value(FeatureCodec.LEVEL);
     return level != null
         && level.path("level").asInt() >= Feature.STORED_LIMITS.level()
         && !level.has("target");
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -128,7 +128,7 @@
 
   private void lowerLimits() {
     world.invariants.log("the state service lowers its limits");
-    world.state.lower(LOWER.valueKb(), LOWER.txnOps());
+    world.store.lower(LOWER.valueKb(), LOWER.txnOps());
   }
 
   private Verdict run() {
@@ -239,8 +239,8 @@
       }
     }
     violations.addAll(unanswered());
-    if (world.state.tooLarge > mostTooLarge) {
-      violations.add("too large for the state service: " + world.state.tooLarge);
+    if (world.store.tooLarge > mostTooLarge) {
+      violations.add("too large for the state service: " + world.store.tooLarge);
     }
     for (SimJob job : all) {
       // Also the largest: a job that is never begun, or only after that, has been passed over.
--- a/src/test/java/graderelay/sim/ScenarioSteps.java
+++ b/src/test/java/graderelay/sim/ScenarioSteps.java
@@ -14,7 +14,7 @@
 
   /** The first task batch of the job is stored: a task of it was claimed. */
   public static boolean claimed(SimWorld w, SimJob j) {
-    return w.state.value(StateCodec.TASK_BATCHES + j.id + "/0") != null;
+    return w.store.value(StateCodec.TASK_BATCHES + j.id + "/0") != null;
   }
 
   /** Services that run when the test begins. */
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -33,7 +33,7 @@
   /** Limits that stay as they are. */
   public static final Settings.StateLimits SAME = new Settings.StateLimits(300, 16, TXN_OPS);
 
-  private record Lost(ControllerNode node, ProcessSuspension suspension) {}
+  private record Lost(ControllerNode process, ProcessSuspension suspension) {}
 
   public final WorldShape shape;
 
@@ -48,13 +48,13 @@
   public final SplittableRandom random;
   public final SimLoop loop = new SimLoop();
   public final SimNet net;
-  public final SimStore state;
+  public final SimStore store;
   public final SimCloud cloud;
   public final SimUsers users;
   public final InvariantChecker invariants;
   public final Map<String, SimWorker> workers = new LinkedHashMap<>();
   public final int size;
-  public final ControllerNode[] nodes;
+  public final ControllerNode[] controllers;
   public final boolean[][] refused;
 
   /** Which controllers start as the version in production, and not as the present one. */
@@ -95,7 +95,7 @@
     this.next = next;
     this.shape = shape;
     this.size = shape.size();
-    nodes = new ControllerNode[size];
+    controllers = new ControllerNode[size];
     production = new boolean[size];
     Arrays.fill(production, inProduction);
     options = new Options[size];
@@ -109,13 +109,13 @@
     }
     random = new SplittableRandom(seed);
     net = new SimNet(loop, random);
-    state = new SimStore(loop.process(0, new boolean[1]), TXN_OPS);
+    store = new SimStore(loop.process(0, new boolean[1]), TXN_OPS);
     invariants = new InvariantChecker(loop, CANCEL_S, shape.limit());
     var type = new SimCloud.Type("small", 4, 16, 1, 0.4);
     cloud = new SimCloud(this, List.of(type), shape.zones());
     cloud.capacity = shape.machines();
     for (int i = 0; i < size; i++) {
-      net.listen("state" + i + ":1", "state", state.forNode(refused[i]));
+      net.listen("state" + i + ":1", "state", store.forNode(refused[i]));
     }
     net.listen("cloud:1", "cloud", cloud);
     users = new SimUsers(this, net.from("users", new boolean[] {false}));
@@ -150,8 +150,8 @@
   }
 
   /** Controllers stand in the zones in turn. */
-  private String zoneOf(int node) {
-    return shape.zones().get(node % shape.zones().size());
+  private String zoneOf(int controller) {
+    return shape.zones().get(controller % shape.zones().size());
   }
 
   /** Returns the settings with which a controller starts now. */
@@ -221,7 +221,7 @@
 
   /** A suspended controller is taken for ended: another process may be started in its place. */
   public void loseTrackOf(int i) {
-    lost.put(i, new Lost(nodes[i], suspended[i]));
+    lost.put(i, new Lost(controllers[i], suspended[i]));
   }
 
   /** That earlier process goes on, beside the later one. */
@@ -232,7 +232,7 @@
 
   /** Returns the earlier process of a controller that was taken for ended. */
   public ControllerNode lostNode(int i) {
-    return lost.get(i).node();
+    return lost.get(i).process();
   }
 
   /**
@@ -240,7 +240,7 @@
    */
   public void checkLevels() {
     levelChecker = new LevelChecker(this, this::isUp);
-    state.onCommit = levelChecker::committing;
+    store.onCommit = levelChecker::committing;
   }
 
   boolean isProduction(int i) {
@@ -274,7 +274,7 @@
             settings(i),
             old == null ? options[i] : Options.none(),
             random.split());
-    nodes[i] = n;
+    controllers[i] = n;
     n.onLeave(
         why -> {
           left.put("m-" + i, why);
@@ -366,7 +366,7 @@
   /** Returns the controller that leads, or -1. */
   public int leader() {
     for (int i = 0; i < size; i++) {
-      if (!dead[i][0] && nodes[i].leader()) {
+      if (!dead[i][0] && controllers[i].leader()) {
         return i;
       }
     }
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -47,11 +47,11 @@
       w.users.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter - cancelAfter);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(14 - outageAfter);
     refuse(w, leader, false);
     w.loop.run(length);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(30);
     fine(w);
   }
@@ -65,7 +65,7 @@
     refuse(w, leader, true);
     w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(0.5);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     // Everybody alive vouches for what it told: the job's tasks end, the others' go on.
@@ -75,7 +75,7 @@
     w.loop.run(2 * SimWorld.CANCEL_S);
     assertThat(runner(w, jobs[1].id + "/1")).isNotNull();
     assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
-    w.state.outage(false);
+    w.store.outage(false);
     refuse(w, leader, false);
     w.loop.run(20);
     assertThat(w.users.stage(0, jobs[0].id)).isEqualTo("cancelled");
@@ -99,14 +99,14 @@
     w.users.cancel(peer, jobs[0]);
     w.loop.run(endsAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.crash(peer);
     w.net.heal("c" + leader, "c" + peer);
     if (backAfter > 0) {
       w.loop.after(backAfter, () -> w.start(peer));
     }
     w.loop.run(2 * SimWorld.CANCEL_S);
-    w.state.outage(false);
+    w.store.outage(false);
     for (int i = 0; i < 3; i++) {
       refuse(w, i, false);
     }
@@ -152,7 +152,7 @@
     // The third records it, but hears of that as little as the leader does.
     int third = (leader + 2) % 3;
     w.net.cut("c" + barred, "c" + third);
-    w.state.loseAnswer = t -> t.toString().contains("\"stop\":true");
+    w.store.loseAnswer = t -> t.toString().contains("\"stop\":true");
     w.users.cancel(third, jobs[0]);
     refuse(w, leader, true);
     w.loop.run(0.02);
@@ -180,7 +180,7 @@
     }
     w.loop.run(outageAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.net.cutZone((leader % 2 == 0) == leadersZone ? "a" : "b", true);
     w.loop.run(2 * SimWorld.CANCEL_S);
     fine(w);
@@ -199,7 +199,7 @@
     while (Double.isNaN(jobs[0].cancelAnswered)) {
       w.loop.run(0.001);
     }
-    w.state.outage(true); // Handed over, and nobody can take it any more.
+    w.store.outage(true); // Handed over, and nobody can take it any more.
     w.loop.run(10);
     assertThat(w.leader()).isNegative();
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
@@ -218,14 +218,14 @@
     w.net.cut("c" + leader, "c" + barred);
     w.net.cut("c" + barred, "c" + (leader + 2) % 3);
     w.loop.run(0.5);
-    w.state.delayS = 7;
-    w.state.delay = t -> t.toString().contains("\"stop\":true");
+    w.store.delayS = 7;
+    w.store.delay = t -> t.toString().contains("\"stop\":true");
     w.users.cancel(barred, jobs[0]);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
-    assertThat(w.state.value(StateCodec.suspensionKey("m-" + barred))).isNotNull();
+    assertThat(w.store.value(StateCodec.suspensionKey("m-" + barred))).isNotNull();
     refuse(w, leader, true); // It has seen the suspension stand, and no stop.
     w.loop.run(4);
-    assertThat(w.state.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
+    assertThat(w.store.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
     fine(w);
   }
 
@@ -235,15 +235,15 @@
     SimJob[] jobs = running(w, 1);
     int leader = w.leader();
     refuse(w, leader, true);
-    w.state.loseAnswer =
+    w.store.loseAnswer =
         t -> {
-          w.state.holdWatches |= t.toString().contains("\"stop\":true");
+          w.store.holdWatches |= t.toString().contains("\"stop\":true");
           return false;
         };
     w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(8);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
     fine(w);
@@ -267,7 +267,7 @@
     }
     w.loop.run(0.1);
     assertThat(jobs[2].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.crash(peer);
     w.net.heal("c" + leader, "c" + peer);
     w.loop.run(1);
@@ -287,7 +287,7 @@
 
   @ParameterizedTest
   @CsvSource({"7, 11", "12, 8", "22, 11", "22, 6"})
-  void processesThatKnowNothingAddNoTimeToWhatTheLastOwnerLeft(double until, double away) {
+  void processesThatKnowNothingAddNoTimeToWhatTheLastLeaderLeft(double until, double away) {
     SimWorld w = withForgetfulPeer(3, ONE_ZONE);
     w.loop.run(until);
     w.crashAll();
@@ -301,7 +301,7 @@
   void leaderWhoseReadsGetNoAnswerAsksItsPeersAndCostsNoLease() {
     SimWorld w = world(316, 3);
     running(w, 1);
-    w.state.holdWatches = true;
+    w.store.holdWatches = true;
     w.loop.run(SimWorld.CANCEL_S + 10);
     assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -24,15 +24,15 @@
   }
 
   @Test
-  void nodesStayReadyInAnOutageForAllButNotWhenTheyAreAlone() {
+  void controllersStayReadyInTotalOutageButNotWhenTheyAreAlone() {
     SimWorld w = world(39);
     w.loop.run(5);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(8);
     for (int i = 0; i < w.size; i++) {
       assertThat(w.users.answer(i, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
     }
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(5);
     w.isolate(1, true);
     w.refused[2][0] = true; // Some of their peers are served, so users are better off there.
@@ -54,7 +54,7 @@
     w.isolate(leader, true);
     w.loop.run(40);
     assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(w.nodes[leader].leader()).isFalse();
+    assertThat(w.controllers[leader].leader()).isFalse();
     w.isolate(leader, false);
     w.loop.run(20);
     assertThat(w.invariants.starts).isEqualTo(starts);
@@ -95,14 +95,14 @@
     w.crashAll();
     w.loop.run(5);
     // Reading all takes longer than the leases last; who leads is known at once.
-    w.state.refusedList = StateCodec.JOBS;
+    w.store.refusedList = StateCodec.JOBS;
     w.startAll();
     w.loop.run(9);
     assertThat(w.leader()).isNotNegative();
-    assertThat(w.nodes[w.leader()].core()).isNull();
-    w.state.refusedList = null;
+    assertThat(w.controllers[w.leader()].core()).isNull();
+    w.store.refusedList = null;
     w.loop.run(20);
-    assertThat(w.nodes[w.leader()].core()).isNotNull();
+    assertThat(w.controllers[w.leader()].core()).isNotNull();
     assertThat(w.invariants.starts).isEqualTo(starts);
     fine(w);
   }
@@ -122,9 +122,9 @@
     w.refused[2][0] = true;
     w.net.loseAnswers = 0.4;
     w.loop.run(20);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(10);
-    w.state.outage(false);
+    w.store.outage(false);
     w.net.loseAnswers = 0;
     w.refused[2][0] = false;
     w.net.heal("c1", "state");
@@ -180,6 +180,6 @@
     SchedulerFixture.commitAll(s, 10, 0.1);
     assertThat(SchedulerFixture.tasksStarted(s, "j-1")).isEqualTo(4);
     assertThat(SchedulerFixture.tasksStarted(s, "j-2")).isEqualTo(4);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("to be fetched"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("to be fetched"));
   }
 }
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -72,14 +72,14 @@
     SchedulerFixture.machine(s, "n-1", 1, 1, 0.0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
-    SchedulerFixture.answerDirect(s, SchedulerFixture.report("n-1", 2, 9, 1), 11);
+    SchedulerFixture.answerDirect(s, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
     SchedulerFixture.commitAll(s, 11, 11.1); // The first attempt ends with its session.
     SchedulerFixture.commitAll(s, 12, 11.2); // The second is claimed on the new one.
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     s.tick(14); // A lease counted from the last answer would be over.
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
     s.tick(11 + SimWorld.LEASE_S + 1);
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
   }
 
   @Test
@@ -93,7 +93,7 @@
     w.net.cut("c" + leader, "c" + (leader + 1) % 3);
     w.net.cut("c" + leader, "c" + (leader + 2) % 3);
     w.loop.run(4);
-    assertThat(w.nodes[leader].leader()).isFalse();
+    assertThat(w.controllers[leader].leader()).isFalse();
     w.loop.run(36);
     w.net.heal("c" + leader, "state");
     w.loop.run(10);
@@ -108,12 +108,13 @@
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
     s.loaded(0);
     s.onHeartbeat(
-        SchedulerFixture.report("n-1", 1, 5, 1),
+        SchedulerFixture.heartbeat("n-1", 1, 5, 1),
         1); // The earlier leader's launch may be under way.
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     assertThat(SchedulerFixture.writes(s)).isZero();
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 6, 2), 2); // Now that launch would be refused.
+    s.onHeartbeat(
+        SchedulerFixture.heartbeat("n-1", 1, 6, 2), 2); // Now that launch would be refused.
     SchedulerFixture.commitAll(s, 11, 2.1);
     assertThat(SchedulerFixture.writes(s)).isPositive();
   }
--- a/src/test/java/graderelay/state/LeaderChangeTest.java
+++ b/src/test/java/graderelay/state/LeaderChangeTest.java
@@ -70,14 +70,14 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void tenChangesOfOwnerInTwoMinutesAlsoInAnOutageCostNoJob(boolean blinks) {
+  void tenLeaderChangesInTwoMinutesAlsoInAnOutageCostNoJob(boolean blinks) {
     SimWorld w = world(322, 3);
     List<SimJob> jobs = arrays(w, 24, 4, 9);
     for (int i = 0; i < 10; i++) {
       w.loop.run(10);
       if (i % 4 == 2) {
-        w.state.outage(true);
-        w.loop.after(8, () -> w.state.outage(false));
+        w.store.outage(true);
+        w.loop.after(8, () -> w.store.outage(false));
       }
       int leader = w.leader();
       if (leader >= 0) {
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void theFleetIsHandedOverAndBackAndAllEndAndOneReturnsAtOnce() {
+  void leadershipIsHandedOverAndBackAndAllEndAndOneReturnsAtOnce() {
     SimWorld w = oneZone(323, 3);
     SimJob[] jobs = running(w, 2);
     for (int i = 0; i < 3; i++) {
--- a/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -47,7 +47,7 @@
         .addObject()
         .put("put", StateCodec.jobKey(j.id))
         .set("data", StateCodec.encodeJob(spec, false));
-    w.state.handle(new Exchange("POST", "/multi", "", Json.write(txn), a -> {}));
+    w.store.handle(new Exchange("POST", "/multi", "", Json.write(txn), a -> {}));
     j.accepted = true;
   }
 
@@ -58,7 +58,7 @@
     "500, 0.2, 26, true",
     "500, 0.5, 60, true"
   })
-  void jobsOfBeforeAreFinishedWhenTheStateServiceAllowsLess(
+  void earlierJobsAreFinishedWhenTheStoreAllowsLess(
       int tasks, double cpus, int machines, boolean leaderEnds) {
     SimWorld w =
         new SimWorld(
@@ -71,7 +71,7 @@
     acceptedBefore(w, old);
     w.loop.run(16);
     assertThat(w.invariants.starts).isGreaterThan(50);
-    w.state.lower(2, 4);
+    w.store.lower(2, 4);
     SimJob young = w.users.job("j-000781", 30, 0.5, 6, true);
     w.users.submit(1, young);
     w.loop.run(4);
@@ -80,7 +80,7 @@
     }
     w.loop.run(150);
     // Each leader has to find it out; task batches of 300 fit as they are.
-    assertThat(w.state.tooLarge).isBetween(tasks > 300 ? 1 : 0, 20);
+    assertThat(w.store.tooLarge).isBetween(tasks > 300 ? 1 : 0, 20);
     assertThat(w.users.stage(w.leader(), young.id)).isEqualTo("done");
     assertThat(w.users.stage(w.leader(), old.id)).isEqualTo("done");
     fine(w);
@@ -98,9 +98,9 @@
     SimJob j = w.users.job("j-000780", 300, 0.4, 6, true);
     w.users.submit(0, j);
     w.loop.run(14);
-    w.state.lower(2, 4);
+    w.store.lower(2, 4);
     w.loop.run(100);
-    assertThat(w.state.tooLarge).isZero();
+    assertThat(w.store.tooLarge).isZero();
     assertThat(w.users.stage(0, j.id)).isEqualTo("done");
     fine(w);
   }
--- a/src/test/java/graderelay/state/StateOutageTest.java
+++ b/src/test/java/graderelay/state/StateOutageTest.java
@@ -27,14 +27,14 @@
     w.users.submit(0, w.users.job("j-000051", 3, 1, 0, false));
     w.loop.run(15);
     final int starts = w.invariants.starts;
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(3);
     w.crashAll();
     w.loop.run(6);
     w.startAll();
     // A lease, and what processes that know nothing may give away, but for a heartbeat's interval.
     w.loop.run(SimWorld.LEASE_S + w.settings(0).beginnersS() - 3);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(20);
     assertThat(w.leader()).isNotNegative();
     assertThat(w.invariants.starts).isEqualTo(starts);
@@ -56,7 +56,7 @@
     w.users.cancel(other, j);
     w.loop.run(0.05);
     assertThat(j.cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.crash(other); // Nobody has heard of it.
     w.loop.run(until);
     w.crash((other + 1) % 3);
@@ -64,7 +64,7 @@
     w.loop.run(away);
     w.startAll();
     w.loop.run(SimWorld.CANCEL_S + 20);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(20);
     fine(w);
   }
@@ -75,7 +75,7 @@
     SimJob j = w.users.job("j-000018", 2, 1, 4, true);
     w.users.submit(0, j);
     w.loop.run(30);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(6);
     double asked = w.loop.now();
     SimJob k = w.users.job("j-000019", 1, 1, 2, true);
@@ -83,7 +83,7 @@
     assertThat(a.path("http").asInt()).isEqualTo(503);
     assertThat(w.loop.now() - asked).isLessThan(0.2);
     assertThat(w.users.stage(0, j.id)).isEqualTo("done");
-    w.state.outage(false);
+    w.store.outage(false);
     w.users.submit(0, k);
     w.loop.run(60);
     assertThat(w.users.stage(1, k.id)).isEqualTo("done");
--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -27,9 +27,9 @@
   void outageWhileOneControllerIsAwayCostsNoLease(int size) {
     SimWorld w = withOneDown(71, size);
     final int leader = w.leader();
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(SimWorld.LEASE_S + 10);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(20);
     assertThat(w.invariants.starts).isEqualTo(3);
     assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
@@ -91,7 +91,7 @@
       w.loop.run(0.1);
       int speaking = 0;
       for (int n = 0; n < 3; n++) {
-        speaking += w.nodes[n].speaks() ? 1 : 0;
+        speaking += w.controllers[n].speaks() ? 1 : 0;
       }
       assertThat(speaking).isLessThanOrEqualTo(1);
     }
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -50,15 +50,15 @@
     int leader = w.leader();
     for (int i = 0; i < w.size; i++) {
       if (i != leader) {
-        Exchange.Handler usual = w.nodes[i]::handlePeer;
+        Exchange.Handler usual = w.controllers[i]::handlePeer;
         w.net.listen("c" + i + ":81", "c" + i, e -> answer(how, usual, e));
       }
     }
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(OUTAGE_S);
     boolean runs = w.workers.get(machine).running().contains("j-000001/0");
     assertThat(runs).isEqualTo(how == PeerAnswer.AS_USUAL);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(30);
     assertThat(w.users.stage(0, service.id)).isEqualTo("running");
     fine(w);
@@ -102,7 +102,7 @@
     byte[] pledge = PeerCodec.encodeRequest(new PeerRequest.Pledge("m-1", 99, 60));
     ObjectNode later = ((ObjectNode) Json.readCbor(pledge)).put("kind", "pledge");
     for (int i = 0; i < w.size; i++) {
-      w.nodes[i].handlePeer(
+      w.controllers[i].handlePeer(
           new Exchange("POST", "/mesh", "", Json.writeCbor(later), a -> status[0] = a.status()));
       assertThat(status[0]).isEqualTo(404);
     }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void storedEndsOwnersBarsAndHintsAreRead() {
+  void storedFinalStatesLeadersSuspensionsAndHintsAreRead() {
     assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000004")))
         .isEqualTo(new FinalState(false, 60, 0));
     assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000005")))
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void slicesAreReadTaskByTaskInEachForm() {
+  void taskBatchesAreReadTaskByTaskInEachForm() {
     assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-plain")), "plain");
     assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-packed")), "packed");
     TaskBatchRecord done = StateCodec.decodeTaskBatch(record("slice-done"));
--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -39,9 +39,9 @@
     for (int i = 0; i < 3; i++) {
       assertThat(w.users.stage(i, j.id)).isEqualTo("done");
     }
-    assertThat(w.state.value(StateCodec.jobKey(j.id))).isNull();
-    assertThat(w.state.value(StateCodec.finalStateKey(j.id))).isNotNull();
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
+    assertThat(w.store.value(StateCodec.jobKey(j.id))).isNull();
+    assertThat(w.store.value(StateCodec.finalStateKey(j.id))).isNotNull();
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 
@@ -65,15 +65,15 @@
     w.loop.run(15); // A machine is up.
     SimJob j = w.users.job("j-000031", 2, 1, 0, false);
     int[] left = {1};
-    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.state.delayS = 0.5;
+    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
+    w.store.delayS = 0.5;
     w.users.submit(0, j);
     w.loop.run(0.1);
     w.users.cancel(1, j);
     w.loop.run(0.1);
     assertThat(w.users.stage(2, j.id)).isEqualTo("cancelled");
     w.loop.run(3);
-    assertThat(w.state.everWritten).doesNotContain(StateCodec.TASK_BATCHES + j.id + "/0");
+    assertThat(w.store.everWritten).doesNotContain(StateCodec.TASK_BATCHES + j.id + "/0");
     assertThat(w.invariants.starts).isEqualTo(1);
     fine(w);
   }
@@ -86,8 +86,8 @@
     int leader = w.leader();
     SimJob j = w.users.job("j-000033", 2, 1, 5, true);
     int[] left = {1};
-    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.state.delayS = 20;
+    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
+    w.store.delayS = 20;
     w.users.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
@@ -97,7 +97,7 @@
     w.users.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
     w.loop.run(30);
     assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(w.state.value(StateCodec.TASK_BATCHES + j.id + "/0")).isNull();
+    assertThat(w.store.value(StateCodec.TASK_BATCHES + j.id + "/0")).isNull();
     fine(w);
   }
 
@@ -111,7 +111,7 @@
     w.users.cancel(1, j);
     w.loop.run(5);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
-    assertThat(w.state.value(StateCodec.finalStateKey(j.id)).path("end").asText())
+    assertThat(w.store.value(StateCodec.finalStateKey(j.id)).path("end").asText())
         .isEqualTo("cancelled");
     fine(w);
   }
@@ -121,7 +121,7 @@
     SimWorld w = world(4);
     SimJob j = w.users.job("j-000004", 3, 1, 5, true);
     int[] left = {1};
-    w.state.loseAnswer = t -> writesBatch(t) && left[0]-- > 0;
+    w.store.loseAnswer = t -> writesBatch(t) && left[0]-- > 0;
     w.users.submit(0, j);
     w.loop.run(40);
     assertThat(left[0]).isLessThan(1);
@@ -135,8 +135,8 @@
     SimWorld w = world(5);
     SimJob j = w.users.job("j-000005", 3, 1, 5, true);
     int[] left = {1};
-    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.state.delayS = 3;
+    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
+    w.store.delayS = 3;
     w.users.submit(0, j);
     w.loop.run(40);
     assertThat(w.users.stage(0, j.id)).isEqualTo("done");
@@ -149,8 +149,8 @@
     SimJob j = w.users.job("j-000006", 4, 1, 30, true);
     int leader = w.leader();
     int[] left = {1};
-    w.state.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.state.delayS = 20;
+    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
+    w.store.delayS = 20;
     w.users.submit((leader + 1) % 3, j);
     while (left[0] > 0) {
       w.loop.run(0.01);
@@ -170,8 +170,8 @@
     s.step(0.1);
     SchedulerFixture.answerWrites(s, TransactionOutcome.UNKNOWN, 0.2);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), 0.25);
-    assertThat(s.commandsFor(SchedulerFixture.report("n-1", 1, 2, 1), 0.25)).isEmpty();
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25);
+    assertThat(s.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25)).isEmpty();
     assertThat(SchedulerFixture.launches(s)).isZero();
     SchedulerFixture.commitAll(s, 7, 0.3);
     assertThat(SchedulerFixture.writes(s)).isPositive(); // It goes back to the queue.
@@ -201,7 +201,7 @@
     w.users.submit(0, j);
     w.loop.run(200);
     assertThat(w.users.stage(1, j.id)).isEqualTo("done");
-    assertThat(w.state.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
+    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
     fine(w);
   }
 }
--- a/src/test/java/graderelay/worker/DeafMachinesTest.java
+++ b/src/test/java/graderelay/worker/DeafMachinesTest.java
@@ -35,13 +35,13 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // A worker that took our answer would have stayed with us.
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), "m-1", 5.1);
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), "m-1", 5.1);
     s.onHeartbeatAnswered("n-1", 5.1);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(s, 10, 5.3);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
     // It stays there: the answer that went back that way has arrived.
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 3, 1), "m-1", 7.1);
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-1", 7.1);
     s.onHeartbeatAnswered("n-1", 7.1);
     SchedulerFixture.commitAll(s, 11, 7.2);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
@@ -81,7 +81,7 @@
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 4.5, 4.5);
     SchedulerFixture.commitAll(s, 10, 4.6);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("does not hear us"));
   }
 
   @ParameterizedTest
@@ -118,19 +118,19 @@
       }
     }
     SchedulerFixture.machine(s, "n-1", 1, 2, 4);
-    assertThat(s.commandsFor(SchedulerFixture.report("n-1", 1, 2, 1), 4)).hasSize(1);
+    assertThat(s.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4)).hasSize(1);
     SchedulerFixture.machine(s, "n-1", 1, 3, 8);
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("does not hear us"));
   }
 
   @Test
   void machineThatStillHasTheOldTermAfterOurAnswerIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
-      s.onHeartbeat(SchedulerFixture.report("n-1", 1, seq, 6), seq * 4);
+      s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, seq, 6), seq * 4);
       s.onHeartbeatAnswered("n-1", seq * 4);
     }
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("does not hear us"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("does not hear us"));
   }
 
   @Test
@@ -138,8 +138,8 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     // Its second heartbeat found nobody, so it went on to another controller with the third.
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 3, 1), "m-2", 9);
+    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-2", 9);
     s.onHeartbeatAnswered("n-1", 9);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("does not hear us"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("does not hear us"));
   }
 }
--- a/src/test/java/graderelay/worker/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -42,10 +42,10 @@
     hearing(s, "n-1", 0);
     SchedulerFixture.machine(s, "n-1", 1, 2, 2);
     for (double t = 3; t < 2 + SimWorld.LEASE_S; t += 1) {
-      assertThat(s.onHeartbeat(SchedulerFixture.report("n-1", 1, 1, 1), t)).isFalse();
+      assertThat(s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 1, 1), t)).isFalse();
     }
     s.tick(2 + SimWorld.LEASE_S + 1);
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
   }
 
   @Test
@@ -54,22 +54,26 @@
     hearing(s, "n-1", 0);
     // The worker's answer to a direct command, sent after its heartbeat, comes first.
     var poke = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
-    s.onCommandDelivery(poke, CommandDelivery.EXECUTED, SchedulerFixture.report("n-1", 1, 3, 1), 4);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
+    s.onCommandDelivery(
+        poke, CommandDelivery.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
+    s.onHeartbeat(
+        SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
     s.tick(SimWorld.LEASE_S + 3);
-    assertThat(SchedulerFixture.notes(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
+    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
     s.tick(4 + SimWorld.LEASE_S + 1);
-    assertThat(SchedulerFixture.notes(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
+    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
   }
 
   @Test
   void afterFailoverHeartbeatCopyFromLostMachineMakesItNoTarget() {
     Scheduler s = SchedulerFixture.scheduler(7);
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
+    s.onHeartbeat(
+        SchedulerFixture.heartbeat("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
     SchedulerFixture.commitAll(s, 10, 1.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
-    s.onHeartbeat(SchedulerFixture.report("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
+    s.onHeartbeat(
+        SchedulerFixture.heartbeat("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
     SchedulerFixture.commitAll(s, 11, 1.6);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
   }
@@ -120,7 +124,7 @@
 
   @ParameterizedTest
   @CsvSource({"crash, 3", "crash, 8", "handover, 2", "crash, 0.3"})
-  void reportsKeptForTheNextOwnerProveAndRenewNothing(String how, double meanwhile) {
+  void heartbeatsKeptForTheNextLeaderProveAndRenewNothing(String how, double meanwhile) {
     SimWorld w = world(341, 3);
     SimJob[] jobs = running(w, 2);
     w.net.keepHeartbeats();
@@ -199,17 +203,17 @@
 
   @ParameterizedTest
   @ValueSource(longs = {344, 345, 346, 347, 348, 349})
-  void transactionsCarriedOutLateAfterNewerOnesOfTheSameOwnerBreakNothing(long seed) {
+  void transactionsCarriedOutLateAfterNewerOnesOfTheSameLeaderBreakNothing(long seed) {
     SimWorld w = world(seed, 3);
     w.users.lookClosely();
     final List<SimJob> jobs = arrays(w, 24, 1, 4);
-    w.state.delay =
+    w.store.delay =
         t -> {
-          w.state.delayS = 2 + w.random.nextDouble() * 10;
+          w.store.delayS = 2 + w.random.nextDouble() * 10;
           return w.random.nextInt(4) == 0;
         };
     w.loop.run(40);
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     w.loop.run(80);
     allOver(w, jobs);
   }
--- a/src/test/java/graderelay/worker/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -124,7 +124,7 @@
 
   @ParameterizedTest
   @CsvSource({"cut, 8", "cut, 25", "deaf, 8", "deaf, 25"})
-  void theOwnerEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
+  void leaderEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
     SimWorld w = world(335, 3);
     final SimJob[] jobs = running(w, 2);
     SimJob longOne = w.users.job("j-000482", 3, 1, 70, false);
@@ -154,11 +154,11 @@
 
   @ParameterizedTest
   @CsvSource({"0.2, 1", "0.2, 4", "3, 1"})
-  void newMachinesGetWorkAtOnceWhileWritesLagAndTheOwnerEnds(double writeS, double endsAfter) {
+  void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(double writeS, double endsAfter) {
     SimWorld w = world(336, 3);
     w.cloud.bootFactor = 0.15;
-    w.state.delayS = writeS;
-    w.state.delay = t -> t.toString().contains("g/slice/");
+    w.store.delayS = writeS;
+    w.store.delay = t -> t.toString().contains("g/slice/");
     final List<SimJob> jobs = arrays(w, 8, 0.1, 6);
     w.loop.run(1 + endsAfter);
     int leader = w.leader();
@@ -166,7 +166,7 @@
     w.loop.run(3);
     w.start(leader);
     w.loop.run(60);
-    w.state.delay = t -> false;
+    w.store.delay = t -> false;
     w.loop.run(40);
     allOver(w, jobs);
   }
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void whatDiesWithItsWholeZoneStartsElsewhereOnceItsDeputiesGrantIsOver() {
+  void tasksLostWithTheirWholeZoneStartElsewhereOnceItsDelegatesGrantIsOver() {
     SimWorld w = world(63, WorldShape.of(5));
     w.users.submit(0, w.users.job("j-000111", 1, 4, 300, false));
     w.loop.run(20);
