--- a/src/test/java/graderelay/api/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -20,13 +20,13 @@
     return w;
   }
 
-  private static JsonNode put(SimWorld w, int node, String values, Long revision) {
+  private static JsonNode put(SimWorld w, int controller, String values, Long revision) {
     ObjectNode n = Json.object();
     n.set("values", Json.read(values.getBytes()));
     if (revision != null) {
       n.put("mark", revision);
     }
-    return w.users.answer(node, "PUT", "/admin/settings", Json.write(n));
+    return w.users.answer(controller, "PUT", "/admin/settings", Json.write(n));
   }
 
   @Test
@@ -193,12 +193,12 @@
     w.loop.run(15);
     int known = w.workers.size();
     assertThat(known).isGreaterThan(3);
-    for (int node = 0; node < 3; node++) {
+    for (int controller = 0; controller < 3; controller++) {
       String after = "";
       int seen = 0;
       JsonNode page;
       do {
-        page = w.users.answer(node, "GET", "/admin/machines?most=2&after=" + after, null);
+        page = w.users.answer(controller, "GET", "/admin/machines?most=2&after=" + after, null);
         assertThat(page.path("machines").size()).isBetween(1, 2);
         for (JsonNode m : page.path("machines")) {
           assertThat(m.path("name").asText()).isGreaterThan(after);
--- a/src/test/java/graderelay/api/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -73,8 +73,8 @@
       return body;
     }
 
-    JsonNode submit(int node, ObjectNode body) {
-      return world.users.answer(node, "POST", "/v1/jobs", Json.write(body));
+    JsonNode submit(int controller, ObjectNode body) {
+      return world.users.answer(controller, "POST", "/v1/jobs", Json.write(body));
     }
   }
 
@@ -87,17 +87,17 @@
   @EnumSource(Asked.class)
   void malformedDependencyListIsRefusedInEveryState(Asked how) {
     Jobs jobs = new Jobs();
-    int node = jobs.bring(how);
-    assertRefused(jobs.submit(node, jobs.submission("\"j-000601\"")), 400, "list");
-    assertRefused(jobs.submit(node, jobs.submission("{\"0\":\"j-000601\"}")), 400, "list");
-    assertRefused(jobs.submit(node, jobs.submission("7")), 400, "list");
-    assertRefused(jobs.submit(node, jobs.submission("[601]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[null]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[[\"j-000601\"]]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[\"\"]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[\"j-000601 \"]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[\"g/job/1\"]")), 400, "ids like");
-    assertRefused(jobs.submit(node, jobs.submission("[\"" + OWN_ID + "\"]")), 400, "itself");
+    int controller = jobs.bring(how);
+    assertRefused(jobs.submit(controller, jobs.submission("\"j-000601\"")), 400, "list");
+    assertRefused(jobs.submit(controller, jobs.submission("{\"0\":\"j-000601\"}")), 400, "list");
+    assertRefused(jobs.submit(controller, jobs.submission("7")), 400, "list");
+    assertRefused(jobs.submit(controller, jobs.submission("[601]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[null]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[[\"j-000601\"]]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[\"\"]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[\"j-000601 \"]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[\"g/job/1\"]")), 400, "ids like");
+    assertRefused(jobs.submit(controller, jobs.submission("[\"" + OWN_ID + "\"]")), 400, "itself");
     fine(jobs.world);
   }
 
@@ -105,14 +105,14 @@
   @EnumSource(Asked.class)
   void whatWasNeverAcceptedOrNeverEndsIsRefusedOrPutOff(Asked how) {
     Jobs jobs = new Jobs();
-    int node = jobs.bring(how);
+    int controller = jobs.bring(how);
     boolean undecidable = how == Asked.IN_AN_OUTAGE || how == Asked.JUST_STARTED;
     for (String names :
         List.of(
             "[\"" + NEVER_ACCEPTED + "\"]",
             "[\"" + jobs.over.id + "\",\"" + NEVER_ACCEPTED + "\"]",
             "[\"" + jobs.service.id + "\"]")) {
-      JsonNode answer = jobs.submit(node, jobs.submission(names));
+      JsonNode answer = jobs.submit(controller, jobs.submission(names));
       int status = answer.path("http").asInt();
       if (undecidable) {
         assertThat(status).as(names).isIn(422, 503);
@@ -126,7 +126,7 @@
     }
     jobs.world.store.outage(false);
     jobs.world.loop.run(20);
-    assertThat(jobs.world.users.stage(node, OWN_ID)).isEmpty();
+    assertThat(jobs.world.users.stage(controller, OWN_ID)).isEmpty();
     fine(jobs.world);
   }
 
@@ -134,10 +134,10 @@
   @EnumSource(Asked.class)
   void namesTwiceAndOfJobsLongOverAreTakenWhereverItCanBeDecided(Asked how) {
     Jobs jobs = new Jobs();
-    int node = jobs.bring(how);
+    int controller = jobs.bring(how);
     String twice = "[\"" + jobs.over.id + "\",\"" + jobs.over.id + "\"]";
     ObjectNode body = jobs.submission(twice);
-    int status = jobs.submit(node, body).path("http").asInt();
+    int status = jobs.submit(controller, body).path("http").asInt();
     if (how == Asked.IN_AN_OUTAGE || how == Asked.JUST_STARTED) {
       assertThat(status).isIn(201, 503);
     } else {
@@ -145,9 +145,9 @@
     }
     jobs.world.store.outage(false);
     jobs.world.loop.run(20);
-    assertThat(jobs.submit(node, body).path("http").asInt()).isIn(200, 201);
+    assertThat(jobs.submit(controller, body).path("http").asInt()).isIn(200, 201);
     jobs.world.loop.run(20);
-    assertThat(jobs.world.users.stage(node, OWN_ID)).isEqualTo("done");
+    assertThat(jobs.world.users.stage(controller, OWN_ID)).isEqualTo("done");
     fine(jobs.world);
   }
 
@@ -159,15 +159,15 @@
     assertThat(jobs.submit(0, body).path("http").asInt()).isEqualTo(201);
     jobs.world.users.cancel(1, jobs.live);
     jobs.world.loop.run(20);
-    int node = jobs.bring(how);
-    int status = jobs.submit(node, body).path("http").asInt();
+    int controller = jobs.bring(how);
+    int status = jobs.submit(controller, body).path("http").asInt();
     assertThat(status).isIn(200, 503);
     if (how == Asked.LEADER || how == Asked.FOLLOWER || how == Asked.REFUSED_ALONE) {
       assertThat(status).isEqualTo(200);
     }
     jobs.world.store.outage(false);
     jobs.world.loop.run(20);
-    JsonNode later = jobs.submit(node, body);
+    JsonNode later = jobs.submit(controller, body);
     assertThat(later.path("http").asInt()).isEqualTo(200);
     assertThat(later.path("stage").asText()).isEqualTo("cancelled");
     fine(jobs.world);
--- a/src/test/java/graderelay/api/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/api/DependencySubmissionTest.java
@@ -26,8 +26,8 @@
     return j;
   }
 
-  private static int http(SimWorld w, int node, JsonNode body) {
-    return w.users.answer(node, "POST", "/v1/jobs", Json.write(body)).path("http").asInt();
+  private static int http(SimWorld w, int controller, JsonNode body) {
+    return w.users.answer(controller, "POST", "/v1/jobs", Json.write(body)).path("http").asInt();
   }
 
   @Test
--- a/src/test/java/graderelay/api/RequestStormTest.java
+++ b/src/test/java/graderelay/api/RequestStormTest.java
@@ -29,9 +29,9 @@
       w.users.submit(i % 3, old.get(i));
     }
     w.loop.run(60);
-    int node = (w.leader() + 1) % 3;
-    w.crash(node);
-    w.start(node); // It remembers no final state.
+    int controller = (w.leader() + 1) % 3;
+    w.crash(controller);
+    w.start(controller); // It remembers no final state.
     w.loop.run(5);
     final int before = w.store.requests;
     int[] answered = {0, 0};
@@ -39,7 +39,11 @@
       String id = i < 20 ? old.get(i).id : String.format("j-%06d", 900000 + i);
       int wanted = i < 20 ? 200 : 404;
       w.users.ask(
-          node, "GET", "/v1/jobs/" + id, null, (r, n) -> answered[r.status() == wanted ? 0 : 1]++);
+          controller,
+          "GET",
+          "/v1/jobs/" + id,
+          null,
+          (r, n) -> answered[r.status() == wanted ? 0 : 1]++);
     }
     w.loop.run(2);
     assertThat(answered).containsExactly(400, 0);
@@ -83,10 +87,10 @@
     for (int i = 0; i < 480; i++) {
       SimJob j = w.users.job(String.format("j-%06d", 5000 + i), 1, 1, 4, true);
       jobs.add(j);
-      int node = i % 3;
-      w.loop.after(i * 0.25, () -> w.users.submit(node, j));
+      int controller = i % 3;
+      w.loop.after(i * 0.25, () -> w.users.submit(controller, j));
       if (i % 4 == 3) {
-        w.loop.after(i * 0.25 + 0.3 + i % 16, () -> w.users.cancel(other(w, node), j));
+        w.loop.after(i * 0.25 + 0.3 + i % 16, () -> w.users.cancel(other(w, controller), j));
       }
     }
     w.loop.run(200);
--- a/src/test/java/graderelay/api/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -35,9 +35,9 @@
     SimWorld w = world(13);
     SimJob j = w.users.job("j-000015", 2, 1, 2, true);
     w.users.submit(0, j);
-    int node = 0;
+    int controller = 0;
     for (int i = 0; i < 300; i++) {
-      w.users.poll(node = (node + 1) % 3, j);
+      w.users.poll(controller = (controller + 1) % 3, j);
       w.loop.run(0.1);
     }
     assertThat(j.lastStage).isEqualTo("done");
--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -21,7 +21,8 @@
 
 /**
  * A cloud and its workers on loopback, written from the published protocol: machines are up at
- * once, and each task runs for a moment. It notes what ran where; everything is on one event loop.
+ * once, and each task runs for a moment. It records what ran where; everything is on one event
+ * loop.
  */
 final class LoopbackFleet implements Exchange.Handler {
   private static final double HEARTBEAT_S = 1;
@@ -41,7 +42,7 @@
   private final List<String> violations = new ArrayList<>();
   private int mostRunning;
 
-  /** The addresses are read when a worker reports, so they may change. */
+  /** The addresses are read when a worker sends a heartbeat, so they may change. */
   LoopbackFleet(EventLoop loop, NettyLoop clock, List<String> controllers, int machines) {
     this.machines = machines;
     this.loop = loop;
@@ -129,14 +130,14 @@
         scaleOuts.computeIfAbsent(
             request.path("hire").asText(),
             scaleOut -> {
-              ArrayNode rented = Json.array();
+              ArrayNode started = Json.array();
               int wanted = request.path("how_many").asInt();
               for (int i = 0; i < wanted && workers.size() < machines; i++) {
                 Worker w = new Worker(request.path("borrowed").asBoolean());
                 workers.put(w.name, w);
-                rented.add(w.name);
+                started.add(w.name);
               }
-              return rented;
+              return started;
             });
     if (names.isEmpty()) {
       scaleOuts.remove(request.path("hire").asText());
@@ -184,7 +185,7 @@
               (io.netty.channel.ChannelFuture f) -> {
                 InetSocketAddress at = (InetSocketAddress) f.channel().localAddress();
                 address = "127.0.0.1:" + at.getPort();
-                report();
+                sendHeartbeat();
               });
     }
 
@@ -226,7 +227,7 @@
       return n;
     }
 
-    private void report() {
+    private void sendHeartbeat() {
       if (closed) {
         return;
       }
@@ -248,12 +249,12 @@
             JsonNode n = r.body().length == 0 ? Json.object() : Json.read(r.body());
             if (r.status() == 200) {
               taken(n, of, sentAt);
-              clock.after(HEARTBEAT_S, this::report);
+              clock.after(HEARTBEAT_S, this::sendHeartbeat);
             } else {
               int at = r.status() == 421 ? index(n.path("foreman_at").asText()) : -1;
               boolean pointed = at >= 0 && at != controller;
               controller = pointed ? at : (controller + 1) % controllers.size();
-              clock.after(pointed ? 0.1 : 1, this::report);
+              clock.after(pointed ? 0.1 : 1, this::sendHeartbeat);
             }
           });
     }
@@ -282,11 +283,11 @@
       e.to().accept(Answer.json(status, Json.write(state())));
     }
 
-    private void execute(JsonNode order) {
-      String id = order.path("board").asText();
-      int attempt = order.path("pass").asInt();
+    private void execute(JsonNode command) {
+      String id = command.path("board").asText();
+      int attempt = command.path("pass").asInt();
       Task t = tasks.get(id);
-      switch (order.path("order").asText()) {
+      switch (command.path("order").asText()) {
         case "launch" -> {
           if (t == null) {
             launch(id, attempt);
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -88,11 +88,11 @@
   @ParameterizedTest
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
   void timesOfDependentCountFromWhenItCouldBegin(
-      boolean takeover, double readyAt, boolean passesOthers) {
+      boolean failover, double readyAt, boolean passesOthers) {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
     JobSpec other = SchedulerFixture.ranked(OTHER, Priority.NORMAL, 4, null);
-    if (takeover) {
+    if (failover) {
       scheduler.onJob(dependent, false, 6, 0, 300);
       scheduler.onJob(other, false, 7, 250, 300);
       scheduler.loaded(300);
--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -31,7 +31,7 @@
     return by;
   }
 
-  /** The machines report that all they were told to start has ended in this way. */
+  /** The heartbeats of all machines say that all they were told to start has ended in this way. */
   private static int end(Scheduler s, String why, long seq, double now) {
     return end(s, machine -> why, seq, now);
   }
--- a/src/test/java/graderelay/core/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/core/ManyMachineFailuresTest.java
@@ -28,7 +28,7 @@
     }
     assertThat(hosts).hasSizeGreaterThan(5);
     SchedulerFixture.taken(s).clear();
-    s.tick(8); // Nobody has reported for four intervals.
+    s.tick(8); // Nobody has sent a heartbeat for four intervals.
     Set<String> asked = new HashSet<>();
     for (Action a : SchedulerFixture.taken(s)) {
       if (a instanceof Action.SendCommands c) {
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -75,10 +75,10 @@
     for (int i = 0; i < seconds / 2; i++) {
       SimJob job = w.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
       jobs.add(job);
-      int node = i % w.size;
-      w.loop.after(2 * i, () -> w.users.submit(node, job));
+      int controller = i % w.size;
+      w.loop.after(2 * i, () -> w.users.submit(controller, job));
       if (i % 5 == 4) {
-        w.loop.after(2 * i + 1.3, () -> w.users.cancel((node + 1) % w.size, job));
+        w.loop.after(2 * i + 1.3, () -> w.users.cancel((controller + 1) % w.size, job));
       }
     }
     return jobs;
@@ -94,14 +94,14 @@
   }
 
   /** Asks a controller as an operator to change the level. */
-  static JsonNode change(SimWorld w, int node, String what, int level) {
+  static JsonNode change(SimWorld w, int controller, String what, int level) {
     byte[] body = Json.write(Json.object().put("level", level));
-    return w.users.answer(node, "POST", "/admin/features/" + what, body);
+    return w.users.answer(controller, "POST", "/admin/features/" + what, body);
   }
 
   /** Asks a controller as an operator for the level. */
-  static JsonNode show(SimWorld w, int node) {
-    return w.users.answer(node, "GET", "/admin/features", null);
+  static JsonNode show(SimWorld w, int controller) {
+    return w.users.answer(controller, "GET", "/admin/features", null);
   }
 
   /** Runs the world for a minute, by whose end every job is over at every controller. */
--- a/src/test/java/graderelay/quota/AdmissionControlTest.java
+++ b/src/test/java/graderelay/quota/AdmissionControlTest.java
@@ -37,7 +37,7 @@
             Combinators.combine(claimer, Arbitraries.doubles().between(0, 6), fate)
                 .as(Step.WriteAccount::new),
             claimer.map(Step.Read::new),
-            claimer.map(Step.Takeover::new),
+            claimer.map(Step.Failover::new),
             Arbitraries.integers().between(1, 6000).map(Step.Limit::new),
             Arbitraries.integers().between(0, 6000).map(Step.Tamper::new),
             pick.map(Step.CarryOut::new));
@@ -73,7 +73,7 @@
       case 9, 10, 11, 12 -> new Step.WriteAccount(claimer, random.nextDouble() * 6, fate);
       case 13, 14, 15, 16 -> new Step.Read(claimer);
       case 17 -> new Step.Limit(1 + random.nextInt(6000));
-      case 18 -> random.nextBoolean() ? new Step.Takeover(claimer) : new Step.Tamper(0);
+      case 18 -> random.nextBoolean() ? new Step.Failover(claimer) : new Step.Tamper(0);
       default -> new Step.CarryOut(random.nextInt(20));
     };
   }
--- a/src/test/java/graderelay/quota/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -108,14 +108,14 @@
     w.store.delay = t -> t.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
     w.store.delayS = 0.5;
     for (int i = 0; i < 2; i++) {
-      int node = i;
+      int controller = i;
       byte[] body = ("{\"cpus_max\":" + (10 + i) + ",\"by\":\"operator-" + i + "\"}").getBytes();
       w.users.ask(
-          node,
+          controller,
           "PUT",
           "/admin/quota/team",
           body,
-          (r, n) -> answers[node] = ((ObjectNode) n).put("http", r.status()));
+          (r, n) -> answers[controller] = ((ObjectNode) n).put("http", r.status()));
     }
     w.loop.run(2);
     int won = status(answers[0]) == 200 ? 0 : 1;
--- a/src/test/java/graderelay/quota/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -76,8 +76,8 @@
       SimJob job = w.users.job(String.format("j-%s%04d", prefix, i), 1, cpus, runS, true);
       job.team = team;
       jobs.add(job);
-      int node = i % w.size;
-      w.loop.after(i * everyS, () -> w.users.submit(node, job));
+      int controller = i % w.size;
+      w.loop.after(i * everyS, () -> w.users.submit(controller, job));
     }
     return jobs;
   }
@@ -92,8 +92,8 @@
   }
 
   /** Operators change a team's limits at a controller. */
-  static JsonNode set(SimWorld w, int node, String team, String fields) {
-    return w.users.answer(node, "PUT", "/admin/quota/" + team, fields.getBytes());
+  static JsonNode set(SimWorld w, int controller, String team, String fields) {
+    return w.users.answer(controller, "PUT", "/admin/quota/" + team, fields.getBytes());
   }
 
   static JsonNode shown(SimWorld w, String team) {
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -17,7 +17,7 @@
     NONE,
     RELEASE_BEFORE_THE_END_HAS_COMMITTED,
     CLAIM_WITHOUT_THE_VERSION_OF_THE_LIMITS,
-    TAKEOVER_TRUSTS_THE_ACCOUNT,
+    FAILOVER_TRUSTS_THE_ACCOUNT,
     NO_READ_AFTER_THE_FENCE,
     WRITERS_NOT_TOLD_APART
   }
@@ -45,7 +45,7 @@
     record Read(int claimer) implements Step {}
 
     /** Another process takes a claimer's place. */
-    record Takeover(int claimer) implements Step {}
+    record Failover(int claimer) implements Step {}
 
     /** Operators change the limit. */
     record Limit(int millis) implements Step {}
@@ -93,8 +93,8 @@
 
   TwoClaimers(Mutation mutation) {
     this.mutation = mutation;
-    takeOver(0);
-    takeOver(1);
+    failOver(0);
+    failOver(1);
   }
 
   private static LimitRecord limited(int millis, long revision) {
@@ -119,8 +119,8 @@
       writeAccount(s);
     } else if (step instanceof Step.Read s) {
       read(claimers[s.claimer()]);
-    } else if (step instanceof Step.Takeover s) {
-      takeOver(s.claimer());
+    } else if (step instanceof Step.Failover s) {
+      failOver(s.claimer());
     } else if (step instanceof Step.Limit s) {
       limit = limited(s.millis(), ++revision);
     } else if (step instanceof Step.Tamper s) {
@@ -131,13 +131,13 @@
     }
   }
 
-  private void takeOver(int claimer) {
+  private void failOver(int claimer) {
     boolean alike = mutation == Mutation.WRITERS_NOT_TOLD_APART;
     String name = alike ? "claimer" : "claimer-" + nextClaimer++;
     AdmissionControl fresh = new AdmissionControl(name, RELEASE_S);
     fresh.enable();
     claimers[claimer] = fresh;
-    if (mutation == Mutation.TAKEOVER_TRUSTS_THE_ACCOUNT) {
+    if (mutation == Mutation.FAILOVER_TRUSTS_THE_ACCOUNT) {
       read(fresh);
       fresh.wantSettled(TEAM);
       fresh.committed(fresh.fences(1), account.revision()); // It never wrote it.
--- a/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -78,7 +78,7 @@
     fine(w);
   }
 
-  /** All machines are full, and report a moment ago. */
+  /** All machines are full, and sent a heartbeat a moment ago. */
   private static Scheduler full() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < MACHINES; i++) {
--- a/src/test/java/graderelay/sim/InvariantChecker.java
+++ b/src/test/java/graderelay/sim/InvariantChecker.java
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Notes where a task runs; it may not run on two machines at once. */
+  /** Records where a task runs; it may not run on two machines at once. */
   private void place(String task, SimJob job, String machine, String zone) {
     String other = machineOf.put(task, machine);
     zoneOf.put(task, zone);
--- a/src/test/java/graderelay/sim/LevelChanges.java
+++ b/src/test/java/graderelay/sim/LevelChanges.java
@@ -157,10 +157,10 @@
   }
 
   private void operator(String what, int level) {
-    int node = random.nextInt(world.size);
+    int controller = random.nextInt(world.size);
     byte[] body = Json.write(Json.object().put("level", level));
     world.users.ask(
-        node,
+        controller,
         "POST",
         "/admin/features/" + what,
         body,
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Deployments like the users' own: few machines whose workers report often, or many more whose
-   * heartbeats lie as far apart as a worker waits for an answer, in one to three zones.
+   * Deployments like the users' own: few machines whose workers send heartbeats often, or many more
+   * whose heartbeats lie as far apart as a worker waits for an answer, in one to three zones.
    */
   private static WorldShape shape(long seed) {
     WorldShape shape = WorldShape.of(seed % 2 == 0 ? 3 : 5);
@@ -173,20 +173,20 @@
               random.nextInt(3) == 0);
       job.guest = !service && random.nextInt(4) == 0;
       job.failing = !service && random.nextInt(8) == 0;
-      int node = random.nextInt(world.size);
+      int controller = random.nextInt(world.size);
       if (!service && random.nextInt(3) == 0) {
         job.dependencies = plainJobs ? List.of() : needs();
       }
       all.add(job);
       double at = 1 + random.nextDouble() * (DAY_S - 20);
-      world.loop.after(at, () -> submitOnceItMayBe(node, job));
+      world.loop.after(at, () -> submitOnceItMayBe(controller, job));
       if (service || job.failing || random.nextInt(4) == 0) {
         world.loop.after(
             at + random.nextDouble() * 60, () -> cancelIfAccepted(random.nextInt(world.size), job));
       } else {
         mustEnd.add(job);
       }
-      polls(job, node);
+      polls(job, controller);
     }
   }
 
@@ -201,31 +201,31 @@
     return some;
   }
 
-  private void submitOnceItMayBe(int node, SimJob job) {
+  private void submitOnceItMayBe(int controller, SimJob job) {
     boolean known = rollout == null || rollout.allAreNew() || job.dependencies.isEmpty();
     if (known && job.dependencies.stream().allMatch(needed -> needed.accepted)) {
-      world.users.submit(node, job);
+      world.users.submit(controller, job);
     } else {
-      world.loop.after(1, () -> submitOnceItMayBe(node, job));
+      world.loop.after(1, () -> submitOnceItMayBe(controller, job));
     }
   }
 
-  private void cancelIfAccepted(int node, SimJob job) {
+  private void cancelIfAccepted(int controller, SimJob job) {
     if (job.accepted) {
-      world.users.cancel(node, job);
+      world.users.cancel(controller, job);
     } else {
-      world.loop.after(2, () -> cancelIfAccepted(node, job));
+      world.loop.after(2, () -> cancelIfAccepted(controller, job));
     }
   }
 
-  private void polls(SimJob job, int node) {
+  private void polls(SimJob job, int controller) {
     if (job.accepted) {
-      world.users.poll(node, job);
+      world.users.poll(controller, job);
       if (world.random.nextInt(8) == 0) {
         world.users.resubmit(world.random.nextInt(world.size), job);
       }
     }
-    world.loop.after(2.3, () -> polls(job, (node + 1) % world.size));
+    world.loop.after(2.3, () -> polls(job, (controller + 1) % world.size));
   }
 
   // ---------------------------------------------------------------- at the end
--- a/src/test/java/graderelay/sim/ScenarioSteps.java
+++ b/src/test/java/graderelay/sim/ScenarioSteps.java
@@ -30,8 +30,8 @@
   }
 
   /** Returns another controller than this one. */
-  public static int other(SimWorld w, int node) {
-    return (node + 1) % w.size;
+  public static int other(SimWorld w, int controller) {
+    return (controller + 1) % w.size;
   }
 
   /** Arrays that come over some seconds, of which every third is cancelled at once. */
@@ -40,10 +40,11 @@
     for (int i = 0; i < n; i++) {
       SimJob j = w.users.job(String.format("j-0004%02d", i), 1 + i % 3, 1, runS, true);
       all.add(j);
-      int node = i % w.size;
-      w.loop.after(i * everyS, () -> w.users.submit(node, j));
+      int controller = i % w.size;
+      w.loop.after(i * everyS, () -> w.users.submit(controller, j));
       if (i % 3 == 2) {
-        w.loop.after(i * everyS + 0.05 + i % 4 * 0.9, () -> w.users.cancel(other(w, node), j));
+        w.loop.after(
+            i * everyS + 0.05 + i % 4 * 0.9, () -> w.users.cancel(other(w, controller), j));
       }
     }
     return all;
@@ -75,13 +76,13 @@
   }
 
   /** From now on the store refuses requests of this controller alone, or no longer. */
-  public static void refuse(SimWorld w, int node, boolean on) {
-    w.refused[node][0] = on;
+  public static void refuse(SimWorld w, int controller, boolean on) {
+    w.refused[controller][0] = on;
   }
 
   /** Submits a job and runs the world until it is accepted, for a minute at most. */
-  public static void accept(SimWorld w, int node, SimJob j) {
-    w.users.submit(node, j);
+  public static void accept(SimWorld w, int controller, SimJob j) {
+    w.users.submit(controller, j);
     for (int i = 0; i < 600 && !j.accepted; i++) {
       w.loop.run(0.1);
     }
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -21,7 +21,7 @@
   /** One machine type. */
   public record Type(String name, double cpus, double memGb, double price, double spotPrice) {}
 
-  private record Rented(String name, String type, String zone, boolean spot, double at) {}
+  private record Machine(String name, String type, String zone, boolean spot, double at) {}
 
   private record Snapshot(double at, List<ObjectNode> machines) {}
 
@@ -29,7 +29,7 @@
   private final List<Type> types;
   private final List<String> zones;
   private final Map<String, ArrayNode> scaleOuts = new HashMap<>();
-  private final TreeMap<String, Rented> rented = new TreeMap<>();
+  private final TreeMap<String, Machine> machines = new TreeMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
   private int next = 1;
   public int capacity = 8;
@@ -51,11 +51,12 @@
 
   private void snap() {
     List<ObjectNode> list = new ArrayList<>();
-    for (Rented r : rented.values()) {
-      ObjectNode n = Json.object().put("ref", r.name()).put("address", r.name() + ":9000");
-      n.put("rig", r.type()).put("yard", r.zone()).put("borrowed", r.spot());
-      n.put("stage", world.workers.containsKey(r.name()) ? "running" : "booting");
-      n.put("age_s", world.loop.now() - r.at());
+    for (Machine machine : machines.values()) {
+      ObjectNode n =
+          Json.object().put("ref", machine.name()).put("address", machine.name() + ":9000");
+      n.put("rig", machine.type()).put("yard", machine.zone()).put("borrowed", machine.spot());
+      n.put("stage", world.workers.containsKey(machine.name()) ? "running" : "booting");
+      n.put("age_s", world.loop.now() - machine.at());
       list.add(n);
     }
     snapshots.add(new Snapshot(world.loop.now(), list));
@@ -127,7 +128,7 @@
     if (names == null) {
       names = Json.array();
       int want = n.path("how_many").asInt();
-      for (int i = 0; i < want && rented.size() < capacity; i++) {
+      for (int i = 0; i < want && machines.size() < capacity; i++) {
         names.add(
             add(n.path("rig").asText(), n.path("yard").asText(), n.path("borrowed").asBoolean()));
       }
@@ -144,14 +145,14 @@
 
   private String add(String type, String zone, boolean spot) {
     String m = String.format("n-%06d", next++);
-    rented.put(m, new Rented(m, type, zone, spot, world.loop.now()));
+    machines.put(m, new Machine(m, type, zone, spot, world.loop.now()));
     if (bootFail > 0 && world.random.nextDouble() < bootFail) {
       return m;
     }
     world.loop.after(
         BOOT_S * bootFactor,
         () -> {
-          if (rented.containsKey(m)) {
+          if (machines.containsKey(m)) {
             world.boot(m, type, zone, spot);
           }
         });
@@ -160,7 +161,7 @@
 
   /** The machine is gone, by deletion or because the cloud took it. */
   public void take(String name) {
-    rented.remove(name);
+    machines.remove(name);
     SimWorker w = world.workers.remove(name);
     if (w != null) {
       w.kill();
@@ -169,6 +170,6 @@
 
   /** Returns the names of all machines that are scaled out, in order. */
   public List<String> names() {
-    return new ArrayList<>(rented.keySet());
+    return new ArrayList<>(machines.keySet());
   }
 }
--- a/src/test/java/graderelay/sim/SimLoop.java
+++ b/src/test/java/graderelay/sim/SimLoop.java
@@ -5,13 +5,14 @@
 
 /** Virtual time: events run in order of their time, then of their making. No thread, no sleep. */
 public final class SimLoop {
-  private record Event(double at, long order, Runnable run, boolean[] off) {}
+  private record Event(double at, long sequence, Runnable run, boolean[] off) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
   private double now = 1000;
-  private long orders;
+  private long nextSequence;
   private Runnable afterEach = () -> {};
 
   /** Returns the virtual time, in seconds. */
@@ -27,7 +28,7 @@
   /** Schedules an event at a virtual time, in seconds; a past time means at once. */
   public Loop.Timer at(double time, Runnable r) {
     boolean[] off = {false};
-    events.add(new Event(Math.max(time, now), orders++, r, off));
+    events.add(new Event(Math.max(time, now), nextSequence++, r, off));
     return () -> off[0] = true;
   }
 
--- a/src/test/java/graderelay/sim/SimUsers.java
+++ b/src/test/java/graderelay/sim/SimUsers.java
@@ -52,14 +52,14 @@
   }
 
   /** Submits until it is accepted. */
-  public void submit(int node, SimJob job) {
-    submit(node, job, 0);
+  public void submit(int controller, SimJob job) {
+    submit(controller, job, 0);
   }
 
-  private void submit(int node, SimJob job, int tries) {
+  private void submit(int controller, SimJob job, int tries) {
     String lastAnswer = job.lastAnswer();
     ask(
-        node,
+        controller,
         "POST",
         "/v1/jobs",
         Json.write(body(job)),
@@ -67,17 +67,17 @@
           world.invariants.told(
               job, reply.status(), answer.path("stage").asText(), true, lastAnswer);
           if (reply.status() != 200 && reply.status() != 201 && tries < 60) {
-            world.loop.after(1, () -> submit((node + 1) % world.size, job, tries + 1));
+            world.loop.after(1, () -> submit((controller + 1) % world.size, job, tries + 1));
           }
         });
   }
 
   /** Cancels until it is confirmed. */
-  public void cancel(int node, SimJob job) {
+  public void cancel(int controller, SimJob job) {
     String lastAnswer = job.lastAnswer();
     job.cancelAsked = true;
     ask(
-        node,
+        controller,
         "POST",
         "/v1/jobs/" + job.id + "/withdraw",
         null,
@@ -85,16 +85,16 @@
           world.invariants.told(
               job, reply.status(), answer.path("stage").asText(), false, lastAnswer);
           if (reply.status() != 200) {
-            world.loop.after(1, () -> cancel((node + 1) % world.size, job));
+            world.loop.after(1, () -> cancel((controller + 1) % world.size, job));
           }
         });
   }
 
   /** Asks for the state of a job, once. */
-  public void poll(int node, SimJob job) {
+  public void poll(int controller, SimJob job) {
     String lastAnswer = job.lastAnswer();
     ask(
-        node,
+        controller,
         "GET",
         "/v1/jobs/" + job.id,
         null,
@@ -104,10 +104,10 @@
   }
 
   /** Submits once more, as a user may at any time who has had no answer. */
-  public void resubmit(int node, SimJob job) {
+  public void resubmit(int controller, SimJob job) {
     String lastAnswer = job.lastAnswer();
     ask(
-        node,
+        controller,
         "POST",
         "/v1/jobs",
         Json.write(body(job)),
@@ -124,18 +124,18 @@
     world.invariants.onTold =
         job -> {
           for (int i = 0; i < 4 * world.size; i++) {
-            int node = i % world.size;
-            world.loop.after(0.001 * (i / world.size), () -> poll(node, job));
-            world.loop.after(0.001 * (i / world.size), () -> resubmit(node, job));
+            int controller = i % world.size;
+            world.loop.after(0.001 * (i / world.size), () -> poll(controller, job));
+            world.loop.after(0.001 * (i / world.size), () -> resubmit(controller, job));
           }
         };
   }
 
   /** Sends a request as a user and hears of its answer, as JSON. */
   public void ask(
-      int node, String method, String path, byte[] body, BiConsumer<Reply, JsonNode> then) {
+      int controller, String method, String path, byte[] body, BiConsumer<Reply, JsonNode> then) {
     transport.call(
-        SimWorld.apiAddress(node),
+        SimWorld.apiAddress(controller),
         method,
         path,
         body,
@@ -145,10 +145,10 @@
   }
 
   /** Asks and returns the answer, running the world meanwhile. */
-  public JsonNode answer(int node, String method, String path, byte[] body) {
+  public JsonNode answer(int controller, String method, String path, byte[] body) {
     JsonNode[] received = {null};
     ask(
-        node,
+        controller,
         method,
         path,
         body,
@@ -163,7 +163,7 @@
   }
 
   /** Returns the stage of a job as a controller answers it. */
-  public String stage(int node, String id) {
-    return answer(node, "GET", "/v1/jobs/" + id, null).path("stage").asText();
+  public String stage(int controller, String id) {
+    return answer(controller, "GET", "/v1/jobs/" + id, null).path("stage").asText();
   }
 }
--- a/src/test/java/graderelay/sim/SimWorker.java
+++ b/src/test/java/graderelay/sim/SimWorker.java
@@ -20,15 +20,15 @@
   private final Transport transport;
   private final double heartbeatS;
   private final double leaseS;
-  private final String[] nodes;
+  private final String[] controllers;
   private final SimTasks tasks;
   private final boolean[] dead = {false};
   private long session = 1;
   private long seq;
   private long token;
   private double leaseFrom;
-  private int node;
-  private boolean reporting;
+  private int controller;
+  private boolean awaitsAnswer;
   private double lastSent = Double.NEGATIVE_INFINITY;
   public boolean failsEverything;
 
@@ -43,7 +43,7 @@
       boolean spot,
       double heartbeatS,
       double leaseS,
-      String[] nodes) {
+      String[] controllers) {
     this.world = world;
     this.loop = world.loop;
     this.name = name;
@@ -52,12 +52,12 @@
     this.spot = spot;
     this.heartbeatS = heartbeatS;
     this.leaseS = leaseS;
-    this.nodes = nodes;
+    this.controllers = controllers;
     this.transport = world.net.from(name, dead);
     this.leaseFrom = loop.now();
     this.tasks = new SimTasks(this, world);
     world.net.listen(address(), name, this::handle);
-    node = world.random.nextInt(nodes.length);
+    controller = world.random.nextInt(controllers.length);
     beat();
     lease();
   }
@@ -92,7 +92,7 @@
     if (dead[0]) {
       return;
     }
-    report();
+    sendHeartbeat();
     loop.after(heartbeatS * (0.75 + world.random.nextDouble() / 2), this::beat);
   }
 
@@ -112,7 +112,7 @@
   /** Sends the next heartbeat soon, half a second after the last one at the earliest. */
   void changed() {
     double wait = Math.max(0, lastSent + 0.5 - loop.now());
-    loop.after(wait, this::report);
+    loop.after(wait, this::sendHeartbeat);
   }
 
   private ObjectNode body() {
@@ -123,15 +123,15 @@
     return n;
   }
 
-  private void report() {
-    if (dead[0] || reporting || hung() || loop.now() < lastSent + 0.49) {
+  private void sendHeartbeat() {
+    if (dead[0] || awaitsAnswer || hung() || loop.now() < lastSent + 0.49) {
       return;
     }
-    reporting = true;
+    awaitsAnswer = true;
     double sentAt = loop.now();
     lastSent = sentAt;
     long of = session;
-    String to = nodes[node];
+    String to = controllers[controller];
     transport.call(
         to,
         "POST",
@@ -139,7 +139,7 @@
         Json.write(body()),
         4,
         r -> {
-          reporting = false;
+          awaitsAnswer = false;
           answered(r, of, sentAt);
         });
   }
@@ -162,17 +162,17 @@
       execute(n.path("orders"));
       return;
     }
-    int next = (node + 1) % nodes.length;
+    int next = (controller + 1) % controllers.length;
     double wait = 1;
     if (r.status() == 421 && n.has("foreman_at")) {
       int at = world.nodeIndex(n.get("foreman_at").asText());
-      if (at >= 0 && at != node) {
+      if (at >= 0 && at != controller) {
         next = at;
         wait = 0.1;
       }
     }
-    node = next;
-    loop.after(wait, this::report);
+    controller = next;
+    loop.after(wait, this::sendHeartbeat);
   }
 
   private void see(long t) {
--- a/src/test/java/graderelay/sim/StoreWatches.java
+++ b/src/test/java/graderelay/sim/StoreWatches.java
@@ -42,7 +42,7 @@
     this.loop = loop;
   }
 
-  /** Notes a change, or with a null value a deletion; {@link #wake} tells of it. */
+  /** Records a change, or with a null value a deletion; {@link #wake} tells of it. */
   void changed(String key, JsonNode value, long revision) {
     changes.add(new Change(key, value, revision));
   }
--- a/src/test/java/graderelay/sim/WorldShape.java
+++ b/src/test/java/graderelay/sim/WorldShape.java
@@ -20,7 +20,7 @@
         size, SimWorld.HEARTBEAT_S, SimWorld.LEASE_S, List.of("a", "b"), 8, SimWorld.LIMIT);
   }
 
-  /** The same with workers that report as often and whose lease is as long. */
+  /** The same with workers that send heartbeats as often and whose lease is as long. */
   public WorldShape workers(double every, double lease) {
     return new WorldShape(size, every, lease, zones, machines, limit);
   }
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -120,18 +120,18 @@
     SimWorld w = oneZone(304, size);
     final SimJob[] jobs = running(w, 2);
     int leader = w.leader();
-    int barred = other(w, leader);
+    int suspended = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
-    w.net.cut("c" + leader, "c" + barred);
+    w.net.cut("c" + leader, "c" + suspended);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     for (int i = 0; i < size; i++) {
-      refuse(w, i, i != leader && i != barred);
+      refuse(w, i, i != leader && i != suspended);
     }
     w.loop.run(3);
     refuse(w, leader, true);
     int told =
         w.users
-            .answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null)
+            .answer(suspended, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null)
             .path("http")
             .asInt();
     assertThat(told).isEqualTo(503);
@@ -146,19 +146,20 @@
     SimWorld w = oneZone(305, 3);
     final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
-    int barred = other(w, leader);
-    w.net.cut("c" + leader, "c" + barred);
+    int suspended = other(w, leader);
+    w.net.cut("c" + leader, "c" + suspended);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     // The third records it, but hears of that as little as the leader does.
     int third = (leader + 2) % 3;
-    w.net.cut("c" + barred, "c" + third);
+    w.net.cut("c" + suspended, "c" + third);
     w.store.loseAnswer = t -> t.toString().contains("\"stop\":true");
     w.users.cancel(third, jobs[0]);
     refuse(w, leader, true);
     w.loop.run(0.02);
     refuse(w, third, true);
     w.loop.run(0.5);
-    assertThat(w.users.answer(barred, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
+    assertThat(
+            w.users.answer(suspended, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
         .isEqualTo(503);
     fine(w);
   }
@@ -214,15 +215,15 @@
     SimWorld w = oneZone(309, 3);
     final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
-    int barred = other(w, leader);
-    w.net.cut("c" + leader, "c" + barred);
-    w.net.cut("c" + barred, "c" + (leader + 2) % 3);
+    int suspended = other(w, leader);
+    w.net.cut("c" + leader, "c" + suspended);
+    w.net.cut("c" + suspended, "c" + (leader + 2) % 3);
     w.loop.run(0.5);
     w.store.delayS = 7;
     w.store.delay = t -> t.toString().contains("\"stop\":true");
-    w.users.cancel(barred, jobs[0]);
+    w.users.cancel(suspended, jobs[0]);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
-    assertThat(w.store.value(StateCodec.suspensionKey("m-" + barred))).isNotNull();
+    assertThat(w.store.value(StateCodec.suspensionKey("m-" + suspended))).isNotNull();
     refuse(w, leader, true); // It has seen the suspension stand, and no stop.
     w.loop.run(4);
     assertThat(w.store.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
--- a/src/test/java/graderelay/wire/DeploymentProtocolTest.java
+++ b/src/test/java/graderelay/wire/DeploymentProtocolTest.java
@@ -50,7 +50,7 @@
   // ---------------------------------------------------------------- users
 
   @Test
-  void aSubmissionIsReadWithEveryField() throws BadRequest {
+  void submissionIsReadWithEveryField() throws BadRequest {
     assertThat(UserCodec.decodeSubmission(json(SUBMISSION), 1234, 500))
         .isEqualTo(
             new JobSpec(
@@ -99,7 +99,7 @@
         "awaits|'[\"x\"]'|awaits must hold ids like j-000412",
         "awaits|'[\"j-000412\"]'|awaits must not name the job itself"
       })
-  void aMistakeInASubmissionIsToldByItsField(String field, String value, String message) {
+  void mistakeInSubmissionIsNamedByItsField(String field, String value, String message) {
     ObjectNode body = (ObjectNode) json(SUBMISSION);
     body.set(field, json(value));
     assertThatThrownBy(() -> UserCodec.decodeSubmission(body, 1234, 500))
@@ -126,7 +126,7 @@
   // ---------------------------------------------------------------- workers
 
   @Test
-  void aHeartbeatIsReadWithEveryField() {
+  void heartbeatIsReadWithEveryField() {
     JsonNode body =
         json(
             "{\"saw\":\"n-000231\",\"address\":\"10.1.0.232:9000\",\"rig\":\"g8\","
@@ -159,7 +159,7 @@
 
   @ParameterizedTest
   @CsvSource({"saw", "address", "rig", "yard", "shift", "tally", "foreman"})
-  void aHeartbeatThatLacksAFieldIsNone(String field) {
+  void heartbeatThatLacksOneFieldIsRefused(String field) {
     ObjectNode body =
         (ObjectNode)
             json(
@@ -181,7 +181,7 @@
   }
 
   @Test
-  void aWorkerIsSentElsewhere() {
+  void workerIsSentElsewhere() {
     assertThat(text(WorkerCodec.encodeRedirect("mill-2"))).isEqualTo("{\"foreman_at\":\"mill-2\"}");
     assertThat(text(WorkerCodec.encodeRedirect(null))).isEqualTo("{}");
   }
@@ -200,7 +200,7 @@
   }
 
   @Test
-  void aPageOfMachinesIsRead() {
+  void pageOfMachinesIsRead() {
     JsonNode answer =
         json(
             "{\"saws\":[{\"ref\":\"n-000231\",\"address\":\"10.1.0.232:9000\",\"rig\":\"g8\","
--- a/src/test/java/graderelay/wire/StoreCodecTest.java
+++ b/src/test/java/graderelay/wire/StoreCodecTest.java
@@ -22,20 +22,20 @@
   }
 
   @Test
-  void anEntryIsReadWithItsRevisionAndSessionLease() {
+  void entryIsReadWithItsRevisionAndSessionLease() {
     JsonNode answer = json("{\"key\":\"a/b\",\"data\":{\"x\":1},\"mark\":412,\"permit\":7}");
     assertThat(StoreCodec.decodeEntry(answer))
         .isEqualTo(new StoreEntry("a/b", json("{\"x\":1}"), 412, 7));
   }
 
   @Test
-  void anEntryOnNoSessionLeaseHasTheLeaseZero() {
+  void entryOnNoSessionLeaseHasTheLeaseZero() {
     assertThat(StoreCodec.decodeEntry(json("{\"key\":\"a\",\"data\":1,\"mark\":2}")).sessionLease())
         .isZero();
   }
 
   @Test
-  void aPageOfARangeIsReadInItsOrderAndSaysWhereTheNextBegins() {
+  void rangePageIsReadInItsOrderAndSaysWhereTheNextBegins() {
     RangeResponse page =
         StoreCodec.decodeRange(
             json(
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void theLastPageAndAnEmptyOneHaveNoNext() {
+  void lastPageAndAnEmptyOneHaveNoNext() {
     assertThat(StoreCodec.decodeRange(json("{\"items\":[{\"key\":\"c\"}]}")).nextAfter()).isNull();
     assertThat(StoreCodec.decodeRange(json("{\"items\":[],\"truncated\":true}")).nextAfter())
         .isNull();
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void aWatchTellsPutsAndDeletesInTheirOrderAndPassesOverOtherChanges() {
+  void watchTellsPutsAndDeletesInTheirOrderAndPassesOverOtherChanges() {
     WatchResponse answer =
         StoreCodec.decodeWatch(
             json(
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aTransactionHasTheBytesOfItsTreeBefore() {
+  void transactionHasTheBytesOfItsFormerTree() {
     TransactionRequest txn =
         new TransactionRequest()
             .when("a/b", 0)
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void aTransactionThatOnlyComparesHasNoChanges() {
+  void transactionThatOnlyComparesHasNoChanges() {
     assertThat(text(new TransactionRequest().when("a", 1).encode()))
         .isEqualTo("{\"if\":[{\"key\":\"a\",\"mark\":1}]}");
     assertThat(text(new TransactionRequest().encode())).isEqualTo("{\"if\":[]}");
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void onlyARefusalForTheLeaseIsTakenForOne() {
+  void onlyRefusalsForTheLeaseAreTakenForOne() {
     assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"no such lease\"}"))).isTrue();
     assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"too large\"}"))).isFalse();
     assertThat(StoreCodec.decodeLeaseExpired(json("{}"))).isFalse();
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void theStoresRevisionIsZeroWhereNoneIsGiven() {
+  void storeRevisionIsZeroWhereNoneIsGiven() {
     assertThat(StoreCodec.decodeStoreRevision(json("{\"ledger\":432}"))).isEqualTo(432);
     assertThat(StoreCodec.decodeStoreRevision(json("{}"))).isZero();
     assertThat(StoreCodec.decodeStoreRevision(null)).isZero();
--- a/src/test/java/graderelay/wire/TypedErrorsTest.java
+++ b/src/test/java/graderelay/wire/TypedErrorsTest.java
@@ -8,7 +8,7 @@
 /** Errors carry the field that is wrong, and tell it in the text that senders have always got. */
 class TypedErrorsTest {
   @Test
-  void aBadFieldIsCarriedAndTold() {
+  void badFieldIsCarriedAndNamed() {
     BadRequest missing =
         catchThrowableOfType(
             () -> UserCodec.decodeSubmission(Json.object(), 0, 1), BadRequest.class);
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aBadBodyIsAboutNoField() {
+  void badBodyIsAboutNoField() {
     BadRequest notAnObject =
         catchThrowableOfType(
             () -> UserCodec.decodeSubmission(Json.array(), 0, 1), BadRequest.class);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aMalformedRecordCarriesItsField() {
+  void malformedRecordCarriesItsField() {
     MalformedRecord above =
         catchThrowableOfType(
             () -> FeatureCodec.decodeLevel(Json.object().put("level", 1).put("target", 2)),
--- a/src/test/java/graderelay/worker/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -53,9 +53,9 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     hearing(s, "n-1", 0);
     // The worker's answer to a direct command, sent after its heartbeat, comes first.
-    var poke = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
+    var probe = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
     s.onCommandDelivery(
-        poke, CommandDelivery.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
+        probe, CommandDelivery.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
     s.tick(SimWorld.LEASE_S + 3);
@@ -98,14 +98,14 @@
   @Test
   void copyAtPeerIsNoSignThatItsWorkerCannotReachTheLeader() {
     SimWorld w = world(40);
-    int gateway = (w.leader() + 1) % w.size;
-    byte[] report = checkin(5);
-    assertThat(w.users.answer(gateway, "POST", "/checkin", report).path("http").asInt())
+    int peer = (w.leader() + 1) % w.size;
+    byte[] heartbeat = checkin(5);
+    assertThat(w.users.answer(peer, "POST", "/checkin", heartbeat).path("http").asInt())
         .isEqualTo(421);
-    assertThat(w.users.answer(gateway, "POST", "/checkin", report).path("http").asInt())
+    assertThat(w.users.answer(peer, "POST", "/checkin", heartbeat).path("http").asInt())
         .isEqualTo(421);
     // The worker itself is back, so it could not: its heartbeat is passed on and answered.
-    assertThat(w.users.answer(gateway, "POST", "/checkin", checkin(6)).path("http").asInt())
+    assertThat(w.users.answer(peer, "POST", "/checkin", checkin(6)).path("http").asInt())
         .isEqualTo(200);
   }
 
