--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -48,7 +48,7 @@
    * changes, and nobody waits for them: work that has just come is claimed before they are written.
    */
   @Test
-  void endsOfWideFanDoNotHoldUpTheClaimsOfOthers() {
+  void endsOfWideFanDoNotDelayTheClaimsOfOthers() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
@@ -88,11 +88,11 @@
   @ParameterizedTest
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
   void timesOfDependentCountFromWhenItCouldBegin(
-      boolean takeover, double readyAt, boolean passesOthers) {
+      boolean failover, double readyAt, boolean passesOthers) {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
     JobSpec other = SchedulerFixture.ranked(OTHER, Priority.NORMAL, 4, null);
-    if (takeover) {
+    if (failover) {
       scheduler.onJob(dependent, false, 6, 0, 300);
       scheduler.onJob(other, false, 7, 250, 300);
       scheduler.loaded(300);
@@ -116,7 +116,7 @@
    * reads.
    */
   @Test
-  void slicesOfNewJobsFitTheLowerLimitsInThePlainForm() {
+  void taskBatchesOfNewJobsFitTheLowerLimitsInThePlainForm() {
     SimWorld world =
         new SimWorld(431, WorldShape.of(3).fleet(30, List.of("a", "b")), RandomDay.LOWER);
     world.loop.run(3);
@@ -125,7 +125,7 @@
     int plain = 0;
     for (int i = 0; i < 200; i++) {
       world.loop.run(0.2);
-      for (var item : world.state.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
+      for (var item : world.store.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
         if (item.getKey().startsWith(StateCodec.TASK_BATCHES)) {
           JsonNode taskBatch = item.getValue().value();
           assertThat(Json.write(taskBatch).length)
--- a/src/test/java/graderelay/sim/LevelChanges.java
+++ b/src/test/java/graderelay/sim/LevelChanges.java
@@ -157,10 +157,10 @@
   }
 
   private void operator(String what, int level) {
-    int node = random.nextInt(world.size);
+    int controller = random.nextInt(world.size);
     byte[] body = Json.write(Json.object().put("level", level));
     world.users.ask(
-        node,
+        controller,
         "POST",
         "/admin/features/" + what,
         body,
@@ -185,7 +185,7 @@
 
   /** True if the level that is stored is one that all support now. */
   boolean levelIsSupported() {
-    var record = world.state.value(FeatureCodec.LEVEL);
+    var record = world.store.value(FeatureCodec.LEVEL);
     return record == null || record.path("level").asInt() <= LATEST;
   }
 }
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -47,11 +47,11 @@
       w.users.cancel(other(w, leader), j);
     }
     w.loop.run(outageAfter - cancelAfter);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(14 - outageAfter);
     refuse(w, leader, false);
     w.loop.run(length);
-    w.state.outage(false);
+    w.store.outage(false);
     w.loop.run(30);
     fine(w);
   }
@@ -65,7 +65,7 @@
     refuse(w, leader, true);
     w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(0.5);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
     // Everybody alive vouches for what it told: the job's tasks end, the others' go on.
@@ -75,7 +75,7 @@
     w.loop.run(2 * SimWorld.CANCEL_S);
     assertThat(runner(w, jobs[1].id + "/1")).isNotNull();
     assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
-    w.state.outage(false);
+    w.store.outage(false);
     refuse(w, leader, false);
     w.loop.run(20);
     assertThat(w.users.stage(0, jobs[0].id)).isEqualTo("cancelled");
@@ -99,14 +99,14 @@
     w.users.cancel(peer, jobs[0]);
     w.loop.run(endsAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.crash(peer);
     w.net.heal("c" + leader, "c" + peer);
     if (backAfter > 0) {
       w.loop.after(backAfter, () -> w.start(peer));
     }
     w.loop.run(2 * SimWorld.CANCEL_S);
-    w.state.outage(false);
+    w.store.outage(false);
     for (int i = 0; i < 3; i++) {
       refuse(w, i, false);
     }
@@ -120,18 +120,18 @@
     SimWorld w = oneZone(304, size);
     final SimJob[] jobs = running(w, 2);
     int leader = w.leader();
-    int barred = other(w, leader);
+    int suspended = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
-    w.net.cut("c" + leader, "c" + barred);
+    w.net.cut("c" + leader, "c" + suspended);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     for (int i = 0; i < size; i++) {
-      refuse(w, i, i != leader && i != barred);
+      refuse(w, i, i != leader && i != suspended);
     }
     w.loop.run(3);
     refuse(w, leader, true);
     int told =
         w.users
-            .answer(barred, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null)
+            .answer(suspended, "POST", "/v1/jobs/" + jobs[0].id + "/withdraw", null)
             .path("http")
             .asInt();
     assertThat(told).isEqualTo(503);
@@ -146,19 +146,20 @@
     SimWorld w = oneZone(305, 3);
     final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
-    int barred = other(w, leader);
-    w.net.cut("c" + leader, "c" + barred);
+    int suspended = other(w, leader);
+    w.net.cut("c" + leader, "c" + suspended);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
     // The third records it, but hears of that as little as the leader does.
     int third = (leader + 2) % 3;
-    w.net.cut("c" + barred, "c" + third);
-    w.state.loseAnswer = t -> t.toString().contains("\"stop\":true");
+    w.net.cut("c" + suspended, "c" + third);
+    w.store.loseAnswer = t -> t.toString().contains("\"stop\":true");
     w.users.cancel(third, jobs[0]);
     refuse(w, leader, true);
     w.loop.run(0.02);
     refuse(w, third, true);
     w.loop.run(0.5);
-    assertThat(w.users.answer(barred, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
+    assertThat(
+            w.users.answer(suspended, "GET", "/v1/jobs/" + jobs[0].id, null).path("http").asInt())
         .isEqualTo(503);
     fine(w);
   }
@@ -180,7 +181,7 @@
     }
     w.loop.run(outageAfter);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.net.cutZone((leader % 2 == 0) == leadersZone ? "a" : "b", true);
     w.loop.run(2 * SimWorld.CANCEL_S);
     fine(w);
@@ -199,7 +200,7 @@
     while (Double.isNaN(jobs[0].cancelAnswered)) {
       w.loop.run(0.001);
     }
-    w.state.outage(true); // Handed over, and nobody can take it any more.
+    w.store.outage(true); // Handed over, and nobody can take it any more.
     w.loop.run(10);
     assertThat(w.leader()).isNegative();
     assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
@@ -214,18 +215,18 @@
     SimWorld w = oneZone(309, 3);
     final SimJob[] jobs = running(w, 1);
     int leader = w.leader();
-    int barred = other(w, leader);
-    w.net.cut("c" + leader, "c" + barred);
-    w.net.cut("c" + barred, "c" + (leader + 2) % 3);
+    int suspended = other(w, leader);
+    w.net.cut("c" + leader, "c" + suspended);
+    w.net.cut("c" + suspended, "c" + (leader + 2) % 3);
     w.loop.run(0.5);
-    w.state.delayS = 7;
-    w.state.delay = t -> t.toString().contains("\"stop\":true");
-    w.users.cancel(barred, jobs[0]);
+    w.store.delayS = 7;
+    w.store.delay = t -> t.toString().contains("\"stop\":true");
+    w.users.cancel(suspended, jobs[0]);
     w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
-    assertThat(w.state.value(StateCodec.suspensionKey("m-" + barred))).isNotNull();
+    assertThat(w.store.value(StateCodec.suspensionKey("m-" + suspended))).isNotNull();
     refuse(w, leader, true); // It has seen the suspension stand, and no stop.
     w.loop.run(4);
-    assertThat(w.state.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
+    assertThat(w.store.value(StateCodec.jobKey(jobs[0].id)).path("stop").asBoolean()).isFalse();
     fine(w);
   }
 
@@ -235,15 +236,15 @@
     SimJob[] jobs = running(w, 1);
     int leader = w.leader();
     refuse(w, leader, true);
-    w.state.loseAnswer =
+    w.store.loseAnswer =
         t -> {
-          w.state.holdWatches |= t.toString().contains("\"stop\":true");
+          w.store.holdWatches |= t.toString().contains("\"stop\":true");
           return false;
         };
     w.users.cancel(other(w, leader), jobs[0]);
     w.loop.run(0.1);
     assertThat(jobs[0].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.loop.run(8);
     assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
     fine(w);
@@ -267,7 +268,7 @@
     }
     w.loop.run(0.1);
     assertThat(jobs[2].cancelAnswered).isNotNaN();
-    w.state.outage(true);
+    w.store.outage(true);
     w.crash(peer);
     w.net.heal("c" + leader, "c" + peer);
     w.loop.run(1);
@@ -287,7 +288,7 @@
 
   @ParameterizedTest
   @CsvSource({"7, 11", "12, 8", "22, 11", "22, 6"})
-  void processesThatKnowNothingAddNoTimeToWhatTheLastOwnerLeft(double until, double away) {
+  void processesThatKnowNothingAddNoTimeToWhatTheLastLeaderLeft(double until, double away) {
     SimWorld w = withForgetfulPeer(3, ONE_ZONE);
     w.loop.run(until);
     w.crashAll();
@@ -301,7 +302,7 @@
   void leaderWhoseReadsGetNoAnswerAsksItsPeersAndCostsNoLease() {
     SimWorld w = world(316, 3);
     running(w, 1);
-    w.state.holdWatches = true;
+    w.store.holdWatches = true;
     w.loop.run(SimWorld.CANCEL_S + 10);
     assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
     fine(w);
