--- a/src/test/java/graderelay/sim/SimStore.java
+++ b/src/test/java/graderelay/sim/SimStore.java
@@ -6,7 +6,6 @@
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
-import graderelay.net.Query;
 import graderelay.wire.Json;
 import java.util.HashSet;
 import java.util.Map;
@@ -164,7 +163,7 @@
       } else {
         multi(e, t);
       }
-    } else if (p.startsWith("/holds")) {
+    } else if (p.equals("/holds") || p.startsWith("/holds/")) {
       lease(e, p);
     } else {
       answer(e, 400, Json.object());
@@ -220,7 +219,7 @@
   }
 
   private void list(Exchange e) {
-    Map<String, String> p = Query.parse(e.query());
+    Map<String, String> p = StoreQuery.parameters(e);
     String under = p.getOrDefault("under", "");
     if (under.equals(refusedList)) {
       e.to().accept(Answer.json(503, Json.error("not now")));
--- a/src/test/java/graderelay/sim/StoreWatches.java
+++ b/src/test/java/graderelay/sim/StoreWatches.java
@@ -6,7 +6,6 @@
 import graderelay.net.Exchange;
 import graderelay.net.Exchange.Answer;
 import graderelay.net.Loop;
-import graderelay.net.Query;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,7 +48,7 @@
 
   /** Answers a watch as soon as there is news for it, or when it has blocked for long enough. */
   void open(Exchange exchange, boolean[] refused) {
-    Map<String, String> parameters = Query.parse(exchange.query());
+    Map<String, String> parameters = StoreQuery.parameters(exchange);
     Watch watch =
         new Watch(
             parameters.get("under"), Long.parseLong(parameters.get("after")), exchange, refused);
