--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -67,15 +67,30 @@
     watchLoop.start();
   }
 
-  private void onChangesRead(StoreResult result, double sentAt) {
+  private boolean onChangesRead(StoreResult result, long after, double sentAt) {
     if (result.succeeded()) {
-      tables.apply(result.changes(), result.revision());
-      freshness.onRead(sentAt, tables.isLoaded());
-    } else if (result.outcome() == StoreOutcome.NOT_FOUND) {
+      return takeChanges(result, after, sentAt);
+    }
+    if (result.outcome() == StoreOutcome.NOT_FOUND) {
       // The store no longer has the changes since our revision.
       tables.markStale();
       initialLoad.start();
     }
+    return false;
+  }
+
+  /**
+   * A load that is taken while a read is on its way puts the copy back to the revision at which the
+   * load began. The read's answer lacks the changes between the two: taking it would leave them out
+   * for good, and accepted jobs among them would be answered as unknown.
+   */
+  private boolean takeChanges(StoreResult result, long after, double sentAt) {
+    if (after > tables.revision()) {
+      return false;
+    }
+    tables.apply(result.changes(), result.revision());
+    freshness.onRead(sentAt, tables.isLoaded());
+    return true;
   }
 
   // ---------------------------------------------------------------- freshness
--- a/src/main/java/graderelay/state/CatchUpReads.java
+++ b/src/main/java/graderelay/state/CatchUpReads.java
@@ -61,15 +61,16 @@
     waiting = new ArrayList<>();
     lastSentAt = loop.now();
     double sentAt = lastSentAt;
+    long after = revision.getAsLong();
     state.watch(
         StateCodec.ROOT,
-        revision.getAsLong(),
+        after,
         0,
         Use.SUBMISSION,
         result -> {
           reading = false;
-          handler.onChangesRead(result, sentAt);
-          served.forEach(done -> done.accept(result.succeeded()));
+          boolean caughtUp = handler.onChangesRead(result, after, sentAt);
+          served.forEach(done -> done.accept(caughtUp));
           readSoon();
         });
   }
--- a/src/main/java/graderelay/state/ChangeHandler.java
+++ b/src/main/java/graderelay/state/ChangeHandler.java
@@ -5,7 +5,9 @@
   /**
    * A read of changes has ended.
    *
+   * @param after the revision after which it asked for changes
    * @param sentAt when it was sent: every change that had committed before is in its answer
+   * @return true if the copy has now seen every change that had committed before {@code sentAt}
    */
-  void onChangesRead(StoreResult result, double sentAt);
+  boolean onChangesRead(StoreResult result, long after, double sentAt);
 }
--- a/src/main/java/graderelay/state/WatchLoop.java
+++ b/src/main/java/graderelay/state/WatchLoop.java
@@ -57,13 +57,14 @@
     }
     lastSentAt = loop.now();
     double sentAt = lastSentAt;
+    long after = revision.getAsLong();
     state.watch(
         StateCodec.ROOT,
-        revision.getAsLong(),
+        after,
         BLOCK_MS,
         Use.CLAIM,
         result -> {
-          handler.onChangesRead(result, sentAt);
+          handler.onChangesRead(result, after, sentAt);
           if (result.succeeded()) {
             watch(startedAs);
           } else if (result.outcome() != StoreOutcome.NOT_FOUND) {
