--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -56,7 +56,7 @@
   /** Runs {@code step} again after a moment, unless the request has been answered by then. */
   void retry(Runnable step) {
     loop.after(
-        StateClient.STATE_RETRY_S / 2,
+        StateClient.RETRY_DELAY_S / 2,
         () -> {
           if (!answered) {
             step.run();
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -69,7 +69,7 @@
 
   /** True while calls to the store fail: then nothing can be decided here. */
   public boolean stateAway() {
-    return !cache.isLoaded() || state.health().failingForS() > StateClient.STATE_TIMEOUT_S;
+    return !cache.isLoaded() || state.health().failingForS() > StateClient.CALL_TIMEOUT_S;
   }
 
   /** Answers a job submission; see {@link JobSubmissions}. */
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -151,7 +151,7 @@
             return;
           }
           if (!caughtUp || types.get() == null) {
-            loop.after(StateClient.STATE_RETRY_S, () -> startTerm(term, wonAt));
+            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, wonAt));
             return;
           }
           current = newTerm.get();
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -72,7 +72,7 @@
                   if (caughtUp) {
                     checkRecord();
                   } else {
-                    loop.after(StateClient.STATE_RETRY_S, this::checkRecord);
+                    loop.after(StateClient.RETRY_DELAY_S, this::checkRecord);
                   }
                 }));
   }
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -45,7 +45,7 @@
   List<Metrics.Reading> readings() {
     List<Metrics.Reading> readings = new ArrayList<>();
     readings.add(reading("settings_differ", "", limits.settingsDifferences().size()));
-    limits.malformed().keySet().forEach(team -> readings.add(reading(STOPPED, team, 1)));
+    limits.malformedLimits().keySet().forEach(team -> readings.add(reading(STOPPED, team, 1)));
     for (Team team : limits.teams()) {
       TeamQuota quota = team.quota();
       add(readings, "guarantee", team.name(), quota.guarantee());
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -43,7 +43,7 @@
       return false;
     }
     boolean storeAnswers =
-        hasRecords() && loop.now() - state.health().lastAnswerAt() < STORE_SILENT_S;
+        hasRecords() && loop.now() - state.health().lastAnsweredAt() < STORE_SILENT_S;
     // While the store refuses this controller alone, a peer decides on its requests; while the
     // store is away for all, what can be answered is, and the rest is told when to come back.
     return storeAnswers
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/TermRecords.java
@@ -116,7 +116,7 @@
    */
   void onQuota() {
     boolean stored = cache.features().gate().enabled(Feature.STORED_LIMITS);
-    core.onQuota(stored ? cache.quota().asOf(cache.observedRevision()) : null);
+    core.onQuota(stored ? cache.quota().snapshotAt(cache.observedRevision()) : null);
     stepSoon.run();
   }
 
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -117,7 +117,7 @@
       core.onLimits(
           state.hasReducedLimits() ? leastLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
-      loop.after(StateClient.STATE_RETRY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
+      loop.after(StateClient.RETRY_DELAY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info(
           "transaction {}: {} {}",
@@ -142,7 +142,7 @@
           if (caughtUp) {
             tellCore(id, outcome);
           } else {
-            loop.after(StateClient.STATE_RETRY_S, () -> catchUpThenTellCore(id, outcome));
+            loop.after(StateClient.RETRY_DELAY_S, () -> catchUpThenTellCore(id, outcome));
           }
         });
   }
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -111,8 +111,8 @@
   }
 
   /** The time before which every committed change has been seen. */
-  public double linearizableAt() {
-    return freshness.linearizableAt();
+  public double linearizableAsOf() {
+    return freshness.linearizableAsOf();
   }
 
   /** The time before which every committed job, task batch and cancellation is in the cache. */
--- a/src/main/java/graderelay/state/CatchUpReader.java
+++ b/src/main/java/graderelay/state/CatchUpReader.java
@@ -73,7 +73,7 @@
         result -> {
           readInFlight = false;
           boolean caughtUp = changeHandler.onChangesRead(result, afterRevision, sentAt);
-          callbacks.forEach(done -> done.accept(caughtUp));
+          callbacks.forEach(callback -> callback.accept(caughtUp));
           scheduleRead();
         });
   }
--- a/src/main/java/graderelay/state/FullLoad.java
+++ b/src/main/java/graderelay/state/FullLoad.java
@@ -78,8 +78,8 @@
     closed = true;
   }
 
-  private void retryLater() {
-    loop.after(StateClient.STATE_RETRY_S, this::start);
+  private void scheduleRetry() {
+    loop.after(StateClient.RETRY_DELAY_S, this::start);
   }
 
   private void readNext(List<Listing> listings) {
@@ -94,7 +94,7 @@
         listing -> {
           if (listing == null) {
             loading = false;
-            retryLater();
+            scheduleRetry();
             return;
           }
           listings.add(listing);
@@ -118,7 +118,7 @@
         listing -> {
           loading = false;
           if (listing == null) {
-            retryLater();
+            scheduleRetry();
           } else {
             listings.add(listing);
             applyAll(listings);
@@ -141,7 +141,7 @@
             loadedBefore = true;
             onLoaded.run();
           } else {
-            retryLater();
+            scheduleRetry();
           }
         });
   }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -109,9 +109,9 @@
     boolean suspended =
         status.isActiveLeader()
             && isInForce(cache.suspension(peer), peer)
-            && cache.linearizableAt() >= wonAt;
+            && cache.linearizableAsOf() >= wonAt;
     return suspended
-        ? cache.linearizableAt()
+        ? cache.linearizableAsOf()
             + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
             - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -26,7 +26,7 @@
   }
 
   /** True if the stored limits are in force instead of those in the settings. */
-  public boolean inForce() {
+  public boolean isInForce() {
     return gate.enabled(Feature.STORED_LIMITS) && isSeeded();
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** A snapshot of the stored quota, labelled with the given revision. */
-  public StoredQuota asOf(long revision) {
+  public StoredQuota snapshotAt(long revision) {
     return new StoredQuota(Map.copyOf(limits), Map.copyOf(accounts), isSeeded(), revision);
   }
 
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -21,11 +21,11 @@
  * and change rates.
  */
 public final class StateClient {
-  /** Call timeout in seconds; responses usually take 10 ms, at times a few hundred. */
-  public static final double STATE_TIMEOUT_S = 1.2;
+  /** Call timeout in seconds; responses usually take 10 ms, sometimes a few hundred. */
+  public static final double CALL_TIMEOUT_S = 1.2;
 
   /** Delay in seconds before a failed call is retried. */
-  public static final double STATE_RETRY_S = 0.2;
+  public static final double RETRY_DELAY_S = 0.2;
 
   /** Records per page of a listing; each may be close to the value limit of about 16 KiB. */
   private static final int RECORDS_PER_PAGE = 200;
@@ -95,7 +95,7 @@
 
   /** Reads one key. */
   public void get(String key, Use use, Consumer<StoreResult> done) {
-    call(use, "GET", KEYS_PATH + "/" + key, null, STATE_TIMEOUT_S, done);
+    call(use, "GET", KEYS_PATH + "/" + key, null, CALL_TIMEOUT_S, done);
   }
 
   /** Reads all records under a prefix; calls back with null if a page can't be read. */
@@ -111,7 +111,7 @@
             + (afterKey == null ? "" : "&after=" + encode(afterKey))
             + "&most="
             + RECORDS_PER_PAGE;
-    call(use, "GET", path, null, STATE_TIMEOUT_S, done);
+    call(use, "GET", path, null, CALL_TIMEOUT_S, done);
   }
 
   /**
@@ -129,7 +129,7 @@
             + afterRevision
             + "&block_ms="
             + blockMs;
-    call(use, "GET", path, null, STATE_TIMEOUT_S + blockMs / 1000.0, done);
+    call(use, "GET", path, null, CALL_TIMEOUT_S + blockMs / 1000.0, done);
   }
 
   private static String encode(String text) {
@@ -173,7 +173,7 @@
           if (!granted) {
             done.accept(StoreResult.notExecuted());
           } else {
-            call(use, "POST", TRANSACTION_PATH, body, STATE_TIMEOUT_S, done);
+            call(use, "POST", TRANSACTION_PATH, body, CALL_TIMEOUT_S, done);
           }
         });
   }
@@ -187,7 +187,7 @@
    */
   public void createSessionLease(long ttlMs, Consumer<StoreResult> done) {
     ObjectNode body = StoreCodec.encodeLeaseRequest(ttlMs);
-    call(Use.RENEWAL, "POST", LEASES_PATH, body, STATE_TIMEOUT_S, done);
+    call(Use.RENEWAL, "POST", LEASES_PATH, body, CALL_TIMEOUT_S, done);
   }
 
   /** Renews a session lease for its full time to live. */
@@ -197,7 +197,7 @@
 
   /** Revokes a session lease; the store immediately deletes the keys bound to it. */
   public void revokeSessionLease(long lease, Consumer<StoreResult> done) {
-    call(Use.RENEWAL, "DELETE", LEASES_PATH + "/" + lease, null, STATE_TIMEOUT_S, done);
+    call(Use.RENEWAL, "DELETE", LEASES_PATH + "/" + lease, null, CALL_TIMEOUT_S, done);
   }
 
   // ---------------------------------------------------------------- calls
@@ -217,7 +217,7 @@
             return;
           }
           byte[] bytes = body == null ? null : Json.write(body);
-          long callId = health.onCallSent(timeoutS > STATE_TIMEOUT_S);
+          long callId = health.onCallSent(timeoutS > CALL_TIMEOUT_S);
           transport.call(
               address,
               method,
--- a/src/main/java/graderelay/state/StoreHealth.java
+++ b/src/main/java/graderelay/state/StoreHealth.java
@@ -11,7 +11,7 @@
   static final double REACHABLE_WITHIN_S = 1.3;
 
   private final Loop loop;
-  private double lastAnswerAt = Double.NEGATIVE_INFINITY;
+  private double lastAnsweredAt = Double.NEGATIVE_INFINITY;
 
   /** When calls began to fail, or NaN if the last call succeeded. */
   private double failingSince = Double.NaN;
@@ -45,7 +45,7 @@
 
   /** Records that the store has answered a call with another status than 503. */
   void onAnswered() {
-    lastAnswerAt = loop.now();
+    lastAnsweredAt = loop.now();
     failingSince = Double.NaN;
   }
 
@@ -57,8 +57,8 @@
   }
 
   /** When the store last answered with another status than 503, on the event loop's clock. */
-  public double lastAnswerAt() {
-    return lastAnswerAt;
+  public double lastAnsweredAt() {
+    return lastAnsweredAt;
   }
 
   /** Seconds for which all calls have failed, 0 if the last one succeeded. */
@@ -68,7 +68,7 @@
 
   /** True if the last call succeeded within the last {@link #REACHABLE_WITHIN_S} seconds. */
   public boolean isReachable() {
-    return failingForS() == 0 && loop.now() - lastAnswerAt < REACHABLE_WITHIN_S;
+    return failingForS() == 0 && loop.now() - lastAnsweredAt < REACHABLE_WITHIN_S;
   }
 
   /**
--- a/src/main/java/graderelay/state/StoreRequestBudget.java
+++ b/src/main/java/graderelay/state/StoreRequestBudget.java
@@ -158,7 +158,7 @@
     return REQUESTS_PER_READ / requestTokens.rate();
   }
 
-  /** Called when the store has answered 429; discards all tokens to pause sending for a moment. */
+  /** Called when the store has answered 429; discards all tokens to pause for a moment. */
   void onTooManyRequests() {
     requestTokens.penalty();
     changeTokens.penalty();
--- a/src/main/java/graderelay/state/TeamLimits.java
+++ b/src/main/java/graderelay/state/TeamLimits.java
@@ -26,11 +26,11 @@
 
   /** True if the stored limits are in force instead of those in the settings. */
   public boolean usesStoredLimits() {
-    return records.inForce();
+    return records.isInForce();
   }
 
   /** The teams whose stored limits are malformed, with the reason; a sorted copy. */
-  public Map<String, String> malformed() {
+  public Map<String, String> malformedLimits() {
     Map<String, String> malformed = new TreeMap<>();
     if (usesStoredLimits()) {
       records
--- a/src/main/java/graderelay/state/WatchLoop.java
+++ b/src/main/java/graderelay/state/WatchLoop.java
@@ -7,7 +7,7 @@
 
 /** Watches the records with consecutive long polls, each of which waits for changes. */
 final class WatchLoop {
-  /** Maximum wait of a long poll; short, so that each response proves that the path works. */
+  /** Maximum time of a long poll; short, so that each response proves that the path works. */
   private static final int BLOCK_MS = 1000;
 
   /** Minimum interval between long polls, so that a burst of changes costs few requests. */
@@ -68,7 +68,7 @@
           if (result.succeeded()) {
             watch(watchGeneration);
           } else if (result.outcome() != StoreOutcome.NOT_FOUND) {
-            loop.after(StateClient.STATE_RETRY_S, () -> watch(watchGeneration));
+            loop.after(StateClient.RETRY_DELAY_S, () -> watch(watchGeneration));
           }
         });
   }
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -98,10 +98,7 @@
     final SimJob[] jobs = running(world, 2);
     int leader = world.leader();
     final int peer = other(world, leader);
-    refuse(
-        world,
-        (leader + 2) % 3,
-        true); // The third controller must not read the cancellation either.
+    refuse(world, (leader + 2) % 3, true); // The third must not read the cancellation either.
     world.loop.run(3);
     refuse(world, leader, true);
     // Partitioned, so that the peer can't report the cancellation to the leader beforehand.
@@ -146,8 +143,7 @@
             .path("http")
             .asInt();
     assertThat(httpStatus).isEqualTo(503);
-    world.loop.run(
-        ElectionTiming.SUSPENSION_S - 8); // The leader relies on the suspension until then.
+    world.loop.run(ElectionTiming.SUSPENSION_S - 8); // The leader relies on the suspension.
     assertThat(world.leader()).isEqualTo(leader);
     assertThat(world.invariants.trace()).noneMatch(line -> line.contains("lease over"));
     fine(world);
