--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -41,7 +41,7 @@
   /** Publishes unless the record is this process's; to be called after changes and regularly. */
   void checkRecord() {
     FeatureRecords records = cache.features();
-    if (!cache.loaded() || sending || !records.gate().isOpen()) {
+    if (!cache.isLoaded() || sending || !records.gate().isOpen()) {
       return;
     }
     Member stored = records.members().get(self.name());
@@ -72,7 +72,7 @@
                   if (caughtUp) {
                     checkRecord();
                   } else {
-                    loop.after(StateClient.STATE_RETRY_S, this::checkRecord);
+                    loop.after(StateClient.RETRY_DELAY_S, this::checkRecord);
                   }
                 }));
   }
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -109,9 +109,9 @@
     boolean suspended =
         status.isActiveLeader()
             && isInForce(cache.suspension(peer), peer)
-            && cache.linearizableAt() >= wonAt;
+            && cache.linearizableAsOf() >= wonAt;
     return suspended
-        ? cache.linearizableAt()
+        ? cache.linearizableAsOf()
             + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
             - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
@@ -181,7 +181,7 @@
   private boolean mayChangeSuspensions() {
     boolean answersOutstanding = loop.now() < wonAt + FIRST_ANSWERS_S;
     boolean leaseLasts = loop.now() <= renewal.leaseEndsAt();
-    return !changing && cache.loaded() && leaseLasts && !answersOutstanding;
+    return !changing && cache.isLoaded() && leaseLasts && !answersOutstanding;
   }
 
   /** True if the peer has not answered for a while, counted from the election at the earliest. */
