--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -46,7 +46,7 @@
     if (level.lowering()) {
       body.put("lowering_to", level.target());
     }
-    body.put("held", cache.features().held());
+    body.put("held", cache.features().isOnHold());
     if (gate.closedBecause() != null) {
       body.put("out_of_service", gate.closedBecause());
     }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -113,17 +113,17 @@
    */
   private boolean answerBetweenMembers(Exchange exchange, PeerRequest request, boolean behind) {
     if (request instanceof PeerRequest.Pledge pledge) {
-      boolean granted = !behind && leadership.pledge(pledge.term(), pledge.seconds());
+      boolean granted = !behind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
       answer(exchange, pledged(granted));
     } else if (request instanceof PeerRequest.KeepPledge pledge) {
       answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(exchange, new PeerAnswer.Identified(incarnation));
     } else if (request instanceof PeerRequest.Share share) {
-      leadership.takeShare(share.term(), share.changesPerS());
+      leadership.borrowWriteCapacity(share.term(), share.changesPerS());
       answer(exchange, new PeerAnswer.Wanted(state.budget().takeWantedChanges()));
     } else if (request instanceof PeerRequest.Handover handover) {
-      leadership.takeHandover(handover.member(), handover.term(), handover.sessionLease());
+      leadership.acceptHandover(handover.member(), handover.term(), handover.sessionLease());
       answer(exchange, new PeerAnswer.Received());
     } else if (request instanceof PeerRequest.Delegation delegation) {
       answer(exchange, delegations.apply(delegation));
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerParts.java
@@ -95,7 +95,14 @@
         new Readiness(loop, gate, state, cache, leadership, machineTypes, requestHedger);
     this.features =
         new FeatureLevelManager(
-            loop, state, cache, leadership, peerClient, settings, options, leadership.process());
+            loop,
+            state,
+            cache,
+            leadership,
+            peerClient,
+            settings,
+            options,
+            leadership.incarnation());
     WorkerApi workerApi = newWorkerApi();
     this.router = newRouter(workerApi);
     this.peerApi = newPeerApi(workerApi);
@@ -151,7 +158,7 @@
         loop,
         peerClient,
         state.health()::isStalled,
-        leadership::isStoreAwayForAll,
+        leadership::isStoreUnavailableToAll,
         this::mayAnswer);
   }
 
@@ -229,7 +236,7 @@
         leadership,
         cache.features(),
         () -> cache.catchUp(ok -> {}),
-        leadership.process(),
+        leadership.incarnation(),
         state,
         cancellations,
         workerApi::relayed,
@@ -265,7 +272,7 @@
 
   private void onLeaderRecord() {
     features.checkRecords();
-    leadership.consider();
+    leadership.reconcile();
   }
 
   private String metricsText() {
@@ -274,7 +281,7 @@
 
   /** A leader knows which peers answer; a follower finds out by asking. */
   private boolean mayAnswer(String peer) {
-    return !leadership.isLeader() || leadership.hears(peer);
+    return !leadership.isLeader() || leadership.isPeerResponsive(peer);
   }
 
   /** A term that starts now, with the records and settings as they are now. */
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -75,7 +75,7 @@
 
   @Override
   public boolean held() {
-    return records().held();
+    return records().isOnHold();
   }
 
   @Override
@@ -184,7 +184,7 @@
     Transaction txn = asLeader();
     int missing = 0;
     for (String member : members) {
-      if (!cache.election().openlySuspended(member) && missing < mostChanges) {
+      if (!cache.election().isSuspendedInUnsealedLayout(member) && missing < mostChanges) {
         txn.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
         missing++;
       }
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public void onWon(long term) {
+  public void onStartedLeading(long term) {
     metrics.count("graderelay.takeovers", "member", member);
     startTerm(term, loop.now());
   }
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public void onLost(String why) {
+  public void onStoppedLeading(String why) {
     if (current != null) {
       current.close();
       current = null;
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -69,7 +69,7 @@
     this.operators = operators;
     this.firstToken = leadership.term();
     final double startedAt = loop.now();
-    this.core = new Scheduler(policy, firstToken, leadership.process(), random, loop.now());
+    this.core = new Scheduler(policy, firstToken, leadership.incarnation(), random, loop.now());
     core.onTypes(types);
     Cache cache = services.cache();
     this.hints = new FailoverHints(services.state(), cache, leadership, leastLimits.valueBytes());
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -48,7 +48,7 @@
     // store is away for all, what can be answered is, and the rest is told when to come back.
     return storeAnswers
         || loop.now() - requestHedger.lastHelp() < STORE_SILENT_S
-        || (hasRecords() && leadership.isStoreAwayForAll());
+        || (hasRecords() && leadership.isStoreUnavailableToAll());
   }
 
   private boolean hasRecords() {
--- a/src/main/java/graderelay/state/CollectedPledges.java
+++ b/src/main/java/graderelay/state/CollectedPledges.java
@@ -8,46 +8,47 @@
 import java.util.Map;
 
 /**
- * Election pledges of one kind that peers gave this controller. All times are of this controller's
- * clock.
+ * Pledges of one kind, to a leader or without one, that peers have given this controller. All times
+ * are on this controller's clock.
  */
 final class CollectedPledges {
   private final Loop loop;
   private final List<Settings.Peer> peers;
-  private final PeerSupervisor supervisor;
+  private final PeerMonitor peerMonitor;
 
-  /** Until when each peer's pledge lasts, by member. */
-  private final Map<String, Double> until = new HashMap<>();
+  /** When the pledge of each peer expires, by member. */
+  private final Map<String, Double> expiryTimes = new HashMap<>();
 
-  /** Collects nothing yet; a peer that the supervisor has suspended counts like a pledge. */
-  CollectedPledges(Loop loop, List<Settings.Peer> peers, PeerSupervisor supervisor) {
+  /** Creates an empty collection; a suspended peer counts as one that has pledged. */
+  CollectedPledges(Loop loop, List<Settings.Peer> peers, PeerMonitor peerMonitor) {
     this.loop = loop;
     this.peers = peers;
-    this.supervisor = supervisor;
+    this.peerMonitor = peerMonitor;
   }
 
-  /** A peer granted a pledge for some seconds; they count from when it was asked for. */
-  void add(String member, double askedAt, double seconds) {
-    until.put(member, askedAt + seconds * (1 - LeaseTiming.DRIFT) - ElectionTiming.PLEDGE_MARGIN_S);
+  /** Adds a pledge that a peer has granted; its duration counts from when it was requested. */
+  void add(String member, double requestedAt, double durationS) {
+    expiryTimes.put(
+        member, requestedAt + durationS * (1 - LeaseTiming.DRIFT) - ElectionTiming.EXPIRY_MARGIN_S);
   }
 
-  /** Forgets every pledge. */
+  /** Discards all pledges. */
   void clear() {
-    until.clear();
+    expiryTimes.clear();
   }
 
-  /** True if no peer can win an election: each has pledged not to stand, or is suspended. */
-  boolean allHeld() {
-    return loop.now() < earliestEnd();
+  /** True if no peer can win an election: each has pledged not to stand or is suspended. */
+  boolean areAllPeersExcluded() {
+    return loop.now() < earliestExpiry();
   }
 
-  /** The end of the first pledge to end; without peers nobody has pledged anything. */
-  private double earliestEnd() {
+  /** When the first peer is no longer excluded; without peers there is no pledge to rely on. */
+  private double earliestExpiry() {
     double earliest = Double.POSITIVE_INFINITY;
     for (Settings.Peer peer : peers) {
-      double pledged = until.getOrDefault(peer.member(), Double.NEGATIVE_INFINITY);
-      double suspended = supervisor.suspendedUntil(peer.member());
-      earliest = Math.min(earliest, Math.max(pledged, suspended));
+      double pledgedUntil = expiryTimes.getOrDefault(peer.member(), Double.NEGATIVE_INFINITY);
+      double suspendedUntil = peerMonitor.suspendedUntil(peer.member());
+      earliest = Math.min(earliest, Math.max(pledgedUntil, suspendedUntil));
     }
     return peers.isEmpty() ? Double.NEGATIVE_INFINITY : earliest;
   }
--- a/src/main/java/graderelay/state/ElectionAttempt.java
+++ b/src/main/java/graderelay/state/ElectionAttempt.java
@@ -8,53 +8,53 @@
 import java.util.function.Consumer;
 
 /**
- * One attempt to become the leader: creates a session lease, then writes the leader record attached
- * to it, under the next term. If the answer to that transaction is lost, the record itself tells
- * its outcome, as long as the lease lives.
+ * One attempt to become the leader: creates a session lease, then writes the leader record of the
+ * next term and attaches it to the lease. If the answer to that transaction is lost, the outcome is
+ * read from the leader record, which is possible until the lease expires.
  */
 final class ElectionAttempt {
-  /** Seconds before the leader record is read again, to find out how the attempt ended. */
-  private static final double RESOLVE_RETRY_S = 0.15;
+  /** Seconds between reads of the leader record that find out the outcome of a transaction. */
+  private static final double OUTCOME_READ_RETRY_DELAY_S = 0.15;
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final Candidate self;
-  private final OwnSuspension suspension;
-  private final double leaseS;
+  private final OwnSuspension ownSuspension;
+  private final double sessionLeaseS;
   private final Consumer<Optional<WonElection>> done;
-  private final double leaseSentAt;
+  private final double leaseRequestedAt;
   private long sessionLease;
   private long term;
 
   /**
-   * Makes an attempt that begins now.
+   * Creates an attempt that is started at once with {@link #start}.
    *
-   * @param leaseS length of the session lease, in seconds
-   * @param done called once, with the won election or with nothing
+   * @param sessionLeaseS the TTL of the session lease, in seconds
+   * @param done called once, with the won election, or empty if the attempt failed
    */
   ElectionAttempt(
       Loop loop,
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       Candidate self,
-      OwnSuspension suspension,
-      double leaseS,
+      OwnSuspension ownSuspension,
+      double sessionLeaseS,
       Consumer<Optional<WonElection>> done) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.self = self;
-    this.suspension = suspension;
-    this.leaseS = leaseS;
+    this.ownSuspension = ownSuspension;
+    this.sessionLeaseS = sessionLeaseS;
     this.done = done;
-    this.leaseSentAt = loop.now();
+    this.leaseRequestedAt = loop.now();
   }
 
   /** Starts the attempt; to be called once. */
   void start() {
-    state.createSessionLease(
-        (long) (leaseS * 1000),
+    stateClient.createSessionLease(
+        (long) (sessionLeaseS * 1000),
         created -> {
           if (created.succeeded()) {
             sessionLease = created.createdSessionLease();
@@ -67,25 +67,25 @@
 
   private void writeLeaderRecord() {
     term = cache.term() + 1;
-    if (suspension.mustBeLeft()) {
-      abandon(); // We were suspended, or suspended anew, while the lease was created.
+    if (ownSuspension.mustStartLeaving()) {
+      abort(); // Suspended, possibly again, while the lease was created.
       return;
     }
-    state.commit(
+    stateClient.commit(
         leaderRecordTransaction(),
         Use.RENEWAL,
         result -> {
           switch (result.outcome()) {
-            case SUCCEEDED -> won(result.revision());
-            case UNKNOWN -> resolve();
-            default -> abandon();
+            case SUCCEEDED -> finishWon(result.revision());
+            case UNKNOWN -> readOutcome();
+            default -> abort();
           }
         });
   }
 
   private Transaction leaderRecordTransaction() {
     ElectionRecords election = cache.election();
-    Transaction txn =
+    Transaction transaction =
         new Transaction()
             .when(election.leaderKey(), 0)
             .when(StateCodec.TERM, election.termRevision())
@@ -94,44 +94,44 @@
                 election.leaderKey(),
                 StateCodec.encodeLeader(self.leaderRecord(term)),
                 sessionLease);
-    suspension.removeIn(txn);
-    return txn;
+    ownSuspension.deleteIn(transaction);
+    return transaction;
   }
 
-  /** The answer was lost: the record tells, as long as the session lease lives. */
-  private void resolve() {
-    if (loop.now() > leaseSentAt + leaseS) {
+  /** Reads the outcome from the leader record after the answer to the transaction was lost. */
+  private void readOutcome() {
+    if (loop.now() > leaseRequestedAt + sessionLeaseS) {
       done.accept(Optional.empty());
       return;
     }
-    state.get(
+    stateClient.get(
         cache.election().leaderKey(),
         Use.RENEWAL,
         result -> {
-          if (result.succeeded() && isOurRecord(result.entry())) {
-            won(result.entry().revision());
+          if (result.succeeded() && isOwnRecord(result.entry())) {
+            finishWon(result.entry().revision());
           } else if (result.succeeded() || result.outcome() == StoreOutcome.NOT_FOUND) {
-            abandon(); // A late copy of the transaction must fail.
+            abort(); // A delayed copy of the transaction must fail.
           } else {
-            loop.after(RESOLVE_RETRY_S, this::resolve);
+            loop.after(OUTCOME_READ_RETRY_DELAY_S, this::readOutcome);
           }
         });
   }
 
-  private boolean isOurRecord(StoreEntry entry) {
+  private boolean isOwnRecord(StoreEntry entry) {
     StateCodec.LeaderRecord record = StateCodec.decodeLeader(entry.value());
     return record.member().equals(self.member())
         && record.term() == term
         && entry.sessionLease() == sessionLease;
   }
 
-  private void won(long recordRevision) {
-    done.accept(Optional.of(new WonElection(term, recordRevision, sessionLease, leaseSentAt)));
+  private void finishWon(long leaderRevision) {
+    done.accept(Optional.of(new WonElection(term, leaderRevision, sessionLease, leaseRequestedAt)));
   }
 
-  /** Revokes the session lease, so that no leader record can be attached to it any more. */
-  private void abandon() {
-    state.revokeSessionLease(sessionLease, ended -> {});
+  /** Revokes the session lease, so that no leader record can be attached to it later. */
+  private void abort() {
+    stateClient.revokeSessionLease(sessionLease, revoked -> {});
     done.accept(Optional.empty());
   }
 }
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * This controller's copy of the records that decide who leads: the leader, the term, and who is
- * suspended from election. The leader and the suspensions have a place of their own once elections
- * are sealed, see {@link graderelay.features.Feature#SEALED_ELECTION}.
+ * This controller's copy of the election records: the leader, the term, and the suspensions from
+ * election. The leader and the suspensions are stored under other keys once elections are sealed,
+ * see {@link graderelay.features.Feature#SEALED_ELECTION}.
  */
 public final class ElectionRecords {
-  /** The records whose keys depend on whether elections are sealed, in one of the two layouts. */
+  /** The records whose keys depend on whether elections are sealed, under one set of keys. */
   private static final class Layout {
     final String leaderKey;
     final String suspensionPrefix;
@@ -41,7 +41,7 @@
       return false;
     }
 
-    boolean drop(String key, long revision) {
+    boolean delete(String key, long revision) {
       if (key.equals(leaderKey)) {
         if (revision > leaderRevision) {
           clearLeader();
@@ -62,53 +62,53 @@
   }
 
   private final FeatureRecords features;
-  private final Layout open = new Layout(StateCodec.LEADER, StateCodec.SUSPENSIONS);
+  private final Layout unsealed = new Layout(StateCodec.LEADER, StateCodec.SUSPENSIONS);
   private final Layout sealed = new Layout(FeatureCodec.LEADER, FeatureCodec.SUSPENSIONS);
   private long term;
   private long termRevision;
-  private String termMember = "";
+  private String termWinner = "";
 
   ElectionRecords(FeatureRecords features) {
     this.features = features;
   }
 
-  private Layout layout() {
-    return features.sealed() ? sealed : open;
+  private Layout activeLayout() {
+    return features.areElectionsSealed() ? sealed : unsealed;
   }
 
-  /** The key of the leader's record in the present layout. */
+  /** The key of the leader record in the current layout. */
   public String leaderKey() {
-    return layout().leaderKey;
+    return activeLayout().leaderKey;
   }
 
-  /** The key of a controller's suspension in the present layout. */
+  /** The key of a controller's suspension record in the current layout. */
   public String suspensionKey(String member) {
-    return layout().suspensionPrefix + member;
+    return activeLayout().suspensionPrefix + member;
   }
 
-  /** Who leads, or null. */
+  /** The leader record, or null if there is no leader. */
   public StateCodec.LeaderRecord leader() {
-    return layout().leader;
+    return activeLayout().leader;
   }
 
   /** The revision of the leader record, 0 if there is none. */
   public long leaderRevision() {
-    return layout().leaderRevision;
+    return activeLayout().leaderRevision;
   }
 
-  /** A controller's suspension, or null. */
+  /** A controller's suspension, or null if it has none. */
   public StateCodec.Suspension suspension(String member) {
-    return layout().suspensions.get(member);
+    return activeLayout().suspensions.get(member);
   }
 
   /** True if any controller is suspended. */
-  public boolean anySuspended() {
-    return !layout().suspensions.isEmpty();
+  public boolean hasSuspensions() {
+    return !activeLayout().suspensions.isEmpty();
   }
 
-  /** True if older versions find a suspension of this member in their own layout. */
-  public boolean openlySuspended(String member) {
-    return open.suspensions.containsKey(member);
+  /** True if versions without sealed elections find a suspension of this member. */
+  public boolean isSuspendedInUnsealedLayout(String member) {
+    return unsealed.suspensions.containsKey(member);
   }
 
   /** The highest term that was ever won. */
@@ -121,37 +121,41 @@
     return termRevision;
   }
 
-  /** Who won the last term. */
-  public String termMember() {
-    return termMember;
+  /** The member that won the last term, empty if there was none. */
+  public String termWinner() {
+    return termWinner;
   }
 
-  /** Before the records are read anew; {@code watched} if they have been before. */
-  void clear(boolean watched) {
-    for (Layout layout : new Layout[] {open, sealed}) {
-      if (watched) {
+  /**
+   * Clears what is about to be read again.
+   *
+   * @param reload true if all records were read before, so that the leader record is cleared too
+   */
+  void clear(boolean reload) {
+    for (Layout layout : new Layout[] {unsealed, sealed}) {
+      if (reload) {
         layout.clearLeader();
       }
       layout.suspensions.clear();
     }
   }
 
-  /** Takes a record as it was written; false if it is none of these. */
+  /** Applies a written record; returns false if it is not an election record. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(StateCodec.TERM)) {
       if (revision > termRevision) {
         StateCodec.TermRecord record = StateCodec.decodeTerm(value);
         term = record.term();
-        termMember = record.member();
+        termWinner = record.member();
         termRevision = revision;
       }
       return true;
     }
-    return open.put(key, value, revision) || sealed.put(key, value, revision);
+    return unsealed.put(key, value, revision) || sealed.put(key, value, revision);
   }
 
-  /** Takes note that a record was deleted; false if it is none of these. */
-  boolean drop(String key, long revision) {
-    return open.drop(key, revision) || sealed.drop(key, revision);
+  /** Applies the deletion of a record; returns false if it is not an election record. */
+  boolean delete(String key, long revision) {
+    return unsealed.delete(key, revision) || sealed.delete(key, revision);
   }
 }
--- a/src/main/java/graderelay/state/ElectionTiming.java
+++ b/src/main/java/graderelay/state/ElectionTiming.java
@@ -1,37 +1,38 @@
 package graderelay.state;
 
-/** Timing of elections that several classes and the lease delegates reckon with. */
+/** Timing of elections that several classes and the lease delegates depend on. */
 public final class ElectionTiming {
   /**
-   * Seconds for which a leader counts on a silent peer's suspension after it last read the records,
-   * and for which that peer waits on its way out of it. Longer than outages of the key-value store
-   * that were met, and no longer than users can wait should all others be gone.
+   * Seconds for which a leader relies on the suspension of an unresponsive peer after it last read
+   * the records, and for which that peer waits before it leaves the suspension by itself. Longer
+   * than the observed outages of the key-value store, and short enough for users to wait if all
+   * other controllers are down.
    */
   public static final double SUSPENSION_S = 30;
 
   /**
-   * Seconds of silence after which a peer is suspended: a few status requests, and less than a
-   * restart.
+   * Seconds without an answer after which a peer is suspended: a few status requests, and less than
+   * a restart takes.
    */
-  public static final double SUSPEND_AFTER_S = 3.2;
+  public static final double SUSPEND_AFTER_SILENCE_S = 3.2;
 
-  /** Seconds of failing calls after which a controller takes the key-value store for away. */
-  public static final double STORE_AWAY_AFTER_S = 0.5;
+  /** Seconds of failing calls after which the key-value store is considered unavailable. */
+  public static final double STORE_UNAVAILABLE_AFTER_S = 0.5;
 
   /**
-   * Seconds for which a peer pledges not to stand for election, while the leader can't renew its
-   * session lease. A restarted controller waits as long, since it may have forgotten a pledge.
+   * Seconds for which a peer pledges not to stand for election while the leader can't renew its
+   * session lease. A restarted controller waits this long too, since pledges are not persisted.
    */
-  static final double PLEDGE_S = 0.6;
+  static final double LEADER_PLEDGE_S = 0.6;
 
   /**
    * Seconds for which a peer pledges not to stand for election while worker leases are renewed
-   * without a leader. A restarted controller waits as long before it stands, so it is short.
+   * without a leader. Short, since a restarted controller waits this long before it stands.
    */
   static final double LEADERLESS_PLEDGE_S = 0.6;
 
-  /** Seconds before the end of a pledge or suspension at which it counts as over. */
-  static final double PLEDGE_MARGIN_S = 0.05;
+  /** Seconds before its end at which a pledge or suspension is considered expired. */
+  static final double EXPIRY_MARGIN_S = 0.05;
 
   private ElectionTiming() {}
 }
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -12,13 +12,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This controller's copy of the records of feature levels; it tells the gate what they say. */
+/** This controller's copy of the feature level records; passes the level on to the gate. */
 public final class FeatureRecords {
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   private final FeatureGate gate;
   private long levelRevision;
-  private long pauseRevision;
+  private long holdRevision;
   private final Map<String, Member> members = new HashMap<>();
   private final Map<String, Long> memberRevisions = new HashMap<>();
 
@@ -26,56 +26,56 @@
     this.gate = gate;
   }
 
-  /** The gate that this copy feeds. */
+  /** The gate that receives the cluster's feature level from this copy. */
   public FeatureGate gate() {
     return gate;
   }
 
-  /** The revision of the level's record, 0 if there is none: the condition of transactions. */
+  /** The revision of the level record, 0 if there is none; all transactions depend on it. */
   public long levelRevision() {
     return levelRevision;
   }
 
-  /** True if operators have paused changes of the feature level. */
-  public boolean held() {
-    return pauseRevision != 0;
+  /** True if an operator has put changes of the feature level on hold. */
+  public boolean isOnHold() {
+    return holdRevision != 0;
   }
 
-  /** The revision of the record of that pause, 0 if there is none. */
+  /** The revision of the hold record, 0 if there is none. */
   public long holdRevision() {
-    return pauseRevision;
+    return holdRevision;
   }
 
-  /** What controllers have published in a form that can be read, by name. */
+  /** The valid records that controllers have published, by member. */
   public Map<String, Member> members() {
     return Map.copyOf(members);
   }
 
-  /** The revision of a controller's record, 0 if there is none. */
+  /** The revision of the record that a controller has published, 0 if there is none. */
   public long memberRevision(String member) {
     return memberRevisions.getOrDefault(member, 0L);
   }
 
-  /** Forgets what will be read anew. The level is never removed, so it stays. */
+  /** Clears what is about to be read again. The level is kept, as it is never deleted. */
   void clear() {
     members.clear();
     memberRevisions.clear();
-    pauseRevision = 0;
+    holdRevision = 0;
   }
 
-  /** All records were read; without a record of a level it is the one before all others. */
-  void read() {
+  /** The records were read; if there is no level record, the cluster is at the base level. */
+  void onRecordsRead() {
     if (levelRevision == 0) {
       gate.onLevel(ClusterLevel.BASE);
     }
   }
 
-  /** Takes a record and returns true if it is one of these. */
+  /** Applies a written record; returns false if it does not concern feature levels. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(FeatureCodec.LEVEL)) {
       putLevel(value, revision);
     } else if (key.equals(FeatureCodec.HOLD)) {
-      pauseRevision = Math.max(pauseRevision, revision);
+      holdRevision = Math.max(holdRevision, revision);
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       putMember(key.substring(FeatureCodec.MEMBERS.length()), value, revision);
     } else {
@@ -104,15 +104,15 @@
     try {
       members.put(name, FeatureCodec.decodeMember(name, value, revision));
     } catch (MalformedRecord e) {
-      members.remove(name); // It counts as of a version before feature levels.
-      LOG.warn("what {} has published can't be read: {}", name, e.getMessage());
+      members.remove(name); // Treated as a version without feature levels.
+      LOG.warn("ignoring the malformed feature record of member {}: {}", name, e.getMessage());
     }
   }
 
-  /** Takes the deletion of a record and returns true if it is one of these. */
+  /** Applies the deletion of a record; returns false if it does not concern feature levels. */
   boolean delete(String key, long revision) {
     if (key.equals(FeatureCodec.HOLD)) {
-      pauseRevision = revision > pauseRevision ? 0 : pauseRevision;
+      holdRevision = revision > holdRevision ? 0 : holdRevision;
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       String name = key.substring(FeatureCodec.MEMBERS.length());
       if (revision > memberRevision(name)) {
@@ -125,8 +125,8 @@
     return true;
   }
 
-  /** True if elections are recorded under the keys that older versions never read. */
-  boolean sealed() {
+  /** True if the election records are stored under keys that older versions never read. */
+  boolean areElectionsSealed() {
     return gate.present(Feature.SEALED_ELECTION);
   }
 }
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -4,89 +4,90 @@
 import graderelay.net.Loop;
 
 /**
- * Pledges not to stand for election that this controller gave its peers, and how long they, and its
- * own backoff after a handover, keep it from standing.
+ * Pledges not to stand for election that this controller has given to peers. They determine, with
+ * its own backoff after a handover, when it may stand again.
  */
 final class GivenPledges {
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final LeaderStatus status;
 
-  /** This controller has pledged a leader, or may have, not to stand before this time. */
-  private double leaderPledgeUntil;
+  /** End of the last pledge that this controller has, or may have, given to a leader. */
+  private double leaderPledgeEndsAt;
 
-  /** The same of pledges to peers that renew worker leases without a leader. */
-  private double leaderlessPledgeUntil;
+  /** End of the last pledge to a peer that renews worker leases without a leader. */
+  private double leaderlessPledgeEndsAt;
 
-  private double standBackUntil = Double.NEGATIVE_INFINITY;
+  private double backoffEndsAt = Double.NEGATIVE_INFINITY;
 
-  /** The highest term of a leader that has a pledge of this process. */
-  private long pledgedTerm;
+  /** The highest term of a leader that this process has given a pledge. */
+  private long highestPledgedTerm;
 
-  /** Begins as if a pledge of either kind had just been given. */
-  GivenPledges(Loop loop, StateClient state, Cache cache, LeaderStatus status) {
+  /** Starts as if a pledge of either kind had just been given. */
+  GivenPledges(Loop loop, StateClient stateClient, Cache cache, LeaderStatus status) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.status = status;
-    // An earlier process of this member may have made a pledge just before it ended.
-    this.leaderlessPledgeUntil =
+    // An earlier process of this controller may have given a pledge just before it ended.
+    this.leaderlessPledgeEndsAt =
         loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.DRIFT);
-    this.leaderPledgeUntil = loop.now() + ElectionTiming.PLEDGE_S * (1 + LeaseTiming.DRIFT);
+    this.leaderPledgeEndsAt = loop.now() + ElectionTiming.LEADER_PLEDGE_S * (1 + LeaseTiming.DRIFT);
   }
 
   /**
-   * The leader of a term can't renew its session lease and asks us not to stand.
+   * Pledges not to stand for election to the leader of a term, which can't renew its session lease.
    *
-   * @return false if the pledge is refused: we lead, or know of a later term
+   * @return false if the pledge is refused because this controller leads or knows of a later term
    */
-  boolean pledgeToLeader(long term, double seconds) {
+  boolean pledgeToLeader(long term, double durationS) {
     if (!status.isActiveFollower() || cache.term() > term) {
       return false;
     }
-    leaderPledgeUntil = Math.max(leaderPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
-    pledgedTerm = Math.max(pledgedTerm, term);
+    leaderPledgeEndsAt =
+        Math.max(leaderPledgeEndsAt, loop.now() + durationS * (1 + LeaseTiming.DRIFT));
+    highestPledgedTerm = Math.max(highestPledgedTerm, term);
     return true;
   }
 
   /**
-   * A peer wants to renew worker leases without a leader and asks us not to stand.
+   * Pledges not to stand for election to a peer that renews worker leases without a leader.
    *
-   * @return false if the pledge is refused: we lead, or could win an election ourselves
+   * @return false if the pledge is refused because this controller leads or could win an election
    */
-  boolean pledgeLeaderless(double seconds) {
-    if (!status.isActiveFollower() || state.health().isReachable()) {
+  boolean pledgeLeaderless(double durationS) {
+    if (!status.isActiveFollower() || stateClient.health().isReachable()) {
       return false;
     }
-    leaderlessPledgeUntil =
-        Math.max(leaderlessPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
+    leaderlessPledgeEndsAt =
+        Math.max(leaderlessPledgeEndsAt, loop.now() + durationS * (1 + LeaseTiming.DRIFT));
     return true;
   }
 
-  /** Keeps this controller from standing for some seconds, after it gave the leadership up. */
-  void standBack(double seconds) {
-    standBackUntil = loop.now() + seconds;
-    leaderPledgeUntil = Math.max(leaderPledgeUntil, standBackUntil);
+  /** Keeps this controller from standing for some seconds after it handed the leadership over. */
+  void backOff(double durationS) {
+    backoffEndsAt = loop.now() + durationS;
+    leaderPledgeEndsAt = Math.max(leaderPledgeEndsAt, backoffEndsAt);
   }
 
-  /** True if no leader of a later term than this has a pledge of ours or was recorded. */
-  boolean isNewestTerm(long term) {
-    return term >= Math.max(pledgedTerm, cache.term());
+  /** True unless a later term is recorded or its leader has a pledge of this controller. */
+  boolean isLatestTerm(long term) {
+    return term >= Math.max(highestPledgedTerm, cache.term());
   }
 
-  /** The leader itself has stopped, so that our pledges to it are void. */
-  void releaseFromLeader() {
-    leaderPledgeUntil = Double.NEGATIVE_INFINITY;
+  /** Cancels the pledge to the leader, which has stopped leading. */
+  void cancelLeaderPledge() {
+    leaderPledgeEndsAt = Double.NEGATIVE_INFINITY;
   }
 
   /**
-   * The time before which this controller may not stand for election.
+   * The earliest time at which this controller may stand for election.
    *
-   * @param succeedsItself the last leader was an earlier process of this controller, so that no
-   *     leader relies on a pledge of ours
+   * @param wasLastLeader the last leader was an earlier process of this controller, so that no
+   *     leader relies on a pledge of this controller
    */
-  double standsNotBefore(boolean succeedsItself) {
-    return Math.max(leaderlessPledgeUntil, succeedsItself ? standBackUntil : leaderPledgeUntil);
+  double earliestStandTime(boolean wasLastLeader) {
+    return Math.max(leaderlessPledgeEndsAt, wasLastLeader ? backoffEndsAt : leaderPledgeEndsAt);
   }
 }
--- a/src/main/java/graderelay/state/LeaderElection.java
+++ b/src/main/java/graderelay/state/LeaderElection.java
@@ -11,171 +11,178 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stands for election while there is no leader: waits until no pledge and no suspension keeps this
- * controller from it, makes an {@link ElectionAttempt}, and tries again after a random pause if it
- * fails.
+ * Stands for election while there is no leader: waits until neither a pledge nor a suspension
+ * prevents it, makes an {@link ElectionAttempt}, and retries after a random delay if that fails.
  */
 final class LeaderElection {
-  /** Seconds of pause before a controller stands again, with as much again at random. */
-  private static final double RETRY_S = 0.15;
+  /** Shortest seconds before another attempt, with up to as many again added at random. */
+  private static final double MIN_RETRY_DELAY_S = 0.15;
 
-  /** Seconds between looks of a suspended controller whether it may stand. */
-  private static final double SUSPENSION_CHECK_S = 0.5;
+  /** Seconds between checks of a suspended controller whether it may stand for election. */
+  private static final double SUSPENSION_CHECK_INTERVAL_S = 0.5;
 
-  /** Seconds after the end of a pledge at which a controller stands. */
-  private static final double AFTER_PLEDGE_S = 0.005;
+  /** Seconds between the end of a pledge and the next check whether to stand for election. */
+  private static final double DELAY_AFTER_PLEDGE_S = 0.005;
 
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final Candidate self;
-  private final double leaseS;
+  private final double sessionLeaseS;
   private final DoubleSupplier random;
   private final LeaderStatus status;
-  private final GivenPledges pledges;
-  private final OwnSuspension suspension;
-  private final Runnable considerLeadership;
+  private final GivenPledges givenPledges;
+  private final OwnSuspension ownSuspension;
+  private final Runnable reconcile;
   private final Consumer<WonElection> onWon;
 
-  /** An attempt, or the wait for one, is under way. */
-  private boolean busy;
+  /** An attempt is in progress, or a delay before the next one. */
+  private boolean attemptPending;
 
   /**
-   * Takes part in no election yet.
+   * Creates an election in which this controller does not take part yet.
    *
-   * @param leaseS length of a leader's session lease, in seconds
-   * @param considerLeadership looks again at who leads, and stands for election if nobody does
+   * @param sessionLeaseS the TTL of a leader's session lease, in seconds
+   * @param reconcile acts on the current election records, see {@link Leadership#reconcile}
    * @param onWon makes this controller the leader
    */
   LeaderElection(
       Loop loop,
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       Candidate self,
-      double leaseS,
+      double sessionLeaseS,
       DoubleSupplier random,
       LeaderStatus status,
-      GivenPledges pledges,
-      Runnable considerLeadership,
+      GivenPledges givenPledges,
+      Runnable reconcile,
       Consumer<WonElection> onWon) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.self = self;
-    this.leaseS = leaseS;
+    this.sessionLeaseS = sessionLeaseS;
     this.random = random;
     this.status = status;
-    this.pledges = pledges;
-    this.suspension = new OwnSuspension(loop, state, cache, self);
-    this.considerLeadership = considerLeadership;
+    this.givenPledges = givenPledges;
+    this.ownSuspension = new OwnSuspension(loop, stateClient, cache, self);
+    this.reconcile = reconcile;
     this.onWon = onWon;
   }
 
-  /** True while an attempt, or the wait for one, is under way. */
-  boolean isBusy() {
-    return busy;
+  /** True while an attempt is in progress, or a delay before the next one. */
+  boolean isAttemptPending() {
+    return attemptPending;
   }
 
-  /** Stands for election if there is no leader; to be called while this controller is none. */
-  void consider() {
-    if (busy) {
+  /** Stands for election if there is no leader; to be called only while this one does not lead. */
+  void standIfLeaderless() {
+    if (attemptPending) {
       return;
     }
     StateCodec.LeaderRecord record = cache.leader();
     if (record == null) {
-      afterPause(random.getAsDouble() * RETRY_S / 3, this::stand);
+      runAfterDelay(random.getAsDouble() * MIN_RETRY_DELAY_S / 3, this::standIfAllowed);
     } else if (record.member().equals(self.member())) {
-      // Our own earlier process, which is dead: nobody else runs under our name.
-      endEarlierSessionLease();
+      // The leader is an earlier process of this controller, which has ended: no two processes run
+      // under one name.
+      revokeEarlierSessionLease();
     }
   }
 
-  /** Looks again at who leads after a random pause, with the records as they are then. */
+  /** Catches up with the records after a random delay and acts on them. */
   void retryLater() {
-    afterPause(
-        RETRY_S * (1 + random.getAsDouble()), () -> cache.catchUp(ok -> considerLeadership.run()));
+    runAfterDelay(
+        MIN_RETRY_DELAY_S * (1 + random.getAsDouble()),
+        () -> cache.catchUp(caughtUp -> reconcile.run()));
   }
 
-  private void afterPause(double seconds, Runnable next) {
-    busy = true;
+  private void runAfterDelay(double delayS, Runnable action) {
+    attemptPending = true;
     loop.after(
-        seconds,
+        delayS,
         () -> {
-          busy = false;
+          attemptPending = false;
           if (status.isActiveFollower()) {
-            next.run();
+            action.run();
           }
         });
   }
 
-  /** Revokes the session lease of this controller's earlier process, so that its record goes. */
-  private void endEarlierSessionLease() {
-    busy = true;
-    state.get(
+  /** Revokes the session lease of an earlier process, which deletes its leader record. */
+  private void revokeEarlierSessionLease() {
+    attemptPending = true;
+    stateClient.get(
         cache.election().leaderKey(),
         Use.RENEWAL,
         result -> {
-          busy = false;
+          attemptPending = false;
           long lease = result.succeeded() ? result.entry().sessionLease() : 0;
-          if (lease > 0 && isOurRecord(result.entry()) && !status.isLeader()) {
-            LOG.info("revoking the session lease of this controller's earlier process");
-            state.revokeSessionLease(lease, ended -> retryLater());
+          if (lease > 0 && isOwnRecord(result.entry()) && !status.isLeader()) {
+            LOG.info("revoking the session lease of an earlier process of this controller");
+            stateClient.revokeSessionLease(lease, revoked -> retryLater());
           } else {
             retryLater();
           }
         });
   }
 
-  private boolean isOurRecord(StoreEntry entry) {
+  private boolean isOwnRecord(StoreEntry entry) {
     return StateCodec.decodeLeader(entry.value()).member().equals(self.member());
   }
 
-  private void stand() {
-    // If the last leader was an earlier process of ours, nobody else can rely on a pledge. The
-    // transaction is conditioned on the term record that says so.
-    boolean succeedsItself = self.member().equals(cache.election().termMember());
+  private void standIfAllowed() {
+    // If the last leader was an earlier process of this controller, no other process relies on a
+    // pledge to a leader. The election transaction is conditioned on the term record that shows it.
+    boolean wasLastLeader = self.member().equals(cache.election().termWinner());
     if (cache.leader() != null || !cache.features().gate().isOpen()) {
       return;
     }
-    double pledgedS = pledges.standsNotBefore(succeedsItself) - loop.now();
-    if (pledgedS > 0) {
-      afterPause(pledgedS + AFTER_PLEDGE_S, considerLeadership);
+    double remainingPledgeS = givenPledges.earliestStandTime(wasLastLeader) - loop.now();
+    if (remainingPledgeS > 0) {
+      runAfterDelay(remainingPledgeS + DELAY_AFTER_PLEDGE_S, reconcile);
       return;
     }
-    if (suspension.mustBeLeft()) {
+    if (ownSuspension.mustStartLeaving()) {
       leaveSuspension();
       return;
     }
-    double suspendedS = suspension.remainingS();
-    if (suspendedS > 0) {
-      // Looked at again soon: the leader may lift the suspension meanwhile.
-      afterPause(Math.min(suspendedS, SUSPENSION_CHECK_S), considerLeadership);
+    double remainingSuspensionS = ownSuspension.remainingS();
+    if (remainingSuspensionS > 0) {
+      // Checked often: the leader may lift the suspension before it ends.
+      runAfterDelay(Math.min(remainingSuspensionS, SUSPENSION_CHECK_INTERVAL_S), reconcile);
       return;
     }
-    busy = true;
+    attemptPending = true;
     new ElectionAttempt(
-            loop, state, cache, self, suspension, leaseS, won -> onAttemptEnd(won, succeedsItself))
+            loop,
+            stateClient,
+            cache,
+            self,
+            ownSuspension,
+            sessionLeaseS,
+            won -> onAttemptFinished(won, wasLastLeader))
         .start();
   }
 
   private void leaveSuspension() {
-    busy = true;
-    suspension.beginToLeave(
+    attemptPending = true;
+    ownSuspension.startLeaving(
         () -> {
-          busy = false;
+          attemptPending = false;
           retryLater();
         });
   }
 
-  private void onAttemptEnd(Optional<WonElection> won, boolean succeedsItself) {
-    busy = false;
+  private void onAttemptFinished(Optional<WonElection> won, boolean wasLastLeader) {
+    attemptPending = false;
     if (won.isEmpty()) {
       retryLater();
-    } else if (loop.now() < pledges.standsNotBefore(succeedsItself)) {
-      // Pledged meanwhile: the peer may still act as the leader.
-      state.revokeSessionLease(won.get().sessionLease(), ended -> {});
+    } else if (loop.now() < givenPledges.earliestStandTime(wasLastLeader)) {
+      // A pledge was given during the attempt: the peer that has it may still act as the leader.
+      stateClient.revokeSessionLease(won.get().sessionLease(), revoked -> {});
       retryLater();
     } else {
       onWon.accept(won.get());
--- a/src/main/java/graderelay/state/LeaderHandover.java
+++ b/src/main/java/graderelay/state/LeaderHandover.java
@@ -9,48 +9,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands the leadership over to a peer that the key-value store serves better, and takes it over
- * from one: the old leader stops and names its session lease, which the peer ends.
+ * Hands the leadership over to a peer that reaches the key-value store, and takes it over from one:
+ * the old leader steps down and sends its session lease to the peer, which revokes the lease and
+ * stands for election.
  */
 final class LeaderHandover {
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final PeerClient peerClient;
   private final String member;
   private final LeaderStatus status;
-  private final GivenPledges pledges;
-  private final Consumer<String> loseLeadership;
-  private final Runnable considerElection;
+  private final GivenPledges givenPledges;
+  private final Consumer<String> stepDown;
+  private final Runnable reconcile;
 
   LeaderHandover(
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       PeerClient peerClient,
       String member,
       LeaderStatus status,
-      GivenPledges pledges,
-      Consumer<String> loseLeadership,
-      Runnable considerElection) {
-    this.state = state;
+      GivenPledges givenPledges,
+      Consumer<String> stepDown,
+      Runnable reconcile) {
+    this.stateClient = stateClient;
     this.cache = cache;
     this.peerClient = peerClient;
     this.member = member;
     this.status = status;
-    this.pledges = pledges;
-    this.loseLeadership = loseLeadership;
-    this.considerElection = considerElection;
+    this.givenPledges = givenPledges;
+    this.stepDown = stepDown;
+    this.reconcile = reconcile;
   }
 
-  /** Stops leading and leaves the leadership to a peer. */
-  void offerTo(Settings.Peer peer) {
+  /** Steps down and hands the leadership over to a peer. */
+  void handOverTo(Settings.Peer peer) {
     long sessionLease = status.sessionLease();
     long term = status.term();
-    loseLeadership.accept(
-        "only this controller can't reach the key-value store; leaving the leadership to "
+    stepDown.accept(
+        "only this controller can't reach the key-value store; handing the leadership over to "
             + peer.member());
-    pledges.standBack(ElectionTiming.PLEDGE_S);
+    givenPledges.backOff(ElectionTiming.LEADER_PLEDGE_S);
     peerClient.send(
         peer.address(),
         new PeerRequest.Handover(member, term, sessionLease),
@@ -59,13 +60,14 @@
         answer -> {});
   }
 
-  /** A peer has stopped acting as the leader and leaves us its session lease to end. */
-  void acceptFrom(String peer, long term, long sessionLease) {
-    if (!status.isActiveFollower() || !pledges.isNewestTerm(term)) {
+  /** Takes over from a peer that has stopped leading: revokes its session lease. */
+  void takeOverFrom(String peer, long term, long sessionLease) {
+    if (!status.isActiveFollower() || !givenPledges.isLatestTerm(term)) {
       return;
     }
-    LOG.info("leader {} of term {} hands the leadership over", peer, term);
-    pledges.releaseFromLeader();
-    state.revokeSessionLease(sessionLease, ended -> cache.catchUp(ok -> considerElection.run()));
+    LOG.info("leader {} of term {} handed the leadership over; taking over", peer, term);
+    givenPledges.cancelLeaderPledge();
+    stateClient.revokeSessionLease(
+        sessionLease, revoked -> cache.catchUp(caughtUp -> reconcile.run()));
   }
 }
--- a/src/main/java/graderelay/state/LeaderHintRecords.java
+++ b/src/main/java/graderelay/state/LeaderHintRecords.java
@@ -7,35 +7,35 @@
 import java.util.Map;
 
 /**
- * This controller's copy of the hints that leaders leave for their successors, in the form in which
- * they are stored: only a new leader decodes them.
+ * This controller's copy of the hints that a leader stores for its successor. They are kept encoded
+ * as stored, since only a new leader decodes them.
  */
 public final class LeaderHintRecords {
   private JsonNode demand;
   private final Map<String, JsonNode> images = new HashMap<>();
   private final Map<String, JsonNode> compactHints = new HashMap<>();
 
-  /** The recent demand in the plain form, or null. */
+  /** The recent demand in the uncompressed form, or null. */
   public JsonNode demand() {
     return demand;
   }
 
-  /** The images on machines in the plain form, by key. */
+  /** The images on machines in the uncompressed form, by key. */
   public Map<String, JsonNode> images() {
     return images;
   }
 
-  /** Both kinds in the compact form, by key. */
+  /** Hints of both kinds in the compact form, by key. */
   public Map<String, JsonNode> compactHints() {
     return compactHints;
   }
 
-  /** Forgets the compact form, before the records are read anew. */
+  /** Clears the compact hints before the records are read again. */
   void clearCompactHints() {
     compactHints.clear();
   }
 
-  /** Takes a record if it is a hint. */
+  /** Applies a written record if it is a hint. */
   void put(String key, JsonNode value) {
     if (key.equals(StateCodec.DEMAND)) {
       demand = value;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Takes the deletion of a record if it is a hint. */
+  /** Applies the deletion of a record if it is a hint. */
   void delete(String key) {
     if (key.equals(StateCodec.DEMAND)) {
       demand = null;
--- a/src/main/java/graderelay/state/LeaderPledges.java
+++ b/src/main/java/graderelay/state/LeaderPledges.java
@@ -6,26 +6,27 @@
 
 /**
  * Collects pledges while this controller leads and can't renew its session lease: as long as every
- * peer has pledged not to stand for election, nobody else can become the leader, so this one may go
- * on after its lease. Peers are also asked while what is known of cancellations is getting old,
- * since their answers bring it.
+ * peer has pledged not to stand for election, no other controller can become the leader, so this
+ * one may continue to lead after its lease has expired. Pledges are also requested while the known
+ * cancellations are getting out of date, since the answers include the cancellations that a peer
+ * knows.
  */
 final class LeaderPledges {
   /** Seconds between requests for pledges. */
-  private static final double ASK_EVERY_S = 0.2;
+  private static final double REQUEST_INTERVAL_S = 0.2;
 
-  /** Seconds of failing renewals after which a peer that the store serves gets the leadership. */
-  private static final double HANDOVER_AFTER_S = 0.8;
+  /** Seconds of failing renewals before a handover to a peer that reaches the key-value store. */
+  private static final double HANDOVER_AFTER_FAILING_S = 0.8;
 
   private final Loop loop;
   private final String member;
   private final LeaderStatus status;
   private final SessionLeaseRenewal renewal;
   private final Cancellations cancellations;
-  private final PledgeRequests requests;
+  private final PledgeRequests pledgeRequests;
   private final CollectedPledges pledges;
   private final LeaderHandover handover;
-  private boolean asking;
+  private boolean requesting;
 
   LeaderPledges(
       Loop loop,
@@ -33,70 +34,70 @@
       LeaderStatus status,
       SessionLeaseRenewal renewal,
       Cancellations cancellations,
-      PledgeRequests requests,
-      PeerSupervisor supervisor,
+      PledgeRequests pledgeRequests,
+      PeerMonitor peerMonitor,
       LeaderHandover handover) {
     this.loop = loop;
     this.member = member;
     this.status = status;
     this.renewal = renewal;
     this.cancellations = cancellations;
-    this.requests = requests;
-    this.pledges = new CollectedPledges(loop, requests.peers(), supervisor);
+    this.pledgeRequests = pledgeRequests;
+    this.pledges = new CollectedPledges(loop, pledgeRequests.peers(), peerMonitor);
     this.handover = handover;
   }
 
-  /** True if no peer can win an election at the moment. */
-  boolean allHeld() {
-    return pledges.allHeld();
+  /** True if currently no peer can win an election. */
+  boolean areAllPeersExcluded() {
+    return pledges.areAllPeersExcluded();
   }
 
-  /** The leadership is over: its pledges count no more. */
+  /** Discards all pledges, as the leadership that they were given to has ended. */
   void clear() {
     pledges.clear();
   }
 
-  /** Begins to ask if what is known of cancellations is getting old. */
-  void askIfCancellationsAge() {
-    if (!asking && cancellations.ageing()) {
-      ask();
+  /** Starts to request pledges if the known cancellations are getting out of date. */
+  void requestIfCancellationsAge() {
+    if (!requesting && cancellations.ageing()) {
+      requestPledges();
     }
   }
 
-  /** Begins to ask, unless the peers are being asked already. */
-  void startAsking() {
-    if (!asking) {
-      ask();
+  /** Starts to request pledges, unless that is in progress. */
+  void startRequesting() {
+    if (!requesting) {
+      requestPledges();
     }
   }
 
-  /** Asks every peer for its pledge, as long as there is a reason to. */
-  private void ask() {
-    asking = status.isActiveLeader() && (renewal.isFailing() || cancellations.ageing());
-    if (!asking) {
+  /** Requests a pledge of every peer, and repeats that as long as pledges are needed. */
+  private void requestPledges() {
+    requesting = status.isActiveLeader() && (renewal.isFailing() || cancellations.ageing());
+    if (!requesting) {
       return;
     }
     long term = status.term();
-    requests.sendToAll(
-        new PeerRequest.Pledge(member, term, ElectionTiming.PLEDGE_S),
+    pledgeRequests.sendToAll(
+        new PeerRequest.Pledge(member, term, ElectionTiming.LEADER_PLEDGE_S),
         (peer, sentAt, answer) -> {
           if (!status.isLeader() || status.term() != term) {
             return;
           }
           if (answer.granted()) {
-            pledges.add(peer.member(), sentAt, ElectionTiming.PLEDGE_S);
+            pledges.add(peer.member(), sentAt, ElectionTiming.LEADER_PLEDGE_S);
           }
           if (answer.reachesState()) {
-            handOverIfOnlyWeFail(peer);
+            handOverIfFailing(peer);
           }
         });
-    loop.after(ASK_EVERY_S, this::ask);
+    loop.after(REQUEST_INTERVAL_S, this::requestPledges);
   }
 
-  /** The store refuses this controller alone: a peer that it serves should lead. */
-  private void handOverIfOnlyWeFail(Settings.Peer peer) {
-    if (renewal.failingForS() > HANDOVER_AFTER_S) {
-      handover.offerTo(peer);
+  /** Hands over to a peer that reaches the store if renewals have failed here for a while. */
+  private void handOverIfFailing(Settings.Peer peer) {
+    if (renewal.failingForS() > HANDOVER_AFTER_FAILING_S) {
+      handover.handOverTo(peer);
     }
   }
 }
--- a/src/main/java/graderelay/state/LeaderStatus.java
+++ b/src/main/java/graderelay/state/LeaderStatus.java
@@ -1,18 +1,18 @@
 package graderelay.state;
 
 /**
- * Whether this controller leads, and as what: its term, its leader record's revision and the
- * session lease that the record is attached to. These three keep their last values after the
- * leadership is lost.
+ * Whether this controller leads, with its term, the revision of its leader record and the session
+ * lease that the record is attached to. These three keep their last values after the leadership has
+ * ended.
  */
 final class LeaderStatus {
   private boolean leader;
   private boolean closed;
   private long term;
-  private long recordRevision;
+  private long leaderRevision;
   private long sessionLease;
 
-  /** True while this controller is the leader, also if its process is being closed. */
+  /** True while this controller is the leader, even if its process is being closed. */
   boolean isLeader() {
     return leader;
   }
@@ -32,40 +32,40 @@
     return !leader && !closed;
   }
 
-  /** The fencing token of the present leadership, or of the last one. */
+  /** The fencing token of the current leadership, or of the last one. */
   long term() {
     return term;
   }
 
-  /** The revision of the leader record as this controller wrote it last. */
-  long recordRevision() {
-    return recordRevision;
+  /** The revision of the leader record that this controller last wrote. */
+  long leaderRevision() {
+    return leaderRevision;
   }
 
   long sessionLease() {
     return sessionLease;
   }
 
-  /** This controller leads from now on. */
-  void begin(WonElection won) {
+  /** Marks this controller as the leader. */
+  void startLeading(WonElection won) {
     leader = true;
     term = won.term();
-    recordRevision = won.recordRevision();
+    leaderRevision = won.leaderRevision();
     sessionLease = won.sessionLease();
   }
 
-  /** The leader record now stands under a higher term. */
-  void raiseTerm(long newTerm, long newRecordRevision) {
+  /** Sets the higher term and the revision with which the leader record was rewritten. */
+  void raiseTerm(long newTerm, long newLeaderRevision) {
     term = newTerm;
-    recordRevision = newRecordRevision;
+    leaderRevision = newLeaderRevision;
   }
 
-  /** This controller leads no more. */
-  void end() {
+  /** Marks this controller as a follower. */
+  void stopLeading() {
     leader = false;
   }
 
-  /** The process ends; that takes no leadership away by itself. */
+  /** Marks the process as being closed; that alone does not end a leadership. */
   void close() {
     closed = true;
   }
--- a/src/main/java/graderelay/state/LeaderTenure.java
+++ b/src/main/java/graderelay/state/LeaderTenure.java
@@ -3,100 +3,100 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The time for which this controller leads: what begins with a won election, and how it ends. */
+/** Starts leading when this controller has won an election, and steps down. */
 final class LeaderTenure {
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final String member;
   private final LeaderStatus status;
   private final SessionLeaseRenewal renewal;
-  private final LeaderPledges pledges;
-  private final PeerSupervisor supervisor;
+  private final LeaderPledges leaderPledges;
+  private final PeerMonitor peerMonitor;
   private final Leadership.Listener listener;
   private final Runnable standAgain;
 
   /**
-   * Begins nothing yet.
+   * Creates a tenure that starts with {@link #start}.
    *
-   * @param standAgain takes part in elections again, once the leadership is lost
+   * @param standAgain takes part in elections again after this controller has stepped down
    */
   LeaderTenure(
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       String member,
       LeaderStatus status,
       SessionLeaseRenewal renewal,
-      LeaderPledges pledges,
-      PeerSupervisor supervisor,
+      LeaderPledges leaderPledges,
+      PeerMonitor peerMonitor,
       Leadership.Listener listener,
       Runnable standAgain) {
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.member = member;
     this.status = status;
     this.renewal = renewal;
-    this.pledges = pledges;
-    this.supervisor = supervisor;
+    this.leaderPledges = leaderPledges;
+    this.peerMonitor = peerMonitor;
     this.listener = listener;
     this.standAgain = standAgain;
   }
 
   /**
-   * True if this controller may act as the leader: its session lease lasts, or every other
-   * controller has pledged not to stand for election meanwhile, since nobody else could lead.
+   * True if this controller may act as the leader: either its session lease is still valid, or no
+   * other controller can win an election because each has pledged not to stand or is suspended.
    */
   boolean mayAct() {
     return status.isLeader()
         && cache.features().gate().isOpen()
-        && (renewal.isLeaseHeld() || pledges.allHeld());
+        && (renewal.isLeaseValid() || leaderPledges.areAllPeersExcluded());
   }
 
-  /** This controller has won an election. */
-  void begin(WonElection won) {
-    status.begin(won);
-    state.budget().setLeader(true);
-    LOG.info("{} is the leader with term {}", member, won.term());
-    renewal.begin(won.leaseSentAt());
-    supervisor.begin();
-    listener.onWon(won.term());
+  /** Starts leading after a won election. */
+  void start(WonElection won) {
+    status.startLeading(won);
+    stateClient.budget().setLeader(true);
+    LOG.info("{} is the leader in term {}", member, won.term());
+    renewal.start(won.leaseRequestedAt());
+    peerMonitor.start();
+    listener.onStartedLeading(won.term());
   }
 
-  /** Ends the leadership if the records show that it is over. */
-  void endIfSuperseded() {
-    long ours = status.recordRevision();
-    if (cache.leader() == null && cache.revisionSeen() > ours) {
-      lose("the leader record is gone");
-    } else if (cache.leader() != null && cache.leaderRevision() > ours) {
-      lose(cache.leader().member() + " is the leader with term " + cache.leader().term());
+  /** Steps down if the records show that the leader record was deleted or replaced. */
+  void stepDownIfSuperseded() {
+    long ownRevision = status.leaderRevision();
+    if (cache.leader() == null && cache.revisionSeen() > ownRevision) {
+      stepDown("the leader record was deleted");
+    } else if (cache.leader() != null && cache.leaderRevision() > ownRevision) {
+      stepDown(cache.leader().member() + " is the leader in term " + cache.leader().term());
     }
   }
 
-  /** Ends the leadership if this controller may no longer act as the leader. */
-  void endIfExpired() {
+  /** Steps down if this controller may no longer act as the leader. */
+  void stepDownIfExpired() {
     if (status.isLeader() && !mayAct()) {
-      lose("the session lease could not be renewed in time");
+      stepDown("the session lease could not be renewed in time");
     }
   }
 
-  /** Gives the leadership up at once and revokes the session lease, so that the record goes. */
-  void resign(String why) {
+  /** Steps down and revokes the session lease, which deletes the leader record. */
+  void resign(String reason) {
     if (!status.isLeader()) {
       return;
     }
-    lose(why);
-    state.revokeSessionLease(status.sessionLease(), ended -> {});
+    stepDown(reason);
+    stateClient.revokeSessionLease(status.sessionLease(), revoked -> {});
   }
 
-  /** Stops leading; the session lease is left to expire, or to others. */
-  void lose(String why) {
-    status.end();
-    state.budget().setLeader(false);
-    renewal.end();
-    pledges.clear();
-    LOG.info("{} is no longer the leader of term {}: {}", member, status.term(), why);
-    listener.onLost(why);
+  /** Stops leading; the session lease expires unless it is revoked. */
+  void stepDown(String reason) {
+    status.stopLeading();
+    stateClient.budget().setLeader(false);
+    renewal.stop();
+    leaderPledges.clear();
+    LOG.info("{} is no longer the leader of term {}: {}", member, status.term(), reason);
+    listener.onStoppedLeading(reason);
     standAgain.run();
   }
 }
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -5,70 +5,77 @@
 import graderelay.wire.PeerRequest;
 
 /**
- * Collects pledges that keep worker leases renewed while there is no leader and the key-value store
- * is away. While every other controller has pledged not to stand for election there is no leader
- * and none can come, so whoever has the pledges may renew leases. That only keeps running tasks
- * alive; it gives no worker command but the kills of cancelled tasks.
+ * Collects the pledges that allow this controller to renew worker leases while there is no leader
+ * and the key-value store is unavailable. While every other controller has pledged not to stand for
+ * election there is no leader and none can be elected, so a controller with all pledges may renew
+ * leases. That only keeps running tasks alive: the only worker commands that it may send are kills
+ * of cancelled tasks.
  */
 final class LeaderlessPledges {
   /** Seconds between requests for pledges. */
-  private static final double ASK_EVERY_S = 0.2;
+  private static final double REQUEST_INTERVAL_S = 0.2;
 
-  /** Seconds for which the pledges are renewed after a worker's last heartbeat. */
-  private static final double WANTED_S = 10;
+  /** Seconds after the last call of {@link #collect} for which pledges are requested. */
+  private static final double COLLECT_DURATION_S = 10;
 
   private final Loop loop;
   private final String member;
   private final LeaderStatus status;
-  private final StoreAvailability store;
+  private final StoreAvailability storeAvailability;
   private final FeatureGate gate;
-  private final PledgeRequests requests;
+  private final PledgeRequests pledgeRequests;
   private final CollectedPledges pledges;
-  private double lastWanted = Double.NEGATIVE_INFINITY;
-  private boolean asking;
+  private double lastCollectAt = Double.NEGATIVE_INFINITY;
+  private boolean requesting;
 
   LeaderlessPledges(
       Loop loop,
       String member,
       LeaderStatus status,
-      StoreAvailability store,
+      StoreAvailability storeAvailability,
       FeatureGate gate,
-      PledgeRequests requests,
-      PeerSupervisor supervisor) {
+      PledgeRequests pledgeRequests,
+      PeerMonitor peerMonitor) {
     this.loop = loop;
     this.member = member;
     this.status = status;
-    this.store = store;
+    this.storeAvailability = storeAvailability;
     this.gate = gate;
-    this.requests = requests;
-    this.pledges = new CollectedPledges(loop, requests.peers(), supervisor);
+    this.pledgeRequests = pledgeRequests;
+    this.pledges = new CollectedPledges(loop, pledgeRequests.peers(), peerMonitor);
   }
 
-  /** True if this controller may renew worker leases although there is no leader. */
-  boolean allHeld() {
-    return !status.isLeader() && !gate.isShut() && store.isAway() && pledges.allHeld();
+  /** True if this controller may renew worker leases without a leader. */
+  boolean mayRenewLeases() {
+    return !status.isLeader()
+        && !gate.isShut()
+        && storeAvailability.isAway()
+        && pledges.areAllPeersExcluded();
   }
 
-  /** Collects the pledges for the next seconds, if there is a reason to. */
-  void seek() {
-    lastWanted = loop.now();
-    if (!asking && !status.isLeader() && store.isAway()) {
-      ask();
+  /** Requests pledges for the next seconds, if the store is unavailable and there is no leader. */
+  void collect() {
+    lastCollectAt = loop.now();
+    if (!requesting && !status.isLeader() && storeAvailability.isAway()) {
+      requestPledges();
     }
   }
 
-  private void ask() {
-    asking = status.isActiveFollower() && store.isAway() && loop.now() - lastWanted < WANTED_S;
-    if (!asking) {
+  private void requestPledges() {
+    requesting =
+        status.isActiveFollower()
+            && storeAvailability.isAway()
+            && loop.now() - lastCollectAt < COLLECT_DURATION_S;
+    if (!requesting) {
       return;
     }
-    requests.sendToAll(
+    pledgeRequests.sendToAll(
         new PeerRequest.KeepPledge(member, ElectionTiming.LEADERLESS_PLEDGE_S),
         (peer, sentAt, answer) -> {
           if (answer.granted()) {
             pledges.add(peer.member(), sentAt, ElectionTiming.LEADERLESS_PLEDGE_S);
           }
         });
-    loop.after(ASK_EVERY_S, this::ask);
+    loop.after(REQUEST_INTERVAL_S, this::requestPledges);
   }
 }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -6,33 +6,34 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Wins, keeps and loses the leadership of the cluster. The leader record is attached to a session
- * lease of its writer and goes with it; the term is a counter that stays. This class joins the
- * parts: {@link LeaderElection} wins, {@link SessionLeaseRenewal} and {@link LeaderPledges} keep,
- * {@link LeaderTenure} begins and ends what a leader does.
+ * Leader election and leadership of this controller. The leader record is attached to a session
+ * lease of the controller that wrote it and is deleted when that lease expires; the term is a
+ * persistent counter. This class connects the parts: {@link LeaderElection} acquires the
+ * leadership, {@link SessionLeaseRenewal} and {@link LeaderPledges} maintain it, and {@link
+ * LeaderTenure} starts and stops leading.
  */
 public final class Leadership {
-  /** Hears of changes. */
+  /** Receives the changes of this controller's leadership. */
   public interface Listener {
-    /** This controller has won an election and leads under a new term. */
-    void onWon(long term);
+    /** This controller has won an election and leads in a new term. */
+    void onStartedLeading(long term);
 
-    /** The term of this leader is higher than before. */
+    /** The leader has raised its own term. */
     void onTermRaised(long term);
 
-    /** This controller does not lead any more. */
-    void onLost(String why);
+    /** This controller has stopped leading. */
+    void onStoppedLeading(String reason);
   }
 
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final Listener listener;
   private final Candidate self;
   private final LeaderStatus status = new LeaderStatus();
-  private final StoreAvailability store;
+  private final StoreAvailability storeAvailability;
   private final GivenPledges givenPledges;
   private final SessionLeaseRenewal renewal;
-  private final PeerSupervisor supervisor;
+  private final PeerMonitor peerMonitor;
   private final LeaderHandover handover;
   private final LeaderPledges leaderPledges;
   private final LeaderlessPledges leaderlessPledges;
@@ -41,16 +42,16 @@
   private final TermRaise termRaise;
 
   /**
-   * Makes the leadership of one process, which does nothing before {@link #consider}.
+   * Creates the leadership of a controller process; nothing happens before {@link #reconcile}.
    *
-   * @param member this controller's name
-   * @param address where its peers reach it
-   * @param sessionLeaseS length of its session leases, in seconds
-   * @param random draws from 0 to 1
+   * @param member the name of this controller
+   * @param address the address at which its peers reach it
+   * @param sessionLeaseS the TTL of its session leases, in seconds
+   * @param random supplies uniform random numbers from 0 to 1
    */
   public Leadership(
       Loop loop,
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       String member,
       String address,
@@ -59,204 +60,230 @@
       Cancellations cancellations,
       DoubleSupplier random,
       Listener listener) {
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.listener = listener;
-    String process = Long.toHexString(Double.doubleToRawLongBits(random.getAsDouble()));
-    this.self = new Candidate(member, address, process);
-    this.store = new StoreAvailability(loop, state);
-    this.givenPledges = new GivenPledges(loop, state, cache, status);
+    String incarnation = Long.toHexString(Double.doubleToRawLongBits(random.getAsDouble()));
+    this.self = new Candidate(member, address, incarnation);
+    this.storeAvailability = new StoreAvailability(loop, stateClient);
+    this.givenPledges = new GivenPledges(loop, stateClient, cache, status);
     this.renewal =
         new SessionLeaseRenewal(
-            loop, state, status, sessionLeaseS, this::onRenewalsFail, this::lose);
-    this.supervisor = new PeerSupervisor(loop, state, cache, peerClient, member, status, renewal);
-    cancellations.mutePeers(supervisor::isSuspended);
+            loop, stateClient, status, sessionLeaseS, this::onRenewalsFailing, this::stepDown);
+    this.peerMonitor =
+        new PeerMonitor(loop, stateClient, cache, peerClient, member, status, renewal);
+    cancellations.mutePeers(peerMonitor::isSuspended);
     this.handover =
         new LeaderHandover(
-            state, cache, peerClient, member, status, givenPledges, this::lose, this::consider);
-    PledgeRequests requests = new PledgeRequests(loop, peerClient, store, cancellations);
+            stateClient,
+            cache,
+            peerClient,
+            member,
+            status,
+            givenPledges,
+            this::stepDown,
+            this::reconcile);
+    PledgeRequests pledgeRequests =
+        new PledgeRequests(loop, peerClient, storeAvailability, cancellations);
     this.leaderPledges =
         new LeaderPledges(
-            loop, member, status, renewal, cancellations, requests, supervisor, handover);
+            loop, member, status, renewal, cancellations, pledgeRequests, peerMonitor, handover);
     this.leaderlessPledges =
         new LeaderlessPledges(
-            loop, member, status, store, cache.features().gate(), requests, supervisor);
+            loop,
+            member,
+            status,
+            storeAvailability,
+            cache.features().gate(),
+            pledgeRequests,
+            peerMonitor);
     this.election = newElection(loop, sessionLeaseS, random);
     this.tenure = newTenure();
-    this.termRaise = new TermRaise(state, cache, self, status, tenure, this::consider);
+    this.termRaise = new TermRaise(stateClient, cache, self, status, tenure, this::reconcile);
   }
 
   private LeaderElection newElection(Loop loop, double sessionLeaseS, DoubleSupplier random) {
     return new LeaderElection(
         loop,
-        state,
+        stateClient,
         cache,
         self,
         sessionLeaseS,
         random,
         status,
         givenPledges,
-        this::consider,
-        won -> tenure.begin(won));
+        this::reconcile,
+        won -> tenure.start(won));
   }
 
   private LeaderTenure newTenure() {
     return new LeaderTenure(
-        state,
+        stateClient,
         cache,
         self.member(),
         status,
         renewal,
         leaderPledges,
-        supervisor,
+        peerMonitor,
         listener,
         election::retryLater);
   }
 
   // ---------------------------------------------------------------- state and queries
 
-  /** True while this controller is the leader, whether or not it may act at the moment. */
+  /** True while this controller is the leader, whether or not it may currently act as such. */
   public boolean isLeader() {
     return status.isLeader();
   }
 
   /**
-   * True if this controller may act as the leader: its session lease lasts, or every other
-   * controller has pledged not to stand for election meanwhile, since nobody else could lead.
+   * True if this controller may act as the leader: either its session lease is still valid, or no
+   * other controller can win an election because each has pledged not to stand or is suspended.
    */
   public boolean mayActAsLeader() {
     return tenure.mayAct();
   }
 
-  /** The fencing token of the present leadership, or of this process's last one. */
+  /** The fencing token of the current leadership, or of the last one of this process. */
   public long term() {
     return status.term();
   }
 
-  /** The revision of the leader record as this controller wrote it last. */
+  /** The revision of the leader record that this controller last wrote. */
   public long leaderRevision() {
-    return status.recordRevision();
+    return status.leaderRevision();
   }
 
-  /** Tells this process from earlier and later ones of the same controller. */
-  public String process() {
-    return self.process();
+  /** The ID that distinguishes this process from other processes of the same controller. */
+  public String incarnation() {
+    return self.incarnation();
   }
 
-  /** True if we lead and the peer answered our last status requests. */
-  public boolean hears(String peer) {
-    return supervisor.hears(peer);
+  /** True if this controller leads and the peer has answered its recent status requests. */
+  public boolean isPeerResponsive(String peer) {
+    return peerMonitor.isResponsive(peer);
   }
 
   /**
-   * True if the key-value store is away for this controller and, as far as its peers say, for all;
-   * false without a peer's word.
+   * True if the key-value store is unavailable to this controller and, according to its peers, to
+   * all controllers; false if no peer has answered.
    */
-  public boolean isStoreAwayForAll() {
-    return store.isAwayForAll();
+  public boolean isStoreUnavailableToAll() {
+    return storeAvailability.isAwayForAll();
   }
 
   /**
    * True if this controller may renew worker leases although there is no leader: the key-value
-   * store is away, and every other controller has just pledged not to stand for election. It may
-   * give no worker command but the kills of cancelled tasks.
+   * store is unavailable, and every other controller has pledged not to stand for election or is
+   * suspended. The only worker commands that it may send are kills of cancelled tasks.
    */
-  public boolean holdsLeaderlessPledges() {
-    return leaderlessPledges.allHeld();
+  public boolean mayRenewLeasesWithoutLeader() {
+    return leaderlessPledges.mayRenewLeases();
   }
 
   // ---------------------------------------------------------------- events
 
-  /** The records of the election have changed or were read for the first time. */
-  public void consider() {
+  /**
+   * Acts on the election records: stands for election if there is no leader, steps down if this
+   * controller is superseded, and resigns if the feature gate is closed. To be called when the
+   * records were first read and when they have changed.
+   */
+  public void reconcile() {
     if (status.isClosed() || !cache.electionLoaded()) {
       return;
     }
     if (!cache.features().gate().isOpen()) {
       resign(cache.features().gate().closedBecause());
     } else if (!status.isLeader()) {
-      election.consider();
-    } else if (!termRaise.isBusy()) {
-      tenure.endIfSuperseded();
+      election.standIfLeaderless();
+    } else if (!termRaise.isInProgress()) {
+      tenure.stepDownIfSuperseded();
     }
   }
 
-  /** Looks at the clock: to be called now and then. */
+  /** Performs the time-based checks; to be called periodically. */
   public void tick() {
-    if (!status.isLeader() && store.isAway()) {
-      // Before a worker asks: it may have few seconds left, and tries each controller in turn.
-      leaderlessPledges.seek();
+    if (!status.isLeader() && storeAvailability.isAway()) {
+      // Not only on a heartbeat: a worker tries the controllers one after the other, and its lease
+      // may have only a few seconds left.
+      leaderlessPledges.collect();
     }
-    tenure.endIfExpired();
+    tenure.stepDownIfExpired();
     if (status.isLeader()) {
-      leaderPledges.askIfCancellationsAge();
+      leaderPledges.requestIfCancellationsAge();
     }
   }
 
-  /** A worker asks while there is no leader: sees whether its lease can be renewed without one. */
-  public void seekLeaderlessPledges() {
-    leaderlessPledges.seek();
+  /**
+   * Collects the pledges that are needed to renew worker leases without a leader; to be called when
+   * a heartbeat arrives while there is no leader.
+   */
+  public void collectLeaderlessPledges() {
+    leaderlessPledges.collect();
   }
 
   /**
-   * A leader that can't renew its session lease asks us not to stand for election.
+   * Handles the request of a leader that can't renew its session lease for a pledge not to stand
+   * for election.
    *
-   * @return false if we refuse
+   * @return false if the pledge is refused
    */
-  public boolean pledge(long term, double seconds) {
-    return givenPledges.pledgeToLeader(term, seconds);
+  public boolean pledgeToLeader(long term, double durationS) {
+    return givenPledges.pledgeToLeader(term, durationS);
   }
 
   /**
-   * A peer that wants to renew worker leases without a leader asks us not to stand for election.
+   * Handles the request of a peer that wants to renew worker leases without a leader for a pledge
+   * not to stand for election.
    *
-   * @return false if we refuse: we lead, or could win an election ourselves
+   * @return false if the pledge is refused because this controller leads or could win an election
    */
-  public boolean pledgeLeaderless(double seconds) {
-    return givenPledges.pledgeLeaderless(seconds);
+  public boolean pledgeLeaderless(double durationS) {
+    return givenPledges.pledgeLeaderless(durationS);
   }
 
-  /** The leader of a term lends us changes a second. */
-  public void takeShare(long term, double changesPerS) {
+  /** Accepts changes a second that the leader of a term lends to this controller. */
+  public void borrowWriteCapacity(long term, double changesPerS) {
     if (status.isActiveFollower() && term >= cache.term()) {
-      state.budget().borrow(changesPerS);
+      stateClient.budget().borrow(changesPerS);
     }
   }
 
-  /** A peer has stopped acting as the leader and leaves us its session lease to end. */
-  public void takeHandover(String from, long term, long sessionLease) {
-    handover.acceptFrom(from, term, sessionLease);
+  /** Takes over from a peer that has stopped leading: revokes the session lease of that peer. */
+  public void acceptHandover(String peer, long term, long sessionLease) {
+    handover.takeOverFrom(peer, term, sessionLease);
   }
 
   // ---------------------------------------------------------------- actions
 
-  /** Raises our own term; calls back with the new one, or with 0 if it could not be raised. */
+  /** Raises the term of this leader; calls back with the new term, or with 0 on failure. */
   public void raiseTerm(Consumer<Long> done) {
     termRaise.raise(done);
   }
 
-  /** Changes the cluster's feature level, and raises our term with it. */
+  /** Changes the cluster's feature level and raises the term of this leader in one transaction. */
   public void changeLevel(LevelChange change, Consumer<StoreOutcome> done) {
-    boolean otherChange = supervisor.isChangingSuspension() || election.isBusy();
-    termRaise.changeLevel(change, otherChange, listener::onTermRaised, done);
+    boolean otherChangeInProgress =
+        peerMonitor.isChangingSuspension() || election.isAttemptPending();
+    termRaise.changeLevel(change, otherChangeInProgress, listener::onTermRaised, done);
   }
 
-  /** Gives the leadership up at once and lets the leader record go. */
-  public void resign(String why) {
-    tenure.resign(why);
+  /** Steps down and revokes the session lease, which deletes the leader record. */
+  public void resign(String reason) {
+    tenure.resign(reason);
   }
 
-  /** Ends the duties of this process; the leadership, if it has it, expires. */
+  /** Stops all activity of this process; a leadership that it holds expires with its lease. */
   public void close() {
     status.close();
     renewal.close();
   }
 
-  private void onRenewalsFail() {
-    leaderPledges.startAsking();
+  private void onRenewalsFailing() {
+    leaderPledges.startRequesting();
   }
 
-  private void lose(String why) {
-    tenure.lose(why);
+  private void stepDown(String reason) {
+    tenure.stepDown(reason);
   }
 }
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -11,41 +11,45 @@
 /**
  * A change of the cluster's feature level.
  *
- * @param to the level to come
- * @param unchanged records of members that must be as they were read
- * @param members all configured controllers
- * @param mostChanges puts and deletes that one transaction may have
+ * @param newLevel the new level
+ * @param unchangedMembers the published member records that the change is conditioned on: they must
+ *     not have been written since they were read
+ * @param members the names of all configured controllers
+ * @param maxChanges the maximum number of puts and deletes in a transaction
  */
 public record LevelChange(
-    ClusterLevel to, Collection<Member> unchanged, List<String> members, int mostChanges) {
-  /** Changes that the largest of these transactions has in any case. */
+    ClusterLevel newLevel,
+    Collection<Member> unchangedMembers,
+    List<String> members,
+    int maxChanges) {
+  /** Changes in the largest of these transactions, without the suspensions of controllers. */
   private static final int FIXED_CHANGES = 4;
 
-  /** Conditions beside those on members: leader, term and the fence. */
+  /** Conditions besides those on members: on the leader, the term and the feature level. */
   private static final int FIXED_CONDITIONS = 3;
 
-  /** True if the key-value store accepts a transaction of this size. */
-  boolean fits() {
-    return mostChanges >= FIXED_CHANGES
-        && unchanged.size() + FIXED_CONDITIONS <= StateClient.mostConditions(mostChanges) + 1;
+  /** True if the transaction is within the size limit of the key-value store. */
+  boolean fitsTransactionLimit() {
+    return maxChanges >= FIXED_CHANGES
+        && unchangedMembers.size() + FIXED_CONDITIONS <= StateClient.mostConditions(maxChanges) + 1;
   }
 
-  /** True if the elections go back to the open layout. */
-  private boolean unseals(FeatureRecords features) {
-    return features.sealed() && !to.has(Feature.SEALED_ELECTION);
+  /** True if the change moves the election records back to the unsealed layout. */
+  private boolean unsealsElections(FeatureRecords features) {
+    return features.areElectionsSealed() && !newLevel.has(Feature.SEALED_ELECTION);
   }
 
   /**
-   * True if the change has to wait until no controller is suspended: a suspension has no place in
-   * the other layout, and the leader lifts it once its peer answers.
+   * True if the change has to wait until no controller is suspended: suspensions are not moved to
+   * the unsealed layout, and the leader lifts each one once the peer answers again.
    */
-  boolean mustWait(FeatureRecords features, ElectionRecords election) {
-    return unseals(features) && election.anySuspended();
+  boolean mustWaitForSuspensions(FeatureRecords features, ElectionRecords election) {
+    return unsealsElections(features) && election.hasSuspensions();
   }
 
   /**
-   * Makes the transaction, with the leader record where the new level has it and under a new term:
-   * what workers are told under the old one is refused from then on.
+   * Builds the transaction, which writes the leader record in the layout of the new level and in a
+   * new term: workers then refuse commands of the old term.
    */
   Transaction transaction(
       FeatureRecords features,
@@ -53,34 +57,41 @@
       StateCodec.LeaderRecord leader,
       long leaderRevision,
       long sessionLease) {
-    Transaction txn =
+    Transaction transaction =
         new Transaction()
             .when(election.leaderKey(), leaderRevision)
             .when(StateCodec.TERM, election.termRevision())
-            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
+            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(newLevel))
             .put(StateCodec.TERM, StateCodec.encodeTerm(leader.term(), leader.member()));
-    unchanged.forEach(m -> txn.when(FeatureCodec.memberKey(m.name()), m.revision()));
-    if (unseals(features)) {
-      txn.put(StateCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease)
+    unchangedMembers.forEach(
+        member -> transaction.when(FeatureCodec.memberKey(member.name()), member.revision()));
+    if (unsealsElections(features)) {
+      transaction
+          .put(StateCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease)
           .delete(FeatureCodec.LEADER);
-    } else if (features.sealed() || !to.has(Feature.SEALED_ELECTION)) {
-      txn.put(election.leaderKey(), StateCodec.encodeLeader(leader), sessionLease);
+    } else if (features.areElectionsSealed() || !newLevel.has(Feature.SEALED_ELECTION)) {
+      transaction.put(election.leaderKey(), StateCodec.encodeLeader(leader), sessionLease);
     } else {
-      seal(txn, leader, sessionLease);
+      sealElections(transaction, leader, sessionLease);
     }
-    return txn;
+    return transaction;
   }
 
-  /** Moves the leader record to the sealed layout, and keeps older versions from winning. */
-  private void seal(Transaction txn, StateCodec.LeaderRecord leader, long sessionLease) {
-    txn.put(FeatureCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease);
-    // On no lease: it stays, and nobody who needs it gone wins an election any more.
-    StateCodec.LeaderRecord nobody =
+  /**
+   * Moves the leader record to the sealed layout, and keeps versions without sealed elections from
+   * winning an election.
+   */
+  private void sealElections(
+      Transaction transaction, StateCodec.LeaderRecord leader, long sessionLease) {
+    transaction.put(FeatureCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease);
+    // Attached to no lease, so it is never deleted: a version that wins an election only if this
+    // record does not exist can no longer win one.
+    StateCodec.LeaderRecord placeholder =
         new StateCodec.LeaderRecord(FeatureCodec.SEALED_LEADER, leader.term(), "");
-    txn.put(StateCodec.LEADER, StateCodec.encodeLeader(nobody));
-    int room = mostChanges - FIXED_CHANGES;
-    for (String member : members.subList(0, Math.min(room, members.size()))) {
-      txn.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
+    transaction.put(StateCodec.LEADER, StateCodec.encodeLeader(placeholder));
+    int maxSuspensions = maxChanges - FIXED_CHANGES;
+    for (String member : members.subList(0, Math.min(maxSuspensions, members.size()))) {
+      transaction.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
     }
   }
 }
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -6,49 +6,50 @@
 import graderelay.wire.StateCodec;
 
 /**
- * This controller's own suspension from election, which the last leader recorded while it did not
- * hear us. That leader may count on the suspension for a while after its last look at the records,
- * so leaving it takes that long after our record of it stands; another process of this controller
- * has to begin anew.
+ * This controller's own suspension from election, which the last leader recorded because this
+ * controller did not answer it. That leader may rely on the suspension for {@link
+ * ElectionTiming#SUSPENSION_S} after it last read the records, so this controller first records
+ * that it is leaving the suspension and then waits that long. A new process of this controller
+ * starts over.
  */
 final class OwnSuspension {
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final Candidate self;
 
-  /** When our record of leaving the suspension was known to stand, or NaN. */
+  /** When this process first saw its record of leaving the suspension, or NaN. */
   private double leavingSince = Double.NaN;
 
-  OwnSuspension(Loop loop, StateClient state, Cache cache, Candidate self) {
+  OwnSuspension(Loop loop, StateClient stateClient, Cache cache, Candidate self) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.self = self;
   }
 
-  /** True if there is a suspension that this process has not begun to leave. */
-  boolean mustBeLeft() {
+  /** True if there is a suspension that this process has not started to leave. */
+  boolean mustStartLeaving() {
     StateCodec.Suspension suspension = cache.suspension(self.member());
-    return suspension != null && !suspension.leaving().equals(self.process());
+    return suspension != null && !suspension.leaving().equals(self.incarnation());
   }
 
-  /** Records that this process leaves its suspension; calls back whatever came of it. */
-  void beginToLeave(Runnable done) {
+  /** Records that this process is leaving its suspension; calls back on success and on failure. */
+  void startLeaving(Runnable done) {
     leavingSince = Double.NaN;
     String key = cache.election().suspensionKey(self.member());
-    state.commit(
+    stateClient.commit(
         new Transaction()
             .when(cache.election().leaderKey(), 0)
             .when(key, cache.suspension(self.member()).revision())
-            .put(key, StateCodec.encodeSuspension(self.process())),
+            .put(key, StateCodec.encodeSuspension(self.incarnation())),
         Use.RENEWAL,
         result -> done.run());
   }
 
   /**
-   * Seconds until this controller has left a suspension that it began to leave, 0 or less if it has
-   * or if there is none.
+   * Seconds until this controller has left the suspension that it started to leave; 0 or less if it
+   * has left it or is not suspended.
    */
   double remainingS() {
     if (cache.suspension(self.member()) == null) {
@@ -58,13 +59,13 @@
     return leavingSince + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.DRIFT) - loop.now();
   }
 
-  /** Makes a transaction depend on the suspension as it is known, and remove it. */
-  void removeIn(Transaction txn) {
+  /** Conditions a transaction on the known suspension, and deletes the suspension in it. */
+  void deleteIn(Transaction transaction) {
     StateCodec.Suspension suspension = cache.suspension(self.member());
     String key = cache.election().suspensionKey(self.member());
-    txn.when(key, suspension == null ? 0 : suspension.revision());
+    transaction.when(key, suspension == null ? 0 : suspension.revision());
     if (suspension != null) {
-      txn.delete(key);
+      transaction.delete(key);
     }
   }
 }
--- a/src/main/java/graderelay/state/PledgeRequests.java
+++ b/src/main/java/graderelay/state/PledgeRequests.java
@@ -9,35 +9,38 @@
 import java.util.List;
 
 /**
- * Sends requests for election pledges to all peers. Each answer also tells whether the peer reaches
- * the key-value store and which cancellations it knows of, whether or not it grants the pledge.
+ * Sends pledge requests to all peers. Each answer also contains whether the peer reaches the
+ * key-value store and which cancellations it knows, whether or not the pledge is granted.
  */
 final class PledgeRequests {
-  /** Takes the answers to one round of requests. */
+  /** Handles the answers to one round of requests. */
   interface AnswerHandler {
-    /** A peer answered a request that was sent at {@code sentAt}, in the loop's seconds. */
+    /** Handles the answer to a request that was sent at {@code sentAt} on the loop's clock. */
     void onAnswer(Settings.Peer peer, double sentAt, PeerAnswer.Pledged answer);
   }
 
   private final Loop loop;
   private final PeerClient peerClient;
-  private final StoreAvailability store;
+  private final StoreAvailability storeAvailability;
   private final Cancellations cancellations;
 
   PledgeRequests(
-      Loop loop, PeerClient peerClient, StoreAvailability store, Cancellations cancellations) {
+      Loop loop,
+      PeerClient peerClient,
+      StoreAvailability storeAvailability,
+      Cancellations cancellations) {
     this.loop = loop;
     this.peerClient = peerClient;
-    this.store = store;
+    this.storeAvailability = storeAvailability;
     this.cancellations = cancellations;
   }
 
-  /** The peers that are asked, in the order of the settings. */
+  /** The peers that requests are sent to, in the order of the settings. */
   List<Settings.Peer> peers() {
     return peerClient.peers();
   }
 
-  /** Sends a request to every peer; the handler hears of those that answer. */
+  /** Sends a request to every peer; the handler is called for each answer. */
   void sendToAll(PeerRequest request, AnswerHandler handler) {
     double sentAt = loop.now();
     for (Settings.Peer peer : peerClient.peers()) {
@@ -48,7 +51,7 @@
           peerClient.timeoutS(),
           answer -> {
             if (answer != null) {
-              store.onPeerSays(answer.reachesState());
+              storeAvailability.onPeerSays(answer.reachesState());
               cancellations.onPeerKnowledge(peer.member(), sentAt, answer.cancellations());
               handler.onAnswer(peer, sentAt, answer);
             }
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -69,7 +69,7 @@
   void takeElection(List<Listing> listings) {
     revision = listings.get(0).revision();
     listings.forEach(this::putAll);
-    features.read();
+    features.onRecordsRead();
   }
 
   /** Notifies the listener of the election records. */
@@ -202,7 +202,7 @@
       jobs.deleteTaskBatch(StateCodec.batchOf(key), revision);
     } else if (quota.delete(key, revision)) {
       quotaChanged = true;
-    } else if (features.delete(key, revision) || election.drop(key, revision)) {
+    } else if (features.delete(key, revision) || election.delete(key, revision)) {
       leaderChanged = true;
     } else {
       hints.delete(key);
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -6,78 +6,78 @@
 
 /**
  * Renews the session lease that this controller's leader record is attached to. The lease is
- * counted from the moment its creation or renewal was sent, so that this controller stops before
- * the key-value store lets anybody else win.
+ * counted from when its creation or last renewal was requested, so that this controller stops
+ * leading before the lease expires in the key-value store and another controller can win.
  */
 final class SessionLeaseRenewal {
-  /** Share of the session lease between renewals, so that two may be lost. */
-  private static final double RENEW_AFTER_SHARE = 0.25;
+  /** Fraction of the session lease between renewals, so that two may be lost. */
+  private static final double RENEWAL_INTERVAL_FRACTION = 0.25;
 
-  /** Seconds before the session lease's own end at which the leader counts it as over. */
+  /** Seconds before its end at which the leader considers the session lease expired. */
   private static final double LEASE_MARGIN_S = 0.25;
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final LeaderStatus status;
-  private final double leaseS;
-  private final Runnable onFailing;
-  private final Consumer<String> loseLeadership;
-  private Loop.Timer renewal;
-  private double leaseEndsAt;
+  private final double sessionLeaseS;
+  private final Runnable onRenewalsFailing;
+  private final Consumer<String> stepDown;
+  private Loop.Timer renewalTimer;
+  private double leaseExpiresAt;
 
-  /** When the first of the renewals was sent that have failed since, or NaN. */
+  /** When the first of the latest consecutive failed renewals was sent, NaN if none failed. */
   private double failingSince = Double.NaN;
 
   /**
-   * Renews nothing yet.
+   * Creates a renewal that starts with {@link #start}.
    *
-   * @param leaseS length of the session lease, in seconds
-   * @param onFailing runs when a renewal fails while the one before it did not
-   * @param loseLeadership ends the leadership, for a reason, once the lease is known to be over
+   * @param sessionLeaseS the TTL of the session lease, in seconds
+   * @param onRenewalsFailing runs when a renewal fails and the one before it succeeded
+   * @param stepDown ends the leadership for the given reason, once the lease is known to be gone
    */
   SessionLeaseRenewal(
       Loop loop,
-      StateClient state,
+      StateClient stateClient,
       LeaderStatus status,
-      double leaseS,
-      Runnable onFailing,
-      Consumer<String> loseLeadership) {
+      double sessionLeaseS,
+      Runnable onRenewalsFailing,
+      Consumer<String> stepDown) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.status = status;
-    this.leaseS = leaseS;
-    this.onFailing = onFailing;
-    this.loseLeadership = loseLeadership;
+    this.sessionLeaseS = sessionLeaseS;
+    this.onRenewalsFailing = onRenewalsFailing;
+    this.stepDown = stepDown;
   }
 
-  /** This controller leads from now on, under a lease that was asked for at that time. */
-  void begin(double leaseSentAt) {
-    extendTo(leaseSentAt);
-    renewLater();
+  /** Starts to renew the lease of a new leader, which was requested at the given time. */
+  void start(double leaseRequestedAt) {
+    extendLease(leaseRequestedAt);
+    scheduleRenewal();
   }
 
-  /** The leadership is over, and the lease with it. */
-  void end() {
-    leaseEndsAt = Double.NEGATIVE_INFINITY;
+  /** Stops renewals, and considers the lease expired. */
+  void stop() {
+    leaseExpiresAt = Double.NEGATIVE_INFINITY;
     failingSince = Double.NaN;
     close();
   }
 
-  /** The process ends: renews no more. */
+  /** Stops renewals. */
   void close() {
-    if (renewal != null) {
-      renewal.cancel();
+    if (renewalTimer != null) {
+      renewalTimer.cancel();
     }
   }
 
-  /** The end of the time for which {@link #isLeaseHeld}, in the loop's seconds. */
-  double leaseEndsAt() {
-    return leaseEndsAt;
+  /** The time until which {@link #isLeaseValid} is true, on the loop's clock. */
+  double leaseExpiresAt() {
+    return leaseExpiresAt;
   }
 
-  /** True if the lease lasts, counted with a margin on this controller's clock. */
-  boolean isLeaseHeld() {
-    return loop.now() < leaseEndsAt;
+  /** True if the lease is valid, by this controller's clock and with a safety margin. */
+  boolean isLeaseValid() {
+    return loop.now() < leaseExpiresAt;
   }
 
   /** True if the last renewal failed. */
@@ -85,17 +85,18 @@
     return !Double.isNaN(failingSince);
   }
 
-  /** Seconds for which every renewal has failed, 0 if the last one did not. */
+  /** Seconds for which all renewals have failed, 0 if the last one succeeded. */
   double failingForS() {
     return isFailing() ? loop.now() - failingSince : 0;
   }
 
-  private void extendTo(double sentAt) {
-    leaseEndsAt = Math.max(leaseEndsAt, sentAt + leaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
+  private void extendLease(double sentAt) {
+    leaseExpiresAt =
+        Math.max(leaseExpiresAt, sentAt + sessionLeaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
   }
 
-  private void renewLater() {
-    renewal = loop.after(leaseS * RENEW_AFTER_SHARE, this::renew);
+  private void scheduleRenewal() {
+    renewalTimer = loop.after(sessionLeaseS * RENEWAL_INTERVAL_FRACTION, this::renew);
   }
 
   private void renew() {
@@ -104,9 +105,9 @@
     }
     double sentAt = loop.now();
     long sessionLease = status.sessionLease();
-    state.renewSessionLease(
+    stateClient.renewSessionLease(
         sessionLease,
-        leaseS * RENEW_AFTER_SHARE * 2,
+        sessionLeaseS * RENEWAL_INTERVAL_FRACTION * 2,
         result -> {
           if (status.isLeader() && status.sessionLease() == sessionLease) {
             onRenewalResult(result, sentAt);
@@ -116,15 +117,15 @@
 
   private void onRenewalResult(StoreResult result, double sentAt) {
     if (result.succeeded()) {
-      extendTo(sentAt);
+      extendLease(sentAt);
       failingSince = Double.NaN;
     } else if (result.outcome() == StoreOutcome.NOT_FOUND) {
-      loseLeadership.accept("the session lease is over");
+      stepDown.accept("the session lease no longer exists");
       return;
     } else if (!isFailing()) {
       failingSince = sentAt;
-      onFailing.run();
+      onRenewalsFailing.run();
     }
-    renewLater();
+    scheduleRenewal();
   }
 }
--- a/src/main/java/graderelay/state/StoreAvailability.java
+++ b/src/main/java/graderelay/state/StoreAvailability.java
@@ -32,7 +32,7 @@
 
   /** True if this controller's calls to the store have failed for a while. */
   boolean isAway() {
-    return state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S;
+    return state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
   /**
--- a/src/main/java/graderelay/state/TermRaise.java
+++ b/src/main/java/graderelay/state/TermRaise.java
@@ -8,60 +8,60 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Raises the term of this controller's own leadership, so that workers refuse what was sent under
- * the old one; by itself, or together with a change of the cluster's feature level.
+ * Raises the term while this controller leads, so that workers refuse commands of the old term;
+ * either alone, or together with a change of the cluster's feature level.
  */
 final class TermRaise {
   private static final Logger LOG = LoggerFactory.getLogger("owner");
 
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final Candidate self;
   private final LeaderStatus status;
   private final LeaderTenure tenure;
-  private final Runnable considerElection;
-  private boolean busy;
+  private final Runnable reconcile;
+  private boolean inProgress;
 
   TermRaise(
-      StateClient state,
+      StateClient stateClient,
       Cache cache,
       Candidate self,
       LeaderStatus status,
       LeaderTenure tenure,
-      Runnable considerElection) {
-    this.state = state;
+      Runnable reconcile) {
+    this.stateClient = stateClient;
     this.cache = cache;
     this.self = self;
     this.status = status;
     this.tenure = tenure;
-    this.considerElection = considerElection;
+    this.reconcile = reconcile;
   }
 
-  /** True while a raise has no answer yet: the leader record may be newer than we know. */
-  boolean isBusy() {
-    return busy;
+  /** True while a raise is in progress, so that the leader record may have a newer revision. */
+  boolean isInProgress() {
+    return inProgress;
   }
 
-  /** Raises the term; calls back with the new term, or with 0 if it could not be raised. */
+  /** Raises the term; calls back with the new term, or with 0 on failure. */
   void raise(Consumer<Long> done) {
-    if (!tenure.mayAct() || busy) {
+    if (!tenure.mayAct() || inProgress) {
       done.accept(0L);
       return;
     }
-    busy = true;
+    inProgress = true;
     long newTerm = status.term() + 1;
     ElectionRecords election = cache.election();
-    Transaction txn =
+    Transaction transaction =
         new Transaction()
-            .when(election.leaderKey(), status.recordRevision())
+            .when(election.leaderKey(), status.leaderRevision())
             .when(StateCodec.TERM, election.termRevision())
             .put(StateCodec.TERM, StateCodec.encodeTerm(newTerm, self.member()))
             .put(
                 election.leaderKey(),
                 StateCodec.encodeLeader(self.leaderRecord(newTerm)),
                 status.sessionLease());
-    state.commit(
-        txn,
+    stateClient.commit(
+        transaction,
         Use.RENEWAL,
         result -> {
           onResult(newTerm, result);
@@ -70,53 +70,61 @@
   }
 
   /**
-   * Changes the cluster's feature level under a raised term.
+   * Changes the cluster's feature level and raises the term.
    *
-   * @param otherChange a change of a suspension or an election is under way
-   * @param onRaised takes the new term, once the records show the new level
+   * @param otherChangeInProgress a change of a suspension or an election is in progress
+   * @param onRaised called with the new term, once the records show the new level
    */
   void changeLevel(
-      LevelChange change, boolean otherChange, LongConsumer onRaised, Consumer<StoreOutcome> done) {
-    boolean mustWait = busy || otherChange || change.mustWait(cache.features(), cache.election());
+      LevelChange change,
+      boolean otherChangeInProgress,
+      LongConsumer onRaised,
+      Consumer<StoreOutcome> done) {
+    boolean mustWait =
+        inProgress
+            || otherChangeInProgress
+            || change.mustWaitForSuspensions(cache.features(), cache.election());
     if (!tenure.mayAct() || mustWait) {
       done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
-    if (!change.fits()) {
-      LOG.error("the key-value store's transactions are too small to change the feature level");
+    if (!change.fitsTransactionLimit()) {
+      LOG.error(
+          "can't change the feature level: the transaction exceeds the key-value store's limit");
       done.accept(StoreOutcome.NOT_EXECUTED);
       return;
     }
-    busy = true;
+    inProgress = true;
     long newTerm = status.term() + 1;
-    state.commit(
+    stateClient.commit(
         change.transaction(
             cache.features(),
             cache.election(),
             self.leaderRecord(newTerm),
-            status.recordRevision(),
+            status.leaderRevision(),
             status.sessionLease()),
         Use.RENEWAL,
         result -> {
           onResult(newTerm, result);
           if (result.succeeded()) {
-            // Before that our own transactions would be conditioned on the level of before.
-            cache.catchUp(ok -> onRaised.accept(newTerm));
+            // Earlier, the transactions of this leader would be conditioned on the old level.
+            cache.catchUp(caughtUp -> onRaised.accept(newTerm));
           }
           done.accept(result.outcome());
         });
   }
 
   private void onResult(long newTerm, StoreResult result) {
-    busy = false;
+    inProgress = false;
     if (result.succeeded()) {
       status.raiseTerm(newTerm, result.revision());
       LOG.info("raised the term to {}", newTerm);
     } else if (result.outcome() == StoreOutcome.UNKNOWN) {
-      // Whether it committed decides under which revision we may write: rather start over.
-      tenure.resign("a raise of the term had no answer");
+      // Writes are conditioned on the revision of the leader record, which depends on whether the
+      // raise was committed. A new election is simpler than finding out.
+      tenure.resign("raising the term has an unknown outcome");
     } else {
-      cache.catchUp(ok -> considerElection.run());
+      cache.catchUp(caughtUp -> reconcile.run());
     }
   }
 }
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -5,61 +5,66 @@
 
 /**
  * Lends part of the leader's write capacity (changes a second to the key-value store) to peers that
- * need more than their usual share, and takes it back bit by bit.
+ * need more than their default share, and takes it back gradually.
  */
 final class WriteCapacityLending {
-  /** Times what a peer wrote in the last second that it may write: users come in bursts. */
+  /** Ratio of what a peer may write to what it wrote in the last second: load comes in bursts. */
   private static final double BURST_FACTOR = 2;
 
-  /** Share of the deployment's changes that one peer may have at most. */
-  private static final double MAX_PEER_SHARE = 0.25;
+  /** Largest fraction of the deployment's changes that one peer may have. */
+  private static final double MAX_PEER_FRACTION = 0.25;
 
-  /** Share of what a peer could write that it keeps for the next second when it needs less. */
-  private static final double DECAY_PER_SECOND = 0.85;
+  /** Fraction of its share that a peer keeps for the next second when it needs less. */
+  private static final double RETAINED_FRACTION_PER_SECOND = 0.85;
 
-  /** Share of its own changes that a leader lends at most: claims and ends must go on. */
-  private static final double MAX_LENT_SHARE = 0.35;
+  /** Largest fraction of its changes that a leader lends; it needs the rest for claims and ends. */
+  private static final double MAX_LENT_FRACTION = 0.35;
 
-  private final StateClient state;
+  private final StateClient stateClient;
 
-  /** Changes a second that each peer may make. */
-  private final Map<String, Double> shares = new HashMap<>();
+  /** Changes a second that each peer may make, by member. */
+  private final Map<String, Double> changesPerSByPeer = new HashMap<>();
 
-  WriteCapacityLending(StateClient state) {
-    this.state = state;
+  WriteCapacityLending(StateClient stateClient) {
+    this.stateClient = stateClient;
   }
 
-  /** A new leader has lent nothing yet. */
-  void begin() {
-    shares.clear();
+  /** Resets the shares when a leader is elected. */
+  void reset() {
+    changesPerSByPeer.clear();
   }
 
-  /** Changes a second that a peer may make at the moment. */
-  double shareOf(String peer) {
-    return shares.getOrDefault(peer, state.budget().followerChangesPerS());
+  /** Changes a second that a peer may currently make. */
+  double changesPerSOf(String peer) {
+    return changesPerSByPeer.getOrDefault(peer, stateClient.budget().followerChangesPerS());
   }
 
-  /** A peer made, or would have made, so many changes since it was last asked. */
-  void wanted(String peer, double changes) {
-    double usual = state.budget().followerChangesPerS();
-    double maxShare = state.budget().deploymentChangesPerS() * MAX_PEER_SHARE;
-    double need = Math.min(maxShare, changes * BURST_FACTOR);
-    shares.put(peer, Math.max(usual, Math.max(need, shareOf(peer) * DECAY_PER_SECOND)));
-    lendWithinLimit(usual);
+  /** Sets the share of a peer by the changes that it made or wanted since the last request. */
+  void updateDemand(String peer, double wantedChanges) {
+    double defaultChangesPerS = stateClient.budget().followerChangesPerS();
+    double maxChangesPerS = stateClient.budget().deploymentChangesPerS() * MAX_PEER_FRACTION;
+    double neededChangesPerS = Math.min(maxChangesPerS, wantedChanges * BURST_FACTOR);
+    changesPerSByPeer.put(
+        peer,
+        Math.max(
+            defaultChangesPerS,
+            Math.max(neededChangesPerS, changesPerSOf(peer) * RETAINED_FRACTION_PER_SECOND)));
+    lendWithinLimit(defaultChangesPerS);
   }
 
-  /** Scales all shares down if together they are more than the leader lends at most. */
-  private void lendWithinLimit(double usual) {
-    double lent = 0;
-    for (double share : shares.values()) {
-      lent += share - usual;
+  /** Reduces all loans proportionally if together they exceed what the leader may lend. */
+  private void lendWithinLimit(double defaultChangesPerS) {
+    double lentChangesPerS = 0;
+    for (double changesPerS : changesPerSByPeer.values()) {
+      lentChangesPerS += changesPerS - defaultChangesPerS;
     }
-    double maxLent = state.budget().leaderChangesPerS() * MAX_LENT_SHARE;
-    if (lent > maxLent) {
-      double scale = maxLent / lent;
-      shares.replaceAll((peer, share) -> usual + (share - usual) * scale);
-      lent = maxLent;
+    double maxLentChangesPerS = stateClient.budget().leaderChangesPerS() * MAX_LENT_FRACTION;
+    if (lentChangesPerS > maxLentChangesPerS) {
+      double scale = maxLentChangesPerS / lentChangesPerS;
+      changesPerSByPeer.replaceAll(
+          (peer, changesPerS) -> defaultChangesPerS + (changesPerS - defaultChangesPerS) * scale);
+      lentChangesPerS = maxLentChangesPerS;
     }
-    state.budget().lend(lent);
+    stateClient.budget().lend(lentChangesPerS);
   }
 }
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -92,7 +92,8 @@
   private boolean isCutOff(double now) {
     double aloneAfter =
         grant.lastLeaderContact() + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT);
-    return now > aloneAfter && state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S;
+    return now > aloneAfter
+        && state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
   /** The term under which workers may be answered. */
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -90,7 +90,7 @@
       redirect(exchange.to(), leaderName(cache.leader()));
     } else if (leadership.isLeader()) {
       answerAsLeader(heartbeat, "", exchange.to());
-    } else if (leadership.holdsLeaderlessPledges()
+    } else if (leadership.mayRenewLeasesWithoutLeader()
         && heartbeat.term() > 0
         && cancellations.mayRenew()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
@@ -98,7 +98,7 @@
     } else if (leaseDelegate.mayAnswer(heartbeat)) {
       renew(exchange.to(), leaseDelegate.term(), cancellations.kills(heartbeat));
     } else {
-      leadership.seekLeaderlessPledges();
+      leadership.collectLeaderlessPledges();
       relayOrRedirect(exchange, heartbeat);
     }
   }
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -123,7 +123,7 @@
     int suspended = other(w, leader);
     // It is up and serves users, but the leader does not hear it.
     w.net.cut("c" + leader, "c" + suspended);
-    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 3);
     for (int i = 0; i < size; i++) {
       refuse(w, i, i != leader && i != suspended);
     }
@@ -148,7 +148,7 @@
     int leader = w.leader();
     int suspended = other(w, leader);
     w.net.cut("c" + leader, "c" + suspended);
-    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 3);
     // The third records it, but hears of that as little as the leader does.
     int third = (leader + 2) % 3;
     w.net.cut("c" + suspended, "c" + third);
@@ -222,7 +222,7 @@
     w.store.delayS = 7;
     w.store.delay = t -> t.toString().contains("\"stop\":true");
     w.users.cancel(suspended, jobs[0]);
-    w.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
+    w.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 2);
     assertThat(w.store.value(StateCodec.suspensionKey("m-" + suspended))).isNotNull();
     refuse(w, leader, true); // It has seen the suspension stand, and no stop.
     w.loop.run(4);
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -17,169 +17,171 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Controllers that restart, stand alone or have just begun. */
+/** Controllers that restart, are isolated, or have just started. */
 class ControllerRestartTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
   }
 
   @Test
-  void controllersStayReadyInTotalOutageButNotWhenTheyAreAlone() {
-    SimWorld w = world(39);
-    w.loop.run(5);
-    w.store.outage(true);
-    w.loop.run(8);
-    for (int i = 0; i < w.size; i++) {
-      assertThat(w.users.answer(i, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
+  void controllersStayReadyInTotalStoreOutageButNotIfPeersAreServed() {
+    SimWorld world = world(39);
+    world.loop.run(5);
+    world.store.outage(true);
+    world.loop.run(8);
+    for (int i = 0; i < world.size; i++) {
+      assertThat(world.users.answer(i, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
     }
-    w.store.outage(false);
-    w.loop.run(5);
-    w.isolate(1, true);
-    w.refused[2][0] = true; // Some of their peers are served, so users are better off there.
-    w.refused[3][0] = true;
-    w.loop.run(8);
-    assertThat(w.users.answer(1, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.users.answer(2, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.users.answer(3, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
-    assertThat(w.users.answer(0, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
+    world.store.outage(false);
+    world.loop.run(5);
+    world.isolate(1, true);
+    world.refused[2][0] = true; // Some of their peers are served, and users should be routed there.
+    world.refused[3][0] = true;
+    world.loop.run(8);
+    assertThat(world.users.answer(1, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(world.users.answer(2, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(world.users.answer(3, "GET", "/ready", null).path("http").asInt()).isEqualTo(503);
+    assertThat(world.users.answer(0, "GET", "/ready", null).path("http").asInt()).isEqualTo(200);
   }
 
   @Test
-  void workersOfIsolatedLeaderFindTheNextWithoutLosingTheirLease() {
-    SimWorld w = world(33);
-    w.users.submit(0, w.users.job("j-000064", 4, 1, 0, false));
-    w.loop.run(20);
-    final int starts = w.invariants.starts;
-    int leader = w.leader();
-    w.isolate(leader, true);
-    w.loop.run(40);
-    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(w.controllers[leader].leader()).isFalse();
-    w.isolate(leader, false);
-    w.loop.run(20);
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    fine(w);
+  void workersOfIsolatedLeaderReachNewLeaderBeforeTheirLeasesEnd() {
+    SimWorld world = world(33);
+    world.users.submit(0, world.users.job("j-000064", 4, 1, 0, false));
+    world.loop.run(20);
+    final int starts = world.invariants.starts;
+    int leader = world.leader();
+    world.isolate(leader, true);
+    world.loop.run(40);
+    assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
+    assertThat(world.controllers[leader].leader()).isFalse();
+    world.isolate(leader, false);
+    world.loop.run(20);
+    assertThat(world.invariants.starts).isEqualTo(starts);
+    fine(world);
   }
 
   @Test
-  void leaderBackAtOnceAndAnotherThatRestartsInTheElectionCostNoLease() {
-    SimWorld w = world(34);
-    w.users.submit(0, w.users.job("j-000065", 4, 1, 0, false));
-    w.loop.run(20);
-    final int starts = w.invariants.starts;
-    int leader = w.leader();
-    w.crash(leader);
-    w.loop.run(0.2);
-    w.start(leader);
+  void quickRestartsOfLeaderAndFollowersDuringElectionEndNoWorkerLease() {
+    SimWorld world = world(34);
+    world.users.submit(0, world.users.job("j-000065", 4, 1, 0, false));
+    world.loop.run(20);
+    final int starts = world.invariants.starts;
+    int leader = world.leader();
+    world.crash(leader);
+    world.loop.run(0.2);
+    world.start(leader);
     for (int i = 0; i < 4; i++) {
-      int k = (leader + 1 + i) % w.size;
-      w.loop.run(0.15);
-      w.crash(k);
-      w.loop.run(0.1);
-      w.start(k);
+      int restarted = (leader + 1 + i) % world.size;
+      world.loop.run(0.15);
+      world.crash(restarted);
+      world.loop.run(0.1);
+      world.start(restarted);
     }
-    w.loop.run(30);
-    assertThat(w.leader()).isNotNegative();
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    fine(w);
+    world.loop.run(30);
+    assertThat(world.leader()).isNotNegative();
+    assertThat(world.invariants.starts).isEqualTo(starts);
+    fine(world);
   }
 
   @Test
-  void leaderThatStillReadsTheRecordsKeepsLeasesAliveAndCommandsNothing() {
-    // In one zone, since lease delegates elsewhere use the time that a cancellation leaves.
-    SimWorld w = new SimWorld(37, WorldShape.of(5).fleet(8, List.of("a")));
-    w.loop.run(4);
-    w.users.submit(0, w.users.job("j-000066", 4, 1, 0, false));
-    w.loop.run(20);
-    final int starts = w.invariants.starts;
-    w.crashAll();
-    w.loop.run(5);
-    // Reading all takes longer than the leases last; who leads is known at once.
-    w.store.refusedList = StateCodec.JOBS;
-    w.startAll();
-    w.loop.run(9);
-    assertThat(w.leader()).isNotNegative();
-    assertThat(w.controllers[w.leader()].core()).isNull();
-    w.store.refusedList = null;
-    w.loop.run(20);
-    assertThat(w.controllers[w.leader()].core()).isNotNull();
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    fine(w);
+  void leaderStillLoadingRecordsKeepsWorkerLeasesAlive() {
+    // A single zone: with lease delegates, new processes may not renew leases without knowing
+    // cancellations.
+    SimWorld world = new SimWorld(37, WorldShape.of(5).fleet(8, List.of("a")));
+    world.loop.run(4);
+    world.users.submit(0, world.users.job("j-000066", 4, 1, 0, false));
+    world.loop.run(20);
+    final int starts = world.invariants.starts;
+    world.crashAll();
+    world.loop.run(5);
+    // Loading the records takes longer than a worker lease; only the election records are known.
+    world.store.refusedList = StateCodec.JOBS;
+    world.startAll();
+    world.loop.run(9);
+    assertThat(world.leader()).isNotNegative();
+    assertThat(world.controllers[world.leader()].core()).isNull();
+    world.store.refusedList = null;
+    world.loop.run(20);
+    assertThat(world.controllers[world.leader()].core()).isNotNull();
+    assertThat(world.invariants.starts).isEqualTo(starts);
+    fine(world);
   }
 
   @Test
-  void whenFaultsEndEveryJobIsAnsweredOnEveryControllerAtOnce() {
-    SimWorld w = world(35);
+  void everyControllerAnswersForEveryJobAtOnceAfterFaultsEnd() {
+    SimWorld world = world(35);
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      SimJob j = w.users.job("j-00007" + i, 1 + i, 1, i % 2 == 0 ? 0 : 4, false);
-      jobs.add(j);
-      w.users.submit(i % w.size, j);
+      SimJob job = world.users.job("j-00007" + i, 1 + i, 1, i % 2 == 0 ? 0 : 4, false);
+      jobs.add(job);
+      world.users.submit(i % world.size, job);
     }
-    w.loop.run(15);
-    // Watches, lists and catch-up reads die on the way, on some controllers for long.
-    w.net.cut("c1", "state");
-    w.refused[2][0] = true;
-    w.net.loseAnswers = 0.4;
-    w.loop.run(20);
-    w.store.outage(true);
-    w.loop.run(10);
-    w.store.outage(false);
-    w.net.loseAnswers = 0;
-    w.refused[2][0] = false;
-    w.net.heal("c1", "state");
-    w.loop.run(5);
-    for (SimJob j : jobs) {
-      for (int i = 0; i < w.size; i++) {
-        double asked = w.loop.now();
-        assertThat(w.users.answer(i, "GET", "/v1/jobs/" + j.id, null).path("http").asInt())
-            .as(j.id + " on m-" + i)
+    world.loop.run(15);
+    // Watches, listings and catch-up reads fail, on some controllers for long.
+    world.net.cut("c1", "state");
+    world.refused[2][0] = true;
+    world.net.loseAnswers = 0.4;
+    world.loop.run(20);
+    world.store.outage(true);
+    world.loop.run(10);
+    world.store.outage(false);
+    world.net.loseAnswers = 0;
+    world.refused[2][0] = false;
+    world.net.heal("c1", "state");
+    world.loop.run(5);
+    for (SimJob job : jobs) {
+      for (int i = 0; i < world.size; i++) {
+        double askedAt = world.loop.now();
+        assertThat(world.users.answer(i, "GET", "/v1/jobs/" + job.id, null).path("http").asInt())
+            .as(job.id + " on m-" + i)
             .isEqualTo(200);
-        assertThat(w.loop.now() - asked).isLessThan(1);
+        assertThat(world.loop.now() - askedAt).isLessThan(1);
       }
     }
-    fine(w);
+    fine(world);
   }
 
   @Test
-  void nextLeaderKnowsWhichMachinesHaveAnImage() {
+  void newLeaderKnowsFromHintsWhichMachinesHaveAnImage() {
     Scheduler first = SchedulerFixture.scheduler(1);
     hearing(first, "n-1", 0);
     hearing(first, "n-2", 0);
     first.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(first, 10, 0.1);
-    String warm = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
-    SchedulerFixture.work(first, warm, 2, 1, 1);
+    String machineWithImage = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
+    SchedulerFixture.work(first, machineWithImage, 2, 1, 1);
     first.tick(20);
-    Action.KeepImages kept =
+    Action.KeepImages keepImages =
         (Action.KeepImages)
             SchedulerFixture.taken(first).stream()
-                .filter(a -> a instanceof Action.KeepImages)
+                .filter(action -> action instanceof Action.KeepImages)
                 .findFirst()
                 .orElseThrow();
     Scheduler next = SchedulerFixture.takingOver(2);
-    next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(kept.machines(), 60)));
+    next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(keepImages.machines(), 60)));
     next.loaded(20);
     for (int i = 1; i <= 6; i++) {
       SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
     }
     next.onJob(SchedulerFixture.array("j-2", 3), false, 6, 20, 20);
     SchedulerFixture.commitAll(next, 11, 20.1);
-    assertThat(SchedulerFixture.claimsOf(next, warm)).isEqualTo(3);
+    assertThat(SchedulerFixture.claimsOf(next, machineWithImage)).isEqualTo(3);
   }
 
   @Test
-  void onFullFleetTheFreeSlotGoesToTheArrayWhoseImageIsPresent() {
-    Scheduler s = SchedulerFixture.takingOver(1);
-    s.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
-    s.loaded(0);
-    hearing(s, "n-1", 0);
-    hearing(s, "n-2", 0);
-    s.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
-    s.onJob(SchedulerFixture.array("j-2", 8, "x"), false, 6, 0, 0);
-    SchedulerFixture.commitAll(s, 10, 0.1);
-    assertThat(SchedulerFixture.tasksStarted(s, "j-1")).isEqualTo(4);
-    assertThat(SchedulerFixture.tasksStarted(s, "j-2")).isEqualTo(4);
-    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("to be fetched"));
+  void freeSlotsOfFullFleetGoToArrayWhoseImageIsPresent() {
+    Scheduler scheduler = SchedulerFixture.takingOver(1);
+    scheduler.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
+    scheduler.loaded(0);
+    hearing(scheduler, "n-1", 0);
+    hearing(scheduler, "n-2", 0);
+    scheduler.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
+    scheduler.onJob(SchedulerFixture.array("j-2", 8, "x"), false, 6, 0, 0);
+    SchedulerFixture.commitAll(scheduler, 10, 0.1);
+    assertThat(SchedulerFixture.tasksStarted(scheduler, "j-1")).isEqualTo(4);
+    assertThat(SchedulerFixture.tasksStarted(scheduler, "j-2")).isEqualTo(4);
+    assertThat(SchedulerFixture.logLines(scheduler))
+        .noneMatch(line -> line.contains("to be fetched"));
   }
 }
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -13,109 +13,113 @@
 import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
-/** What a new leader adopts, and when it starts a task anew. */
+/** What a new leader adopts from the one before, and when it starts a task again. */
 class FailoverTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
   }
 
   @Test
-  void failoverAdoptsWhatRunsAndStartsNothingTwice() {
-    SimWorld w = world(7);
-    SimJob j = w.users.job("j-000007", 4, 1, 0, false);
-    w.users.submit(0, j);
-    w.loop.run(15);
-    int starts = w.invariants.starts;
-    w.crash(w.leader());
-    w.loop.run(30);
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    fine(w);
+  void newLeaderAdoptsRunningTasksWithoutStartingThemAgain() {
+    SimWorld world = world(7);
+    SimJob job = world.users.job("j-000007", 4, 1, 0, false);
+    world.users.submit(0, job);
+    world.loop.run(15);
+    int starts = world.invariants.starts;
+    world.crash(world.leader());
+    world.loop.run(30);
+    assertThat(world.invariants.starts).isEqualTo(starts);
+    fine(world);
   }
 
   @Test
-  void missingTaskIsRequeuedOnlyAfterItsWorkersLease() {
-    SimWorld w = world(8);
-    SimJob j = w.users.job("j-000008", 1, 4, 300, false);
-    w.users.submit(0, j);
-    w.loop.run(15);
-    String machine = runner(w, "j-000008/0");
-    int leader = w.leader();
-    w.crash(leader);
-    w.loop.after(3, () -> w.start(leader));
-    w.cutOff(machine);
-    assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S, 40.0);
-    fine(w);
+  void taskOfUnreachableWorkerIsRestartedOnlyAfterItsWorkerLease() {
+    SimWorld world = world(8);
+    SimJob job = world.users.job("j-000008", 1, 4, 300, false);
+    world.users.submit(0, job);
+    world.loop.run(15);
+    String machine = runner(world, "j-000008/0");
+    int leader = world.leader();
+    world.crash(leader);
+    world.loop.after(3, () -> world.start(leader));
+    world.cutOff(machine);
+    assertThat(secondsToNextStart(world)).isBetween(SimWorld.LEASE_S, 40.0);
+    fine(world);
   }
 
   @Test
-  void silentMachineWithServicesIsScaledInAndItsReplicasStartElsewhereBeforeItsLeaseEnds() {
-    SimWorld w = world(8);
-    SimJob j = w.users.job("j-000020", 1, 3, 0, false);
-    w.users.submit(0, w.users.job("j-000021", 4, 3, 300, false));
-    w.users.submit(0, j);
-    w.loop.run(20);
-    String machine = runner(w, "j-000020/0");
-    w.cutOff(machine);
-    w.loop.run(SimWorld.LEASE_S - 2);
-    assertThat(w.cloud.names()).doesNotContain(machine); // Deleted, which proves the task gone.
-    w.loop.run(15);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
-    assertThat(runner(w, "j-000020/0")).isNotEqualTo(machine);
-    fine(w);
+  void unreachableMachineIsScaledInAndItsServiceStartsElsewhereBeforeItsLeaseEnds() {
+    SimWorld world = world(8);
+    SimJob job = world.users.job("j-000020", 1, 3, 0, false);
+    world.users.submit(0, world.users.job("j-000021", 4, 3, 300, false));
+    world.users.submit(0, job);
+    world.loop.run(20);
+    String machine = runner(world, "j-000020/0");
+    world.cutOff(machine);
+    world.loop.run(SimWorld.LEASE_S - 2);
+    assertThat(world.cloud.names())
+        .doesNotContain(machine); // Deleted, so the task can't run any more.
+    world.loop.run(15);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("running");
+    assertThat(runner(world, "j-000020/0")).isNotEqualTo(machine);
+    fine(world);
   }
 
   @Test
-  void sessionShownOnlyByDirectCommandsHasItsWholeLease() {
-    // A worker that reaches no controller but is reached by the leader: the leader sees a new
-    // session in its answers and launches there, and must wait for that session's own lease.
-    Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0.0);
-    s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
-    SchedulerFixture.commitAll(s, 10, 0.1);
-    SchedulerFixture.answerDirect(s, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
-    SchedulerFixture.commitAll(s, 11, 11.1); // The first attempt ends with its session.
-    SchedulerFixture.commitAll(s, 12, 11.2); // The second is claimed on the new one.
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    s.tick(14); // A lease counted from the last answer would be over.
-    assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
-    s.tick(11 + SimWorld.LEASE_S + 1);
-    assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("lease of n-1 is over"));
+  void workerSessionKnownOnlyFromDirectCommandAnswersKeepsItsFullLease() {
+    // The worker can't reach any controller, but the leader reaches it. The leader learns of a new
+    // worker session only from answers to direct commands and launches a task in it, so it has to
+    // wait for a full lease of that session before it considers the lease over.
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0.0);
+    scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
+    SchedulerFixture.commitAll(scheduler, 10, 0.1);
+    SchedulerFixture.answerDirect(scheduler, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
+    SchedulerFixture.commitAll(scheduler, 11, 11.1); // The first attempt ends with the old session.
+    SchedulerFixture.commitAll(
+        scheduler, 12, 11.2); // The second attempt is claimed in the new session.
+    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    scheduler.tick(14); // A lease counted from the last answered heartbeat would be over.
+    assertThat(SchedulerFixture.logLines(scheduler))
+        .noneMatch(line -> line.contains("lease of n-1 is over"));
+    scheduler.tick(11 + SimWorld.LEASE_S + 1);
+    assertThat(SchedulerFixture.logLines(scheduler))
+        .anyMatch(line -> line.contains("lease of n-1 is over"));
   }
 
   @Test
-  void leaderReachedOnlyByItsWorkersFallsSilentBeforeAnotherMayFollow() {
-    SimWorld w = world(24);
-    SimJob j = w.users.job("j-000050", 3, 1, 0, false);
-    w.users.submit(0, j);
-    w.loop.run(15);
-    int leader = w.leader();
-    w.net.cut("c" + leader, "state");
-    w.net.cut("c" + leader, "c" + (leader + 1) % 3);
-    w.net.cut("c" + leader, "c" + (leader + 2) % 3);
-    w.loop.run(4);
-    assertThat(w.controllers[leader].leader()).isFalse();
-    w.loop.run(36);
-    w.net.heal("c" + leader, "state");
-    w.loop.run(10);
-    assertThat(w.leader()).isNotNegative();
-    fine(w);
+  void leaderCutOffFromStoreAndPeersStepsDownBeforeAnotherCanBeElected() {
+    SimWorld world = world(24);
+    SimJob job = world.users.job("j-000050", 3, 1, 0, false);
+    world.users.submit(0, job);
+    world.loop.run(15);
+    int leader = world.leader();
+    world.net.cut("c" + leader, "state");
+    world.net.cut("c" + leader, "c" + (leader + 1) % 3);
+    world.net.cut("c" + leader, "c" + (leader + 2) % 3);
+    world.loop.run(4);
+    assertThat(world.controllers[leader].leader()).isFalse();
+    world.loop.run(36);
+    world.net.heal("c" + leader, "state");
+    world.loop.run(10);
+    assertThat(world.leader()).isNotNegative();
+    fine(world);
   }
 
   @Test
-  void heartbeatUnderAnOlderTermProvesNothingAboutAnEarlierLeadersClaim() {
-    Scheduler s = SchedulerFixture.takingOver(2);
-    s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
-    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
-    s.loaded(0);
-    s.onHeartbeat(
-        SchedulerFixture.heartbeat("n-1", 1, 5, 1),
-        1); // The earlier leader's launch may be under way.
-    SchedulerFixture.commitAll(s, 10, 1.1);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    assertThat(SchedulerFixture.writes(s)).isZero();
-    s.onHeartbeat(
-        SchedulerFixture.heartbeat("n-1", 1, 6, 2), 2); // Now that launch would be refused.
-    SchedulerFixture.commitAll(s, 11, 2.1);
-    assertThat(SchedulerFixture.writes(s)).isPositive();
+  void heartbeatOfOlderTermDoesNotReleaseClaimOfEarlierLeader() {
+    Scheduler scheduler = SchedulerFixture.takingOver(2);
+    scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
+    scheduler.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
+    scheduler.loaded(0);
+    // The launch command of the earlier leader may still arrive.
+    scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 5, 1), 1);
+    SchedulerFixture.commitAll(scheduler, 10, 1.1);
+    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.writes(scheduler)).isZero();
+    // From now on the worker refuses that launch command.
+    scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 6, 2), 2);
+    SchedulerFixture.commitAll(scheduler, 11, 2.1);
+    assertThat(SchedulerFixture.writes(scheduler)).isPositive();
   }
 }
--- a/src/test/java/graderelay/state/LeaderChangeTest.java
+++ b/src/test/java/graderelay/state/LeaderChangeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Changes of leader, also many and in an outage. */
+/** Single and repeated leader changes, also during an outage of the key-value store. */
 class LeaderChangeTest {
   private static SimWorld world(long seed, int size) {
     return WorldAssertions.world(seed, size);
@@ -38,114 +38,115 @@
     "isolate, 0.5",
     "isolate, 4",
     "isolate, 12",
-    "blink, 0",
-    "blink, 0.2"
+    "restart, 0",
+    "restart, 0.2"
   })
-  void jobsCancelledWhileTheFleetChangesHandsAreGoneInTime(String how, double cancelAfter) {
-    SimWorld w = world(321, 3);
-    w.users.lookClosely();
-    SimJob[] jobs = running(w, 3);
-    int leader = w.leader();
-    switch (how) {
-      case "crash" -> w.crash(leader);
-      case "handover" -> refuse(w, leader, true);
-      case "isolate" -> w.isolate(leader, true);
+  void jobsCancelledDuringLeaderChangeAreStoppedInTime(String fault, double cancelAfterS) {
+    SimWorld world = world(321, 3);
+    world.users.lookClosely();
+    SimJob[] jobs = running(world, 3);
+    int leader = world.leader();
+    switch (fault) {
+      case "crash" -> world.crash(leader);
+      case "handover" -> refuse(world, leader, true);
+      case "isolate" -> world.isolate(leader, true);
       default -> {
-        w.crash(leader);
-        w.loop.after(0.1, () -> w.start(leader));
+        world.crash(leader);
+        world.loop.after(0.1, () -> world.start(leader));
       }
     }
-    w.loop.run(cancelAfter);
+    world.loop.run(cancelAfterS);
     for (int i = 0; i < 3; i++) {
-      w.users.cancel((leader + 1 + i) % 3, jobs[i]);
+      world.users.cancel((leader + 1 + i) % 3, jobs[i]);
     }
-    w.loop.run(8);
-    if (how.equals("isolate")) {
-      w.isolate(leader, false);
+    world.loop.run(8);
+    if (fault.equals("isolate")) {
+      world.isolate(leader, false);
     }
-    w.loop.run(SimWorld.CANCEL_S);
-    assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
-    fine(w);
+    world.loop.run(SimWorld.CANCEL_S);
+    assertThat(world.workers.values()).allMatch(worker -> worker.running().isEmpty());
+    fine(world);
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void tenLeaderChangesInTwoMinutesAlsoInAnOutageCostNoJob(boolean blinks) {
-    SimWorld w = world(322, 3);
-    List<SimJob> jobs = arrays(w, 24, 4, 9);
+  void tenLeaderChangesInTwoMinutesIncludingStoreOutagesLoseNoJob(boolean restartsAtOnce) {
+    SimWorld world = world(322, 3);
+    List<SimJob> jobs = arrays(world, 24, 4, 9);
     for (int i = 0; i < 10; i++) {
-      w.loop.run(10);
+      world.loop.run(10);
       if (i % 4 == 2) {
-        w.store.outage(true);
-        w.loop.after(8, () -> w.store.outage(false));
+        world.store.outage(true);
+        world.loop.after(8, () -> world.store.outage(false));
       }
-      int leader = w.leader();
+      int leader = world.leader();
       if (leader >= 0) {
-        w.crash(leader);
-        w.loop.after(blinks ? 0.2 : 5, () -> w.start(leader));
+        world.crash(leader);
+        world.loop.after(restartsAtOnce ? 0.2 : 5, () -> world.start(leader));
       }
     }
-    w.loop.run(90);
-    allOver(w, jobs);
+    world.loop.run(90);
+    allOver(world, jobs);
   }
 
   @Test
-  void leadershipIsHandedOverAndBackAndAllEndAndOneReturnsAtOnce() {
-    SimWorld w = oneZone(323, 3);
-    SimJob[] jobs = running(w, 2);
+  void cancelledJobStopsAndOtherKeepsRunningAfterHandoversAndCrashOfAllControllers() {
+    SimWorld world = oneZone(323, 3);
+    SimJob[] jobs = running(world, 2);
     for (int i = 0; i < 3; i++) {
-      int leader = w.leader();
-      refuse(w, leader, true);
-      w.loop.run(2.5);
-      assertThat(w.leader()).isNotEqualTo(leader);
-      refuse(w, leader, false);
-      w.loop.run(2);
+      int leader = world.leader();
+      refuse(world, leader, true);
+      world.loop.run(2.5);
+      assertThat(world.leader()).isNotEqualTo(leader);
+      refuse(world, leader, false);
+      world.loop.run(2);
     }
-    w.users.cancel(0, jobs[0]);
-    w.loop.run(0.1);
-    w.crashAll();
-    w.loop.run(0.4);
-    w.start(1);
-    w.loop.run(SimWorld.CANCEL_S);
-    w.start(0);
-    w.start(2);
-    w.loop.run(10);
-    assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
-    assertThat(w.users.stage(1, jobs[1].id)).isEqualTo("running");
-    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
-    fine(w);
+    world.users.cancel(0, jobs[0]);
+    world.loop.run(0.1);
+    world.crashAll();
+    world.loop.run(0.4);
+    world.start(1);
+    world.loop.run(SimWorld.CANCEL_S);
+    world.start(0);
+    world.start(2);
+    world.loop.run(10);
+    assertThat(world.workers.values())
+        .noneMatch(worker -> worker.running().contains(jobs[0].id + "/0"));
+    assertThat(world.users.stage(1, jobs[1].id)).isEqualTo("running");
+    assertThat(world.invariants.trace()).noneMatch(line -> line.contains("lease over"));
+    fine(world);
   }
 
   @Test
-  void allControllersAreAwayForLongerThanOneLeaseAfterCancellation() {
-    SimWorld w = world(324, 3);
-    SimJob[] jobs = running(w, 2);
-    w.users.cancel(0, jobs[0]);
-    w.loop.run(0.05);
-    w.crashAll();
-    w.loop.run(SimWorld.LEASE_S + 5);
-    w.startAll();
-    w.loop.run(30);
-    assertThat(w.users.stage(2, jobs[0].id)).isEqualTo("cancelled");
-    assertThat(runner(w, jobs[1].id + "/0")).isNotNull(); // It began anew.
-    fine(w);
+  void jobStaysCancelledAndOtherRestartsAfterAllControllersAreDownLongerThanLease() {
+    SimWorld world = world(324, 3);
+    SimJob[] jobs = running(world, 2);
+    world.users.cancel(0, jobs[0]);
+    world.loop.run(0.05);
+    world.crashAll();
+    world.loop.run(SimWorld.LEASE_S + 5);
+    world.startAll();
+    world.loop.run(30);
+    assertThat(world.users.stage(2, jobs[0].id)).isEqualTo("cancelled");
+    assertThat(runner(world, jobs[1].id + "/0")).isNotNull(); // It was started again.
+    fine(world);
   }
 
   @Test
-  void tasksThatEndFarApartAcrossLeaderChangeEndTheirJob() {
-    SimWorld w = world(325, 3);
-    w.cloud.capacity = 1; // One task after the other.
-    SimJob j = w.users.job("j-000480", 3, 4, 9, false);
-    w.users.submit(0, j);
+  void jobIsDoneAfterItsTasksEndUnderDifferentLeaders() {
+    SimWorld world = world(325, 3);
+    world.cloud.capacity = 1; // Tasks run one after the other.
+    SimJob job = world.users.job("j-000480", 3, 4, 9, false);
+    world.users.submit(0, job);
     for (int i = 0; i < 3; i++) {
-      w.loop.run(12);
-      int leader = w.leader();
-      w.crash(leader);
-      w.loop.after(0.5 + i * 3, () -> w.start(leader));
+      world.loop.run(12);
+      int leader = world.leader();
+      world.crash(leader);
+      world.loop.after(0.5 + i * 3, () -> world.start(leader));
     }
-    w.loop.run(40);
-    assertThat(w.invariants.starts).isEqualTo(3);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
-    fine(w);
+    world.loop.run(40);
+    assertThat(world.invariants.starts).isEqualTo(3);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("done");
+    fine(world);
   }
 }
--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -9,93 +9,94 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that are away for long and may not stand for election. */
+/** Controllers that were down for long and are suspended from election. */
 class SuspendedControllersTest {
-  /** A service runs, and a controller that is not the leader has been down for a while. */
-  private static SimWorld withOneDown(long seed, int size) {
-    SimWorld w = world(seed, size);
-    w.users.submit(w.leader(), w.users.job("j-000070", 3, 1, 0, false));
-    w.loop.run(20);
-    w.crash((w.leader() + 1) % size);
-    w.loop.run(10);
-    assertThat(w.invariants.starts).isEqualTo(3);
-    return w;
+  /** A running service, and a follower that is down for long enough to be suspended. */
+  private static SimWorld worldWithSuspendedController(long seed, int size) {
+    SimWorld world = world(seed, size);
+    world.users.submit(world.leader(), world.users.job("j-000070", 3, 1, 0, false));
+    world.loop.run(20);
+    world.crash((world.leader() + 1) % size);
+    world.loop.run(10);
+    assertThat(world.invariants.starts).isEqualTo(3);
+    return world;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {3, 5})
-  void outageWhileOneControllerIsAwayCostsNoLease(int size) {
-    SimWorld w = withOneDown(71, size);
-    final int leader = w.leader();
-    w.store.outage(true);
-    w.loop.run(SimWorld.LEASE_S + 10);
-    w.store.outage(false);
-    w.loop.run(20);
-    assertThat(w.invariants.starts).isEqualTo(3);
-    assertThat(w.invariants.trace()).noneMatch(x -> x.contains("lease over"));
-    w.start((leader + 1) % size);
-    w.loop.run(10);
-    fine(w);
+  void storeOutageWhileOneControllerIsDownEndsNoWorkerLease(int size) {
+    SimWorld world = worldWithSuspendedController(71, size);
+    final int leader = world.leader();
+    world.store.outage(true);
+    world.loop.run(SimWorld.LEASE_S + 10);
+    world.store.outage(false);
+    world.loop.run(20);
+    assertThat(world.invariants.starts).isEqualTo(3);
+    assertThat(world.invariants.trace()).noneMatch(line -> line.contains("lease over"));
+    world.start((leader + 1) % size);
+    world.loop.run(10);
+    fine(world);
   }
 
   @Test
-  void returningControllerTakesOverAsSoonAsItsSuspensionIsLifted() {
-    SimWorld w = withOneDown(72, 3);
-    int leader = w.leader();
-    int back = (leader + 1) % 3;
-    w.start(back);
-    w.loop.run(6);
-    w.crash(leader);
-    w.crash((leader + 2) % 3);
-    w.loop.run(8);
-    assertThat(w.leader()).isEqualTo(back);
-    w.loop.run(20);
-    assertThat(w.invariants.starts).isEqualTo(3);
-    fine(w);
+  void restartedControllerIsElectedOnceItsSuspensionIsLifted() {
+    SimWorld world = worldWithSuspendedController(72, 3);
+    int leader = world.leader();
+    int restarted = (leader + 1) % 3;
+    world.start(restarted);
+    world.loop.run(6);
+    world.crash(leader);
+    world.crash((leader + 2) % 3);
+    world.loop.run(8);
+    assertThat(world.leader()).isEqualTo(restarted);
+    world.loop.run(20);
+    assertThat(world.invariants.starts).isEqualTo(3);
+    fine(world);
   }
 
   @Test
-  void lonelySuspendedMemberTakesOverOnlyWhenNobodyCanRelyOnItsSuspension() {
-    SimWorld w = withOneDown(73, 3);
-    int leader = w.leader();
-    int back = (leader + 1) % 3;
-    w.crash(leader);
-    w.crash((leader + 2) % 3);
-    w.start(back);
-    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
-    assertThat(w.leader()).isNegative();
-    // Another process of it has nothing to count from, and begins anew.
-    w.crash(back);
-    w.start(back);
-    w.loop.run(ElectionTiming.SUSPENSION_S - 2);
-    assertThat(w.leader()).isNegative();
-    w.loop.run(10);
-    assertThat(w.leader()).isEqualTo(back);
-    w.loop.run(20);
-    fine(w);
+  void lastSuspendedControllerIsElectedOnlyWhenNoLeaderCanRelyOnItsSuspension() {
+    SimWorld world = worldWithSuspendedController(73, 3);
+    int leader = world.leader();
+    int restarted = (leader + 1) % 3;
+    world.crash(leader);
+    world.crash((leader + 2) % 3);
+    world.start(restarted);
+    world.loop.run(ElectionTiming.SUSPENSION_S - 2);
+    assertThat(world.leader()).isNegative();
+    // A new process of it does not know since when it has waited, and starts over.
+    world.crash(restarted);
+    world.start(restarted);
+    world.loop.run(ElectionTiming.SUSPENSION_S - 2);
+    assertThat(world.leader()).isNegative();
+    world.loop.run(10);
+    assertThat(world.leader()).isEqualTo(restarted);
+    world.loop.run(20);
+    fine(world);
   }
 
   @Test
-  void leaderThatLosesTheStoreStopsBeforeAnySuspendedMemberCanTakeOver() {
-    SimWorld w = withOneDown(74, 3);
-    int leader = w.leader();
+  void leaderThatLosesTheStoreStopsBeforeSuspendedControllerIsElected() {
+    SimWorld world = worldWithSuspendedController(74, 3);
+    int leader = world.leader();
     int other = (leader + 2) % 3;
-    int back = (leader + 1) % 3;
-    // The leader and the third are refused alone; the suspended one comes back and is served.
-    w.refused[leader][0] = true;
-    w.refused[other][0] = true;
-    w.net.cut("c" + leader, "c" + back);
-    w.net.cut("c" + other, "c" + back);
-    w.start(back);
+    int restarted = (leader + 1) % 3;
+    // The store refuses the leader and the third controller, and serves the suspended one, which
+    // restarts.
+    world.refused[leader][0] = true;
+    world.refused[other][0] = true;
+    world.net.cut("c" + leader, "c" + restarted);
+    world.net.cut("c" + other, "c" + restarted);
+    world.start(restarted);
     for (int i = 0; i < 600; i++) {
-      w.loop.run(0.1);
-      int speaking = 0;
-      for (int n = 0; n < 3; n++) {
-        speaking += w.controllers[n].speaks() ? 1 : 0;
+      world.loop.run(0.1);
+      int actingLeaders = 0;
+      for (int controller = 0; controller < 3; controller++) {
+        actingLeaders += world.controllers[controller].speaks() ? 1 : 0;
       }
-      assertThat(speaking).isLessThanOrEqualTo(1);
+      assertThat(actingLeaders).isLessThanOrEqualTo(1);
     }
-    assertThat(w.leader()).isEqualTo(back);
-    fine(w);
+    assertThat(world.leader()).isEqualTo(restarted);
+    fine(world);
   }
 }
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -21,16 +21,16 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Controllers of different versions: a message that a peer does not know, or an answer that lacks a
- * field, grants nothing. In an outage of the store the leader then lets the workers' leases end, as
- * if the peer had not answered.
+ * Controllers of different versions: a peer that does not know a message, or whose answer is
+ * invalid or incomplete, grants no pledge. In an outage of the key-value store the leader then
+ * stops renewing worker leases, as if the peer had not answered.
  */
 class UngrantedPledgesTest {
   private static final double OUTAGE_S = 30;
 
-  /** How the followers answer what the leader, or one of them, asks. */
-  private enum PeerAnswer {
-    AS_USUAL,
+  /** How the followers answer requests of other controllers. */
+  private enum AnswerVariant {
+    UNCHANGED,
     UNKNOWN_MESSAGE,
     EMPTY_ANSWER,
     WITHOUT_CANCELLATIONS,
@@ -38,77 +38,84 @@
   }
 
   @ParameterizedTest
-  @EnumSource(PeerAnswer.class)
-  void leasesOutliveAnOutageOnlyIfPeersGrantIt(PeerAnswer how) {
-    // In one zone there is no lease delegate, so only what the peers grant keeps the leases.
-    SimWorld w = new SimWorld(441, WorldShape.of(3).fleet(8, List.of("a")));
-    w.loop.run(3);
-    SimJob service = w.users.job("j-000001", 1, 1, 0, false);
-    w.users.submit(0, service);
-    w.loop.run(15);
-    final String machine = WorldAssertions.runner(w, "j-000001/0");
-    int leader = w.leader();
-    for (int i = 0; i < w.size; i++) {
+  @EnumSource(AnswerVariant.class)
+  void leasesOutliveStoreOutageOnlyIfPeersGrantPledges(AnswerVariant variant) {
+    // There are no lease delegates in a single zone, so leases are renewed only with pledges.
+    SimWorld world = new SimWorld(441, WorldShape.of(3).fleet(8, List.of("a")));
+    world.loop.run(3);
+    SimJob service = world.users.job("j-000001", 1, 1, 0, false);
+    world.users.submit(0, service);
+    world.loop.run(15);
+    final String machine = WorldAssertions.runner(world, "j-000001/0");
+    int leader = world.leader();
+    for (int i = 0; i < world.size; i++) {
       if (i != leader) {
-        Exchange.Handler usual = w.controllers[i]::handlePeer;
-        w.net.listen("c" + i + ":81", "c" + i, e -> answer(how, usual, e));
+        Exchange.Handler peerHandler = world.controllers[i]::handlePeer;
+        world.net.listen(
+            "c" + i + ":81", "c" + i, exchange -> answer(variant, peerHandler, exchange));
       }
     }
-    w.store.outage(true);
-    w.loop.run(OUTAGE_S);
-    boolean runs = w.workers.get(machine).running().contains("j-000001/0");
-    assertThat(runs).isEqualTo(how == PeerAnswer.AS_USUAL);
-    w.store.outage(false);
-    w.loop.run(30);
-    assertThat(w.users.stage(0, service.id)).isEqualTo("running");
-    fine(w);
+    world.store.outage(true);
+    world.loop.run(OUTAGE_S);
+    boolean runs = world.workers.get(machine).running().contains("j-000001/0");
+    assertThat(runs).isEqualTo(variant == AnswerVariant.UNCHANGED);
+    world.store.outage(false);
+    world.loop.run(30);
+    assertThat(world.users.stage(0, service.id)).isEqualTo("running");
+    fine(world);
   }
 
-  private static void answer(PeerAnswer how, Exchange.Handler usual, Exchange e) {
-    switch (how) {
-      case AS_USUAL -> usual.handle(e);
-      case UNKNOWN_MESSAGE -> e.to().accept(Answer.json(404, Json.error("no such message")));
-      case EMPTY_ANSWER -> e.to().accept(cbor(Json.object()));
-      case NOT_CBOR -> e.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
-      case WITHOUT_CANCELLATIONS -> usual.handle(without(e, "cancellations"));
-      default -> throw new AssertionError(how);
+  private static void answer(
+      AnswerVariant variant, Exchange.Handler peerHandler, Exchange exchange) {
+    switch (variant) {
+      case UNCHANGED -> peerHandler.handle(exchange);
+      case UNKNOWN_MESSAGE -> exchange.to().accept(Answer.json(404, Json.error("no such message")));
+      case EMPTY_ANSWER -> exchange.to().accept(cbor(Json.object()));
+      case NOT_CBOR -> exchange.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
+      case WITHOUT_CANCELLATIONS -> peerHandler.handle(withoutField(exchange, "cancellations"));
+      default -> throw new AssertionError(variant);
     }
   }
 
-  /** The same question, whose answer comes without a field. */
-  private static Exchange without(Exchange e, String field) {
+  /** The same exchange, with a field removed from the answer. */
+  private static Exchange withoutField(Exchange exchange, String field) {
     return new Exchange(
-        e.method(),
-        e.path(),
-        e.query(),
-        e.body(),
-        a -> {
-          JsonNode n = Json.readCbor(a.body());
-          if (n instanceof ObjectNode answer) {
+        exchange.method(),
+        exchange.path(),
+        exchange.query(),
+        exchange.body(),
+        reply -> {
+          JsonNode body = Json.readCbor(reply.body());
+          if (body instanceof ObjectNode answer) {
             answer.remove(field);
           }
-          e.to().accept(n == null ? a : cbor(n));
+          exchange.to().accept(body == null ? reply : cbor(body));
         });
   }
 
-  private static Answer cbor(JsonNode n) {
-    return new Answer(200, Json.writeCbor(n), "application/cbor", 0, false);
+  private static Answer cbor(JsonNode body) {
+    return new Answer(200, Json.writeCbor(body), "application/cbor", 0, false);
   }
 
   @Test
-  void messageOfUnknownKindIsRefusedAndChangesNothing() {
-    SimWorld w = world(442, 3);
+  void messageOfUnknownKindIsRefusedAndDelaysNoElection() {
+    SimWorld world = world(442, 3);
     int[] status = {0};
     byte[] pledge = PeerCodec.encodeRequest(new PeerRequest.Pledge("m-1", 99, 60));
-    ObjectNode later = ((ObjectNode) Json.readCbor(pledge)).put("kind", "pledge");
-    for (int i = 0; i < w.size; i++) {
-      w.controllers[i].handlePeer(
-          new Exchange("POST", "/mesh", "", Json.writeCbor(later), a -> status[0] = a.status()));
+    ObjectNode unknownKind = ((ObjectNode) Json.readCbor(pledge)).put("kind", "pledge");
+    for (int i = 0; i < world.size; i++) {
+      world.controllers[i].handlePeer(
+          new Exchange(
+              "POST",
+              "/mesh",
+              "",
+              Json.writeCbor(unknownKind),
+              reply -> status[0] = reply.status()));
       assertThat(status[0]).isEqualTo(404);
     }
-    int leader = w.leader();
-    w.crash(leader);
-    w.loop.run(10); // Nobody holds back for a pledge that nobody made.
-    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
+    int leader = world.leader();
+    world.crash(leader);
+    world.loop.run(10); // No pledge was given that would delay the election.
+    assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
   }
 }
