--- a/src/main/java/graderelay/state/PeerMonitor.java
+++ b/src/main/java/graderelay/state/PeerMonitor.java
@@ -131,7 +131,7 @@
     for (Settings.Peer peer : peerClient.peers()) {
       peerClient.send(
           peer.address(),
-          new PeerRequest.Share(member, term, lending.changesPerSOf(peer.member())),
+          new PeerRequest.Share(member, term, lending.changeRateOf(peer.member())),
           PeerCodec::decodeWanted,
           peerClient.timeoutS(),
           answer -> onAnswer(peer.member(), term, answer));
--- a/src/main/java/graderelay/state/WriteCapacityLending.java
+++ b/src/main/java/graderelay/state/WriteCapacityLending.java
@@ -23,7 +23,7 @@
   private final StateClient stateClient;
 
   /** Changes a second that each peer may make, by member. */
-  private final Map<String, Double> changesPerSByPeer = new HashMap<>();
+  private final Map<String, Double> changeRates = new HashMap<>();
 
   WriteCapacityLending(StateClient stateClient) {
     this.stateClient = stateClient;
@@ -31,12 +31,12 @@
 
   /** Resets the shares when a leader is elected. */
   void reset() {
-    changesPerSByPeer.clear();
+    changeRates.clear();
   }
 
   /** Changes a second that a peer may currently make. */
-  double changesPerSOf(String peer) {
-    return changesPerSByPeer.getOrDefault(peer, stateClient.budget().followerChangesPerS());
+  double changeRateOf(String peer) {
+    return changeRates.getOrDefault(peer, stateClient.budget().followerChangesPerS());
   }
 
   /** Sets the share of a peer by the changes that it made or wanted since the last request. */
@@ -44,24 +44,24 @@
     double defaultChangesPerS = stateClient.budget().followerChangesPerS();
     double maxChangesPerS = stateClient.budget().deploymentChangesPerS() * MAX_PEER_FRACTION;
     double neededChangesPerS = Math.min(maxChangesPerS, wantedChanges * BURST_FACTOR);
-    changesPerSByPeer.put(
+    changeRates.put(
         peer,
         Math.max(
             defaultChangesPerS,
-            Math.max(neededChangesPerS, changesPerSOf(peer) * RETAINED_FRACTION_PER_SECOND)));
+            Math.max(neededChangesPerS, changeRateOf(peer) * RETAINED_FRACTION_PER_SECOND)));
     lendWithinLimit(defaultChangesPerS);
   }
 
   /** Reduces all loans proportionally if together they exceed what the leader may lend. */
   private void lendWithinLimit(double defaultChangesPerS) {
     double lentChangesPerS = 0;
-    for (double changesPerS : changesPerSByPeer.values()) {
+    for (double changesPerS : changeRates.values()) {
       lentChangesPerS += changesPerS - defaultChangesPerS;
     }
     double maxLentChangesPerS = stateClient.budget().leaderChangesPerS() * MAX_LENT_FRACTION;
     if (lentChangesPerS > maxLentChangesPerS) {
       double scale = maxLentChangesPerS / lentChangesPerS;
-      changesPerSByPeer.replaceAll(
+      changeRates.replaceAll(
           (peer, changesPerS) -> defaultChangesPerS + (changesPerS - defaultChangesPerS) * scale);
       lentChangesPerS = maxLentChangesPerS;
     }
