--- a/src/main/java/graderelay/state/StoreAvailability.java
+++ b/src/main/java/graderelay/state/StoreAvailability.java
@@ -32,7 +32,7 @@
 
   /** True if this controller's calls to the store have been failing for a while. */
   boolean isUnavailable() {
-    return state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S;
+    return state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
   /**
--- a/src/test/java/graderelay/state/CancellationInOutageTest.java
+++ b/src/test/java/graderelay/state/CancellationInOutageTest.java
@@ -130,7 +130,7 @@
     int suspended = other(world, leader);
     // The controller is up and serves users, but is partitioned from the leader.
     world.net.cut("c" + leader, "c" + suspended);
-    world.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
+    world.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 3);
     for (int i = 0; i < size; i++) {
       refuse(world, i, i != leader && i != suspended);
     }
@@ -156,7 +156,7 @@
     int leader = world.leader();
     int suspended = other(world, leader);
     world.net.cut("c" + leader, "c" + suspended);
-    world.loop.run(ElectionTiming.SUSPEND_AFTER_S + 3);
+    world.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 3);
     // The third controller's cancellation commits, but neither it nor the leader learns of that.
     int third = (leader + 2) % 3;
     world.net.cut("c" + suspended, "c" + third);
@@ -236,7 +236,7 @@
     world.store.delayS = 7;
     world.store.delay = transaction -> transaction.toString().contains("\"stop\":true");
     world.users.cancel(suspended, jobs[0]);
-    world.loop.run(ElectionTiming.SUSPEND_AFTER_S + 2);
+    world.loop.run(ElectionTiming.SUSPEND_AFTER_SILENCE_S + 2);
     assertThat(world.store.value(StateCodec.suspensionKey("m-" + suspended))).isNotNull();
     refuse(world, leader, true); // It has read the suspension, but no cancellation.
     world.loop.run(4);
