--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -148,7 +148,7 @@
 
   /** Each team's quota beside its use. Needs the leader's scheduler. */
   void teams(Exchange exchange) {
-    var useByTeam = scheduler.get().teamUse();
+    var useByTeam = scheduler.get().usageByTeam();
     ArrayNode teams = Json.array();
     for (Team team : limits.teams()) {
       var use = useByTeam.get(team.name());
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -70,7 +70,7 @@
       return;
     }
     ObjectNode body = describe(job);
-    body.put("waits_because", scheduler.get().whyWaiting(id));
+    body.put("waits_because", scheduler.get().waitReason(id));
     job.spec.dependencies().forEach(body.putArray("needs")::add);
     addDependents(body.putArray("needed_by"), id);
     addClaims(body.putArray("claims"), job);
--- a/src/main/java/graderelay/api/QuotaViews.java
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -83,7 +83,8 @@
     Scheduler.TeamUsage usage = scheduler.get().teamUsage(team);
     putUse(body, team, record, usage);
     body.put("tasks_waiting", usage.waitingTasks());
-    body.put("cpus_waiting", usage.waiting().cpus()).put("gpus_waiting", usage.waiting().gpus());
+    body.put("cpus_waiting", usage.waitingAmount().cpus())
+        .put("gpus_waiting", usage.waitingAmount().gpus());
     body.put("version", record.revision()).put("changed_by", record.changedBy());
     body.put("changed_at_ms", record.changedAtMs());
     if (usage.standing().stoppedBecause() != null) {
@@ -104,7 +105,7 @@
   /** What a team's claims take, and how much of it is beyond the guarantee. */
   private void putUse(ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
     boolean stored = limits.stored();
-    Amount claims = stored ? usage.standing().claims() : scheduler.get().teamClaims(team);
+    Amount claims = stored ? usage.standing().claims() : scheduler.get().claimedAmount(team);
     body.put("cpus_used", claims.cpus()).put("gpus_used", claims.gpus());
     if (stored) {
       Amount reserved = usage.standing().account();
--- a/src/main/java/graderelay/core/Action.java
+++ b/src/main/java/graderelay/core/Action.java
@@ -6,90 +6,102 @@
 import java.util.Map;
 
 /**
- * An action that the core asks its caller to carry out. The outcome comes back as an event of
- * {@link Scheduler} under the same id or names.
+ * An action that the scheduling core requests from its caller. Its outcome is reported to {@link
+ * Scheduler} as an event with the same id or names.
  */
 public sealed interface Action {
 
   /**
-   * One transaction: every part is conditioned on the leader record, on the revision of each
-   * changed record, and, for claims, on the revision of the job, so that a cancellation and a claim
-   * compete. With stored limits the accounts of the teams whose claims it holds are among the
-   * records.
+   * One compare-and-swap transaction. It commits only if the leader record and every changed record
+   * are at the expected revisions. A claim also requires the job's revision, so that of a
+   * cancellation and a concurrent claim only one commits. With stored limits, the transaction also
+   * changes the accounts of the teams whose tasks it claims.
    */
   record Write(
       long id,
       List<TaskBatchPut> taskBatches,
-      List<JobEnd> ends,
-      List<TaskBatchDrop> drops,
-      List<AccountChange> accounts)
+      List<JobEnd> jobEnds,
+      List<TaskBatchDelete> taskBatchDeletes,
+      List<AccountChange> accountChanges)
       implements Action {}
 
   /**
-   * Replaces a task batch's record if it is still at revision {@code revision}. {@code jobRevision}
-   * is the job's revision that was checked.
+   * Replaces the record of a task batch.
+   *
+   * @param revision revision that the record must have
+   * @param jobRevision revision of the job that the change is based on
    */
   record TaskBatchPut(TaskBatchKey key, long revision, TaskBatchRecord record, long jobRevision) {}
 
-  /** Replaces a job by its final record and drops the task batches named. */
+  /** Replaces a job with its final record and deletes its task batches. */
   record JobEnd(
       String job,
       long jobRevision,
       boolean cancelled,
       int tasks,
-      List<TaskBatchDrop> taskBatches) {}
+      List<TaskBatchDelete> taskBatches) {}
 
-  /** Removes a task batch's record that no longer has a job. */
-  record TaskBatchDrop(TaskBatchKey key, long revision) {}
+  /**
+   * Deletes the record of a task batch whose job is ending or gone, if it is still at revision
+   * {@code revision}.
+   */
+  record TaskBatchDelete(TaskBatchKey key, long revision) {}
 
   /**
-   * Sends commands straight to a worker; an empty list of them is a probe.
+   * Sends commands directly to a worker; an empty list is a probe.
    *
-   * @param session the incarnation of the worker that they are for
-   * @param term the fencing token that they go under
+   * @param session incarnation of the worker to which the commands apply
+   * @param term fencing token of the commands
    */
   record SendCommands(
       String machine, String address, long session, long term, List<WorkerCommand> commands)
       implements Action {}
 
-  /** Scales out: creates machines. */
+  /** Requests {@code count} new machines from the cloud. */
   record ScaleOut(long id, String type, String zone, boolean spot, int count) implements Action {}
 
-  /** Scales in: deletes machines. */
+  /** Requests the deletion of machines from the cloud. */
   record ScaleIn(List<String> machines) implements Action {}
 
-  /** Asks for a new term for this same leader, to fence unacknowledged launches. */
+  /**
+   * Requests a higher term for this same leader, to fence off launch commands without a response.
+   */
   record RaiseTerm() implements Action {}
 
   /**
-   * Stores the demand of the last minutes, so that the next leader doesn't scale in machines that
-   * will be needed. Ages are in seconds.
+   * Stores the demand of the last minutes, so that a new leader doesn't scale in machines that will
+   * be needed.
    */
-  record KeepDemand(List<Demand> classes) implements Action {}
+  record StoreDemand(List<Demand> classes) implements Action {}
 
-  /** What arrived of one class: its latest job, and age and size of each recent one. */
+  /**
+   * The recent arrivals of one job class.
+   *
+   * @param latest spec of the latest job of the class
+   * @param arrivals age in seconds and number of tasks of each recent job
+   */
   record Demand(JobSpec latest, List<double[]> arrivals) {}
 
   /**
-   * Stores which images machines have, so that the next leader finds the warm ones. {@code part} is
-   * one of a few records that share the machines.
+   * Stores which images the machines of one shard have, so that a new leader can place tasks on
+   * machines with their image.
    */
-  record KeepImages(int part, Map<String, List<String>> machines) implements Action {}
+  record StoreImages(int shard, Map<String, List<String>> imagesByMachine) implements Action {}
 
-  /** Asks for the final records of jobs that others depend on. */
-  record FindEnds(List<String> jobs) implements Action {}
+  /** Requests the final records of jobs that other jobs depend on. */
+  record FetchFinalRecords(List<String> jobs) implements Action {}
 
   /**
-   * An event to be counted in the metrics.
+   * A task event to be counted in the metrics.
    *
-   * @param what "started", or how a task ended
-   * @param waitedS seconds that a started task's job waited, or less than 0 for an end
+   * @param event "started", or how the task ended
+   * @param waitedS waiting time of a started task's job in seconds; negative for an end
    */
-  record MetricEvent(String what, double waitedS) implements Action {}
+  record MetricEvent(String event, double waitedS) implements Action {}
 
-  /** A team's account is not what its committed claims make it. */
-  record DifferenceFound(AccountDiscrepancy difference) implements Action {}
+  /** Reports that a team's account differs from the sum of its committed claims. */
+  record AccountDiscrepancyFound(AccountDiscrepancy discrepancy) implements Action {}
 
-  /** One line for the log. */
+  /** Writes a line to the log. */
   record LogLine(String text) implements Action {}
 }
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Answers the administration API's questions on machines, teams and jobs for {@link Scheduler}. */
+/** Builds the administration API's views of machines, teams and jobs for {@link Scheduler}. */
 final class AdminViews {
   private final ClusterState cluster;
 
@@ -13,7 +13,7 @@
     this.cluster = cluster;
   }
 
-  /** One line on each machine, {@code now} in seconds on this leader's clock. */
+  /** Returns a view of each machine; {@code now} is in seconds on the leader's clock. */
   List<Scheduler.MachineView> machines(double now) {
     List<Scheduler.MachineView> views = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
@@ -34,8 +34,7 @@
   }
 
   /**
-   * The machine's state as the administration API shows it; the first condition that is met
-   * decides.
+   * The machine's state as the administration API shows it; the first matching condition decides.
    */
   private static String stateOf(Machine machine, double now) {
     if (machine.scalingIn) {
@@ -50,7 +49,7 @@
     if (machine.interruptionAt != null) {
       return "noticed";
     }
-    if (machine.drain || machine.operatorDrain) {
+    if (machine.draining || machine.drainRequestedByOperator) {
       return "draining";
     }
     if (machine.cordoned) {
@@ -59,24 +58,25 @@
     return now < machine.quarantineUntil ? "quarantined" : "up";
   }
 
-  /** A team's standing against its quota, and what of it waits; for the administration API. */
+  /** A team's usage against its stored limit, and its waiting tasks. */
   Scheduler.TeamUsage teamUsage(String team) {
-    long tasks = 0;
+    long waitingTasks = 0;
     Amount waiting = Amount.NONE;
     for (Job job : cluster.jobs.values()) {
       if (job.waiting() && job.spec.team().equals(team)) {
-        tasks += job.openTasks.cardinality();
+        waitingTasks += job.openTasks.cardinality();
         waiting = waiting.plus(job.taskAmount.times(job.openTasks.cardinality()));
       }
     }
-    return new Scheduler.TeamUsage(cluster.admission.standing(team), tasks, waiting);
+    return new Scheduler.TeamUsage(cluster.admission.standing(team), waitingTasks, waiting);
   }
 
-  /** Why the job has tasks that wait, or null if the job is not known or has none. */
-  String whyWaiting(String id) {
-    Job job = cluster.jobs.get(id);
+  /** Why tasks of the job are waiting; null if the job is unknown or has no waiting tasks. */
+  String waitReason(String jobId) {
+    Job job = cluster.jobs.get(jobId);
     if (job != null && job.awaitsDependencies() && !job.cancelRequested) {
-      return "it needs " + String.join(", ", new TreeSet<>(job.pendingDependencies));
+      return "waiting for dependencies: "
+          + String.join(", ", new TreeSet<>(job.pendingDependencies));
     }
     return job == null || !job.waiting() ? null : job.waitReason;
   }
--- a/src/main/java/graderelay/core/AnswerLossDetector.java
+++ b/src/main/java/graderelay/core/AnswerLossDetector.java
@@ -22,16 +22,16 @@
    */
   void check(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
     String evidence =
-        origin.checkIn() && machine.heartbeatAnswered
+        origin.checkIn() && machine.lastHeartbeatAnswered
             ? evidenceOfLoss(machine, heartbeat, origin, now)
             : null;
     if (evidence == null && tookAnswer(machine, heartbeat, origin)) {
-      if (machine.answersLostSince != null) {
+      if (machine.responsesLostSince != null) {
         cluster.log("machine " + machine.name + " hears us again");
       }
-      machine.answersLostSince = null;
-    } else if (evidence != null && machine.answersLostSince == null) {
-      machine.answersLostSince = now;
+      machine.responsesLostSince = null;
+    } else if (evidence != null && machine.responsesLostSince == null) {
+      machine.responsesLostSince = now;
       cluster.log("machine " + machine.name + " does not hear us: " + evidence);
     }
   }
@@ -40,10 +40,10 @@
   private String evidenceOfLoss(
       Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
     boolean sameSession = heartbeat.session() == machine.session;
-    if (isNext(machine, heartbeat) && !origin.controller().equals(machine.heartbeatVia)) {
+    if (isNext(machine, heartbeat) && !origin.controller().equals(machine.heartbeatController)) {
       return "it went to another controller after our answer";
     }
-    if (sameSession && heartbeat.term() < cluster.firstTerm) {
+    if (sameSession && heartbeat.term() < cluster.electedTerm) {
       return "it doesn't know the term of our answer";
     }
     if (sameSession && ignoresLaunch(machine, heartbeat)) {
@@ -61,17 +61,17 @@
    * have come when the lease was over already, as after a failover.
    */
   private boolean leaseExpiredDespiteAnswer(Machine machine, Heartbeat heartbeat, double now) {
-    return now - machine.lastAnsweredAt < cluster.policy.leaseS() / 2
-        && (heartbeat.term() >= cluster.firstTerm
-            || machine.lastAnsweredAt - machine.firstAnsweredAt
+    return now - machine.lastResponseAt < cluster.policy.leaseS() / 2
+        && (heartbeat.term() >= cluster.electedTerm
+            || machine.lastResponseAt - machine.firstResponseAt
                 > cluster.policy.heartbeatIntervalS() / 2);
   }
 
   /** True if the heartbeat shows that something of ours has reached the worker. */
   private static boolean tookAnswer(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
     return !origin.checkIn()
-        || heartbeat.term() > machine.lastSeenTerm
-        || (isNext(machine, heartbeat) && machine.heartbeatAnswered);
+        || heartbeat.term() > machine.highestReportedTerm
+        || (isNext(machine, heartbeat) && machine.lastHeartbeatAnswered);
   }
 
   /**
@@ -79,7 +79,8 @@
    * beyond that nothing is known of what the worker took.
    */
   private static boolean isNext(Machine machine, Heartbeat heartbeat) {
-    return heartbeat.session() == machine.session && heartbeat.seq() == machine.seq + 1;
+    return heartbeat.session() == machine.session
+        && heartbeat.seq() == machine.lastHeartbeatSeq + 1;
   }
 
   /** True if a launch that went with the answer to an earlier heartbeat is not in this one. */
--- a/src/main/java/graderelay/core/BootTimes.java
+++ b/src/main/java/graderelay/core/BootTimes.java
@@ -8,155 +8,173 @@
 import java.util.Set;
 
 /**
- * How long machines take to boot at present, by type, in seconds. A machine that others of its type
- * have long overtaken will hardly come: work must not wait for it. When none comes, boots are slow
- * for all, and to scale in such machines and scale out others would only begin the wait anew.
+ * Tracks recent boot times by machine type and detects late boots. A machine that takes much longer
+ * than others of its type is unlikely to come up, so no work should be planned onto it. If no
+ * machine of a type comes up, boots of that type are stalled; replacing those machines would only
+ * restart the wait.
  */
 final class BootTimes {
-  /** Times the nominal boot time in which a machine usually is up, with the grace period below. */
+  /**
+   * Multiple of the nominal boot time within which a machine usually comes up, before the grace
+   * period {@link #USUAL_BOOT_GRACE_PERIOD_S}.
+   */
   private static final double USUAL_BOOT_FACTOR = 1.8;
 
-  /** Seconds on top of that. */
-  private static final double USUAL_BOOT_GRACE_S = 5;
+  /** Seconds added to that multiple. */
+  private static final double USUAL_BOOT_GRACE_PERIOD_S = 5;
 
-  /** Seconds for which the time that a boot took is remembered: troubles last a few minutes. */
-  private static final double BOOT_MEMORY_S = 180;
+  /** Seconds for which a boot time sample is kept. Periods of slow boots last a few minutes. */
+  private static final double BOOT_SAMPLE_RETENTION_S = 180;
 
-  /** Times the slowest boot of late that a machine may take and still be waited for. */
-  private static final double SLOWER_BOOT_FACTOR = 1.25;
+  /** Multiple of the slowest recent boot that a machine may take before it counts as late. */
+  private static final double LATE_BOOT_FACTOR = 1.25;
 
-  /** Overdue machines of a type, with none that came up meanwhile, that show a trouble of all. */
-  private static final int LEAST_STALLED_BOOTS = 3;
+  /**
+   * Number of overdue machines of a type at which its boots count as stalled, if none of the type
+   * has come up meanwhile.
+   */
+  private static final int MIN_OVERDUE_BOOTS = 3;
 
-  /** Times longer that machines of such a type are kept: others would take as long. */
-  private static final double STALLED_LIMIT_FACTOR = 4;
+  /** Factor on the boot timeout of a stalled type, since replacements would take as long. */
+  private static final double STALLED_TIMEOUT_FACTOR = 4;
 
-  /** Times the nominal boot time after which a machine is given up; some take several times. */
-  private static final double BOOT_LIMIT_FACTOR = 3;
+  /**
+   * Multiple of the nominal boot time after which a boot times out; some boots take several times
+   * the nominal time.
+   */
+  private static final double BOOT_TIMEOUT_FACTOR = 3;
 
-  /** Seconds on top of that. */
-  private static final double BOOT_LIMIT_GRACE_S = 15;
+  /** Seconds added to that multiple. */
+  private static final double BOOT_TIMEOUT_GRACE_PERIOD_S = 15;
 
   /**
-   * A machine that came up.
+   * A completed boot.
    *
-   * @param at when, in seconds on the leader's clock
-   * @param took seconds since it was requested
+   * @param bootedAt when the machine came up, in seconds on the leader's clock
+   * @param bootTimeS seconds from the request of the machine to its first heartbeat
    */
-  private record Boot(String type, double at, double took) {}
+  private record Boot(String type, double bootedAt, double bootTimeS) {}
 
   private final ClusterState cluster;
   private final double startedAt;
-  private final Deque<Boot> recent = new ArrayDeque<>();
+  private final Deque<Boot> recentBoots = new ArrayDeque<>();
 
-  /** Machine types of which no machine comes up at present, as of the last plan. */
-  private Set<String> stalled = Set.of();
+  /** Machine types whose boots are stalled, as of the last plan. */
+  private Set<String> stalledTypes = Set.of();
 
-  /** When a machine of a type that stalls was last allowed, in seconds on the leader's clock. */
-  private final Map<String, Double> lastAllowed = new HashMap<>();
+  /** When a machine of a stalled type was last requested, in seconds on the leader's clock. */
+  private final Map<String, Double> lastRequestedAt = new HashMap<>();
 
   BootTimes(ClusterState cluster, double now) {
     this.cluster = cluster;
     this.startedAt = now;
   }
 
-  /** The machine has sent its first heartbeat. */
-  void up(Machine machine, double now) {
-    recent.add(new Boot(machine.type, now, now - machine.requestedAt));
+  /** Records the boot time of a machine that has just sent its first heartbeat. */
+  void recordBoot(Machine machine, double now) {
+    recentBoots.add(new Boot(machine.type, now, now - machine.requestedAt));
   }
 
-  /** Works out which types stall; to be called before the questions of one plan. */
-  void plan(double now) {
-    recent.removeIf(boot -> boot.at() < now - BOOT_MEMORY_S);
+  /** Updates which types are stalled. Must be called at the start of each fleet plan. */
+  void updateStalledTypes(double now) {
+    recentBoots.removeIf(boot -> boot.bootedAt() < now - BOOT_SAMPLE_RETENTION_S);
     Map<String, Integer> overdueByType = new HashMap<>();
     for (Machine machine : cluster.machines.values()) {
-      if (overdue(machine, now)) {
+      if (isOverdue(machine, now)) {
         overdueByType.merge(machine.type, 1, Integer::sum);
       }
     }
-    Set<String> nowStalled = new HashSet<>();
+    Set<String> currentlyStalledTypes = new HashSet<>();
     overdueByType.forEach(
         (type, count) -> {
-          boolean longEnough = now - startedAt > usualS(type);
-          if (longEnough && count >= LEAST_STALLED_BOOTS && !cameLately(type, now)) {
-            nowStalled.add(type);
+          boolean observedLongEnough = now - startedAt > usualBootS(type);
+          if (observedLongEnough && count >= MIN_OVERDUE_BOOTS && !hasRecentBoot(type, now)) {
+            currentlyStalledTypes.add(type);
           }
         });
-    stalled = nowStalled;
+    stalledTypes = currentlyStalledTypes;
   }
 
-  private boolean overdue(Machine machine, double now) {
+  private boolean isOverdue(Machine machine, double now) {
     return !machine.heartbeatReceived
         && machine.booting
         && !machine.scalingIn
-        && now - machine.requestedAt > usualS(machine.type);
+        && now - machine.requestedAt > usualBootS(machine.type);
   }
 
-  /** True if a machine of the type came up within the time that one usually takes. */
-  private boolean cameLately(String type, double now) {
-    return recent.stream()
+  /** True if a machine of the type came up within the last usual boot time. */
+  private boolean hasRecentBoot(String type, double now) {
+    return recentBoots.stream()
         .anyMatch(
-            boot -> boot.type().equals(type) && boot.at() > now - usualS(type) && boot.took() > 0);
+            boot ->
+                boot.type().equals(type)
+                    && boot.bootedAt() > now - usualBootS(type)
+                    && boot.bootTimeS() > 0);
   }
 
   /** The longest nominal boot time of the machine types, in seconds; 0 without types. */
-  static double slowestNominal(ClusterState cluster) {
+  static double slowestNominalBootS(ClusterState cluster) {
     double slowestS = 0;
-    for (MachineType type : cluster.types.values()) {
+    for (MachineType type : cluster.machineTypes.values()) {
       slowestS = Math.max(slowestS, type.bootS());
     }
     return slowestS;
   }
 
-  /** The boot time that the cloud states for the type, in seconds; 0 for an unknown type. */
-  private double nominalS(String type) {
-    MachineType machineType = cluster.types.get(type);
+  /** The boot time that the cloud advertises for the type, in seconds; 0 for an unknown type. */
+  private double nominalBootS(String type) {
+    MachineType machineType = cluster.machineTypes.get(type);
     return machineType == null ? 0 : machineType.bootS();
   }
 
-  /** Seconds in which nearly all machines come up that are not slow. */
-  private double usualS(String type) {
-    return nominalS(type) * USUAL_BOOT_FACTOR + USUAL_BOOT_GRACE_S;
+  /** Seconds within which nearly all machines of the type come up under normal conditions. */
+  private double usualBootS(String type) {
+    return nominalBootS(type) * USUAL_BOOT_FACTOR + USUAL_BOOT_GRACE_PERIOD_S;
   }
 
-  /** The longest boot of the type of late, in seconds; 0 if none came up. */
-  private double slowestS(String type) {
+  /** The longest recent boot of the type, in seconds; 0 if there is none. */
+  private double slowestRecentBootS(String type) {
     double slowestS = 0;
-    for (Boot boot : recent) {
-      slowestS = boot.type().equals(type) ? Math.max(slowestS, boot.took()) : slowestS;
+    for (Boot boot : recentBoots) {
+      slowestS = boot.type().equals(type) ? Math.max(slowestS, boot.bootTimeS()) : slowestS;
     }
     return slowestS;
   }
 
-  /** True if no machine of the type comes up at present. */
-  boolean stalled(String type) {
-    return stalled.contains(type);
+  /** True if boots of the type are stalled, as of the last plan. */
+  boolean isStalled(String type) {
+    return stalledTypes.contains(type);
   }
 
-  /** True if the machine, which has sent no heartbeat yet, is likely to come soon. */
-  boolean likely(Machine machine, double now) {
-    double waited = now - machine.requestedAt;
+  /** True if the machine, which has sent no heartbeat yet, is likely to come up soon. */
+  boolean isLikelyToComeUp(Machine machine, double now) {
+    double waitedS = now - machine.requestedAt;
     return !machine.booting
-        || waited <= Math.max(usualS(machine.type), slowestS(machine.type) * SLOWER_BOOT_FACTOR)
-        || stalled(machine.type);
+        || waitedS
+            <= Math.max(
+                usualBootS(machine.type), slowestRecentBootS(machine.type) * LATE_BOOT_FACTOR)
+        || isStalled(machine.type);
   }
 
-  /** Seconds after which a machine that has not come up is scaled in. */
-  double limitS(String type) {
-    double limitS = nominalS(type) * BOOT_LIMIT_FACTOR + BOOT_LIMIT_GRACE_S;
-    limitS = Math.max(limitS, slowestS(type) * SLOWER_BOOT_FACTOR);
-    return stalled(type) ? limitS * STALLED_LIMIT_FACTOR : limitS;
+  /** Boot timeout in seconds, after which a machine that has not come up is scaled in. */
+  double bootTimeoutS(String type) {
+    double timeoutS = nominalBootS(type) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_GRACE_PERIOD_S;
+    timeoutS = Math.max(timeoutS, slowestRecentBootS(type) * LATE_BOOT_FACTOR);
+    return isStalled(type) ? timeoutS * STALLED_TIMEOUT_FACTOR : timeoutS;
   }
 
-  /** How many of the machines wanted may be requested now: of a type that stalls, one at a time. */
-  int allowed(String type, int wanted, double now) {
-    if (!stalled(type)) {
+  /**
+   * How many of {@code wanted} machines may be requested now. A stalled type is limited to one
+   * machine per nominal boot time.
+   */
+  int allowedRequests(String type, int wanted, double now) {
+    if (!isStalled(type)) {
       return wanted;
     }
-    if (now - lastAllowed.getOrDefault(type, Double.NEGATIVE_INFINITY) < nominalS(type)) {
+    if (now - lastRequestedAt.getOrDefault(type, Double.NEGATIVE_INFINITY) < nominalBootS(type)) {
       return 0;
     }
-    lastAllowed.put(type, now);
+    lastRequestedAt.put(type, now);
     return Math.min(1, wanted);
   }
 }
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -52,7 +52,7 @@
       strata.add(new ArrayList<>());
     }
     for (Machine machine : withRoom) {
-      if (machine.holds(job.taskResources) && rules.allowed(job, machine)) {
+      if (machine.hasRoomFor(job.taskResources) && rules.allowed(job, machine)) {
         int stratum = stratum(job, machine);
         if (!warmOnly || stratum < COLD) {
           strata.get(stratum).add(machine);
@@ -103,7 +103,7 @@
       cluster.examinedCount++;
       Machine machine = pool.get(drawn);
       pool.set(drawn, pool.get(active));
-      if (!machine.holds(job.taskResources)) {
+      if (!machine.hasRoomFor(job.taskResources)) {
         pool.set(active, pool.get(pool.size() - 1));
         pool.remove(pool.size() - 1);
         continue;
--- a/src/main/java/graderelay/core/ClaimReconciliation.java
+++ b/src/main/java/graderelay/core/ClaimReconciliation.java
@@ -129,7 +129,7 @@
       case "done" -> {
         failureAttribution.onSuccess(machine, claim, now);
         if (claim.runningSince > 0) {
-          planner.onRan(claim.job.spec, now - claim.runningSince);
+          planner.onTaskCompleted(claim.job.spec, now - claim.runningSince);
         }
       }
       case "error" -> failureAttribution.onFailure(machine, claim, now);
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -10,59 +10,63 @@
 import java.util.Set;
 
 /**
- * The leader's working state, shared by all parts of the scheduling core: jobs, machines and claims
- * with the sums that placement decides by. Each claim is counted once in every sum from {@link
- * #addClaim} to {@link #removeClaim}; quota rules stand in {@link TeamQuotas} and the rules on
- * where tasks may be placed in {@link MachineAvailability}.
+ * The leader's in-memory state, shared by all components of the scheduling core: jobs, machines and
+ * claims, with the totals used by placement. Each claim is included once in every total, from
+ * {@link #addClaim} to {@link #removeClaim}. Quota rules are in {@link TeamQuotas}; which machines
+ * may be given tasks is determined by {@link MachineAvailability}.
  */
 final class ClusterState {
   /**
-   * Seconds for which a team's account may be above its committed claims before it is lowered by a
-   * change of its own. Claims lower it on their way, so this is for teams that only end work.
+   * Seconds for which a team's account may exceed its committed claims before a separate change
+   * lowers it. A new claim lowers the account in the same transaction, so this matters for teams
+   * whose tasks end without new claims.
    */
-  private static final double ACCOUNT_RELEASE_S = 5;
+  private static final double ACCOUNT_RELEASE_DELAY_S = 5;
 
   // ---------------------------------------------------------------- the leader
 
-  /** Settings that the core decides by; replaced as a whole when one of them changes. */
+  /** Limits and settings; replaced as a whole when one of them changes. */
   Policy policy;
 
-  /** The term that this leader won; a worker that has not seen it has not heard this leader. */
-  long firstTerm;
+  /**
+   * The term in which this leader was elected; a worker with a lower term has received nothing from
+   * this leader.
+   */
+  long electedTerm;
 
-  /** The term under which worker commands go out: the fencing token. */
+  /** The current term, which is the fencing token of worker commands. */
   long term;
 
-  /** When this leader began, in seconds on its own clock. */
+  /** When this leader started, in seconds on its own clock. */
   double leaderSince;
 
-  /** True while the stored records are still being loaded: nothing is new yet. */
+  /** True during the initial load of the stored records. */
   boolean loading = true;
 
-  /** True if something has changed that a scheduling round should look at. */
+  /** True if a change requires a scheduling round. */
   boolean roundNeeded = true;
 
-  /** Actions decided on and not yet taken by the caller, in order. */
+  /** Actions not yet taken by the caller, in order. */
   final List<Action> actions = new ArrayList<>();
 
   // ---------------------------------------------------------------- jobs and claims
 
-  /** Live jobs by id, in the order in which they came. */
+  /** Live jobs by id, in order of arrival. */
   final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  /** Jobs whose users have asked to cancel them. */
+  /** Jobs whose cancellation was requested. */
   final Set<Job> cancelledJobs = new LinkedHashSet<>();
 
-  /** Jobs that may have come to their end since the last round. */
-  final Set<Job> maybeEndedJobs = new LinkedHashSet<>();
+  /** Jobs that may have ended since the last round. */
+  final Set<Job> possiblyEndedJobs = new LinkedHashSet<>();
 
-  /** Claims that were asked to stop for a reason other than their job's cancellation. */
+  /** Claims that were requested to stop for a reason other than their job's cancellation. */
   final Set<Claim> stoppingClaims = new LinkedHashSet<>();
 
-  /** All live claims, counted by priority. */
-  final PriorityCounts byPriority = new PriorityCounts();
+  /** Number of live claims by priority. */
+  final PriorityCounts claimCountByPriority = new PriorityCounts();
 
-  /** Which jobs wait for which. */
+  /** Dependencies between jobs. */
   Dependencies dependencies;
 
   // ---------------------------------------------------------------- machines
@@ -71,50 +75,51 @@
   final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** Machine types that the cloud offers, by name. */
-  Map<String, MachineType> types = Map.of();
+  Map<String, MachineType> machineTypes = Map.of();
 
-  /** Images on machines as the records of an earlier leader have them. */
-  final Map<String, List<String>> knownImages = new HashMap<>();
+  /** Images by machine as stored by an earlier leader. */
+  final Map<String, List<String>> storedImages = new HashMap<>();
 
-  /** Records that share the images of each thousand machines. */
-  int imagePartsPerThousand = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
+  /** Number of image records per 1,000 machines. */
+  int imageShardsPerThousandMachines = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
 
-  /** Records that share the images of all machines. */
-  int imageParts;
+  /** Number of image records for the whole fleet. */
+  int imageShardCount;
 
-  /** Rises whenever there may be more room than before, so that what found none tries again. */
+  /** Incremented when more room may have become free, so that jobs that found none are retried. */
   long roomVersion;
 
-  /** Machines and claims examined by scheduling rounds so far; tests bound it. */
+  /** Number of machines and claims examined by scheduling rounds so far; bounded by tests. */
   long examinedCount;
 
-  /** The lease delegates: who may renew leases in zones that are cut off from this leader. */
+  /** The controllers that may renew leases in zones that are partitioned from this leader. */
   LeaseDelegates delegates;
 
   // ---------------------------------------------------------------- quota
 
-  /** Admission by the stored limits, once they are switched on. */
+  /** Admission control by the stored limits, once they are enabled. */
   final AdmissionControl admission;
 
-  /** What each team's claims take, against its guarantee and limit. */
+  /** Resources taken by each team's claims, against its guarantee and limit. */
   final TeamQuotas quotas;
 
   /**
-   * Makes the state of a new leader.
+   * Creates the state of a new leader.
    *
-   * @param name tells this leader from all others in the records of accounts
+   * @param name unique name of this leader in account records
    */
   ClusterState(Policy policy, String name) {
     this.policy = policy;
-    this.admission = new AdmissionControl(name, ACCOUNT_RELEASE_S);
+    this.admission = new AdmissionControl(name, ACCOUNT_RELEASE_DELAY_S);
     this.quotas = new TeamQuotas(this);
   }
 
   /**
-   * Redistributes the machines among so many image records, all of which have to be written again.
+   * Sets the number of image records and marks all machines with images as changed, so that all
+   * records are written again.
    */
-  void imageParts(int parts) {
-    imageParts = parts;
+  void setImageShardCount(int shardCount) {
+    imageShardCount = shardCount;
     machines.values().forEach(machine -> machine.imagesChanged = !machine.images.isEmpty());
   }
 
@@ -123,13 +128,13 @@
     actions.add(new Action.LogLine(text));
   }
 
-  /** The machine of this name, which is added if it is not known yet. */
+  /** Returns the machine of this name, adding it if it is unknown. */
   Machine getOrAddMachine(String name, double now) {
     Machine machine = machines.get(name);
     if (machine == null) {
       machine = new Machine(name, now);
-      for (String image : knownImages.getOrDefault(name, List.of())) {
-        machine.learnImage(image, now);
+      for (String image : storedImages.getOrDefault(name, List.of())) {
+        machine.recordImage(image, now);
       }
       machine.imagesChanged = false;
       machines.put(name, machine);
@@ -137,12 +142,12 @@
     return machine;
   }
 
-  /** Counts a claim in every sum. */
+  /** Adds a claim to every total. */
   void addClaim(Claim claim, double now) {
     Machine machine = getOrAddMachine(claim.machine, now);
     machine.claims.put(claim.taskId(), claim);
     machine.allocate(claim);
-    byPriority.add(claim.priority);
+    claimCountByPriority.add(claim.priority);
     quotas.allocate(claim.job.spec.team(), claim.resources());
     if (claim.phase == Claim.Phase.CLAIMING) {
       admission.placed(claim.job.spec.team(), claim.job.taskAmount);
@@ -155,22 +160,22 @@
     }
   }
 
-  /** The transaction of a claim has committed. */
+  /** Records that the transaction of a claim has committed. */
   void markCommitted(Claim claim) {
     claim.phase = Claim.Phase.COMMITTED;
     admission.noLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
   }
 
-  /** Takes a claim out of every sum; does nothing if it was taken out before. */
+  /** Removes a claim from every total; does nothing if it was removed already. */
   void removeClaim(Claim claim, double now) {
     Machine machine = getOrAddMachine(claim.machine, now);
     if (!machine.claims.remove(claim.taskId(), claim)) {
       return;
     }
     machine.release(claim);
-    byPriority.remove(claim.priority);
+    claimCountByPriority.remove(claim.priority);
     stoppingClaims.remove(claim);
-    maybeEndedJobs.add(claim.job);
+    possiblyEndedJobs.add(claim.job);
     roomVersion++;
     if (machine.claims.isEmpty()) {
       machine.idleSince = now;
@@ -189,18 +194,18 @@
     }
   }
 
-  /** Asks a claim's attempt to stop; each round looks at what keeps it from ending. */
+  /** Requests that a claim's attempt stops; each round retries until it has ended. */
   void requestStop(Claim claim, double now) {
     claim.stopRequested = true;
     claim.stopRequestedAt = now;
     stoppingClaims.add(claim);
   }
 
-  /** Sets a machine's type and zone; claims loaded before that are counted in its zone now. */
+  /** Sets a machine's type and zone, and counts claims that were loaded earlier in that zone. */
   void setTypeAndZone(Machine machine, String type, String zone, boolean spot) {
     machine.type = type;
     machine.spot = spot;
-    MachineType machineType = types.get(type);
+    MachineType machineType = machineTypes.get(type);
     machine.capacity = machineType == null ? Resources.NONE : Resources.of(machineType);
     if (machine.zone == null && zone != null) {
       machine.zone = zone;
--- a/src/main/java/graderelay/core/CommandDeliveryEvents.java
+++ b/src/main/java/graderelay/core/CommandDeliveryEvents.java
@@ -28,7 +28,7 @@
       return;
     }
     boolean answered = delivery == CommandDelivery.EXECUTED || delivery == CommandDelivery.REFUSED;
-    machine.failedProbes = answered ? 0 : machine.failedProbes + 1;
+    machine.consecutiveProbeFailures = answered ? 0 : machine.consecutiveProbeFailures + 1;
     for (WorkerCommand command : sent.commands()) {
       if (command instanceof WorkerCommand.Launch launch) {
         onLaunchDelivery(machine, sent.session(), launch, delivery, now);
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -46,18 +46,18 @@
         onTaskBatchAnswer(job, put, transaction, outcome, revision, now);
       }
     }
-    for (Action.JobEnd end : write.ends()) {
+    for (Action.JobEnd end : write.jobEnds()) {
       Job job = cluster.jobs.get(end.job());
       if (job != null) {
         onJobEndAnswer(job, end, outcome, now);
       }
     }
-    for (Action.TaskBatchDrop drop : write.drops()) {
+    for (Action.TaskBatchDelete drop : write.taskBatchDeletes()) {
       if (outcome != TransactionOutcome.COMMITTED) {
         records.orphans.putIfAbsent(drop.key(), drop.revision());
       }
     }
-    onAccountsAnswer(write.accounts(), outcome, revision);
+    onAccountsAnswer(write.accountChanges(), outcome, revision);
     cluster.roundNeeded = true;
   }
 
@@ -65,7 +65,7 @@
   private void onJobEndAnswer(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
     if (outcome != TransactionOutcome.COMMITTED) {
       job.ending = false;
-      cluster.maybeEndedJobs.add(job);
+      cluster.possiblyEndedJobs.add(job);
       return;
     }
     cluster.log(end.job() + (end.cancelled() ? " is stopped" : " is done"));
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -80,7 +80,7 @@
     }
     Double startObjectiveS = cluster.policy.startObjectivesS().get(spec.jobClass());
     return startObjectiveS == null
-        || startObjectiveS > SPOT_WAIT_BOOTS * BootTimes.slowestNominal(cluster);
+        || startObjectiveS > SPOT_WAIT_BOOTS * BootTimes.slowestNominalBootS(cluster);
   }
 
   /** True if more than deadlines is wanted of the class: a first start, or an end, by a time. */
@@ -101,7 +101,7 @@
         continue;
       }
       double latestEnd = job.dueAt() - DEADLINE_MARGIN_S;
-      if (now + estimates.estimate(job.spec) * DEFERRABLE_RUNS < latestEnd
+      if (now + estimates.estimateRunTimeS(job.spec) * DEFERRABLE_RUNS < latestEnd
           && !QueueOrder.starved(job, now)) {
         jobs.add(job);
       }
@@ -139,7 +139,7 @@
   }
 
   private DueWork dueWork(Job job, double now) {
-    double estimate = estimates.estimate(job.spec);
+    double estimate = estimates.estimateRunTimeS(job.spec);
     double work = remainingWork(job, estimate, now);
     if (hasObjective(job.spec)) {
       work *= OBJECTIVE_WORK_FACTOR; // It has more than its deadline to meet.
--- a/src/main/java/graderelay/core/DemandHistory.java
+++ b/src/main/java/graderelay/core/DemandHistory.java
@@ -6,168 +6,188 @@
 import java.util.Map;
 
 /**
- * The arrivals of work of the last minutes, by job class: what the fleet keeps spare room for, and
- * what is stored for the leader after a failover.
+ * Job arrivals of the last minutes by job class. They determine how much spare capacity the fleet
+ * keeps, and are stored so that a new leader has them after a failover.
  */
 final class DemandHistory {
-  /** Seconds between records of the recent demand, for the next leader. */
-  private static final double STORE_EVERY_S = 10;
+  /** Minimum seconds between two writes of the demand record. */
+  private static final double STORE_INTERVAL_S = 10;
 
   /**
-   * Arrivals of one class stored in that record for each thousand machines, at some 20 bytes each.
-   * The oldest are left out where they don't fit a value.
+   * Upper bound on the arrivals of one class in the demand record, per 1,000 machines. Each takes
+   * about 20 bytes; the oldest are omitted if the record would exceed the size of a value.
    */
-  private static final int STORED_ARRIVALS_PER_THOUSAND = 24;
+  private static final int MAX_STORED_ARRIVALS_PER_THOUSAND_MACHINES = 24;
 
-  /** Classes stored in that record. */
-  private static final int STORED_CLASSES = 12;
+  /** Limit on the job classes in the demand record. */
+  private static final int MAX_STORED_CLASSES = 12;
 
-  /** Seconds over which arrivals are averaged at the least: a few say little of the next ones. */
-  private static final double LEAST_AVERAGING_S = 60;
+  /**
+   * Minimum averaging window in seconds; a shorter one holds too few arrivals to predict demand.
+   */
+  private static final double MIN_AVERAGING_WINDOW_S = 60;
 
-  /** Times the mean of arrivals in a boot time that spare room is kept for. */
+  /** Factor on the mean arrivals within one boot time for which spare capacity is kept. */
   private static final double MEAN_FACTOR = 1.5;
 
-  /** Jobs of the largest size that spare room for arrays is kept for, beside the mean. */
+  /**
+   * Number of arrays of the largest recent size for which spare capacity is kept, in addition to
+   * the mean.
+   */
   private static final int BURST_JOBS = 2;
 
-  /** Seconds by which the times of one arrival may differ between two leaders' records. */
-  private static final double SAME_ARRIVAL_S = 0.5;
+  /** Largest difference in seconds between two leaders' times of the same arrival. */
+  private static final double SAME_ARRIVAL_TOLERANCE_S = 0.5;
 
-  /** Seconds for which arrivals are remembered to size the spare room. */
-  private static final double ARRIVAL_MEMORY_S = 300;
+  /** Seconds for which arrivals are kept. */
+  private static final double ARRIVAL_RETENTION_S = 300;
 
   /**
    * The submission of a job.
    *
-   * @param at when, in seconds on the leader's clock
+   * @param submittedAt submission time, in seconds on the leader's clock
    */
-  record Arrival(double at, JobSpec spec, int tasks) {}
+  record Arrival(double submittedAt, JobSpec spec, int tasks) {}
 
   private final ClusterState cluster;
   private final double startedAt;
   private final List<Arrival> arrivals = new ArrayList<>();
   private boolean changedSinceStored;
-  private double lastStored = Double.NEGATIVE_INFINITY;
+  private double lastStoredAt = Double.NEGATIVE_INFINITY;
 
   DemandHistory(ClusterState cluster, double startedAt) {
     this.cluster = cluster;
     this.startedAt = startedAt;
   }
 
-  /** The arrivals remembered, oldest first; not to be changed by the caller. */
+  /** The recent arrivals, oldest first; the caller must not modify the list. */
   List<Arrival> arrivals() {
     return arrivals;
   }
 
-  /** A job of this spec was submitted at that time (seconds on the leader's clock). */
+  /** Records that a job was submitted at time {@code at}, in seconds on the leader's clock. */
   void onArrival(JobSpec spec, double at) {
     arrivals.add(new Arrival(at, spec, spec.tasks()));
     changedSinceStored = true;
   }
 
   /**
-   * Takes over what an earlier leader remembered of a class; jobs that are still live were counted
-   * already.
+   * Merges the arrivals of one class that an earlier leader stored. Arrivals of live jobs are
+   * already recorded and are skipped.
    */
-  void onDemand(Action.Demand remembered, double now) {
-    List<Arrival> live = new ArrayList<>();
+  void mergeStoredDemand(Action.Demand storedDemand, double now) {
+    List<Arrival> recorded = new ArrayList<>();
     for (Arrival arrival : arrivals) {
-      if (arrival.spec().jobClass().equals(remembered.latest().jobClass())) {
-        live.add(arrival);
+      if (arrival.spec().jobClass().equals(storedDemand.latest().jobClass())) {
+        recorded.add(arrival);
       }
     }
-    for (double[] arrival : remembered.arrivals()) {
+    for (double[] arrival : storedDemand.arrivals()) {
       double at = now - arrival[0];
       int tasks = (int) arrival[1];
-      boolean known =
-          live.stream()
+      boolean alreadyRecorded =
+          recorded.stream()
               .anyMatch(
-                  other -> Math.abs(other.at() - at) < SAME_ARRIVAL_S && other.tasks() == tasks);
-      if (!known) {
-        arrivals.add(new Arrival(at, remembered.latest(), tasks));
+                  other ->
+                      Math.abs(other.submittedAt() - at) < SAME_ARRIVAL_TOLERANCE_S
+                          && other.tasks() == tasks);
+      if (!alreadyRecorded) {
+        arrivals.add(new Arrival(at, storedDemand.latest(), tasks));
       }
     }
   }
 
-  /** A job fails on every machine: it is no sign of what is to come, nor does it scale out. */
-  void onBroken(JobSpec spec) {
+  /**
+   * Removes the arrival of a job that fails on every machine, so that it adds no spare capacity.
+   */
+  void onFailingJob(JobSpec spec) {
     arrivals.removeIf(arrival -> arrival.spec().id().equals(spec.id()));
     changedSinceStored = true;
   }
 
-  /** Forgets what arrived longer ago than the memory of arrivals. */
-  void forgetOld(double now) {
-    arrivals.removeIf(arrival -> arrival.at() < now - ARRIVAL_MEMORY_S);
+  /** Removes arrivals older than {@link #ARRIVAL_RETENTION_S}. */
+  void removeExpired(double now) {
+    arrivals.removeIf(arrival -> arrival.submittedAt() < now - ARRIVAL_RETENTION_S);
   }
 
   /**
-   * Stores the latest arrivals of each class for the next leader, if they changed; at intervals.
+   * Stores the latest arrivals of each class if they changed, at most once per {@link
+   * #STORE_INTERVAL_S}.
    */
   void store(double now) {
-    if (!changedSinceStored || now - lastStored < STORE_EVERY_S) {
+    if (!changedSinceStored || now - lastStoredAt < STORE_INTERVAL_S) {
       return;
     }
-    lastStored = now;
+    lastStoredAt = now;
     changedSinceStored = false;
-    cluster.actions.add(new Action.KeepDemand(latestByClass(now)));
+    cluster.actions.add(new Action.StoreDemand(latestByClass(now)));
   }
 
-  /** The latest arrivals of each class, as far as they fit the record. */
+  /** The latest arrivals of each class, within the limits of the record. */
   private List<Action.Demand> latestByClass(double now) {
-    Map<String, Action.Demand> classes = new HashMap<>();
-    int mostStored = STORED_ARRIVALS_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
+    Map<String, Action.Demand> demandByClass = new HashMap<>();
+    int maxArrivals =
+        MAX_STORED_ARRIVALS_PER_THOUSAND_MACHINES * FleetPlanner.thousandsOfMachines(cluster);
     for (int index = arrivals.size() - 1; index >= 0; index--) {
       Arrival arrival = arrivals.get(index);
       Action.Demand classDemand =
-          classes.computeIfAbsent(
-              arrival.spec().jobClass(), c -> new Action.Demand(arrival.spec(), new ArrayList<>()));
-      if (classDemand.arrivals().size() < mostStored) {
-        classDemand.arrivals().add(new double[] {now - arrival.at(), arrival.tasks()});
+          demandByClass.computeIfAbsent(
+              arrival.spec().jobClass(),
+              jobClass -> new Action.Demand(arrival.spec(), new ArrayList<>()));
+      if (classDemand.arrivals().size() < maxArrivals) {
+        classDemand.arrivals().add(new double[] {now - arrival.submittedAt(), arrival.tasks()});
       }
-      if (classes.size() > STORED_CLASSES) {
+      if (demandByClass.size() > MAX_STORED_CLASSES) {
         break;
       }
     }
-    return List.copyOf(classes.values());
+    return List.copyOf(demandByClass.values());
   }
 
   /**
-   * Room to keep free, in tasks by a typical spec: for each class that should start sooner than a
-   * machine boots, what arrived within a boot time on average, and at least one job of the largest
-   * usual size.
+   * Spare capacity to keep, as a number of tasks by typical job spec. Only classes whose start
+   * objective is shorter than a machine's boot time need any: the mean arrivals within a boot time,
+   * and at least one job of the largest recent size.
    */
-  Map<JobSpec, Integer> spareRoom(double now) {
-    Map<String, List<Arrival>> byClass = new HashMap<>();
+  Map<JobSpec, Integer> spareCapacity(double now) {
+    Map<String, List<Arrival>> arrivalsByClass = new HashMap<>();
     for (Arrival arrival : arrivals) {
-      byClass.computeIfAbsent(arrival.spec().jobClass(), c -> new ArrayList<>()).add(arrival);
+      arrivalsByClass
+          .computeIfAbsent(arrival.spec().jobClass(), jobClass -> new ArrayList<>())
+          .add(arrival);
     }
-    double bootS = BootTimes.slowestNominal(cluster);
-    Map<JobSpec, Integer> spare = new HashMap<>();
-    for (var classArrivals : byClass.entrySet()) {
-      Double startObjectiveS = cluster.policy.startObjectivesS().get(classArrivals.getKey());
+    double bootS = BootTimes.slowestNominalBootS(cluster);
+    Map<JobSpec, Integer> spareTasksBySpec = new HashMap<>();
+    for (var entry : arrivalsByClass.entrySet()) {
+      Double startObjectiveS = cluster.policy.startObjectivesS().get(entry.getKey());
       if (startObjectiveS == null || startObjectiveS > bootS) {
         continue;
       }
-      List<Arrival> ofClass = classArrivals.getValue();
-      JobSpec typical = ofClass.get(ofClass.size() - 1).spec();
-      spare.put(typical, (int) Math.ceil(spareTasks(ofClass, typical, bootS, now)));
+      List<Arrival> classArrivals = entry.getValue();
+      JobSpec typicalSpec = classArrivals.get(classArrivals.size() - 1).spec();
+      spareTasksBySpec.put(
+          typicalSpec, (int) Math.ceil(spareTasks(classArrivals, typicalSpec, bootS, now)));
     }
-    return spare;
+    return spareTasksBySpec;
   }
 
-  /** Tasks of one class to keep room for, given its arrivals and a boot time in seconds. */
-  private double spareTasks(List<Arrival> ofClass, JobSpec typical, double bootS, double now) {
-    int tasks = 0;
-    int largest = 0;
-    for (Arrival arrival : ofClass) {
-      tasks += arrival.tasks();
-      largest = Math.max(largest, arrival.tasks());
+  /** Number of tasks of one class to keep spare capacity for, given its recent arrivals. */
+  private double spareTasks(
+      List<Arrival> classArrivals, JobSpec typicalSpec, double bootS, double now) {
+    int totalTasks = 0;
+    int largestJobTasks = 0;
+    for (Arrival arrival : classArrivals) {
+      totalTasks += arrival.tasks();
+      largestJobTasks = Math.max(largestJobTasks, arrival.tasks());
     }
-    double spanS = Math.max(LEAST_AVERAGING_S, Math.min(ARRIVAL_MEMORY_S, now - startedAt));
-    double mean = tasks / spanS * bootS * MEAN_FACTOR;
-    // Arrays arrive in bursts, at times several at once.
-    double wanted = typical.isService() ? Math.max(mean, largest) : mean + BURST_JOBS * largest;
-    return wanted * cluster.policy.tuning().spareFactor();
+    double windowS =
+        Math.max(MIN_AVERAGING_WINDOW_S, Math.min(ARRIVAL_RETENTION_S, now - startedAt));
+    double meanTasks = totalTasks / windowS * bootS * MEAN_FACTOR;
+    // Arrays arrive in bursts, sometimes several at once.
+    double tasksToReserve =
+        typicalSpec.isService()
+            ? Math.max(meanTasks, largestJobTasks)
+            : meanTasks + BURST_JOBS * largestJobTasks;
+    return tasksToReserve * cluster.policy.tuning().spareFactor();
   }
 }
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -68,15 +68,15 @@
 
   /** The failure counts against the machine: a pause, or no new tasks after several. */
   private void blameMachine(Machine machine, Job job, double now) {
-    machine.lastErrorAt = now;
-    machine.errorJobs.merge(job.spec.id(), 1, Integer::sum);
-    int streak = machine.errorStreak();
+    machine.lastFailureAt = now;
+    machine.failureCountByJob.merge(job.spec.id(), 1, Integer::sum);
+    int streak = machine.consecutiveFailures();
     double pause = QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
     machine.quarantineUntil =
         Math.max(machine.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
-    if (streak >= BAD_STREAK && machine.errorJobs.size() > 1 && !machine.faulty) {
+    if (streak >= BAD_STREAK && machine.failureCountByJob.size() > 1 && !machine.faulty) {
       machine.faulty = true;
-      machine.drain = true;
+      machine.draining = true;
       // What runs there already is left alone: only starts were seen to fail.
       cluster.log("machine " + machine.name + " fails tasks of several jobs: no new ones");
       exonerateJobs(machine, now);
@@ -89,7 +89,7 @@
     job.suspectSince = now;
     job.backoffCount = 0;
     backOff(job, now);
-    planner.onBroken(job.spec);
+    planner.onFailingJob(job.spec);
     cluster.log(
         job.spec.id()
             + " fails on every machine, "
@@ -97,15 +97,15 @@
             + " so far: tried one task at a time from now on");
     for (String name : job.failedMachines) {
       Machine machine = cluster.machines.get(name);
-      if (machine == null || machine.errorJobs.remove(job.spec.id()) == null) {
+      if (machine == null || machine.failureCountByJob.remove(job.spec.id()) == null) {
         continue;
       }
-      if (machine.faulty && machine.errorJobs.size() < 2 && !machine.scalingIn) {
+      if (machine.faulty && machine.failureCountByJob.size() < 2 && !machine.scalingIn) {
         machine.faulty = false;
-        machine.drain = false;
+        machine.draining = false;
         cluster.log("machine " + machine.name + " is used again: the jobs were at fault");
       }
-      if (machine.errorJobs.isEmpty()) {
+      if (machine.failureCountByJob.isEmpty()) {
         machine.quarantineUntil = Double.NEGATIVE_INFINITY;
         cluster.roomVersion++;
       }
@@ -143,8 +143,8 @@
       }
     }
     // What was started before the machine fell sick goes on there, and shows nothing.
-    if (claim.claimedAt > machine.lastErrorAt) {
-      machine.errorJobs.clear();
+    if (claim.claimedAt > machine.lastFailureAt) {
+      machine.failureCountByJob.clear();
     }
   }
 
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -8,71 +8,78 @@
 import java.util.Set;
 
 /**
- * Consolidation before scale in: closes the on-demand machines that deadlines don't need, the most
- * expensive first. Arrays on them run to their end; {@link ServiceMoves} moves their services off.
- * A closing machine is scaled in once it is empty.
+ * Marks on-demand machines for consolidation that are not needed to meet deadlines, the most
+ * expensive first. Arrays on a marked machine run to completion, {@link ServiceMoves} moves its
+ * services to other machines, and it is scaled in once it is empty.
  */
 final class FleetConsolidation {
-  /** Seconds that a machine is charged at least; before that there is nothing to save. */
-  static final double CHARGED_AT_LEAST_S = 60;
+  /** Minimum billing period of a machine in seconds; removing it earlier saves no money. */
+  static final double MIN_BILLING_PERIOD_S = 60;
 
   /**
-   * Share of the on-demand machines that may be closed in one plan, beside one: of hundreds, one a
-   * second would stand idle for minutes after a peak.
+   * Share of the on-demand machines that may be marked in one plan, in addition to one machine.
+   * With a limit of one per plan, a fleet of hundreds would stay partly idle for minutes after a
+   * peak.
    */
-  private static final double CLOSE_SHARE = 0.02;
+  private static final double MAX_MARKED_SHARE_PER_PLAN = 0.02;
 
-  /** Machines looked at in one plan as candidates for closing, for each thousand machines. */
-  private static final int CANDIDATES_PER_THOUSAND = 8;
+  /** Limit on the candidates examined in one plan, per 1,000 machines. */
+  private static final int MAX_CANDIDATES_PER_THOUSAND_MACHINES = 8;
 
   /**
-   * Share of a machine's own size that must be left over when it is closed, against oscillation.
+   * Surplus that must remain after a machine is marked, as a share of that machine's own CPUs for
+   * arrays. The margin prevents oscillation between scale-in and scale-out.
    */
-  private static final double LEFT_OVER_SHARE = 0.5;
+  private static final double MIN_REMAINING_SURPLUS_SHARE = 0.5;
 
-  /** Jobs of the largest size seen that warm machines must have room for when one is closed. */
-  private static final int WARM_JOBS = 2;
+  /**
+   * Number of jobs of the largest recent size that the remaining machines with the image must have
+   * room for.
+   */
+  private static final int MIN_WARM_JOBS = 2;
 
-  /** CPUs that a service is taken to need at least when moved ones are counted. */
-  private static final double LEAST_SERVICE_CPUS = 1e-3;
+  /** Lower bound on the CPUs of a service task when the tasks to move are estimated. */
+  private static final double MIN_SERVICE_CPUS = 1e-3;
 
   private final ClusterState cluster;
   private final Deadlines deadlines;
-  private final DemandHistory demand;
-  private final ServiceMoves moves;
+  private final DemandHistory demandHistory;
+  private final ServiceMoves serviceMoves;
   private final double startedAt;
 
   FleetConsolidation(
-      ClusterState cluster, Deadlines deadlines, DemandHistory demand, double startedAt) {
+      ClusterState cluster, Deadlines deadlines, DemandHistory demandHistory, double startedAt) {
     this.cluster = cluster;
     this.deadlines = deadlines;
-    this.demand = demand;
-    this.moves = new ServiceMoves(cluster);
+    this.demandHistory = demandHistory;
+    this.serviceMoves = new ServiceMoves(cluster);
     this.startedAt = startedAt;
   }
 
   /**
-   * Closes machines while the CPUs that arrays can have stay above what deadlines need.
+   * Marks machines for consolidation as long as the remaining CPUs for arrays exceed what deadlines
+   * need.
    *
-   * @param surplusCpus CPUs beyond what deadlines need; negative reopens closing machines
-   * @param spareRoomMachines machines that hold the spare room of the plan, which stay open
+   * @param surplusCpus CPUs beyond what deadlines need; if negative, machines are unmarked
+   * @param spareCapacityMachines machines that hold the spare capacity of the plan, which are not
+   *     marked
    */
-  void close(double surplusCpus, Set<Machine> spareRoomMachines, double now) {
-    if (someWorkCannotWaitForSpot() || now - startedAt < ScaleInPlanner.FAILOVER_SETTLE_S) {
+  void consolidate(double surplusCpus, Set<Machine> spareCapacityMachines, double now) {
+    if (hasWorkThatCannotWaitForSpot() || now - startedAt < ScaleInPlanner.FAILOVER_SETTLE_S) {
       cluster.machines.values().forEach(machine -> machine.consolidating = false);
       return;
     }
     List<Machine> onDemand = onDemandMachines();
-    double surplusLeft = reopen(onDemand, surplusCpus);
-    onDemand.sort(Comparator.comparingDouble(machine -> -wastedPrice(machine)));
-    closeSome(onDemand, surplusLeft, spareRoomMachines, now);
-    moves.moveOffClosing(onDemand, fewAtOnce(onDemand), now);
+    double surplusLeft = unmark(onDemand, surplusCpus);
+    onDemand.sort(Comparator.comparingDouble(machine -> -hourlyPriceBesideServices(machine)));
+    markSome(onDemand, surplusLeft, spareCapacityMachines, now);
+    serviceMoves.moveOffClosing(onDemand, maxPerPlan(onDemand), now);
   }
 
-  /** True if arrays are waiting, or have come of late, that need on-demand machines at once. */
-  private boolean someWorkCannotWaitForSpot() {
+  /** True if arrays that need on-demand machines at once are waiting or arrived recently. */
+  private boolean hasWorkThatCannotWaitForSpot() {
     return cluster.jobs.values().stream().anyMatch(this::cannotWaitForSpot)
-        || demand.arrivals().stream().anyMatch(arrival -> cannotWaitForSpot(arrival.spec()));
+        || demandHistory.arrivals().stream().anyMatch(arrival -> cannotWaitForSpot(arrival.spec()));
   }
 
   private boolean cannotWaitForSpot(Job job) {
@@ -83,7 +90,7 @@
     return !spec.isService() && !deadlines.mayWaitForSpot(spec);
   }
 
-  /** On-demand machines of a known type that send heartbeats and are not on their way out. */
+  /** On-demand machines of a known type with a valid lease that are not being scaled in. */
   private List<Machine> onDemandMachines() {
     List<Machine> onDemand = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
@@ -91,15 +98,15 @@
           && !machine.spot
           && !machine.leaseExpired
           && !machine.scalingIn
-          && cluster.types.containsKey(machine.type)) {
+          && cluster.machineTypes.containsKey(machine.type)) {
         onDemand.add(machine);
       }
     }
     return onDemand;
   }
 
-  /** Reopens closing machines while the surplus is negative; returns the surplus after that. */
-  private static double reopen(List<Machine> onDemand, double surplusCpus) {
+  /** Unmarks machines while the surplus is negative; returns the resulting surplus. */
+  private static double unmark(List<Machine> onDemand, double surplusCpus) {
     double surplusLeft = surplusCpus;
     for (Machine machine : onDemand) {
       if (machine.consolidating && surplusLeft < 0) {
@@ -110,86 +117,93 @@
     return surplusLeft;
   }
 
-  /** Closes the first machines that can be spared, of those given the most expensive first. */
-  private void closeSome(
-      List<Machine> dearestFirst, double surplusCpus, Set<Machine> spareRoomMachines, double now) {
+  /** Marks the first few machines of the list that are not needed. */
+  private void markSome(
+      List<Machine> mostExpensiveFirst,
+      double surplusCpus,
+      Set<Machine> spareCapacityMachines,
+      double now) {
     double surplusLeft = surplusCpus;
-    int closingsLeft = fewAtOnce(dearestFirst);
-    int candidatesLeft = CANDIDATES_PER_THOUSAND * FleetPlanner.thousandsOfMachines(cluster);
-    for (Machine machine : dearestFirst) {
+    int markingsLeft = maxPerPlan(mostExpensiveFirst);
+    int candidatesLeft =
+        MAX_CANDIDATES_PER_THOUSAND_MACHINES * FleetPlanner.thousandsOfMachines(cluster);
+    for (Machine machine : mostExpensiveFirst) {
       if (machine.consolidating
-          || spareRoomMachines.contains(machine)
-          || now - machine.requestedAt < CHARGED_AT_LEAST_S) {
+          || spareCapacityMachines.contains(machine)
+          || now - machine.requestedAt < MIN_BILLING_PERIOD_S) {
         continue;
       }
       double arrayCpus = machine.capacity.cpus() - machine.serviceResources.cpus();
-      if (surplusLeft - arrayCpus <= LEFT_OVER_SHARE * arrayCpus) {
-        continue; // Arrays need it.
+      if (surplusLeft - arrayCpus <= MIN_REMAINING_SURPLUS_SHARE * arrayCpus) {
+        continue; // Its CPUs are needed for arrays.
       }
       if (candidatesLeft-- <= 0) {
-        return; // The next plan looks again; each look compares with the whole fleet.
+        // Each check scans the whole fleet, so the remaining candidates wait for a later plan.
+        return;
       }
-      if (moves.canMoveServicesOff(machine, dearestFirst, now)
-          && warmEnoughWithout(machine, dearestFirst)) {
+      if (serviceMoves.canMoveServicesOff(machine, mostExpensiveFirst, now)
+          && hasEnoughWarmRoomWithout(machine, mostExpensiveFirst)) {
         machine.consolidating = true;
         surplusLeft -= arrayCpus;
-        cluster.log("closing " + machine.name + ": its work fits on cheaper machines");
-        if (--closingsLeft <= 0) {
-          return; // A few at a time, so that the next plan sees what came of it.
+        cluster.log(
+            "consolidating machine " + machine.name + ": its work fits on cheaper machines");
+        if (--markingsLeft <= 0) {
+          return; // Only a few per plan, so that the next plan sees their effect.
         }
       }
     }
   }
 
-  /** Machines to close, or replicas to move, in one step: a small fleet one, a large its share. */
-  private static int fewAtOnce(List<Machine> onDemand) {
-    return 1 + (int) (onDemand.size() * CLOSE_SHARE);
+  /** Machines to mark, or replicas to move, in one plan. */
+  private static int maxPerPlan(List<Machine> onDemand) {
+    return 1 + (int) (onDemand.size() * MAX_MARKED_SHARE_PER_PLAN);
   }
 
-  /** Money an hour that the machine costs beyond what its services would cost elsewhere. */
-  private double wastedPrice(Machine machine) {
-    MachineType type = cluster.types.get(machine.type);
+  /** Hourly price of the share of the machine that services do not use; consolidation saves it. */
+  private double hourlyPriceBesideServices(Machine machine) {
+    MachineType type = cluster.machineTypes.get(machine.type);
     return type.price() * (1 - machine.serviceResources.cpus() / type.cpus());
   }
 
   /**
-   * True if for every image of work that should start sooner than it can be fetched, the machines
-   * that stay and have the image could hold what may come. Arrays there can be preempted for it.
+   * True if the remaining machines have enough room for services with a start objective, which must
+   * not wait for an image fetch. For every image of such a service on this machine, the other
+   * machines that have the image must hold the expected arrivals. Arrays there count as room, since
+   * they can be preempted.
    */
-  private boolean warmEnoughWithout(Machine machine, List<Machine> onDemand) {
-    Map<String, Integer> largestJob = new HashMap<>();
+  private boolean hasEnoughWarmRoomWithout(Machine machine, List<Machine> onDemand) {
+    Map<String, Integer> largestJobTasks = new HashMap<>();
     Map<String, JobSpec> typicalSpec = new HashMap<>();
-    for (DemandHistory.Arrival arrival : demand.arrivals()) {
+    for (DemandHistory.Arrival arrival : demandHistory.arrivals()) {
       JobSpec spec = arrival.spec();
       if (spec.isService()
           && cluster.policy.startObjectivesS().containsKey(spec.jobClass())
           && machine.hasImage(spec.image())) {
-        largestJob.merge(spec.image(), spec.tasks(), Math::max);
+        largestJobTasks.merge(spec.image(), spec.tasks(), Math::max);
         typicalSpec.put(spec.image(), spec);
       }
     }
     for (var entry : typicalSpec.entrySet()) {
       JobSpec spec = entry.getValue();
-      // What is moved off this machine takes room there as well.
-      int moved =
+      // Services moved off this machine need room there too.
+      int movedTasks =
           (int)
-              Math.ceil(
-                  machine.serviceResources.cpus() / Math.max(spec.cpus(), LEAST_SERVICE_CPUS));
-      int wanted = WARM_JOBS * largestJob.get(entry.getKey()) + moved;
-      if (warmSlots(spec, machine, onDemand) < wanted) {
+              Math.ceil(machine.serviceResources.cpus() / Math.max(spec.cpus(), MIN_SERVICE_CPUS));
+      int neededTasks = MIN_WARM_JOBS * largestJobTasks.get(entry.getKey()) + movedTasks;
+      if (warmSlots(spec, machine, onDemand) < neededTasks) {
         return false;
       }
     }
     return true;
   }
 
-  /** Tasks of the spec that machines with its image, other than this one, hold beside services. */
-  private static int warmSlots(JobSpec spec, Machine except, List<Machine> onDemand) {
+  /** Number of tasks of the spec that fit beside services on the other machines with its image. */
+  private static int warmSlots(JobSpec spec, Machine excluded, List<Machine> onDemand) {
     int slots = 0;
     for (Machine machine : onDemand) {
-      if (machine != except && !machine.consolidating && machine.hasImage(spec.image())) {
-        Resources room = machine.capacity.minus(machine.serviceResources);
-        slots += room.times(Resources.of(spec));
+      if (machine != excluded && !machine.consolidating && machine.hasImage(spec.image())) {
+        Resources free = machine.capacity.minus(machine.serviceResources);
+        slots += free.times(Resources.of(spec));
       }
     }
     return slots;
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -6,116 +6,121 @@
 import java.util.Set;
 
 /**
- * Sizes the fleet, once a plan: what to scale out for the work that waits and the spare room that
- * arrivals call for, which on-demand machines to consolidate, and what to scale in. It also keeps
- * the demand and image records that a leader after a failover starts from.
+ * Plans the size of the fleet: which machines to request for waiting work and spare capacity, which
+ * on-demand machines to consolidate, and which machines to scale in. It also stores the demand and
+ * image records that a new leader reads after a failover.
  */
 final class FleetPlanner {
   private final ClusterState cluster;
-  private final BootTimes boots;
+  private final BootTimes bootTimes;
   private final RunTimeEstimates estimates = new RunTimeEstimates();
   private final Deadlines deadlines;
   private final TeammateYielding teammateYielding;
-  private final DemandHistory demand;
-  private final ScaleOutPlanner scaleOut;
+  private final DemandHistory demandHistory;
+  private final ScaleOutPlanner scaleOutPlanner;
   private final FleetConsolidation consolidation;
-  private final ScaleInPlanner scaleIn;
-  private final ImageRecords images;
-  private Set<Job> yieldingToTeammates = Set.of();
-  private Set<Job> deferrable = Set.of();
+  private final ScaleInPlanner scaleInPlanner;
+  private final ImageRecords imageRecords;
+  private Set<Job> jobsYieldingToTeammates = Set.of();
+  private Set<Job> deferrableJobs = Set.of();
 
   FleetPlanner(ClusterState cluster, double now) {
     this.cluster = cluster;
-    this.boots = new BootTimes(cluster, now);
+    this.bootTimes = new BootTimes(cluster, now);
     this.deadlines = new Deadlines(cluster, estimates);
     this.teammateYielding = new TeammateYielding(cluster, deadlines, estimates);
-    this.demand = new DemandHistory(cluster, now);
-    this.scaleOut = new ScaleOutPlanner(cluster, boots, deadlines);
-    this.consolidation = new FleetConsolidation(cluster, deadlines, demand, now);
-    this.scaleIn = new ScaleInPlanner(cluster, boots, now);
-    this.images = new ImageRecords(cluster, now);
+    this.demandHistory = new DemandHistory(cluster, now);
+    this.scaleOutPlanner = new ScaleOutPlanner(cluster, bootTimes, deadlines);
+    this.consolidation = new FleetConsolidation(cluster, deadlines, demandHistory, now);
+    this.scaleInPlanner = new ScaleInPlanner(cluster, bootTimes, now);
+    this.imageRecords = new ImageRecords(cluster, now);
   }
 
-  /** Thousands of machines, the last of which need not be full; at least one. */
+  /** Number of machines in thousands, rounded up; at least one. */
   static int thousandsOfMachines(ClusterState cluster) {
     return 1 + Math.max(0, cluster.machines.size() - 1) / 1000;
   }
 
-  /** A job of this spec was submitted at that time (seconds on the leader's clock). */
+  /** Records that a job was submitted at time {@code at}, in seconds on the leader's clock. */
   void onArrival(JobSpec spec, double at) {
-    demand.onArrival(spec, at);
+    demandHistory.onArrival(spec, at);
   }
 
-  /** What an earlier leader remembered; jobs that are still live were counted already. */
-  void onDemand(Action.Demand remembered, double now) {
-    demand.onDemand(remembered, now);
+  /**
+   * Merges the arrivals of one class that an earlier leader stored; live jobs are already recorded.
+   */
+  void mergeStoredDemand(Action.Demand storedDemand, double now) {
+    demandHistory.mergeStoredDemand(storedDemand, now);
   }
 
-  /** A machine has sent its first heartbeat. */
-  void onUp(Machine machine, double now) {
+  /** Handles the first heartbeat of a machine. */
+  void onFirstHeartbeat(Machine machine, double now) {
     if (machine.booting) {
-      boots.up(machine, now);
+      bootTimes.recordBoot(machine, now);
     }
   }
 
-  /** A job fails on every machine: it is no sign of what is to come, nor does it scale out. */
-  void onBroken(JobSpec spec) {
-    demand.onBroken(spec);
+  /** Excludes a job that fails on every machine from the demand for spare capacity. */
+  void onFailingJob(JobSpec spec) {
+    demandHistory.onFailingJob(spec);
   }
 
   /** Expected run time of a task, in seconds. */
-  double estimate(JobSpec spec) {
-    return estimates.estimate(spec);
+  double estimateRunTimeS(JobSpec spec) {
+    return estimates.estimateRunTimeS(spec);
   }
 
-  /** A task of the spec has run to its end in so many seconds. */
-  void onRan(JobSpec spec, double seconds) {
-    estimates.onRan(spec, seconds);
+  /** Records the run time of a completed task. */
+  void onTaskCompleted(JobSpec spec, double runTimeS) {
+    estimates.onTaskCompleted(spec, runTimeS);
   }
 
   /**
-   * The cloud's answer to scale-out request {@code id}: the machines it created (null if none), and
-   * whether the pool said it had no capacity.
+   * Handles the cloud's response to scale-out request {@code id}.
+   *
+   * @param machineNames machines created, or null if there are none
+   * @param noCapacity whether the cloud reported that the pool has no capacity
    */
-  void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
-    scaleOut.onAnswer(id, names, noCapacity, now);
+  void onScaleOutResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
+    scaleOutPlanner.onResponse(id, machineNames, noCapacity, now);
   }
 
-  /** Jobs that yield to others of their team, as of the last plan. */
-  Set<Job> yieldingToTeammates() {
-    return yieldingToTeammates;
+  /** Jobs that yield to other jobs of their team, as of the last plan. */
+  Set<Job> jobsYieldingToTeammates() {
+    return jobsYieldingToTeammates;
   }
 
-  /** Jobs that may wait without harm as yet, as of the last plan. */
-  Set<Job> deferrable() {
-    return deferrable;
+  /** Jobs that can wait without missing their deadline, as of the last plan. */
+  Set<Job> deferrableJobs() {
+    return deferrableJobs;
   }
 
   /**
    * Plans the fleet and adds the scale-out, scale-in and record actions to the cluster's actions.
    */
   void plan(double now) {
-    if (cluster.types.isEmpty()) {
+    if (cluster.machineTypes.isEmpty()) {
       return;
     }
-    demand.forgetOld(now);
-    boots.plan(now);
-    List<PackingBin> bins = scaleOut.bins(now);
-    double availableCpus = scaleOut.cpusForArrays(bins);
-    yieldingToTeammates = teammateYielding.yielding(availableCpus, now);
-    deferrable = deadlines.deferrable(now);
-    // Only what teams' limits make hopeless is left out: a fleet too small for the rest is to grow.
-    Set<Job> hopeless = teammateYielding.yielding(Double.MAX_VALUE, now);
-    double neededCpus = deadlines.neededCpus(hopeless, now);
-    Set<Machine> spareRoomMachines = new HashSet<>();
-    Map<JobSpec, Integer> spareRoom = demand.spareRoom(now);
+    demandHistory.removeExpired(now);
+    bootTimes.updateStalledTypes(now);
+    List<PackingBin> bins = scaleOutPlanner.bins(now);
+    double availableCpus = scaleOutPlanner.cpusAvailableToArrays(bins);
+    jobsYieldingToTeammates = teammateYielding.yielding(availableCpus, now);
+    deferrableJobs = deadlines.deferrable(now);
+    // Excludes only jobs that would be late because of their team's limit, however large the fleet.
+    // The fleet must grow for all others.
+    Set<Job> lateUnderTeamLimits = teammateYielding.yielding(Double.MAX_VALUE, now);
+    double neededCpus = deadlines.neededCpus(lateUnderTeamLimits, now);
+    Set<Machine> spareCapacityMachines = new HashSet<>();
+    Map<JobSpec, Integer> spareCapacity = demandHistory.spareCapacity(now);
     double missingCpus = Math.max(0, neededCpus - availableCpus);
-    Map<InstancePool, Integer> toRequest =
-        scaleOut.pack(bins, spareRoom, missingCpus, spareRoomMachines, now);
-    consolidation.close(availableCpus - neededCpus, spareRoomMachines, now);
-    scaleOut.request(toRequest, now);
-    scaleIn.scaleIn(spareRoomMachines, now);
-    demand.store(now);
-    images.store(now);
+    Map<InstancePool, Integer> machinesToRequest =
+        scaleOutPlanner.pack(bins, spareCapacity, missingCpus, spareCapacityMachines, now);
+    consolidation.consolidate(availableCpus - neededCpus, spareCapacityMachines, now);
+    scaleOutPlanner.sendRequests(machinesToRequest, now);
+    scaleInPlanner.scaleIn(spareCapacityMachines, now);
+    demandHistory.store(now);
+    imageRecords.store(now);
   }
 }
--- a/src/main/java/graderelay/core/HeartbeatIntake.java
+++ b/src/main/java/graderelay/core/HeartbeatIntake.java
@@ -43,7 +43,8 @@
       return false; // Delayed on the way: the cloud has said that the machine is gone.
     }
     Machine machine = cluster.getOrAddMachine(heartbeat.machine(), now);
-    if (machine.heartbeatReceived && !heartbeat.newerThan(machine.session, machine.seq)) {
+    if (machine.heartbeatReceived
+        && !heartbeat.newerThan(machine.session, machine.lastHeartbeatSeq)) {
       onStaleHeartbeat(machine, heartbeat, origin);
       return false; // Delayed on the way: its list is older than what we know.
     }
@@ -53,7 +54,7 @@
       cluster.setTypeAndZone(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
     }
     if (first || heartbeat.session() != machine.session) {
-      machine.sessionSeenAt = now;
+      machine.sessionFirstSeenAt = now;
       machine.unreapableAttempts.clear(); // Late commands name their session: refused now.
     }
     if (!first) {
@@ -62,7 +63,7 @@
     recordHeartbeat(machine, heartbeat, origin, now);
     if (first) {
       machine.idleSince = now;
-      planner.onUp(machine, now);
+      planner.onFirstHeartbeat(machine, now);
       cluster.log(
           "machine " + machine.name + " sends heartbeats: " + machine.type + " in " + machine.zone);
     }
@@ -81,7 +82,7 @@
     staleCount++;
     if (origin.checkIn() && heartbeat.session() == machine.session) {
       // It was sent before the newer one came, so an answer to it renews no further than that.
-      machine.lastAnsweredAt = Math.max(machine.lastAnsweredAt, machine.lastHeartbeatAt);
+      machine.lastResponseAt = Math.max(machine.lastResponseAt, machine.lastHeartbeatAt);
     }
   }
 
@@ -89,22 +90,22 @@
   private static void recordHeartbeat(
       Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
     if (heartbeat.session() != machine.session) {
-      machine.firstAnsweredAt = Double.NaN;
+      machine.firstResponseAt = Double.NaN;
     }
     machine.heartbeatReceived = true;
     machine.leaseExpired = false;
     machine.address = heartbeat.address();
     machine.session = heartbeat.session();
-    machine.seq = heartbeat.seq();
-    machine.lastSeenTerm = Math.max(machine.lastSeenTerm, heartbeat.term());
+    machine.lastHeartbeatSeq = heartbeat.seq();
+    machine.highestReportedTerm = Math.max(machine.highestReportedTerm, heartbeat.term());
     machine.lastHeartbeatAt = now;
-    machine.failedProbes = 0;
+    machine.consecutiveProbeFailures = 0;
     if (origin.checkIn()) {
-      machine.heartbeatVia = origin.controller();
-      machine.heartbeatAnswered = false;
+      machine.heartbeatController = origin.controller();
+      machine.lastHeartbeatAnswered = false;
     }
     machine.lastHeartbeat = heartbeat;
-    machine.fetching.clear();
+    machine.imagesBeingFetched.clear();
   }
 
   /** Drains the machine as soon as its worker says that the cloud will take it. */
@@ -125,9 +126,9 @@
       }
       String image = claim.job.spec.image();
       if (entry.stage() == Heartbeat.Stage.FETCHING) {
-        machine.fetching.add(image);
+        machine.imagesBeingFetched.add(image);
       } else if (entry.why().isEmpty() || entry.why().equals("done")) {
-        machine.learnImage(image, now);
+        machine.recordImage(image, now);
       }
     }
   }
@@ -136,10 +137,10 @@
   void onHeartbeatAnswered(String machineName, double now) {
     Machine machine = cluster.machines.get(machineName);
     if (machine != null) {
-      machine.lastAnsweredAt = now;
-      machine.firstAnsweredAt =
-          Double.isNaN(machine.firstAnsweredAt) ? now : machine.firstAnsweredAt;
-      machine.heartbeatAnswered = true;
+      machine.lastResponseAt = now;
+      machine.firstResponseAt =
+          Double.isNaN(machine.firstResponseAt) ? now : machine.firstResponseAt;
+      machine.lastHeartbeatAnswered = true;
     }
   }
 }
--- a/src/main/java/graderelay/core/HeartbeatResponses.java
+++ b/src/main/java/graderelay/core/HeartbeatResponses.java
@@ -20,7 +20,7 @@
     Machine machine = cluster.machines.get(heartbeat.machine());
     if (machine == null
         || machine.session != heartbeat.session()
-        || machine.seq != heartbeat.seq()) {
+        || machine.lastHeartbeatSeq != heartbeat.seq()) {
       return commands;
     }
     for (Heartbeat.Entry entry : heartbeat.tasks()) {
--- a/src/main/java/graderelay/core/ImageRecords.java
+++ b/src/main/java/graderelay/core/ImageRecords.java
@@ -5,23 +5,23 @@
 import java.util.Map;
 
 /**
- * Stores which images each machine has, in records of a shard of the fleet each, so that the next
- * leader after a failover knows where work starts warm.
+ * Stores which images each machine has, so that a new leader can place tasks on machines with their
+ * image after a failover. Each record holds one shard of the fleet.
  */
 final class ImageRecords {
-  /** Seconds between records of the images on machines, each a hint for the next leader. */
-  private static final double STORE_EVERY_S = 15;
+  /** Minimum seconds between two writes of image records. */
+  private static final double STORE_INTERVAL_S = 15;
 
   /**
-   * Such records written at one time, each a change of the store: a bound on a batch. The others
-   * follow in turn at the next times.
+   * Upper bound on the records written at one time, since each is a separate change in the
+   * key-value store. The remaining records are written at later times, in round-robin order.
    */
-  private static final int PARTS_AT_ONCE = 24;
+  private static final int MAX_RECORDS_PER_WRITE = 24;
 
   private final ClusterState cluster;
   private final double startedAt;
-  private double lastStored;
-  private int nextPart;
+  private double lastStoredAt;
+  private int nextShard;
 
   ImageRecords(ClusterState cluster, double startedAt) {
     this.cluster = cluster;
@@ -29,50 +29,55 @@
   }
 
   /**
-   * Writes only the records of which a machine has got an image that they don't name, and at most
-   * so many at a time, in turn.
+   * Writes records that lack an image of one of their machines, at most {@link
+   * #MAX_RECORDS_PER_WRITE} per call in round-robin order. Does nothing if the last write is less
+   * than {@link #STORE_INTERVAL_S} ago.
    */
   void store(double now) {
-    if (now - Math.max(startedAt, lastStored) < STORE_EVERY_S) {
+    if (now - Math.max(startedAt, lastStoredAt) < STORE_INTERVAL_S) {
       return;
     }
-    lastStored = now;
-    int partCount = cluster.imagePartsPerThousand * FleetPlanner.thousandsOfMachines(cluster);
-    if (partCount > cluster.imageParts) {
-      // It does not shrink with the fleet, or it would oscillate.
-      cluster.imageParts(partCount);
+    lastStoredAt = now;
+    int shardCount =
+        cluster.imageShardsPerThousandMachines * FleetPlanner.thousandsOfMachines(cluster);
+    if (shardCount > cluster.imageShardCount) {
+      // The count never shrinks with the fleet, since it could then oscillate, and every change of
+      // it rewrites all records.
+      cluster.setImageShardCount(shardCount);
     }
-    Map<Integer, Map<String, List<String>>> parts = changedParts();
-    if (parts.isEmpty()) {
+    Map<Integer, Map<String, List<String>>> imagesByShard = changedShards();
+    if (imagesByShard.isEmpty()) {
       return;
     }
     for (Machine machine : cluster.machines.values()) {
-      Map<String, List<String>> part = parts.get(machine.imagePart(cluster.imageParts));
-      if (part == null) {
+      Map<String, List<String>> shardImages =
+          imagesByShard.get(machine.imageShard(cluster.imageShardCount));
+      if (shardImages == null) {
         continue;
       }
       machine.imagesChanged = false;
       if (!machine.images.isEmpty() && !machine.scalingIn) {
-        part.put(machine.name, List.copyOf(machine.images.keySet()));
+        shardImages.put(machine.name, List.copyOf(machine.images.keySet()));
       }
     }
-    parts.forEach((part, images) -> cluster.actions.add(new Action.KeepImages(part, images)));
+    imagesByShard.forEach(
+        (shard, images) -> cluster.actions.add(new Action.StoreImages(shard, images)));
   }
 
-  /** The records to write now by number, empty as yet: the next of those that are out of date. */
-  private Map<Integer, Map<String, List<String>>> changedParts() {
-    boolean[] changed = new boolean[cluster.imageParts];
+  /** The outdated records to write now, by shard and still empty. */
+  private Map<Integer, Map<String, List<String>>> changedShards() {
+    boolean[] changed = new boolean[cluster.imageShardCount];
     for (Machine machine : cluster.machines.values()) {
-      changed[machine.imagePart(cluster.imageParts)] |= machine.imagesChanged;
+      changed[machine.imageShard(cluster.imageShardCount)] |= machine.imagesChanged;
     }
-    Map<Integer, Map<String, List<String>>> parts = new HashMap<>();
-    for (int i = 0; i < changed.length && parts.size() < PARTS_AT_ONCE; i++) {
-      int part = nextPart % changed.length;
-      nextPart = part + 1;
-      if (changed[part]) {
-        parts.put(part, new HashMap<>());
+    Map<Integer, Map<String, List<String>>> imagesByShard = new HashMap<>();
+    for (int i = 0; i < changed.length && imagesByShard.size() < MAX_RECORDS_PER_WRITE; i++) {
+      int shard = nextShard % changed.length;
+      nextShard = shard + 1;
+      if (changed[shard]) {
+        imagesByShard.put(shard, new HashMap<>());
       }
     }
-    return parts;
+    return imagesByShard;
   }
 }
--- a/src/main/java/graderelay/core/InstancePool.java
+++ b/src/main/java/graderelay/core/InstancePool.java
@@ -1,7 +1,7 @@
 package graderelay.core;
 
 /**
- * One kind of machine that the cloud can be asked for in a scale-out request: a machine type, a
- * zone, and whether it is a spot or preemptible instance.
+ * A pool of interchangeable machines that a scale-out request can draw from: a machine type, a
+ * zone, and whether instances are spot (preemptible) or on-demand.
  */
 record InstancePool(String type, String zone, boolean spot) {}
--- a/src/main/java/graderelay/core/JobEndWriter.java
+++ b/src/main/java/graderelay/core/JobEndWriter.java
@@ -37,10 +37,10 @@
    */
   void endJobs() {
     List<Job> cancelled = new ArrayList<>();
-    for (Job job : new ArrayList<>(cluster.maybeEndedJobs)) {
+    for (Job job : new ArrayList<>(cluster.possiblyEndedJobs)) {
       boolean over = job.cancelRequested ? job.claims.isEmpty() : isProvenDone(job);
       if (!over) {
-        cluster.maybeEndedJobs.remove(job);
+        cluster.possiblyEndedJobs.remove(job);
       } else if (job.ending
           || job.taskBatches.values().stream().anyMatch(batch -> batch.inFlight)) {
         continue;
@@ -67,10 +67,10 @@
     // Users wait for the end, nobody for the task batches to go: in a swarm of single tasks they
     // would take as many changes again. What is left goes as soon as there is time.
     int most = Math.min(cluster.policy.txnOps() - 2, inFlight.changesLeft() - 2);
-    List<Action.TaskBatchDrop> drops = new ArrayList<>();
+    List<Action.TaskBatchDelete> drops = new ArrayList<>();
     for (Job.TaskBatch batch : job.taskBatches.values()) {
       if (batch.revision > 0 && drops.size() < most) {
-        drops.add(new Action.TaskBatchDrop(batch.key, batch.revision));
+        drops.add(new Action.TaskBatchDelete(batch.key, batch.revision));
       }
     }
     job.ending = true;
@@ -87,10 +87,10 @@
     if (records.orphans.isEmpty() || most <= 0 || inFlight.orphanWriteOpen()) {
       return;
     }
-    List<Action.TaskBatchDrop> drops = new ArrayList<>();
+    List<Action.TaskBatchDelete> drops = new ArrayList<>();
     for (var it = records.orphans.entrySet().iterator(); it.hasNext() && drops.size() < most; ) {
       var orphan = it.next();
-      drops.add(new Action.TaskBatchDrop(orphan.getKey(), orphan.getValue()));
+      drops.add(new Action.TaskBatchDelete(orphan.getKey(), orphan.getValue()));
       it.remove();
     }
     inFlight.send(new Action.Write(inFlight.nextId(), List.of(), List.of(), drops, List.of()));
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -64,7 +64,7 @@
   /** Stops a cancelled job's tasks, and cancels the jobs that depend on it. */
   private void onCancellation(Job job, double now) {
     cluster.cancelledJobs.add(job);
-    cluster.maybeEndedJobs.add(job);
+    cluster.possiblyEndedJobs.add(job);
     stops.cancelJob(job, now);
     cluster
         .dependencies
@@ -79,7 +79,7 @@
     cluster.log(dependent.spec.id() + " is cancelled with a job that it needs");
     dependent.cancelRequested = true;
     cluster.cancelledJobs.add(dependent);
-    cluster.maybeEndedJobs.add(dependent);
+    cluster.possiblyEndedJobs.add(dependent);
     cluster.roundNeeded = true;
   }
 
--- a/src/main/java/graderelay/core/ListedMachine.java
+++ b/src/main/java/graderelay/core/ListedMachine.java
@@ -1,11 +1,11 @@
 package graderelay.core;
 
 /**
- * One machine of the cloud's list.
+ * One entry of the cloud's list of machines.
  *
  * @param type name of its machine type
  * @param spot true for a spot instance, false for an on-demand instance
- * @param stage the cloud's word for its state, for example "booting" or "failed"
+ * @param state state as the cloud reports it, for example "booting" or "failed"
  * @param ageS seconds since its creation was requested
  */
 public record ListedMachine(
@@ -14,5 +14,5 @@
     String type,
     String zone,
     boolean spot,
-    String stage,
+    String state,
     double ageS) {}
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * The leader's view of one machine: what the cloud and its worker say of it, its lease, the claims
- * on it, and whether it may take more tasks.
+ * The leader's view of one machine: its state as reported by the cloud and by its worker, its
+ * lease, the claims on it, and whether it may be given more tasks.
  */
 final class Machine {
-  /** Images remembered of a machine; only a guide for placement. */
-  private static final int MOST_IMAGES = 64;
+  /** Upper bound on the images tracked for one machine. They are only a hint for placement. */
+  private static final int MAX_TRACKED_IMAGES = 64;
 
   // ---------------------------------------------------------------- the instance
 
@@ -27,214 +27,231 @@
   /** True for a spot instance, false for an on-demand instance. */
   boolean spot;
 
-  /** Where its worker takes commands, null until known. */
+  /** Network address at which its worker accepts commands; null until known. */
   String address;
 
-  /** When this leader first knew of it. */
-  final double knownSince;
+  /** When this leader first saw the machine. */
+  final double firstSeenAt;
 
-  /** When its creation was requested, as far as known. */
+  /** When its creation was requested, if known; otherwise when this leader first saw it. */
   double requestedAt;
 
-  /** Requested by us or listed as booting: its first heartbeat tells how long the boot took. */
+  /**
+   * True if this leader requested it or the cloud listed it as booting; its first heartbeat then
+   * yields a boot time sample.
+   */
   boolean booting;
 
-  /** The cloud lists it as failed: everything on it is gone. */
+  /** The cloud lists it as failed, so all of its tasks are lost. */
   boolean failed;
 
-  /** When the cloud will take the machine, or null without such a notice. */
+  /** When the cloud will reclaim the machine; null unless it gave an interruption notice. */
   Double interruptionAt;
 
-  /** Its deletion was sent; nothing new is placed. */
+  /** A deletion request was sent; no new tasks are placed here. */
   boolean scalingIn;
 
-  /** When the deletion was last sent. */
+  /** When the deletion request was last sent. */
   double scaleInRequestedAt = Double.NEGATIVE_INFINITY;
 
   // ---------------------------------------------------------------- heartbeats and the lease
 
-  /** This leader has had a heartbeat of it. */
+  /** This leader has received a heartbeat from it. */
   boolean heartbeatReceived;
 
-  /** Its worker's incarnation, and the sequence number of its last heartbeat therein. */
+  /** Its worker's incarnation. */
   long session;
 
-  long seq;
+  /** Sequence number of the last heartbeat within that incarnation. */
+  long lastHeartbeatSeq;
 
-  /** The highest term that its heartbeats have shown. */
-  long lastSeenTerm;
+  /** The highest term that its heartbeats have reported. */
+  long highestReportedTerm;
 
-  /** When its last heartbeat, or answer to commands, was taken. */
+  /** When its last heartbeat or command response was received. */
   double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
 
-  /** That heartbeat. */
+  /** The heartbeat received at that time. */
   Heartbeat lastHeartbeat;
 
-  /** When we last answered a heartbeat: no lease of this worker can begin later. */
-  double lastAnsweredAt = Double.NEGATIVE_INFINITY;
+  /** When this leader last responded to a heartbeat; no lease of this worker can start later. */
+  double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-  /** When we first answered a heartbeat of its present session, or NaN. */
-  double firstAnsweredAt = Double.NaN;
+  /** When this leader first responded to a heartbeat of the current session, or NaN. */
+  double firstResponseAt = Double.NaN;
 
   /**
-   * When we first saw its present session. A session that was shown by an answer to direct commands
-   * has a whole lease of its own before any heartbeat of it was answered.
+   * When this leader first saw the current session. A session that is first seen in a response to
+   * direct commands already holds a full lease, although none of its heartbeats has been responded
+   * to.
    */
-  double sessionSeenAt = Double.NEGATIVE_INFINITY;
+  double sessionFirstSeenAt = Double.NEGATIVE_INFINITY;
 
-  /** The controller that its last heartbeat came to; "" for the leader itself. */
-  String heartbeatVia = "";
+  /** The controller that received its last heartbeat; "" for the leader itself. */
+  String heartbeatController = "";
 
-  /** That heartbeat was answered and not a copy, so its worker stays there if it hears us. */
-  boolean heartbeatAnswered;
+  /**
+   * True if that heartbeat was current and was responded to. A worker that receives the response
+   * keeps using the same controller.
+   */
+  boolean lastHeartbeatAnswered;
 
-  /** The session is over in any case: its lease has run out, counted safely. */
+  /** The lease has certainly expired, with clock drift allowed for, so the session is over. */
   boolean leaseExpired;
 
-  /** Since when its heartbeats come but answers do not reach it, or null. */
-  Double answersLostSince;
+  /** Since when its heartbeats arrive here but our responses do not reach it; null if they do. */
+  Double responsesLostSince;
 
-  /** When we last probed it. */
+  /** When it was last probed. */
   double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-  /** Direct commands and probes in a row that got no answer. */
-  int failedProbes;
+  /** Consecutive direct commands and probes without a response. */
+  int consecutiveProbeFailures;
 
-  /** Attempts that a late launch could start again if the worker forgot them. */
+  /**
+   * Attempts that the worker must not forget yet, since a delayed launch command could restart
+   * them.
+   */
   final Set<AttemptKey> unreapableAttempts = new HashSet<>();
 
   // ---------------------------------------------------------------- availability
 
-  /** Nothing new is placed, and what runs may end. */
-  boolean drain;
+  /** No new tasks are placed here; running tasks may finish. */
+  boolean draining;
 
-  /** Its operators want nothing new on it. */
+  /** Operators cordoned it: no new tasks are placed here. */
   boolean cordoned;
 
-  /** Its operators want it empty. */
-  boolean operatorDrain;
+  /** Operators want it drained of all tasks. */
+  boolean drainRequestedByOperator;
 
-  /** Being emptied, since cheaper machines have room for what it does. */
+  /** Marked for consolidation: it is being emptied, since its work fits on cheaper machines. */
   boolean consolidating;
 
-  /** Tasks of several jobs failed here; to be replaced once empty. */
+  /** Tasks of several jobs failed here; the machine is replaced once it is empty. */
   boolean faulty;
 
-  /** Failures without a success in between by the jobs that are not known to be at fault. */
-  final Map<String, Integer> errorJobs = new HashMap<>();
+  /** Consecutive task failures by job id, of jobs that are not known to be at fault. */
+  final Map<String, Integer> failureCountByJob = new HashMap<>();
 
-  /** When a task last failed for which the machine is blamed. */
-  double lastErrorAt = Double.NEGATIVE_INFINITY;
+  /** When a task failure was last attributed to this machine. */
+  double lastFailureAt = Double.NEGATIVE_INFINITY;
 
-  /** Nothing new is placed before this time, after failures. */
+  /** No new tasks are placed here before this time, because of earlier failures. */
   double quarantineUntil = Double.NEGATIVE_INFINITY;
 
   // ---------------------------------------------------------------- claims
 
-  /** Claims here, by task id. */
+  /** Claims on this machine by task id. */
   final Map<String, Claim> claims = new HashMap<>();
 
-  /** Claims here, counted by priority. */
-  final PriorityCounts byPriority = new PriorityCounts();
+  /** Number of claims on this machine by priority. */
+  final PriorityCounts claimCountByPriority = new PriorityCounts();
 
-  /** Since when it has been without claims. */
+  /** Since when it has had no claims. */
   double idleSince;
 
-  /** What the machine type offers; none while the type isn't known. */
+  /** Resources of its machine type; none while the type is unknown. */
   Resources capacity = Resources.NONE;
 
-  /** What the claims here take. */
+  /** Resources taken by the claims on this machine. */
   Resources used = Resources.NONE;
 
-  /** What the services among them take. */
+  /** Resources taken by those claims that belong to services. */
   Resources serviceResources = Resources.NONE;
 
   // ---------------------------------------------------------------- images
 
-  /** Images this machine has fetched, by last use; a guess that only guides placement. */
+  /** Images that the machine has probably fetched, least recently used first; a placement hint. */
   final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** An image is there that none of the leader's image records names yet. */
+  /** The machine has an image that the stored image records do not name yet. */
   boolean imagesChanged;
 
-  /** Images that a task here waits for, as of the last heartbeat. */
-  final Set<String> fetching = new HashSet<>();
+  /** Images being fetched for tasks on this machine, as of the last heartbeat. */
+  final Set<String> imagesBeingFetched = new HashSet<>();
 
   Machine(String name, double now) {
     this.name = name;
-    this.knownSince = now;
+    this.firstSeenAt = now;
     this.requestedAt = now;
     this.idleSince = now;
   }
 
-  /** Which of so many records of images names this machine. */
-  int imagePart(int parts) {
-    return Math.floorMod(name.hashCode(), parts);
+  /** Index of the image record, out of {@code shardCount} records, that holds this machine. */
+  int imageShard(int shardCount) {
+    return Math.floorMod(name.hashCode(), shardCount);
   }
 
-  /** Failures in a row that this machine is blamed for. */
-  int errorStreak() {
-    int streak = 0;
-    for (int errors : errorJobs.values()) {
-      streak += errors;
+  /** Consecutive failures attributed to this machine. */
+  int consecutiveFailures() {
+    int total = 0;
+    for (int failures : failureCountByJob.values()) {
+      total += failures;
     }
-    return streak;
+    return total;
   }
 
-  /** The same as {@code free().holds(need)}, without an object for each question. */
-  boolean holds(Resources need) {
+  /**
+   * True if the request fits in the free resources and the task limit. The check of resources
+   * matches {@link Resources#holds} on {@link #free()}, but allocates no object per call.
+   */
+  boolean hasRoomFor(Resources request) {
     return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= freeCpus() + Resources.SLACK
-        && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
-        && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
+        && request.cpus() <= freeCpus() + Resources.SLACK
+        && request.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
+        && request.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
   }
 
-  /** What the claims leave of the machine. */
+  /** Resources that are not taken by claims. */
   Resources free() {
     return capacity.minus(used);
   }
 
-  /** The CPUs of {@link #free()}, without an object for each question. */
+  /** The CPUs of {@link #free()}, without allocating an object per call. */
   double freeCpus() {
     return capacity.cpus() - used.cpus();
   }
 
-  /** Counts a claim that was just added to {@link #claims}. */
+  /** Adds a claim that was just put into {@link #claims} to the totals. */
   void allocate(Claim claim) {
     used = used.plus(claim.resources());
-    byPriority.add(claim.priority);
+    claimCountByPriority.add(claim.priority);
     if (claim.job.spec.isService()) {
       serviceResources = serviceResources.plus(claim.resources());
     }
   }
 
-  /** Takes out a claim that was just removed from {@link #claims}. */
+  /** Subtracts a claim that was just removed from {@link #claims} from the totals. */
   void release(Claim claim) {
-    // An empty machine starts from nothing, so that rounding doesn't add up.
+    // Resets to zero when the machine is empty, so that rounding errors don't accumulate.
     used = claims.isEmpty() ? Resources.NONE : used.minus(claim.resources());
-    byPriority.remove(claim.priority);
+    claimCountByPriority.remove(claim.priority);
     if (claim.job.spec.isService()) {
       serviceResources =
           claims.isEmpty() ? Resources.NONE : serviceResources.minus(claim.resources());
     }
   }
 
-  /** Records that the image is there; only the last few are remembered, as the machine does. */
-  void learnImage(String image, double now) {
+  /**
+   * Records that the machine has the image; beyond the limit, the least recently used image is
+   * dropped, as in the machine's own cache.
+   */
+  void recordImage(String image, double now) {
     imagesChanged |= images.put(image, now) == null;
-    fetching.remove(image);
-    if (images.size() > MOST_IMAGES) {
+    imagesBeingFetched.remove(image);
+    if (images.size() > MAX_TRACKED_IMAGES) {
       images.remove(images.keySet().iterator().next());
     }
   }
 
-  /** True if the image is likely there already. */
+  /** True if the machine probably has the image. */
   boolean hasImage(String image) {
     return images.containsKey(image);
   }
 
-  /** True if a task here waits for the image, so that a second one joins the same fetch. */
+  /** True if the image is being fetched, so that another task with it would share that fetch. */
   boolean isFetching(String image) {
-    return fetching.contains(image);
+    return imagesBeingFetched.contains(image);
   }
 }
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -8,39 +8,39 @@
 import java.util.TreeMap;
 
 /**
- * Takes in what the cloud and the operators say of machines for {@link Scheduler}: machine types,
- * the cloud's list, the answers to scale-out and scale-in requests, cordons and graceful evictions.
+ * Handles the machine events of {@link Scheduler}: the machine types and machine list of the cloud,
+ * its responses to scale-out and scale-in requests, and the operators' cordons and drains.
  */
 final class MachineEvents {
   private final ClusterState cluster;
   private final FleetPlanner planner;
-  private final DeletedMachines deleted;
+  private final DeletedMachines deletedMachines;
   private final TerminationProofs proofs;
   private final TaskStops stops;
 
-  /** Deleted machines that still carry claims whose end has to commit. */
-  private final Set<String> toForget = new LinkedHashSet<>();
+  /** Deleted machines to remove from the state once the ends of their claims have committed. */
+  private final Set<String> pendingRemoval = new LinkedHashSet<>();
 
   MachineEvents(
       ClusterState cluster,
       FleetPlanner planner,
-      DeletedMachines deleted,
+      DeletedMachines deletedMachines,
       TerminationProofs proofs,
       TaskStops stops) {
     this.cluster = cluster;
     this.planner = planner;
-    this.deleted = deleted;
+    this.deletedMachines = deletedMachines;
     this.proofs = proofs;
     this.stops = stops;
   }
 
-  /** The machine types that the cloud offers. */
-  void onTypes(Collection<MachineType> types) {
-    Map<String, MachineType> byName = new TreeMap<>();
+  /** Replaces the machine types that the cloud offers. */
+  void onMachineTypes(Collection<MachineType> types) {
+    Map<String, MachineType> typesByName = new TreeMap<>();
     for (MachineType type : types) {
-      byName.put(type.name(), type);
+      typesByName.put(type.name(), type);
     }
-    cluster.types = byName;
+    cluster.machineTypes = typesByName;
     for (Machine machine : cluster.machines.values()) {
       if (machine.type != null) {
         cluster.setTypeAndZone(machine, machine.type, machine.zone, machine.spot);
@@ -49,57 +49,59 @@
     cluster.roundNeeded = true;
   }
 
-  /** The cloud's list of machines. */
-  void onList(List<ListedMachine> list, double now) {
+  /** Merges the cloud's list of machines. */
+  void onMachineList(List<ListedMachine> list, double now) {
     for (ListedMachine listed : list) {
-      onListed(listed, now);
+      onListedMachine(listed, now);
     }
     cluster.roundNeeded = true;
   }
 
-  private void onListed(ListedMachine listed, double now) {
+  private void onListedMachine(ListedMachine listed, double now) {
     Machine machine = cluster.machines.get(listed.name());
     if (machine == null) {
-      if (deleted.contains(listed.name())) {
-        return; // The list lags: it was deleted a moment ago.
+      if (deletedMachines.contains(listed.name())) {
+        return; // The list is outdated: the machine was deleted recently.
       }
       machine = cluster.getOrAddMachine(listed.name(), now);
       machine.requestedAt = now - listed.ageS();
     }
     if (!machine.heartbeatReceived) {
-      machine.booting |= listed.stage().equals("booting");
+      machine.booting |= listed.state().equals("booting");
       cluster.setTypeAndZone(machine, listed.type(), listed.zone(), listed.spot());
       machine.address = listed.address();
     }
-    if (listed.stage().equals("failed") && !machine.failed) {
+    if (listed.state().equals("failed") && !machine.failed) {
       machine.failed = true;
       proofs.machineGone(machine, "the cloud lists it as failed", now);
     }
   }
 
-  /** The cloud answered scale-out request {@code id}. */
-  void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
-    planner.onScaleOutAnswered(id, names, noCapacity, now);
+  /** Handles the cloud's response to scale-out request {@code id}. */
+  void onScaleOutResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
+    planner.onScaleOutResponse(id, machineNames, noCapacity, now);
     cluster.roundNeeded = true;
   }
 
-  /** The cloud answered a deletion: the machines and everything on them are gone. */
-  void onScaledIn(List<String> names, double now) {
-    for (String name : names) {
+  /**
+   * Handles the cloud's confirmation of a deletion: the machines and all tasks on them are gone.
+   */
+  void onMachinesDeleted(List<String> machineNames, double now) {
+    for (String name : machineNames) {
       Machine machine = cluster.machines.get(name);
       if (machine == null || !machine.scalingIn) {
         continue;
       }
       proofs.machineGone(machine, "it was scaled in", now);
-      deleted.add(name);
-      toForget.add(name);
+      deletedMachines.add(name);
+      pendingRemoval.add(name);
     }
     cluster.roundNeeded = true;
   }
 
-  /** Forgets deleted machines once no claim on them is left. */
-  void forgetMachines() {
-    toForget.removeIf(
+  /** Removes deleted machines that no longer have any claims. */
+  void removeDeletedMachines() {
+    pendingRemoval.removeIf(
         name -> {
           Machine machine = cluster.machines.get(name);
           if (machine != null && machine.claims.isEmpty()) {
@@ -109,15 +111,15 @@
         });
   }
 
-  /** The machines that operators cordon or drain, as the settings have it now. */
+  /** Applies the current settings of which machines operators cordon or drain. */
   void onCordons(Set<String> cordoned, Set<String> drained, double now) {
     for (Machine machine : cluster.machines.values()) {
-      boolean drain = drained.contains(machine.name);
-      boolean starts = drain && !machine.operatorDrain;
-      machine.operatorDrain = drain;
-      machine.cordoned = drain || cordoned.contains(machine.name);
-      if (starts) {
-        cluster.log("machine " + machine.name + " is drained by its operators");
+      boolean drainRequested = drained.contains(machine.name);
+      boolean drainStarts = drainRequested && !machine.drainRequestedByOperator;
+      machine.drainRequestedByOperator = drainRequested;
+      machine.cordoned = drainRequested || cordoned.contains(machine.name);
+      if (drainStarts) {
+        cluster.log("machine " + machine.name + " is being drained by an operator");
         stops.drainMachine(machine, now);
       }
     }
--- a/src/main/java/graderelay/core/MachineType.java
+++ b/src/main/java/graderelay/core/MachineType.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A machine type of the cloud.
+ * A machine type that the cloud offers.
  *
  * @param memGb memory, in gigabytes
- * @param fetchGbPerS gigabytes of an image that it fetches in a second
- * @param price money an hour for an on-demand instance
- * @param spotPrice money an hour for a spot instance; 0 if there are none
+ * @param fetchGbPerS image fetch rate, in gigabytes per second
+ * @param price hourly price of an on-demand instance
+ * @param spotPrice hourly price of a spot instance; 0 if the type has no spot instances
  * @param bootS nominal boot time, in seconds
- * @param zones the zones that have it
+ * @param zones zones in which the type is available
  */
 public record MachineType(
     String name,
@@ -23,7 +23,7 @@
     double bootS,
     List<String> zones) {
 
-  /** Money an hour for a spot or an on-demand instance. */
+  /** Hourly price of a spot instance or an on-demand instance. */
   public double priceOf(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/graderelay/core/PackingBin.java
+++ b/src/main/java/graderelay/core/PackingBin.java
@@ -1,32 +1,32 @@
 package graderelay.core;
 
 /**
- * A bin of the fleet plan's bin packing: a machine that is there, one that is booting, or one that
- * a scale-out request would add.
+ * A bin in the bin packing of the fleet plan: a running or booting machine, or a machine that a
+ * pending or planned scale-out request adds.
  */
 final class PackingBin {
-  /** The machine, or null for one that a scale-out request brings or would bring. */
+  /** The machine; null if it is only requested or planned. */
   final Machine machine;
 
   final InstancePool pool;
 
-  /** What the bin has room for beside what was packed into it. */
+  /** Resources left after the claims and the tasks packed so far. */
   private Resources free;
 
-  /** Tasks that it may still take, whatever their size. */
-  private int slotsLeft;
+  /** Number of further tasks allowed by the limit on tasks per machine. */
+  private int freeSlots;
 
-  /** What claims of arrays of lower priority hold: they would make room for services. */
+  /** Resources of array claims below production priority, which can be preempted for services. */
   private Resources preemptible = Resources.NONE;
 
   private PackingBin(Machine machine, InstancePool pool, Resources free, int slots) {
     this.machine = machine;
     this.pool = pool;
     this.free = free;
-    this.slotsLeft = slots;
+    this.freeSlots = slots;
   }
 
-  /** The bin of a machine that the leader knows. */
+  /** Returns the bin of a running or booting machine. */
   static PackingBin of(Machine machine) {
     InstancePool pool = new InstancePool(machine.type, machine.zone, machine.spot);
     int slots = SchedulerLimits.MOST_ON_MACHINE - machine.claims.size();
@@ -39,29 +39,29 @@
     return bin;
   }
 
-  /** The empty bin of a machine that is to come. */
-  static PackingBin requested(InstancePool pool, MachineType type) {
+  /** Returns the empty bin of a requested or planned machine. */
+  static PackingBin ofRequestedMachine(InstancePool pool, MachineType type) {
     return new PackingBin(null, pool, Resources.of(type), SchedulerLimits.MOST_ON_MACHINE);
   }
 
-  /** How many tasks of the spec it can take; a service also where arrays make room for it. */
-  int room(JobSpec spec) {
+  /** Number of tasks of the spec that fit; for a service, preemptible resources count as free. */
+  int capacityFor(JobSpec spec) {
     Resources room = spec.isService() ? free.plus(preemptible) : free;
-    return Math.min(slotsLeft, room.times(Resources.of(spec)));
+    return Math.min(freeSlots, room.times(Resources.of(spec)));
   }
 
-  /** Packs so many tasks of the spec into it. */
-  void take(JobSpec spec, int tasks) {
+  /** Packs tasks of the spec into the bin. */
+  void pack(JobSpec spec, int tasks) {
     free =
         new Resources(
             free.cpus() - tasks * spec.cpus(),
             free.gpus() - tasks * spec.gpus(),
             free.memGb() - tasks * spec.memGb());
-    slotsLeft -= tasks;
+    freeSlots -= tasks;
   }
 
-  /** True if not even a task of so few CPUs fits, whatever makes room for it. */
-  boolean tooFullFor(double cpus) {
-    return slotsLeft <= 0 || free.cpus() + preemptible.cpus() < cpus;
+  /** True if a task with this many CPUs does not fit, even with preemption. */
+  boolean isTooFullFor(double cpus) {
+    return freeSlots <= 0 || free.cpus() + preemptible.cpus() < cpus;
   }
 }
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -82,7 +82,7 @@
     }
     cluster.examinedCount += usable.size();
     for (Machine machine : usable) {
-      MachineType type = cluster.types.get(machine.type);
+      MachineType type = cluster.machineTypes.get(machine.type);
       if (machine.hasImage(job.spec.image())
           && type != null
           && type.fetchGbPerS() > 0
--- a/src/main/java/graderelay/core/Policy.java
+++ b/src/main/java/graderelay/core/Policy.java
@@ -4,24 +4,26 @@
 import java.util.Map;
 
 /**
- * Platform limits, service-level objectives and operators' settings that the scheduling core obeys.
+ * Platform limits, service-level objectives and operator settings of the scheduling core.
  *
  * @param teams the teams' quotas
- * @param delegates the lease delegates: the other controllers by zone, if there are several
- * @param delegateGrantS seconds that a lease delegate's grant lasts
- * @param heartbeatIntervalS seconds between two heartbeats of a worker
- * @param leaseS seconds that a worker's session lease lasts
- * @param listLagS seconds by which the cloud's list of machines may lag behind a scale out
- * @param txnOps changes that one compare-and-swap transaction of the store may hold
- * @param valueBytes the largest value that the store takes at present, in bytes
- * @param changesPerS changes of the store that the leader may make, a second
- * @param directCommandsPerS worker commands that the leader may send straight to workers, a second
- * @param startObjectivesS the shortest wanted time from submission to the first start of a job, in
- *     seconds, by job class; classes without one are absent
- * @param startObjectiveStepsS all such wanted times of a class, in seconds, ascending
- * @param completionObjectivesS the shortest wanted time from submission to the end of a job, in
- *     seconds, by job class; classes without one are absent
- * @param tuning settings that operators may change at any time
+ * @param delegates zone of each lease delegate, by name of the controller; empty if there is only
+ *     one controller
+ * @param delegateGrantS duration of a lease delegate's grant, in seconds
+ * @param heartbeatIntervalS interval between two heartbeats of a worker, in seconds
+ * @param leaseS duration of a worker's session lease, in seconds
+ * @param listLagS seconds by which the cloud's list of machines may lag behind a scale-out
+ * @param txnOps maximum number of changes in one compare-and-swap transaction of the key-value
+ *     store
+ * @param valueBytes maximum size of a value in the store at present, in bytes
+ * @param changesPerS store changes that the leader may make per second
+ * @param directCommandsPerS direct command messages that the leader may send to workers per second
+ * @param startObjectivesS the shortest start objective by job class, in seconds from submission to
+ *     the job's first start; classes without one are absent
+ * @param startObjectiveStepsS all start objectives by job class, in seconds, ascending
+ * @param completionObjectivesS the shortest completion objective by job class, in seconds from
+ *     submission to the job's end; classes without one are absent
+ * @param tuning settings that operators may change at run time
  */
 public record Policy(
     List<Team> teams,
@@ -40,15 +42,15 @@
     Tuning tuning) {
 
   /**
-   * Settings that operators may change at any time.
+   * Settings that operators may change at run time.
    *
-   * @param batchCapacity tasks in one task batch of jobs accepted from now on
-   * @param sampleSize machines drawn at random for each placement of a task
-   * @param attemptCap tasks claimed at once of a job that may be at fault
-   * @param idleS seconds without work after which a machine is scaled in
-   * @param spareFactor factor on the spare room that arrivals call for
+   * @param batchCapacity number of tasks in one task batch, for jobs accepted from now on
+   * @param sampleSize number of machines drawn at random for the placement of a task
+   * @param attemptCap limit on concurrent claims of a job that may itself cause its failures
+   * @param idleS seconds without tasks after which a machine is scaled in
+   * @param spareFactor factor on the spare capacity derived from recent arrivals
    * @param spotAllowed whether spot instances may be requested
-   * @param claimsPaused whether no new task is claimed
+   * @param claimsPaused whether new claims are paused
    */
   public record Tuning(
       int batchCapacity,
@@ -69,17 +71,18 @@
     return null;
   }
 
-  /** The same with other operators' settings. */
+  /** Returns a copy with other operator settings. */
   Policy with(Tuning newTuning) {
     return with(teams, newTuning, valueBytes, changesPerS);
   }
 
-  /** The same with other guarantees and limits. */
+  /** Returns a copy with other quotas. */
   Policy with(List<Team> newTeams) {
     return with(newTeams, tuning, valueBytes, changesPerS);
   }
 
-  private Policy with(List<Team> newTeams, Tuning newTuning, int bytes, double changes) {
+  private Policy with(
+      List<Team> newTeams, Tuning newTuning, int newValueBytes, double newChangesPerS) {
     return new Policy(
         newTeams,
         delegates,
@@ -88,8 +91,8 @@
         leaseS,
         listLagS,
         txnOps,
-        bytes,
-        changes,
+        newValueBytes,
+        newChangesPerS,
         directCommandsPerS,
         startObjectivesS,
         startObjectiveStepsS,
@@ -97,8 +100,9 @@
         newTuning);
   }
 
-  /** The same where the store allows no more than this many bytes a value, and changes a second. */
-  Policy within(int bytes, double changes) {
-    return with(teams, tuning, Math.min(valueBytes, bytes), Math.min(changesPerS, changes));
+  /** Returns a copy with the store limits lowered to these values where they are smaller. */
+  Policy withStoreLimits(int maxValueBytes, double maxChangesPerS) {
+    return with(
+        teams, tuning, Math.min(valueBytes, maxValueBytes), Math.min(changesPerS, maxChangesPerS));
   }
 }
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -4,57 +4,60 @@
 import java.util.Map;
 
 /**
- * Chooses the pool of a scale-out request: the least price for each task that a machine would
- * really hold. Pools that answered without capacity are backed off from, for a pause that doubles
- * each time up to a longest pause.
+ * Chooses the pool of a scale-out request: the one with the lowest price per task that a machine
+ * would actually hold. A pool without capacity is skipped for a backoff period that doubles up to a
+ * maximum.
  */
 final class PoolChooser {
-  /** Seconds; first backoff after the cloud called a pool empty. */
-  private static final double FIRST_BACKOFF_S = 6;
+  /** Initial backoff in seconds for a pool that had no capacity. */
+  private static final double INITIAL_BACKOFF_S = 6;
 
-  /** Seconds; longest such backoff: capacity comes back without a sign. */
-  private static final double LONGEST_BACKOFF_S = 24;
+  /**
+   * Maximum backoff in seconds. The cloud does not announce that capacity is available again, so
+   * the pool has to be retried.
+   */
+  private static final double MAX_BACKOFF_S = 24;
 
-  /** Times its price that a type whose boots stall counts as, when another could be had instead. */
+  /** Factor on the price of a type whose boots are stalled, so that other types are preferred. */
   private static final double STALLED_PRICE_FACTOR = 3;
 
-  /** Spot machines before on-demand ones, where both cost the same. */
+  /** Order in which pools are compared; at equal prices the first one is chosen. */
   private static final boolean[] SPOT_FIRST = {true, false};
 
-  /** A pool that had no capacity of late: not asked again until {@code until} (seconds). */
+  /** Backoff of a pool that had no capacity. Times are in seconds on the leader's clock. */
   private static final class PoolBackoff {
-    private double until;
-    private double pauseS = FIRST_BACKOFF_S;
+    private double skippedUntil;
+    private double nextBackoffS = INITIAL_BACKOFF_S;
 
-    /** Backs off from now on, the next time for twice as long up to the longest backoff. */
+    /** Starts a backoff now and doubles the next one, up to the maximum. */
     void start(double now) {
-      until = now + pauseS;
-      pauseS = Math.min(LONGEST_BACKOFF_S, pauseS * 2);
+      skippedUntil = now + nextBackoffS;
+      nextBackoffS = Math.min(MAX_BACKOFF_S, nextBackoffS * 2);
     }
   }
 
   private final ClusterState cluster;
-  private final BootTimes boots;
-  private final Map<InstancePool, PoolBackoff> backoffs = new HashMap<>();
+  private final BootTimes bootTimes;
+  private final Map<InstancePool, PoolBackoff> backoffByPool = new HashMap<>();
 
-  PoolChooser(ClusterState cluster, BootTimes boots) {
+  PoolChooser(ClusterState cluster, BootTimes bootTimes) {
     this.cluster = cluster;
-    this.boots = boots;
+    this.bootTimes = bootTimes;
   }
 
-  /** The pool provided fewer machines than asked for, or none. */
-  void noCapacity(InstancePool pool, double now) {
-    backoffs.computeIfAbsent(pool, p -> new PoolBackoff()).start(now);
+  /** Records that the pool provided fewer machines than requested. */
+  void onNoCapacity(InstancePool pool, double now) {
+    backoffByPool.computeIfAbsent(pool, key -> new PoolBackoff()).start(now);
   }
 
-  /** The pool provided all machines asked for. */
-  void hadCapacity(InstancePool pool) {
-    backoffs.remove(pool);
+  /** Records that the pool provided all requested machines. */
+  void onCapacityProvided(InstancePool pool) {
+    backoffByPool.remove(pool);
   }
 
-  /** True if machines of the pool can take tasks of the spec. */
-  boolean suits(JobSpec spec, InstancePool pool) {
-    MachineType type = cluster.types.get(pool.type());
+  /** True if machines of the pool can run tasks of the spec. */
+  boolean isEligible(JobSpec spec, InstancePool pool) {
+    MachineType type = cluster.machineTypes.get(pool.type());
     return type != null
         && spec.fits(type)
         && (spec.zone() == null || spec.zone().equals(pool.zone()))
@@ -62,26 +65,27 @@
   }
 
   /**
-   * The pool with the least price for each task that a machine of it would really hold, or null.
+   * Returns the eligible pool with the lowest price per task that a machine of it would actually
+   * hold, or null if there is none.
    *
-   * @param tasks tasks still without a bin
-   * @param zones how many more of them each zone may take
-   * @param spotOnly whether on-demand machines are left out where a spot price exists
+   * @param tasks number of tasks still to be packed
+   * @param zones number of further tasks that each zone may take
+   * @param spotOnly whether to exclude on-demand machines of types that have spot instances
    */
-  InstancePool cheapest(JobSpec spec, int tasks, ZoneRoom zones, boolean spotOnly, double now) {
+  InstancePool cheapestPool(JobSpec spec, int tasks, ZoneRoom zones, boolean spotOnly, double now) {
     InstancePool cheapest = null;
-    double leastPrice = Double.MAX_VALUE;
-    for (MachineType type : cluster.types.values()) {
-      int slots = Math.min(tasks, slots(type, spec));
-      if (slots <= 0) {
+    double lowestPrice = Double.MAX_VALUE;
+    for (MachineType type : cluster.machineTypes.values()) {
+      int tasksPerMachine = Math.min(tasks, tasksPerMachine(type, spec));
+      if (tasksPerMachine <= 0) {
         continue;
       }
       for (String zone : type.zones()) {
         for (boolean spot : SPOT_FIRST) {
           InstancePool pool = new InstancePool(type.name(), zone, spot);
-          double price = pricePerTask(type, spot, slots);
-          if (price < leastPrice && mayRequest(spec, pool, zones, spotOnly, now)) {
-            leastPrice = price;
+          double pricePerTask = pricePerTask(type, spot, tasksPerMachine);
+          if (pricePerTask < lowestPrice && mayRequest(spec, pool, zones, spotOnly, now)) {
+            lowestPrice = pricePerTask;
             cheapest = pool;
           }
         }
@@ -90,32 +94,32 @@
     return cheapest;
   }
 
-  /** Tasks of the spec that an empty machine of the type holds. */
-  private static int slots(MachineType type, JobSpec spec) {
+  /** Number of tasks of the spec that fit on an empty machine of the type. */
+  private static int tasksPerMachine(MachineType type, JobSpec spec) {
     return Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(type).times(Resources.of(spec)));
   }
 
-  private double pricePerTask(MachineType type, boolean spot, int slots) {
-    double price = type.priceOf(spot) / slots;
-    return price * (boots.stalled(type.name()) ? STALLED_PRICE_FACTOR : 1);
+  private double pricePerTask(MachineType type, boolean spot, int tasksPerMachine) {
+    double price = type.priceOf(spot) / tasksPerMachine;
+    return price * (bootTimes.isStalled(type.name()) ? STALLED_PRICE_FACTOR : 1);
   }
 
   private boolean mayRequest(
       JobSpec spec, InstancePool pool, ZoneRoom zones, boolean spotOnly, double now) {
-    return suits(spec, pool)
+    return isEligible(spec, pool)
         && zones.left(pool.zone()) != 0
-        && !(spotOnly && !pool.spot() && spotExists(pool.type()))
+        && !(spotOnly && !pool.spot() && isSpotAvailable(pool.type()))
         && !(pool.spot() && !cluster.policy.tuning().spotAllowed())
-        && !backsOff(pool, now);
+        && !isBackingOff(pool, now);
   }
 
-  private boolean backsOff(InstancePool pool, double now) {
-    PoolBackoff backoff = backoffs.get(pool);
-    return backoff != null && now < backoff.until;
+  private boolean isBackingOff(InstancePool pool, double now) {
+    PoolBackoff backoff = backoffByPool.get(pool);
+    return backoff != null && now < backoff.skippedUntil;
   }
 
-  /** A type without a spot price can't be waited for. */
-  private boolean spotExists(String type) {
-    return cluster.types.get(type).spotPrice() > 0 && cluster.policy.tuning().spotAllowed();
+  /** True if the type has spot instances and the settings allow them. */
+  private boolean isSpotAvailable(String type) {
+    return cluster.machineTypes.get(type).spotPrice() > 0 && cluster.policy.tuning().spotAllowed();
   }
 }
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -91,7 +91,7 @@
   private void makeRoom(Job job, List<Machine> usable, double now) {
     int tasks = tasksWithoutRoom(job);
     boolean guaranteed = cluster.quotas.withinGuarantee(job.spec.team(), job.taskResources);
-    if (tasks <= 0 || !(guaranteed || cluster.byPriority.hasBelow(job.priority()))) {
+    if (tasks <= 0 || !(guaranteed || cluster.claimCountByPriority.hasBelow(job.priority()))) {
       return;
     }
     if (cluster.admission.isStopped(job.spec.team()) || !quota.limitAllows(job)) {
--- a/src/main/java/graderelay/core/PreemptionOffers.java
+++ b/src/main/java/graderelay/core/PreemptionOffers.java
@@ -67,7 +67,9 @@
     cluster.examinedCount += usable.size();
     for (Machine machine : usable) {
       boolean somethingToStop =
-          withinGuarantee ? !machine.claims.isEmpty() : machine.byPriority.hasBelow(job.priority());
+          withinGuarantee
+              ? !machine.claims.isEmpty()
+              : machine.claimCountByPriority.hasBelow(job.priority());
       if (somethingToStop
           && rules.allowed(job, machine)
           && PlacementRules.zoneAllowed(job, machine.zone)) {
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -60,7 +60,7 @@
   /** Adds an action for each account that was found to differ from its committed claims. */
   void addDiscrepancies() {
     for (AccountDiscrepancy discrepancy : cluster.admission.takeDiscrepancies()) {
-      cluster.actions.add(new Action.DifferenceFound(discrepancy));
+      cluster.actions.add(new Action.AccountDiscrepancyFound(discrepancy));
     }
   }
 
--- a/src/main/java/graderelay/core/RunTimeEstimates.java
+++ b/src/main/java/graderelay/core/RunTimeEstimates.java
@@ -4,46 +4,48 @@
 import java.util.Map;
 
 /**
- * Expected run times of tasks. Users' estimates are often wrong, on some days all in one way, so
- * they are corrected by what tasks of the class really took.
+ * Estimates task run times. Users' estimates are often wrong, on some days all of them in the same
+ * direction, so they are scaled by the ratio of actual to estimated run times of the job class.
  */
 final class RunTimeEstimates {
-  /** Share of the weight that older run times keep with each new one. */
-  private static final double RATIO_MEMORY = 0.98;
+  /** Factor by which the weight of earlier ratios decays with each new one. */
+  private static final double RATIO_DECAY_FACTOR = 0.98;
 
-  /** Times its estimate that a single run time counts as at most. */
-  private static final double MOST_RATIO = 4;
+  /** Upper bound on a single ratio, which limits the effect of outliers. */
+  private static final double MAX_RATIO = 4;
 
-  /** Seconds that a task without an estimate is taken to run. */
-  private static final double UNKNOWN_RUN_S = 60;
+  /** Assumed run time in seconds of a task without an estimate. */
+  private static final double DEFAULT_RUN_TIME_S = 60;
 
-  /** Real run times of a class over their estimates: a sum that fades, and its weight. */
-  private static final class Ratio {
-    private double sum = 1;
-    private double count = 1;
+  /** Exponentially weighted mean of the ratios of actual to estimated run times of one class. */
+  private static final class RunTimeRatio {
+    private double weightedSum = 1;
+    private double totalWeight = 1;
 
-    /** Older ratios fade, so that a change of habit shows. */
+    /** Adds a ratio and decays the earlier ones, so that the mean follows changes in usage. */
     void add(double ratio) {
-      sum = sum * RATIO_MEMORY + Math.min(MOST_RATIO, ratio);
-      count = count * RATIO_MEMORY + 1;
+      weightedSum = weightedSum * RATIO_DECAY_FACTOR + Math.min(MAX_RATIO, ratio);
+      totalWeight = totalWeight * RATIO_DECAY_FACTOR + 1;
     }
   }
 
-  private final Map<String, Ratio> ratioByClass = new HashMap<>();
+  private final Map<String, RunTimeRatio> ratioByClass = new HashMap<>();
 
-  /** A task has run to its end in so many seconds. */
-  void onRan(JobSpec spec, double seconds) {
+  /** Records the run time of a completed task. */
+  void onTaskCompleted(JobSpec spec, double runTimeS) {
     if (spec.estimateS() > 0) {
       ratioByClass
-          .computeIfAbsent(spec.jobClass(), c -> new Ratio())
-          .add(seconds / spec.estimateS());
+          .computeIfAbsent(spec.jobClass(), jobClass -> new RunTimeRatio())
+          .add(runTimeS / spec.estimateS());
     }
   }
 
-  /** Expected run time of a task, in seconds: the user's estimate, corrected by the class. */
-  double estimate(JobSpec spec) {
-    Ratio ratio = ratioByClass.get(spec.jobClass());
-    double estimate = spec.estimateS() > 0 ? spec.estimateS() : UNKNOWN_RUN_S;
-    return ratio == null ? estimate : estimate * ratio.sum / ratio.count;
+  /**
+   * Expected run time of a task in seconds: the user's estimate scaled by the ratio of its class.
+   */
+  double estimateRunTimeS(JobSpec spec) {
+    RunTimeRatio ratio = ratioByClass.get(spec.jobClass());
+    double estimateS = spec.estimateS() > 0 ? spec.estimateS() : DEFAULT_RUN_TIME_S;
+    return ratio == null ? estimateS : estimateS * ratio.weightedSum / ratio.totalWeight;
   }
 }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -5,49 +5,56 @@
 import java.util.Set;
 
 /**
- * Scale-in decisions: which machines to give up, and why. Failed, silent, idle and closing machines
- * go; a request that got no answer is sent again.
+ * Decides which machines to scale in and why: failed, silent, faulty, idle and consolidated
+ * machines. A deletion request without a response is repeated.
  */
 final class ScaleInPlanner {
   /**
-   * Heartbeat intervals without any sign after which a machine with services is scaled in. A worker
-   * whose controller hangs needs one timeout of 4 s and a pause of 1 s to find another.
+   * Number of heartbeat intervals without contact after which a machine with services is replaced.
+   * The period must exceed the 4 s timeout and 1 s pause that a worker needs to switch to another
+   * controller when its own hangs.
    */
-  private static final double GONE_HEARTBEATS = 3.2;
+  private static final double UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3.2;
 
-  /** Probes in a row without an answer that this takes as well. */
-  private static final int GONE_PROBES = 2;
+  /** Consecutive unanswered probes that are also required. */
+  private static final int UNREACHABLE_AFTER_PROBE_FAILURES = 2;
 
   /**
-   * Share of the on-demand machines that may be silent at most: more points to a fault of the
-   * network.
+   * Largest share of on-demand machines that may be silent for this replacement. If more are
+   * silent, a network fault is the more likely cause.
    */
-  private static final double MOST_SILENT_SHARE = 0.15;
+  private static final double MAX_SILENT_SHARE = 0.15;
 
-  /** Seconds for which machines scaled in this way count as silent. */
-  private static final double REPLACED_MEMORY_S = 30;
+  /** Seconds for which a machine replaced in this way still counts as silent. */
+  private static final double REPLACED_RETENTION_S = 30;
 
-  /** Seconds after a failover in which no machine is called idle: demand is not known yet. */
+  /**
+   * Seconds after a failover during which no machine is scaled in as idle or consolidated, since
+   * demand is not known yet.
+   */
   static final double FAILOVER_SETTLE_S = 30;
 
-  /** Seconds that a silent machine is kept after its lease expiry: short network cuts heal. */
-  private static final double SILENT_KEEP_S = 30;
+  /**
+   * Seconds for which a silent machine is kept after its lease has expired, so that short network
+   * partitions can heal.
+   */
+  private static final double SILENT_GRACE_PERIOD_S = 30;
 
-  /** Machines in one deletion request, a batch; a limit of the protocol. */
-  private static final int MOST_SCALED_IN = 100;
+  /** Maximum number of machines in one deletion request; a limit of the protocol. */
+  private static final int MAX_MACHINES_PER_REQUEST = 100;
 
-  /** Seconds before a deletion without an answer is sent again. */
-  private static final double SCALE_IN_RETRY_S = 4;
+  /** Seconds after which a deletion request without a response is repeated. */
+  private static final double SCALE_IN_RETRY_INTERVAL_S = 4;
 
-  /** Why a machine is scaled in; the text goes into the log line. */
+  /** Why a machine is scaled in; the text is printed in the log. */
   private enum Reason {
-    FAILED("it has failed"),
-    GONE("no sign of it, and services wait to be replaced"),
-    NEVER_CAME_UP("it never came up"),
-    SILENT_TOO_LONG("silent for too long"),
-    DEAF("it sends heartbeats but hears nothing"),
+    FAILED("the cloud lists it as failed"),
+    UNREACHABLE("unreachable, and its services must be replaced"),
+    BOOT_TIMED_OUT("it did not boot in time"),
+    SILENT_TOO_LONG("no heartbeat for too long"),
+    RESPONSES_LOST("it sends heartbeats but does not receive responses"),
     FAILED_SEVERAL_JOBS("tasks of several jobs failed on it"),
-    CONSOLIDATED("its work went to cheaper machines"),
+    CONSOLIDATED("consolidated onto cheaper machines"),
     IDLE("idle");
 
     private final String text;
@@ -58,44 +65,47 @@
   }
 
   private final ClusterState cluster;
-  private final BootTimes boots;
+  private final BootTimes bootTimes;
   private final double startedAt;
 
-  /** When machines were scaled in as better replaced, in seconds on the leader's clock. */
+  /**
+   * When unreachable machines were scaled in to replace their services, in seconds on the leader's
+   * clock.
+   */
   private final List<Double> replacedAt = new ArrayList<>();
 
-  private SilentMachines lastSilence = new SilentMachines(Double.NEGATIVE_INFINITY);
+  private SilentMachineCounts lastSilentCounts = new SilentMachineCounts(Double.NEGATIVE_INFINITY);
 
-  ScaleInPlanner(ClusterState cluster, BootTimes boots, double startedAt) {
+  ScaleInPlanner(ClusterState cluster, BootTimes bootTimes, double startedAt) {
     this.cluster = cluster;
-    this.boots = boots;
+    this.bootTimes = bootTimes;
     this.startedAt = startedAt;
   }
 
   /**
-   * Asks the cloud to delete the machines that should go.
+   * Requests the deletion of machines that should be scaled in.
    *
-   * @param needed machines that stay although they are idle, since they hold spare room
+   * @param spareCapacityMachines machines that hold spare capacity and stay even if they are idle
    */
-  void scaleIn(Set<Machine> needed, double now) {
+  void scaleIn(Set<Machine> spareCapacityMachines, double now) {
     List<String> toScaleIn = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
-      if (toScaleIn.size() >= MOST_SCALED_IN) {
+      if (toScaleIn.size() >= MAX_MACHINES_PER_REQUEST) {
         break;
       }
       if (machine.scalingIn) {
-        if (now - machine.scaleInRequestedAt > SCALE_IN_RETRY_S) {
+        if (now - machine.scaleInRequestedAt > SCALE_IN_RETRY_INTERVAL_S) {
           machine.scaleInRequestedAt = now;
           toScaleIn.add(machine.name);
         }
         continue;
       }
-      Reason reason = reason(machine, needed, now);
+      Reason reason = reason(machine, spareCapacityMachines, now);
       if (reason != null) {
         machine.scalingIn = true;
         machine.scaleInRequestedAt = now;
         toScaleIn.add(machine.name);
-        cluster.log("scale in " + machine.name + ": " + reason.text);
+        cluster.log("scaling in machine " + machine.name + ": " + reason.text);
       }
     }
     if (!toScaleIn.isEmpty()) {
@@ -104,93 +114,102 @@
   }
 
   /**
-   * True for a silent machine that is better scaled in than waited for: its services would be down
-   * until its lease expiry, while the cloud's answer to a deletion proves them gone at once. Only
-   * if it is alone in this, since otherwise the fault may be the leader's network.
+   * True if a silent machine should be scaled in before its lease expires. Its services would be
+   * down until then, while the cloud's confirmation of a deletion proves at once that they are
+   * gone. This applies only while few machines are silent, since otherwise the leader's own network
+   * may be at fault.
    */
-  private boolean betterReplaced(Machine machine, double now) {
-    // One whose heartbeats come but that hears nothing will lose its services all the same.
-    double heard =
-        machine.answersLostSince != null ? machine.answersLostSince : machine.lastHeartbeatAt;
-    double lastHeard = Math.max(heard, startedAt);
+  private boolean shouldReplaceBeforeLeaseExpiry(Machine machine, double now) {
+    // A machine that receives no responses loses its lease, and with it its services, even though
+    // its heartbeats arrive.
+    double lastReachableAt =
+        machine.responsesLostSince != null ? machine.responsesLostSince : machine.lastHeartbeatAt;
+    double unreachableSince = Math.max(lastReachableAt, startedAt);
     if (machine.leaseExpired
-        || machine.failedProbes < GONE_PROBES
-        || now - lastHeard < cluster.policy.heartbeatIntervalS() * GONE_HEARTBEATS
+        || machine.consecutiveProbeFailures < UNREACHABLE_AFTER_PROBE_FAILURES
+        || now - unreachableSince
+            < cluster.policy.heartbeatIntervalS() * UNREACHABLE_AFTER_HEARTBEAT_INTERVALS
         || machine.claims.values().stream().noneMatch(claim -> claim.job.spec.isService())) {
       return false;
     }
-    replacedAt.removeIf(at -> now - at > REPLACED_MEMORY_S);
-    SilentMachines silence = silence(now);
-    if (silence.mostOf(machine.zone) && cluster.delegates.mayRenew(machine.zone, now)) {
-      return false; // The zone is cut off, and its lease delegate keeps its services up.
+    replacedAt.removeIf(at -> now - at > REPLACED_RETENTION_S);
+    SilentMachineCounts silentCounts = countSilentMachines(now);
+    if (silentCounts.isMajoritySilent(machine.zone)
+        && cluster.delegates.mayRenew(machine.zone, now)) {
+      return false; // The zone is partitioned, and its lease delegate keeps the services running.
     }
-    return silence.silent + replacedAt.size() <= Math.max(1, silence.up * MOST_SILENT_SHARE);
+    return silentCounts.silent + replacedAt.size()
+        <= Math.max(1, silentCounts.total * MAX_SILENT_SHARE);
   }
 
-  /** How many of the on-demand machines are silent, counted once a plan. */
-  private SilentMachines silence(double now) {
-    if (lastSilence.countedAt == now) {
-      return lastSilence;
+  /** Counts the silent on-demand machines, once per plan. */
+  private SilentMachineCounts countSilentMachines(double now) {
+    if (lastSilentCounts.countedAt == now) {
+      return lastSilentCounts;
     }
-    SilentMachines counted = new SilentMachines(now);
+    SilentMachineCounts counts = new SilentMachineCounts(now);
     for (Machine other : cluster.machines.values()) {
       if (!other.leaseExpired
           && !other.spot
           && (other.heartbeatReceived || !other.claims.isEmpty())) {
-        // Not only those that were asked already: of hundreds, the first ones are asked first.
+        // Also counts machines not probed yet, since probing hundreds of machines takes a while.
         boolean silent =
-            other.failedProbes > 0
+            other.consecutiveProbeFailures > 0
                 || now - Math.max(other.lastHeartbeatAt, startedAt)
                     > cluster.policy.heartbeatIntervalS() * SilentWorkerProbes.SILENT_INTERVALS;
-        counted.count(other.zone, silent);
+        counts.add(other.zone, silent);
       }
     }
-    lastSilence = counted;
-    return counted;
+    lastSilentCounts = counts;
+    return counts;
   }
 
-  /** Why a machine should be scaled in, or null. */
-  private Reason reason(Machine machine, Set<Machine> needed, double now) {
+  /** Why a machine should be scaled in, or null if it should stay. */
+  private Reason reason(Machine machine, Set<Machine> spareCapacityMachines, double now) {
     if (machine.failed) {
       return Reason.FAILED;
     }
-    if (betterReplaced(machine, now)) {
+    if (shouldReplaceBeforeLeaseExpiry(machine, now)) {
       replacedAt.add(now);
-      return Reason.GONE;
+      return Reason.UNREACHABLE;
     }
     if (!machine.heartbeatReceived) {
-      return neverCameUp(machine, now) ? Reason.NEVER_CAME_UP : null;
+      return bootTimedOut(machine, now) ? Reason.BOOT_TIMED_OUT : null;
     }
     if (machine.leaseExpired) {
       double silentS = now - machine.lastHeartbeatAt;
-      return silentS > cluster.policy.leaseS() + SILENT_KEEP_S ? Reason.SILENT_TOO_LONG : null;
+      return silentS > cluster.policy.leaseS() + SILENT_GRACE_PERIOD_S
+          ? Reason.SILENT_TOO_LONG
+          : null;
     }
     if (!machine.claims.isEmpty()
         || (machine.lastHeartbeat != null && !machine.lastHeartbeat.tasks().isEmpty())) {
       return null;
     }
-    return emptyMachineReason(machine, needed, now);
+    return emptyMachineReason(machine, spareCapacityMachines, now);
   }
 
-  /** True if the machine has had longer to boot than others of its type need. */
-  private boolean neverCameUp(Machine machine, double now) {
-    MachineType type = machine.type == null ? null : cluster.types.get(machine.type);
+  /** True if the machine has exceeded the boot timeout of its type. */
+  private boolean bootTimedOut(Machine machine, double now) {
+    MachineType type = machine.type == null ? null : cluster.machineTypes.get(machine.type);
     if (type == null || !machine.claims.isEmpty()) {
       return false;
     }
-    double bootLimitS = boots.limitS(machine.type);
-    return now - machine.requestedAt > bootLimitS && now - machine.knownSince > bootLimitS / 2;
+    double bootTimeoutS = bootTimes.bootTimeoutS(machine.type);
+    return now - machine.requestedAt > bootTimeoutS && now - machine.firstSeenAt > bootTimeoutS / 2;
   }
 
-  /** Why a machine without work that has sent heartbeats should be scaled in, or null. */
-  private Reason emptyMachineReason(Machine machine, Set<Machine> needed, double now) {
-    if (machine.answersLostSince != null && now - machine.answersLostSince > SILENT_KEEP_S) {
-      return Reason.DEAF;
+  /** Why a running machine without tasks should be scaled in, or null if it should stay. */
+  private Reason emptyMachineReason(
+      Machine machine, Set<Machine> spareCapacityMachines, double now) {
+    if (machine.responsesLostSince != null
+        && now - machine.responsesLostSince > SILENT_GRACE_PERIOD_S) {
+      return Reason.RESPONSES_LOST;
     }
     if (machine.faulty) {
       return Reason.FAILED_SEVERAL_JOBS;
     }
-    if (needed.contains(machine) || machine.cordoned) {
+    if (spareCapacityMachines.contains(machine) || machine.cordoned) {
       return null;
     }
     if (now - startedAt < FAILOVER_SETTLE_S) {
@@ -200,6 +219,8 @@
       return Reason.CONSOLIDATED;
     }
     double idleS = cluster.policy.tuning().idleS();
-    return now - machine.idleSince > idleS && now - machine.knownSince > idleS ? Reason.IDLE : null;
+    return now - machine.idleSince > idleS && now - machine.firstSeenAt > idleS
+        ? Reason.IDLE
+        : null;
   }
 }
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -8,86 +8,87 @@
 import java.util.Set;
 
 /**
- * The bin packing of one fleet plan: puts the work that waits, and the spare room wanted, into the
- * machines that are there or coming, and adds machines to request for what is left over.
+ * The bin packing of one fleet plan. It packs waiting tasks and spare capacity into running,
+ * booting and requested machines, and adds machines to request for the rest.
  */
 final class ScaleOutPacking {
-  /** Whether spot machines are filled; work that may use them takes those first. */
+  /** Packing passes by pool: spot machines first, for tasks that may use them. */
   private static final boolean[] SPOT_FIRST = {true, false};
 
-  /** Whether services are packed; they go first. */
+  /** Packing passes by job kind: services first. */
   private static final boolean[] SERVICES_FIRST = {true, false};
 
   /**
    * Tasks of one spec that are packed together.
    *
-   * @param spare whether they stand for spare room, not for work that waits
+   * @param spare whether they represent spare capacity rather than waiting tasks
    */
   private record TaskGroup(JobSpec spec, int tasks, ZoneRoom zones, boolean spare) {}
 
   private final ClusterState cluster;
   private final Deadlines deadlines;
-  private final PoolChooser pools;
+  private final PoolChooser poolChooser;
   private final List<PackingBin> bins;
   private final double now;
 
-  /** On-demand CPUs that may still be requested for work that could wait for spot machines. */
+  /** On-demand CPUs that may still be requested for work that can wait for spot machines. */
   private double onDemandCpusLeft;
 
-  /** CPUs that each team's limit leaves beside its claims and what is packed already. */
-  private final Map<String, Double> limitLeft = new HashMap<>();
+  /** CPUs left within each team's limit after its claims and the tasks packed so far. */
+  private final Map<String, Double> cpusLeftByTeam = new HashMap<>();
 
-  private final Map<InstancePool, Integer> toRequest = new HashMap<>();
+  private final Map<InstancePool, Integer> machinesToRequest = new HashMap<>();
 
   /**
-   * Makes the packing of a plan.
+   * Creates the packing of one plan.
    *
-   * @param bins machines that may take work; the packing adds those to request
-   * @param onDemandCpus on-demand CPUs that deadlines need beyond the fleet
+   * @param bins machines that can take tasks; machines to request are added to it
+   * @param onDemandCpus on-demand CPUs needed to meet deadlines, beyond the existing fleet
    */
   ScaleOutPacking(
       ClusterState cluster,
       Deadlines deadlines,
-      PoolChooser pools,
+      PoolChooser poolChooser,
       List<PackingBin> bins,
       double onDemandCpus,
       double now) {
     this.cluster = cluster;
     this.deadlines = deadlines;
-    this.pools = pools;
+    this.poolChooser = poolChooser;
     this.bins = bins;
     this.onDemandCpusLeft = onDemandCpus;
     this.now = now;
   }
 
   /**
-   * Packs everything and returns how many machines of each pool to request.
+   * Packs all groups and returns the number of machines to request from each pool.
    *
-   * @param spareRoom tasks to keep room for, by spec
-   * @param spareRoomMachines receives the machines that hold spare room
+   * @param spareCapacity number of tasks to keep spare capacity for, by spec
+   * @param spareCapacityMachines receives the machines that hold spare capacity
    */
-  Map<InstancePool, Integer> pack(Map<JobSpec, Integer> spareRoom, Set<Machine> spareRoomMachines) {
+  Map<InstancePool, Integer> pack(
+      Map<JobSpec, Integer> spareCapacity, Set<Machine> spareCapacityMachines) {
     List<Job> waiting = waitingJobs();
-    dropFullBins(waiting, spareRoom.keySet());
-    // Services first: they can't use spot machines, and arrays make room for them.
+    removeFullBins(waiting, spareCapacity.keySet());
+    // Services first: they can't use spot machines, and arrays can be preempted for them.
     for (boolean services : SERVICES_FIRST) {
       for (Job job : waiting) {
         if (job.spec.isService() == services) {
           ZoneRoom zones = ZoneRoom.of(job);
           packGroup(
-              new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareRoomMachines);
+              new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareCapacityMachines);
         }
       }
-      for (var spare : spareRoom.entrySet()) {
+      for (var spare : spareCapacity.entrySet()) {
         JobSpec spec = spare.getKey();
         int tasks = spare.getValue();
         if (spec.isService() == services) {
           ZoneRoom zones = ZoneRoom.ofSpareRoom(spec, tasks);
-          packGroup(new TaskGroup(spec, tasks, zones, true), spareRoomMachines);
+          packGroup(new TaskGroup(spec, tasks, zones, true), spareCapacityMachines);
         }
       }
     }
-    return toRequest;
+    return machinesToRequest;
   }
 
   private List<Job> waitingJobs() {
@@ -102,106 +103,109 @@
   }
 
   /**
-   * Takes out the machines on which not even the smallest task of the plan fits. On a busy fleet
-   * these are most, and each waiting job would examine all of them.
+   * Removes the machines on which not even the smallest task of the plan fits. On a busy fleet
+   * these are the majority, and each waiting job would otherwise examine all of them.
    */
-  private void dropFullBins(List<Job> waiting, Set<JobSpec> spare) {
-    double leastCpus = Double.MAX_VALUE;
+  private void removeFullBins(List<Job> waiting, Set<JobSpec> spareSpecs) {
+    double smallestTaskCpus = Double.MAX_VALUE;
     for (Job job : waiting) {
-      leastCpus = Math.min(leastCpus, job.spec.cpus());
+      smallestTaskCpus = Math.min(smallestTaskCpus, job.spec.cpus());
     }
-    for (JobSpec spec : spare) {
-      leastCpus = Math.min(leastCpus, spec.cpus());
+    for (JobSpec spec : spareSpecs) {
+      smallestTaskCpus = Math.min(smallestTaskCpus, spec.cpus());
     }
-    double smallest = leastCpus - Resources.SLACK;
-    bins.removeIf(bin -> bin.tooFullFor(smallest));
+    double minFreeCpus = smallestTaskCpus - Resources.SLACK;
+    bins.removeIf(bin -> bin.isTooFullFor(minFreeCpus));
   }
 
   /**
-   * How many open tasks the team's quota has room for. What earlier jobs of this plan were given
-   * counts, since machines for more could not be used.
+   * Number of the job's open tasks that fit in its team's limit after the jobs packed before it.
+   * Machines for more tasks could not be used.
    */
   private int tasksWithinLimit(Job job) {
     JobSpec spec = job.spec;
     Team team = cluster.policy.team(spec.team());
-    int open = job.openTasks.cardinality();
+    int openTaskCount = job.openTasks.cardinality();
     if (team == null || team.cpusMax() <= 0 || spec.cpus() <= 0) {
-      return open;
+      return openTaskCount;
     }
-    double left = limitLeft.computeIfAbsent(spec.team(), cluster.quotas::cpusLeft);
-    int tasks = (int) Math.max(0, Math.min(open, (left + Resources.SLACK) / spec.cpus()));
-    limitLeft.put(spec.team(), left - tasks * spec.cpus());
+    double cpusLeft = cpusLeftByTeam.computeIfAbsent(spec.team(), cluster.quotas::cpusLeft);
+    int tasks =
+        (int) Math.max(0, Math.min(openTaskCount, (cpusLeft + Resources.SLACK) / spec.cpus()));
+    cpusLeftByTeam.put(spec.team(), cpusLeft - tasks * spec.cpus());
     return tasks;
   }
 
-  /** Puts the group into the bins there are, and adds machines to request for the rest. */
-  private void packGroup(TaskGroup group, Set<Machine> spareRoomMachines) {
-    int left = fillBins(group, spareRoomMachines);
-    if (left > 0) {
-      addMachines(group, left);
+  /** Packs the group into existing bins and adds machines to request for the rest. */
+  private void packGroup(TaskGroup group, Set<Machine> spareCapacityMachines) {
+    int tasksLeft = fillBins(group, spareCapacityMachines);
+    if (tasksLeft > 0) {
+      addMachines(group, tasksLeft);
     }
   }
 
-  /** Puts what fits into the bins there are and returns how many tasks are left. */
-  private int fillBins(TaskGroup group, Set<Machine> spareRoomMachines) {
-    int left = group.tasks();
+  /** Packs tasks into existing bins and returns the number of tasks left over. */
+  private int fillBins(TaskGroup group, Set<Machine> spareCapacityMachines) {
+    int tasksLeft = group.tasks();
     for (boolean spot : SPOT_FIRST) {
       for (PackingBin bin : bins) {
-        if (left <= 0) {
-          return left;
+        if (tasksLeft <= 0) {
+          return tasksLeft;
         }
-        if (!takenInPass(group.spec(), bin.pool, spot)) {
+        if (!isPackedInPass(group.spec(), bin.pool, spot)) {
           continue;
         }
-        int packed = packInto(bin, group, left);
+        int packed = packInto(bin, group, tasksLeft);
         if (packed > 0 && group.spare() && bin.machine != null) {
-          spareRoomMachines.add(bin.machine);
+          spareCapacityMachines.add(bin.machine);
         }
-        left -= packed;
+        tasksLeft -= packed;
       }
     }
-    return left;
+    return tasksLeft;
   }
 
   /**
-   * True if the bins of the pool are filled in the pass of spot machines, or in that of the others.
-   * What may use spot machines takes those first, and leaves the others to what may not; what may
-   * not is all packed in the first pass.
+   * True if tasks of the spec are packed into bins of the pool in this pass. Tasks that may run on
+   * spot machines use those in the first pass and on-demand machines in the second, which leaves
+   * on-demand machines to other tasks. Tasks that need on-demand machines are packed in the first
+   * pass.
    */
-  private boolean takenInPass(JobSpec spec, InstancePool pool, boolean spotPass) {
-    return pools.suits(spec, pool) && (spec.spot() ? pool.spot() == spotPass : spotPass);
+  private boolean isPackedInPass(JobSpec spec, InstancePool pool, boolean spotPass) {
+    return poolChooser.isEligible(spec, pool) && (spec.spot() ? pool.spot() == spotPass : spotPass);
   }
 
-  /** Puts at most so many tasks into the bin; returns how many. */
-  private static int packInto(PackingBin bin, TaskGroup group, int most) {
-    int tasks = Math.min(most, bin.room(group.spec()));
+  /** Packs at most {@code maxTasks} tasks into the bin and returns the number packed. */
+  private static int packInto(PackingBin bin, TaskGroup group, int maxTasks) {
+    int tasks = Math.min(maxTasks, bin.capacityFor(group.spec()));
     if (tasks > 0) {
       tasks = Math.min(tasks, group.zones().left(bin.pool.zone()));
       group.zones().take(bin.pool.zone(), tasks);
     }
-    bin.take(group.spec(), tasks);
+    bin.pack(group.spec(), tasks);
     return tasks;
   }
 
-  /** Adds machines to request for so many tasks, as far as pools have any. */
+  /** Adds machines to request for the tasks, as long as there is an eligible pool. */
   private void addMachines(TaskGroup group, int tasks) {
     JobSpec spec = group.spec();
     boolean mayWaitForSpot = deadlines.mayWaitForSpot(spec);
-    int left = tasks;
-    while (left > 0) {
+    int tasksLeft = tasks;
+    while (tasksLeft > 0) {
       boolean spotOnly = mayWaitForSpot && onDemandCpusLeft <= 0;
-      InstancePool pool = pools.cheapest(spec, left, group.zones(), spotOnly, now);
+      InstancePool pool = poolChooser.cheapestPool(spec, tasksLeft, group.zones(), spotOnly, now);
       if (pool == null) {
         return;
       }
-      MachineType type = cluster.types.get(pool.type());
+      MachineType type = cluster.machineTypes.get(pool.type());
       if (mayWaitForSpot) {
         onDemandCpusLeft -= type.cpus();
       }
-      PackingBin bin = PackingBin.requested(pool, type);
-      left -= packInto(bin, group, left);
+      PackingBin bin = PackingBin.ofRequestedMachine(pool, type);
+      tasksLeft -= packInto(bin, group, tasksLeft);
       bins.add(bin);
-      if (toRequest.merge(pool, 1, Integer::sum) >= ScaleOutPlanner.MOST_SCALED_OUT) {
+      if (machinesToRequest.merge(pool, 1, Integer::sum)
+          >= ScaleOutPlanner.MAX_MACHINES_PER_REQUEST) {
         return;
       }
     }
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -7,101 +7,104 @@
 import java.util.Set;
 
 /**
- * Scale-out decisions: what {@link ScaleOutPacking} could not put into the machines that are there
- * or booting becomes scale-out requests to the cheapest pools. Pools that answered without capacity
- * are backed off from.
+ * Decides which machines to request. Tasks that {@link ScaleOutPacking} can't fit into running,
+ * booting or requested machines lead to scale-out requests to the cheapest pools. {@link
+ * PoolChooser} skips pools that recently had no capacity.
  */
 final class ScaleOutPlanner {
-  /** Machines in one scale-out request, a batch; a limit of the protocol. */
-  static final int MOST_SCALED_OUT = 50;
+  /** Maximum number of machines in one scale-out request; a limit of the protocol. */
+  static final int MAX_MACHINES_PER_REQUEST = 50;
 
   /**
-   * A scale-out request that the cloud has not answered yet.
+   * A scale-out request that the cloud has not responded to yet.
    *
-   * @param since when it was sent, in seconds on the leader's clock
+   * @param sentAt when it was sent, in seconds on the leader's clock
    */
-  private record PendingRequest(InstancePool pool, int count, double since) {}
+  private record PendingRequest(InstancePool pool, int count, double sentAt) {}
 
   private final ClusterState cluster;
-  private final BootTimes boots;
+  private final BootTimes bootTimes;
   private final Deadlines deadlines;
-  private final Map<Long, PendingRequest> pending = new HashMap<>();
-  private final PoolChooser pools;
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private final PoolChooser poolChooser;
   private long nextRequestId = 1;
 
-  ScaleOutPlanner(ClusterState cluster, BootTimes boots, Deadlines deadlines) {
+  ScaleOutPlanner(ClusterState cluster, BootTimes bootTimes, Deadlines deadlines) {
     this.cluster = cluster;
-    this.boots = boots;
+    this.bootTimes = bootTimes;
     this.deadlines = deadlines;
-    this.pools = new PoolChooser(cluster, boots);
+    this.poolChooser = new PoolChooser(cluster, bootTimes);
   }
 
   /**
-   * The cloud's answer to scale-out request {@code id}: the machines it created (null if none), and
-   * whether the pool said it had no capacity.
+   * Handles the cloud's response to scale-out request {@code id}.
+   *
+   * @param machineNames machines created, or null if there are none
+   * @param noCapacity whether the cloud reported that the pool has no capacity
    */
-  void onAnswer(long id, List<String> names, boolean noCapacity, double now) {
-    PendingRequest request = pending.remove(id);
+  void onResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
+    PendingRequest request = pendingRequests.remove(id);
     if (request == null) {
       return;
     }
-    if (noCapacity || (names != null && names.size() < request.count())) {
-      pools.noCapacity(request.pool(), now);
-    } else if (names != null) {
-      pools.hadCapacity(request.pool());
+    if (noCapacity || (machineNames != null && machineNames.size() < request.count())) {
+      poolChooser.onNoCapacity(request.pool(), now);
+    } else if (machineNames != null) {
+      poolChooser.onCapacityProvided(request.pool());
     }
-    if (names != null) {
-      names.forEach(name -> created(name, request, now));
+    if (machineNames != null) {
+      machineNames.forEach(name -> onMachineCreated(name, request, now));
     }
   }
 
-  /** The request has brought this machine; its heartbeat may have come before the answer. */
-  private void created(String name, PendingRequest request, double now) {
+  /** Adds a machine that the request created, unless its heartbeat arrived before the response. */
+  private void onMachineCreated(String name, PendingRequest request, double now) {
     Machine machine = cluster.getOrAddMachine(name, now);
     if (!machine.heartbeatReceived) {
       InstancePool pool = request.pool();
       cluster.setTypeAndZone(machine, pool.type(), pool.zone(), pool.spot());
-      machine.requestedAt = request.since();
+      machine.requestedAt = request.sentAt();
       machine.booting = true;
     }
   }
 
-  /** The bins of a plan: machines that may take work, and those that requests will bring. */
+  /** The bins of a plan: machines that can take tasks and machines of pending requests. */
   List<PackingBin> bins(double now) {
     List<PackingBin> bins = new ArrayList<>();
     for (Machine machine : cluster.machines.values()) {
-      if (mayTakeWork(machine, now)) {
+      if (canTakeTasks(machine, now)) {
         bins.add(PackingBin.of(machine));
       }
     }
-    for (PendingRequest request : pending.values()) {
+    for (PendingRequest request : pendingRequests.values()) {
       for (int i = 0; i < request.count(); i++) {
         InstancePool pool = request.pool();
-        bins.add(PackingBin.requested(pool, cluster.types.get(pool.type())));
+        bins.add(PackingBin.ofRequestedMachine(pool, cluster.machineTypes.get(pool.type())));
       }
     }
     return bins;
   }
 
-  private boolean mayTakeWork(Machine machine, double now) {
+  private boolean canTakeTasks(Machine machine, double now) {
     if (machine.scalingIn
-        || machine.drain
+        || machine.draining
         || machine.cordoned
         || machine.interruptionAt != null
         || machine.leaseExpired) {
       return false;
     }
-    if (!machine.heartbeatReceived && (machine.type == null || !boots.likely(machine, now))) {
+    if (!machine.heartbeatReceived
+        && (machine.type == null || !bootTimes.isLikelyToComeUp(machine, now))) {
       return false;
     }
     return !(now < machine.quarantineUntil);
   }
 
-  /** CPUs that arrays can have of the machines that are there or coming: all but services'. */
-  double cpusForArrays(List<PackingBin> bins) {
+  /** CPUs available to arrays in the bins: those that are not used by services. */
+  double cpusAvailableToArrays(List<PackingBin> bins) {
     double cpus = 0;
     for (PackingBin bin : bins) {
-      MachineType type = cluster.types.get(bin.pool.type());
+      MachineType type = cluster.machineTypes.get(bin.pool.type());
       if (type == null || (bin.machine != null && bin.machine.consolidating)) {
         continue;
       }
@@ -112,34 +115,36 @@
   }
 
   /**
-   * Packs the work that waits and the spare room wanted into the bins and returns how many machines
-   * of each pool to request.
+   * Packs waiting tasks and spare capacity into the bins and returns the number of machines to
+   * request from each pool.
    *
-   * @param spareRoom tasks to keep room for, by spec
-   * @param onDemandCpus on-demand CPUs that deadlines need beyond the fleet
-   * @param spareRoomMachines receives the machines that hold spare room
+   * @param spareCapacity number of tasks to keep spare capacity for, by spec
+   * @param onDemandCpus on-demand CPUs needed to meet deadlines, beyond the existing fleet
+   * @param spareCapacityMachines receives the machines that hold spare capacity
    */
   Map<InstancePool, Integer> pack(
       List<PackingBin> bins,
-      Map<JobSpec, Integer> spareRoom,
+      Map<JobSpec, Integer> spareCapacity,
       double onDemandCpus,
-      Set<Machine> spareRoomMachines,
+      Set<Machine> spareCapacityMachines,
       double now) {
-    return new ScaleOutPacking(cluster, deadlines, pools, bins, onDemandCpus, now)
-        .pack(spareRoom, spareRoomMachines);
+    return new ScaleOutPacking(cluster, deadlines, poolChooser, bins, onDemandCpus, now)
+        .pack(spareCapacity, spareCapacityMachines);
   }
 
-  /** Sends a scale-out request for each pool, as far as the boot times allow. */
-  void request(Map<InstancePool, Integer> toRequest, double now) {
-    for (var entry : toRequest.entrySet()) {
+  /**
+   * Sends one scale-out request per pool; {@link BootTimes#allowedRequests} limits stalled types.
+   */
+  void sendRequests(Map<InstancePool, Integer> machinesToRequest, double now) {
+    for (var entry : machinesToRequest.entrySet()) {
       InstancePool pool = entry.getKey();
-      int batch = Math.min(MOST_SCALED_OUT, entry.getValue());
-      int count = boots.allowed(pool.type(), batch, now);
+      int batch = Math.min(MAX_MACHINES_PER_REQUEST, entry.getValue());
+      int count = bootTimes.allowedRequests(pool.type(), batch, now);
       if (count == 0) {
         continue;
       }
       long id = nextRequestId++;
-      pending.put(id, new PendingRequest(pool, count, now));
+      pendingRequests.put(id, new PendingRequest(pool, count, now));
       cluster.actions.add(new Action.ScaleOut(id, pool.type(), pool.zone(), pool.spot(), count));
     }
   }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -11,267 +11,311 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The scheduling core of the leader: a façade with one method for each event. Events come in with
- * the time, actions go out; nothing here waits, reads a clock or touches a socket. All times are
- * seconds on the leader's steady clock. The parts share one {@link ClusterState}: {@link
- * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
- * the transactions that change them, {@link HeartbeatIntake} and {@link ClaimReconciliation} what
- * heartbeats show, {@link TerminationProofs} what is proven gone without them, and {@link
- * WorkerTasks} what workers are told.
+ * Entry point of the leader's scheduling core, with one method per event. Each event carries its
+ * time and may produce {@link Action}s; the core does not block, read a clock or use sockets. All
+ * times are in seconds on the leader's monotonic clock. The components share one {@link
+ * ClusterState}: {@link StoredRecords} holds the records, {@link CompareAndSwapWriter} and {@link
+ * CompareAndSwapAnswers} handle the transactions that change them, {@link HeartbeatIntake} and
+ * {@link ClaimReconciliation} process heartbeats, {@link TerminationProofs} ends claims that are
+ * proven gone without a heartbeat, and {@link WorkerTasks} controls the tasks on workers.
  */
 public final class Scheduler {
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final CompareAndSwapAnswers answers;
-  private final WorkerTasks workers;
-  private final HeartbeatIntake heartbeats;
-  private final HeartbeatResponses responses;
-  private final CommandDeliveryEvents deliveries;
+  private final CompareAndSwapAnswers transactionAnswers;
+  private final WorkerTasks workerTasks;
+  private final HeartbeatIntake heartbeatIntake;
+  private final HeartbeatResponses heartbeatResponses;
+  private final CommandDeliveryEvents commandDeliveries;
   private final JobRecordEvents jobEvents;
-  private final QuotaUpdates quota;
+  private final QuotaUpdates quotaUpdates;
   private final MachineEvents machineEvents;
-  private final AdminViews views;
+  private final AdminViews adminViews;
   private final SchedulingRounds rounds;
 
   /**
-   * Makes the core of a new leader.
+   * Creates the scheduling core of a new leader.
    *
-   * @param process tells this leader's process from all others
+   * @param process unique id of this leader's process
    */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.cluster = new ClusterState(policy, process + "-" + term);
     this.planner = new FleetPlanner(cluster, now);
     cluster.term = term;
-    cluster.firstTerm = term;
+    cluster.electedTerm = term;
     cluster.leaderSince = now;
     cluster.delegates =
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
-    cluster.dependencies = new Dependencies(cluster, planner::estimate);
+    cluster.dependencies = new Dependencies(cluster, planner::estimateRunTimeS);
     this.records = new StoredRecords(cluster);
-    this.workers = WorkerTasks.create(cluster, records);
-    DeletedMachines deleted = new DeletedMachines();
+    this.workerTasks = WorkerTasks.create(cluster, records);
+    DeletedMachines deletedMachines = new DeletedMachines();
     ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
-    this.heartbeats =
-        new HeartbeatIntake(cluster, deleted, reconciliation, workers.stops(), planner);
-    this.responses = new HeartbeatResponses(cluster);
-    this.deliveries = new CommandDeliveryEvents(cluster, records, heartbeats);
-    this.jobEvents = new JobRecordEvents(cluster, planner, records, workers.stops());
+    this.heartbeatIntake =
+        new HeartbeatIntake(cluster, deletedMachines, reconciliation, workerTasks.stops(), planner);
+    this.heartbeatResponses = new HeartbeatResponses(cluster);
+    this.commandDeliveries = new CommandDeliveryEvents(cluster, records, heartbeatIntake);
+    this.jobEvents = new JobRecordEvents(cluster, planner, records, workerTasks.stops());
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
-    this.answers =
+    this.transactionAnswers =
         new CompareAndSwapAnswers(
             cluster,
             records,
             inFlight,
             (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
-    this.quota = new QuotaUpdates(cluster, records, policy.teams());
+    this.quotaUpdates = new QuotaUpdates(cluster, records, policy.teams());
     TerminationProofs proofs = new TerminationProofs(cluster, records);
-    this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stops());
-    this.views = new AdminViews(cluster);
+    this.machineEvents =
+        new MachineEvents(cluster, planner, deletedMachines, proofs, workerTasks.stops());
+    this.adminViews = new AdminViews(cluster);
     PlacementRound placement = new PlacementRound(cluster, random);
     CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
     JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
     this.rounds =
         new SchedulingRounds(
-            cluster, placement, planner, writer, jobEnds, workers, proofs, machineEvents, quota);
+            cluster,
+            placement,
+            planner,
+            writer,
+            jobEnds,
+            workerTasks,
+            proofs,
+            machineEvents,
+            quotaUpdates);
   }
 
   // ---------------------------------------------------------------- records
 
-  /** The first load is over: what comes from now on is new. */
-  public void loaded(double now) {
+  /** Ends the initial load of the stored records; all later events are updates. */
+  public void onRecordsLoaded(double now) {
     cluster.loading = false;
     cluster.roundNeeded = true;
     cluster.log(
-        "took over with term "
+        "leader started in term "
             + cluster.term
             + ": "
             + cluster.jobs.size()
             + " jobs, "
-            + cluster.machines.values().stream().mapToInt(m -> m.claims.size()).sum()
+            + cluster.machines.values().stream().mapToInt(machine -> machine.claims.size()).sum()
             + " claims");
   }
 
-  /** {@code submittedAt} is the job's time of submission on this clock. */
-  public void onJob(JobSpec spec, boolean stop, long revision, double submittedAt, double now) {
-    jobEvents.onJob(spec, stop, revision, submittedAt, now);
+  /**
+   * Handles a new or changed job record.
+   *
+   * @param cancelRequested whether the job's cancellation was requested
+   * @param submittedAt submission time on the leader's clock
+   */
+  public void onJob(
+      JobSpec spec, boolean cancelRequested, long revision, double submittedAt, double now) {
+    jobEvents.onJob(spec, cancelRequested, revision, submittedAt, now);
   }
 
   /**
-   * The job was cancelled, although its record has not shown that yet: no start, no claim and no
-   * end of it can commit against the record as we know it, and its tasks are stopped at once.
+   * Handles a cancellation before the changed job record is received. Transactions of the job based
+   * on the record revision known here can no longer commit, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
     jobEvents.onCancelled(job, now);
   }
 
-  /** The committed final record of a job, which others may need; {@code at} is when it was made. */
-  public void onEnd(String job, boolean cancelled, double at, double now) {
-    jobEvents.onEnd(job, cancelled, at, now);
+  /** Handles the committed final record of a job, which other jobs may depend on. */
+  public void onJobEnd(String job, boolean cancelled, double committedAt, double now) {
+    jobEvents.onEnd(job, cancelled, committedAt, now);
   }
 
-  /** The key-value store allows smaller values, or fewer changes a second, than at our start. */
-  public void onLimits(int valueBytes, double changesPerS) {
-    cluster.policy = cluster.policy.within(valueBytes, changesPerS);
+  /** Lowers the limits on the size of a value and on changes per second in the key-value store. */
+  public void onStoreLimits(int valueBytes, double changesPerS) {
+    cluster.policy = cluster.policy.withStoreLimits(valueBytes, changesPerS);
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be called after the
-   * task batches of the same store update were taken in.
+   * Handles the stored limits and accounts; null while stored limits are disabled. Must be called
+   * after the task batches of the same store update.
    */
   public void onQuota(StoredQuota stored) {
-    quota.onQuota(stored);
+    quotaUpdates.onQuota(stored);
   }
 
-  /** An operator has a team's account rewritten from its committed claims. */
+  /** Rewrites a team's account from its committed claims, at an operator's request. */
   public void replaceAccount(String team) {
-    quota.replaceAccount(team);
+    quotaUpdates.replaceAccount(team);
   }
 
-  /** The arrivals of work, by job class, that an earlier leader stored. */
-  public void onDemand(List<Action.Demand> classes, double now) {
-    classes.forEach(classDemand -> planner.onDemand(classDemand, now));
+  /** Handles the recent arrivals by job class that an earlier leader stored. */
+  public void onStoredDemand(List<Action.Demand> classes, double now) {
+    classes.forEach(classDemand -> planner.mergeStoredDemand(classDemand, now));
   }
 
-  /** The images on machines that an earlier leader stored; to be called before the task batches. */
-  public void onImages(Map<String, List<String>> machines) {
-    cluster.knownImages.putAll(machines);
+  /**
+   * Handles the images by machine that an earlier leader stored. Must be called before the task
+   * batches.
+   */
+  public void onStoredImages(Map<String, List<String>> machines) {
+    cluster.storedImages.putAll(machines);
   }
 
-  /** In how many records the images of each thousand machines are kept from now on. */
-  public void onImageParts(int perThousand) {
-    if (perThousand != cluster.imagePartsPerThousand) {
-      cluster.imagePartsPerThousand = perThousand;
-      cluster.imageParts(0);
+  /** Sets the number of image records per 1,000 machines. */
+  public void onImageShards(int shardsPerThousandMachines) {
+    if (shardsPerThousandMachines != cluster.imageShardsPerThousandMachines) {
+      cluster.imageShardsPerThousandMachines = shardsPerThousandMachines;
+      cluster.setImageShardCount(0);
     }
   }
 
-  /** The job's record is gone from the store. */
-  public void onJobGone(String id, double now) {
+  /** Handles the deletion of a job's record from the store. */
+  public void onJobDeleted(String id, double now) {
     jobEvents.onJobGone(id, now);
   }
 
   // ---------------------------------------------------------------- workers
 
   /**
-   * A worker's heartbeat with status; the worker commands for the response come from {@link
-   * #commandsFor}. A heartbeat that says nothing new sets nothing in motion: hundreds come every
+   * Handles a worker's heartbeat; {@link #commandsFor} returns the worker commands for the
+   * response. A heartbeat without changes triggers no scheduling round, since hundreds arrive per
    * second.
    *
-   * @return false if it is a copy of the past, which proves nothing and renews nothing
+   * @return false if the heartbeat is stale; it is then ignored and renews no lease
    */
   public boolean onHeartbeat(Heartbeat heartbeat, double now) {
     return onHeartbeat(heartbeat, "", now);
   }
 
   /**
-   * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
+   * Handles a heartbeat that was received by the controller {@code controller}, or by this one if
+   * it is "".
    */
-  public boolean onHeartbeat(Heartbeat heartbeat, String via, double now) {
-    return heartbeats.onHeartbeat(heartbeat, HeartbeatOrigin.checkIn(via), now);
+  public boolean onHeartbeat(Heartbeat heartbeat, String controller, double now) {
+    return heartbeatIntake.onHeartbeat(heartbeat, HeartbeatOrigin.checkIn(controller), now);
   }
 
-  /** The worker's lease cannot begin later than this answer. */
+  /** Records that a heartbeat was responded to; the worker's lease cannot start later than that. */
   public void onHeartbeatAnswered(String machine, double now) {
-    heartbeats.onHeartbeatAnswered(machine, now);
+    heartbeatIntake.onHeartbeatAnswered(machine, now);
   }
 
-  /** Worker commands for the response to the heartbeat that was just taken. */
+  /** Returns the worker commands for the response to the heartbeat that was just handled. */
   public List<WorkerCommand> commandsFor(Heartbeat heartbeat, double now) {
-    return responses.commandsFor(heartbeat, now);
+    return heartbeatResponses.commandsFor(heartbeat, now);
   }
 
   /**
-   * How the delivery of commands sent straight to a worker ended; {@code status} is the worker's
-   * answer, or null if there is none.
+   * Handles the outcome of sending commands directly to a worker.
+   *
+   * @param status the worker's response, or null if there is none
    */
   public void onCommandDelivery(
       Action.SendCommands sent, CommandDelivery delivery, Heartbeat status, double now) {
-    deliveries.onDelivery(sent, delivery, status, now);
+    commandDeliveries.onDelivery(sent, delivery, status, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
 
   /**
-   * Another controller requests a grant as our lease delegate in its zone.
+   * Handles the request of another controller for a grant as lease delegate of its zone.
    *
-   * @param process tells its process from earlier ones of the same member
-   * @param number number of the request within its process
-   * @param grantTerm term of the leader whose grant it has, 0 if it has none
-   * @param lastHeardAt our time of the last grant that it has heard of
-   * @param aloneS seconds since it last answered workers by itself, or since its process began
-   * @return false if it is none of our lease delegates
+   * @param process id of its process, distinct from earlier processes of the same member
+   * @param requestNumber sequence number of the request within its process
+   * @param grantTerm term of the leader whose grant it holds, or 0 without a grant
+   * @param lastGrantReceivedAt when this leader sent the last grant that it has received, on the
+   *     leader's clock
+   * @param secondsSinceAutonomous seconds since it last renewed leases on its own, or since its
+   *     process started
+   * @return false if the member is not a lease delegate of this leader
    */
-  public boolean onDelegate(
+  public boolean onDelegateGrantRequest(
       String member,
       String process,
-      long number,
+      long requestNumber,
       long grantTerm,
-      double lastHeardAt,
-      double aloneS,
+      double lastGrantReceivedAt,
+      double secondsSinceAutonomous,
       double now) {
     return cluster.delegates.grant(
-        new LeaseDelegates.GrantRequest(member, process, number, grantTerm, lastHeardAt, aloneS),
+        new LeaseDelegates.GrantRequest(
+            member, process, requestNumber, grantTerm, lastGrantReceivedAt, secondsSinceAutonomous),
         now);
   }
 
   /**
-   * A lease delegate that doesn't reach us has released its grants, up to the one for its request
-   * {@code number}; see {@link #onDelegate}.
+   * Handles the release of grants by a lease delegate that cannot reach this leader, up to the
+   * grant for its request {@code requestNumber}; see {@link #onDelegateGrantRequest}.
    */
-  public void onDelegateReleased(
-      String member, String process, long number, long grantTerm, double aloneS, double now) {
+  public void onDelegateGrantRelease(
+      String member,
+      String process,
+      long requestNumber,
+      long grantTerm,
+      double secondsSinceAutonomous,
+      double now) {
     cluster.delegates.release(
-        new LeaseDelegates.GrantRelease(member, process, number, grantTerm, aloneS), now);
+        new LeaseDelegates.GrantRelease(
+            member, process, requestNumber, grantTerm, secondsSinceAutonomous),
+        now);
   }
 
   // ---------------------------------------------------------------- the cloud
 
-  /** The machine types that the cloud offers. */
-  public void onTypes(Collection<MachineType> types) {
-    machineEvents.onTypes(types);
+  /** Handles the machine types that the cloud offers. */
+  public void onMachineTypes(Collection<MachineType> types) {
+    machineEvents.onMachineTypes(types);
   }
 
-  /** The cloud's list of machines. */
-  public void onList(List<ListedMachine> list, double now) {
-    machineEvents.onList(list, now);
+  /** Handles the cloud's list of machines. */
+  public void onMachineList(List<ListedMachine> list, double now) {
+    machineEvents.onMachineList(list, now);
   }
 
-  /** The cloud answered scale-out request {@code id}: the machines created, or null without any. */
-  public void onScaleOutAnswered(long id, List<String> names, boolean noCapacity, double now) {
-    machineEvents.onScaleOutAnswered(id, names, noCapacity, now);
+  /**
+   * Handles the cloud's response to scale-out request {@code id}.
+   *
+   * @param machineNames machines created, or null if there are none
+   * @param noCapacity whether the cloud reported that the pool has no capacity
+   */
+  public void onScaleOutResponse(
+      long id, List<String> machineNames, boolean noCapacity, double now) {
+    machineEvents.onScaleOutResponse(id, machineNames, noCapacity, now);
   }
 
-  /** The cloud answered a deletion: the machines and everything on them are gone. */
-  public void onScaledIn(List<String> names, double now) {
-    machineEvents.onScaledIn(names, now);
+  /**
+   * Handles the cloud's confirmation of a deletion: the machines and all tasks on them are gone.
+   */
+  public void onMachinesDeleted(List<String> machineNames, double now) {
+    machineEvents.onMachinesDeleted(machineNames, now);
   }
 
   // ---------------------------------------------------------------- transactions
 
-  /** A task batch record came from the store at revision {@code revision}. */
+  /** Handles a task batch record in the store at revision {@code revision}. */
   public void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long revision, double now) {
     records.onTaskBatch(key, record, revision, now);
   }
 
-  /** A task batch record was removed from the store. */
-  public void onTaskBatchGone(TaskBatchKey key) {
+  /** Handles the deletion of a task batch record from the store. */
+  public void onTaskBatchDeleted(TaskBatchKey key) {
     records.onTaskBatchGone(key);
   }
 
-  /** The answer to compare-and-swap transaction {@code id}; {@code revision} is its revision. */
-  public void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
-    answers.onWrite(id, outcome, revision, now);
+  /**
+   * Handles the outcome of compare-and-swap transaction {@code id}; {@code revision} is its
+   * revision if it committed.
+   */
+  public void onTransactionOutcome(long id, TransactionOutcome outcome, long revision, double now) {
+    transactionAnswers.onWrite(id, outcome, revision, now);
   }
 
   // ---------------------------------------------------------------- time
 
-  /** The term was raised, or could not be. */
+  /**
+   * Handles the outcome of {@link Action.RaiseTerm}; {@code newTerm} is higher than the current
+   * term if it succeeded.
+   */
   public void onTerm(long newTerm, double now) {
-    workers.fencing().onTerm(newTerm, now);
+    workerTasks.fencing().onTerm(newTerm, now);
   }
 
-  /** Looks at everything that only the passing of time changes. */
+  /** Performs all time-based work, such as lease expiry, probes and the fleet plan. */
   public void tick(double now) {
     rounds.tick(now);
   }
@@ -281,27 +325,27 @@
     return cluster.term;
   }
 
-  /** The operators changed the tuning of the settings. */
+  /** Applies changed operator settings. */
   public void onTuning(Policy.Tuning tuning) {
     cluster.policy = cluster.policy.with(tuning);
     cluster.roundNeeded = true;
   }
 
-  /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
+  /** Runs a scheduling round if one is due; returns the seconds until the next call is needed. */
   public double step(double now) {
     return rounds.step(now);
   }
 
-  /** Takes the actions decided since the last call. */
-  public List<Action> take() {
+  /** Returns and removes the actions decided since the last call. */
+  public List<Action> takeActions() {
     List<Action> actions = new ArrayList<>(cluster.actions);
     cluster.actions.clear();
     return actions;
   }
 
-  // ---------------------------------------------------------------- questions
+  // ---------------------------------------------------------------- queries
 
-  /** One line on a machine, for the administration API. */
+  /** The state of a machine as shown by the administration API. */
   public record MachineView(
       String name,
       String type,
@@ -313,51 +357,51 @@
       double cpus,
       double silentS) {}
 
-  /** One line on each machine, for the administration API. */
+  /** Returns a view of each machine for the administration API. */
   public List<MachineView> machines(double now) {
-    return views.machines(now);
+    return adminViews.machines(now);
   }
 
-  /** What each team uses, judged on claims. */
-  public Map<String, Resources> teamUse() {
+  /** Resources taken by the claims of each team. */
+  public Map<String, Resources> usageByTeam() {
     return cluster.quotas.usageByTeam();
   }
 
   /**
-   * How a team stands with its stored limit.
+   * A team's usage against its stored limit.
    *
-   * @param waitingTasks tasks of the team that wait for a claim
-   * @param waiting what those would take
+   * @param waitingTasks number of the team's tasks that wait for a claim
+   * @param waitingAmount resources that those tasks need
    */
-  public record TeamUsage(TeamStanding standing, long waitingTasks, Amount waiting) {}
+  public record TeamUsage(TeamStanding standing, long waitingTasks, Amount waitingAmount) {}
 
-  /** What the claims of a team take while limits are not stored. */
-  public Amount teamClaims(String team) {
+  /** Resources taken by a team's claims; used while stored limits are disabled. */
+  public Amount claimedAmount(String team) {
     return cluster.quotas.usage(team).amount();
   }
 
-  /** How a team stands; for the administration API. */
+  /** Returns a team's usage for the administration API. */
   public TeamUsage teamUsage(String team) {
-    return views.teamUsage(team);
+    return adminViews.teamUsage(team);
   }
 
-  /** Why a job has tasks that wait, or null if it is not known or has none. */
-  public String whyWaiting(String job) {
-    return views.whyWaiting(job);
+  /** Why tasks of the job are waiting; null if the job is unknown or has no waiting tasks. */
+  public String waitReason(String job) {
+    return adminViews.waitReason(job);
   }
 
-  /** The machines that operators cordon or drain, as the settings have it now. */
+  /** Applies the current settings of which machines operators cordon or drain. */
   public void onCordons(Set<String> cordoned, Set<String> drained, double now) {
     machineEvents.onCordons(cordoned, drained, now);
   }
 
-  /** Machines and claims that scheduling rounds have examined so far. */
+  /** Number of machines and claims examined by scheduling rounds so far. */
   public long examinedCount() {
     return cluster.examinedCount;
   }
 
-  /** Heartbeats dropped because newer ones had come before. */
-  public long staleHeartbeats() {
-    return heartbeats.staleCount();
+  /** Number of heartbeats dropped because a newer one had already been received. */
+  public long staleHeartbeatCount() {
+    return heartbeatIntake.staleCount();
   }
 }
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -74,7 +74,7 @@
   private void askForEnds(double now) {
     List<String> find = cluster.dependencies.finalRecordsToFetch(now);
     if (!find.isEmpty()) {
-      cluster.actions.add(new Action.FindEnds(find));
+      cluster.actions.add(new Action.FetchFinalRecords(find));
     }
   }
 
@@ -84,7 +84,7 @@
       lastPlan = now;
       cluster.dependencies.updateUrgency(now);
       planner.plan(now);
-      placement.planned(planner.yieldingToTeammates(), planner.deferrable());
+      placement.planned(planner.jobsYieldingToTeammates(), planner.deferrableJobs());
     }
   }
 
@@ -100,7 +100,7 @@
     }
     cluster.roundNeeded = false;
     lastRound = now;
-    machineEvents.forgetMachines();
+    machineEvents.removeDeletedMachines();
     boolean pause = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
     List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
     workers.stops().stopRequestedClaims(now);
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -105,7 +105,7 @@
         && !claim.stopRequested
         && claim.job.spec.isService()
         && claim.runningSince > 0
-        && now - claim.runningSince > FleetConsolidation.CHARGED_AT_LEAST_S;
+        && now - claim.runningSince > FleetConsolidation.MIN_BILLING_PERIOD_S;
   }
 
   /**
@@ -122,7 +122,7 @@
     for (Machine target : onDemand) {
       if (target != from
           && !target.consolidating
-          && target.holds(claim.resources())
+          && target.hasRoomFor(claim.resources())
           && suits(claim, target)
           && MachineAvailability.isAvailable(cluster, target, now)
           && freeBeside(planned, target).holds(claim.resources())) {
--- a/src/main/java/graderelay/core/SilentWorkerProbes.java
+++ b/src/main/java/graderelay/core/SilentWorkerProbes.java
@@ -42,7 +42,7 @@
     return machine.address != null
         && !machine.leaseExpired
         && !machine.scalingIn
-        && (isUnheard(machine, now) || machine.answersLostSince != null || isSilent(machine, now))
+        && (isUnheard(machine, now) || machine.responsesLostSince != null || isSilent(machine, now))
         && now - machine.lastProbeAt >= INTERVAL_S;
   }
 
