--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -70,7 +70,7 @@
     for (int i = 0; i < record.size(); i++) {
       adoptTask(job, batch.firstTask + i, record, i, now);
     }
-    cluster.maybeEndedJobs.add(job);
+    cluster.possiblyEndedJobs.add(job);
     job.doneCount = 0;
     for (Job.TaskBatch each : job.taskBatches.values()) {
       job.doneCount += each.record.doneCount();
@@ -146,7 +146,7 @@
     cluster.admission.committed().removeJob(job.spec.id());
     cluster.dependencies.removed(job);
     cluster.cancelledJobs.remove(job);
-    cluster.maybeEndedJobs.remove(job);
+    cluster.possiblyEndedJobs.remove(job);
     cluster.roundNeeded = true;
   }
 
@@ -158,7 +158,7 @@
     claim.phase = Claim.Phase.ENDING;
     claim.taskDone = isDone;
     endingClaims.add(claim);
-    cluster.maybeEndedJobs.add(claim.job);
+    cluster.possiblyEndedJobs.add(claim.job);
     cluster.roundNeeded = true;
   }
 
--- a/src/main/java/graderelay/core/TeammateYielding.java
+++ b/src/main/java/graderelay/core/TeammateYielding.java
@@ -72,7 +72,7 @@
   }
 
   private RemainingJob remaining(Job job, double now) {
-    double estimate = estimates.estimate(job.spec);
+    double estimate = estimates.estimateRunTimeS(job.spec);
     double due = job.dueAt() - Deadlines.DEADLINE_MARGIN_S;
     return new RemainingJob(job, due, Deadlines.remainingWork(job, estimate, now), estimate);
   }
--- a/src/main/java/graderelay/core/TerminationProofs.java
+++ b/src/main/java/graderelay/core/TerminationProofs.java
@@ -48,7 +48,8 @@
 
   /** The latest time at which this leader, or one before it, can have renewed the lease. */
   private double lastRenewalAt(Machine machine) {
-    return Math.max(Math.max(machine.lastAnsweredAt, machine.sessionSeenAt), cluster.leaderSince);
+    return Math.max(
+        Math.max(machine.lastResponseAt, machine.sessionFirstSeenAt), cluster.leaderSince);
   }
 
   /** Ends the claims on a machine that the cloud says is gone, for the reason given. */
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -70,9 +70,9 @@
   }
 
   private static int changes(Action.Write write) {
-    int changes = write.taskBatches().size() + write.drops().size();
-    changes += (int) write.accounts().stream().filter(AccountChange::writes).count();
-    for (Action.JobEnd end : write.ends()) {
+    int changes = write.taskBatches().size() + write.taskBatchDeletes().size();
+    changes += (int) write.accountChanges().stream().filter(AccountChange::writes).count();
+    for (Action.JobEnd end : write.jobEnds()) {
       changes += 2 + end.taskBatches().size();
     }
     return changes;
@@ -94,13 +94,13 @@
   /** Transactions under way that end a cancelled job. */
   long cancelledEndsOut() {
     return byId.values().stream()
-        .flatMap(transaction -> transaction.write().ends().stream())
+        .flatMap(transaction -> transaction.write().jobEnds().stream())
         .filter(Action.JobEnd::cancelled)
         .count();
   }
 
   /** True if a transaction that drops records without a job is under way. */
   boolean orphanWriteOpen() {
-    return byId.values().stream().anyMatch(t -> !t.write().drops().isEmpty());
+    return byId.values().stream().anyMatch(t -> !t.write().taskBatchDeletes().isEmpty());
   }
 }
--- a/src/main/java/graderelay/service/CloudScaler.java
+++ b/src/main/java/graderelay/service/CloudScaler.java
@@ -53,7 +53,7 @@
   /** Asks for machines; refused without asking while those of an earlier leader may not show. */
   void scaleOut(Action.ScaleOut request) {
     if (mayMissEarlierScaleOuts()) {
-      core.onScaleOutAnswered(request.id(), null, false, loop.now());
+      core.onScaleOutResponse(request.id(), null, false, loop.now());
       return;
     }
     String name = "hire-" + fencingToken + "-" + request.id();
@@ -74,7 +74,7 @@
             term.takeOutcome(
                 now -> {
                   LOG.info("{}: {}", name, result.noCapacity() ? "no capacity" : result.names());
-                  core.onScaleOutAnswered(request.id(), result.names(), result.noCapacity(), now);
+                  core.onScaleOutResponse(request.id(), result.names(), result.noCapacity(), now);
                 }));
   }
 
@@ -90,7 +90,7 @@
         request.machines(),
         confirmed -> {
           if (confirmed) {
-            term.takeOutcome(now -> core.onScaledIn(request.machines(), now));
+            term.takeOutcome(now -> core.onMachinesDeleted(request.machines(), now));
           }
         });
   }
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -115,7 +115,7 @@
    *
    * @param wallMs the time of day now, in milliseconds since the epoch
    */
-  void keepDemand(Action.KeepDemand demand, long wallMs) {
+  void keepDemand(Action.StoreDemand demand, long wallMs) {
     if (writesCompactForm()) {
       IntFunction<ObjectNode> within =
           bytes -> StateCodec.encodeDemand(demand.classes(), wallMs, bytes);
@@ -126,14 +126,14 @@
   }
 
   /** Stores the images on one part of the machines. */
-  void keepImages(Action.KeepImages images) {
+  void keepImages(Action.StoreImages images) {
     // By name, since neighbours in that order differ in little.
-    Map<String, List<String>> machines = new TreeMap<>(images.machines());
+    Map<String, List<String>> machines = new TreeMap<>(images.imagesByMachine());
     IntFunction<ObjectNode> within = bytes -> StateCodec.encodeImages(machines, KEPT_IMAGES, bytes);
     if (writesCompactForm()) {
-      put(FeatureCodec.IMAGE_HINTS + images.part(), packed(within));
+      put(FeatureCodec.IMAGE_HINTS + images.shard(), packed(within));
     } else {
-      put(StateCodec.IMAGES + images.part(), within.apply(mostBytes));
+      put(StateCodec.IMAGES + images.shard(), within.apply(mostBytes));
     }
   }
 
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActions.java
@@ -57,7 +57,7 @@
 
   /** Takes every action the core has decided on and carries it out, in the core's order. */
   void carryOut() {
-    for (Action action : core.take()) {
+    for (Action action : core.takeActions()) {
       carryOut(action);
     }
   }
@@ -67,9 +67,9 @@
       LOG.info("{}", note.text());
     } else if (action instanceof Action.MetricEvent seen) {
       countTask(seen);
-    } else if (action instanceof Action.DifferenceFound found) {
-      LOG.error("{}", found.difference());
-      metrics.count("graderelay.quota.differences", "team", found.difference().team());
+    } else if (action instanceof Action.AccountDiscrepancyFound found) {
+      LOG.error("{}", found.discrepancy());
+      metrics.count("graderelay.quota.differences", "team", found.discrepancy().team());
     } else if (action instanceof Action.Write write) {
       transactions.commit(write);
     } else if (action instanceof Action.SendCommands command) {
@@ -78,11 +78,11 @@
       cloudScaler.scaleOut(scaleOut);
     } else if (action instanceof Action.ScaleIn scaleIn) {
       cloudScaler.scaleIn(scaleIn);
-    } else if (action instanceof Action.FindEnds find) {
+    } else if (action instanceof Action.FetchFinalRecords find) {
       findFinalStates(find);
-    } else if (action instanceof Action.KeepDemand demand) {
+    } else if (action instanceof Action.StoreDemand demand) {
       hints.keepDemand(demand, term.wallMs());
-    } else if (action instanceof Action.KeepImages images) {
+    } else if (action instanceof Action.StoreImages images) {
       hints.keepImages(images);
     } else if (action instanceof Action.RaiseTerm) {
       leadership.raiseTerm(raised -> term.takeOutcome(now -> core.onTerm(raised, now)));
@@ -94,10 +94,10 @@
     if (seen.waitedS() >= 0) {
       metrics.span("graderelay.queue.wait", seen.waitedS());
     }
-    metrics.count("graderelay.tasks", "outcome", seen.what());
+    metrics.count("graderelay.tasks", "outcome", seen.event());
   }
 
-  private void findFinalStates(Action.FindEnds find) {
+  private void findFinalStates(Action.FetchFinalRecords find) {
     cancellationResolver.find(
         find.jobs(),
         found -> {
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -70,7 +70,7 @@
     this.firstToken = leadership.term();
     final double startedAt = loop.now();
     this.core = new Scheduler(policy, firstToken, leadership.process(), random, loop.now());
-    core.onTypes(types);
+    core.onMachineTypes(types);
     Cache cache = services.cache();
     this.hints = new FailoverHints(services.state(), cache, leadership, leastLimits.valueBytes());
     this.records = new TermRecords(loop, cache, core, hints, this::stepSoon);
@@ -147,7 +147,7 @@
   /** The term was raised with a change of the feature level, which may change the hints' form. */
   void onTermRaised(long term) {
     core.onTerm(term, loop.now());
-    core.onImageParts(hints.imagePartsPerThousand());
+    core.onImageShards(hints.imagePartsPerThousand());
     stepSoon();
   }
 
@@ -159,7 +159,7 @@
 
   /** The cloud has listed its machine types anew. */
   void onTypes(List<MachineType> types) {
-    core.onTypes(types);
+    core.onMachineTypes(types);
     stepSoon();
   }
 
@@ -182,8 +182,8 @@
   List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
     double now = loop.now();
     boolean fresh = core.onHeartbeat(heartbeat, via, now);
-    if (core.staleHeartbeats() > staleHeartbeats) {
-      staleHeartbeats = core.staleHeartbeats();
+    if (core.staleHeartbeatCount() > staleHeartbeats) {
+      staleHeartbeats = core.staleHeartbeatCount();
       metrics.count("graderelay.dropped", "what", "stale report");
     }
     List<WorkerCommand> commands = core.commandsFor(heartbeat, now);
@@ -201,7 +201,7 @@
   PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
     boolean known =
-        core.onDelegate(
+        core.onDelegateGrantRequest(
             request.member(),
             request.process(),
             request.number(),
@@ -255,7 +255,7 @@
           }
           if (machines != null) {
             cloudScaler.markListed();
-            core.onList(machines, loop.now());
+            core.onMachineList(machines, loop.now());
             core.onCordons(operators.cordoned(), operators.drained(), loop.now());
             stepSoon();
           }
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -56,7 +56,7 @@
         add(readings, "used", team.name(), claims);
         add(readings, "reserved", team.name(), usage.standing().account());
         add(readings, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
-        add(readings, "waiting", team.name(), usage.waiting());
+        add(readings, "waiting", team.name(), usage.waitingAmount());
         int stopped = usage.standing().stoppedBecause() == null ? 0 : 1;
         readings.add(reading(STOPPED, team.name(), stopped));
       }
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/TermRecords.java
@@ -40,12 +40,12 @@
   /** Takes the records as they are now, which the caller has just caught up with. */
   void load() {
     double now = loop.now();
-    hints.images().forEach(core::onImages);
-    core.onImageParts(hints.imagePartsPerThousand());
+    hints.images().forEach(core::onStoredImages);
+    core.onImageShards(hints.imagePartsPerThousand());
     loadJobs(now);
-    core.onDemand(hints.demand(loop.wallMs()), now);
+    core.onStoredDemand(hints.demand(loop.wallMs()), now);
     onQuota();
-    core.loaded(now);
+    core.onRecordsLoaded(now);
   }
 
   /** Every job comes before the first task batch. */
@@ -89,13 +89,13 @@
   void onEnd(String job, FinalState end) {
     // Records of earlier versions lack the time: they count as ended just now.
     double endedAt = end.writtenAtMs() == 0 ? loop.now() : secondsAt(end.writtenAtMs());
-    core.onEnd(job, end.cancelled(), endedAt, loop.now());
+    core.onJobEnd(job, end.cancelled(), endedAt, loop.now());
     stepSoon.run();
   }
 
   /** A job's record was removed. */
   void onJobGone(String job) {
-    core.onJobGone(job, loop.now());
+    core.onJobDeleted(job, loop.now());
     stepSoon.run();
   }
 
@@ -107,7 +107,7 @@
 
   /** A task batch's record was removed. */
   void onTaskBatchGone(TaskBatchKey key) {
-    core.onTaskBatchGone(key);
+    core.onTaskBatchDeleted(key);
   }
 
   /**
@@ -122,7 +122,7 @@
 
   /** A lease delegate has released grants, as its record says. */
   void onLeaseDelegateReleased(String member, StateCodec.DelegateRelease release) {
-    core.onDelegateReleased(
+    core.onDelegateGrantRelease(
         member,
         release.incarnation(),
         release.releasedUpTo(),
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -62,9 +62,9 @@
         new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
     Set<String> conditionedJobs = new HashSet<>();
     write.taskBatches().forEach(put -> putTaskBatch(txn, put, conditionedJobs));
-    write.ends().forEach(end -> endJob(txn, end));
-    write.drops().forEach(drop -> dropTaskBatch(txn, drop));
-    write.accounts().forEach(change -> changeAccount(txn, change));
+    write.jobEnds().forEach(end -> endJob(txn, end));
+    write.taskBatchDeletes().forEach(drop -> dropTaskBatch(txn, drop));
+    write.accountChanges().forEach(change -> changeAccount(txn, change));
     return txn;
   }
 
@@ -88,7 +88,7 @@
     end.taskBatches().forEach(drop -> dropTaskBatch(txn, drop));
   }
 
-  private static void dropTaskBatch(Transaction txn, Action.TaskBatchDrop drop) {
+  private static void dropTaskBatch(Transaction txn, Action.TaskBatchDelete drop) {
     String key = StateCodec.taskBatchKey(drop.key());
     txn.when(key, drop.revision()).delete(key);
   }
@@ -110,11 +110,11 @@
     }
     metrics.count("graderelay.writes", "outcome", result.outcome().metricLabel());
     if (result.succeeded()) {
-      core.onWrite(id, TransactionOutcome.COMMITTED, result.revision(), loop.now());
+      core.onTransactionOutcome(id, TransactionOutcome.COMMITTED, result.revision(), loop.now());
       term.carryOut();
       term.stepSoon();
     } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
-      core.onLimits(
+      core.onStoreLimits(
           state.limitsReduced() ? leastLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
       loop.after(StateClient.STATE_RETRY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
@@ -148,6 +148,6 @@
   }
 
   private void tellCore(long id, TransactionOutcome outcome) {
-    term.takeOutcome(now -> core.onWrite(id, outcome, 0, now));
+    term.takeOutcome(now -> core.onTransactionOutcome(id, outcome, 0, now));
   }
 }
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -50,7 +50,7 @@
   @Test
   void endsOfWideFanDoNotDelayTheClaimsOfOthers() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
-    scheduler.loaded(0);
+    scheduler.onRecordsLoaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
     for (int i = 0; i < 500; i++) {
@@ -75,7 +75,7 @@
   private static List<String> ends(Scheduler scheduler) {
     return SchedulerFixture.taken(scheduler).stream()
         .filter(action -> action instanceof Action.Write)
-        .flatMap(action -> ((Action.Write) action).ends().stream())
+        .flatMap(action -> ((Action.Write) action).jobEnds().stream())
         .map(Action.JobEnd::job)
         .toList();
   }
@@ -95,14 +95,14 @@
     if (failover) {
       scheduler.onJob(dependent, false, 6, 0, 300);
       scheduler.onJob(other, false, 7, 250, 300);
-      scheduler.loaded(300);
-      scheduler.onEnd(CANCELLED, false, readyAt, 300);
+      scheduler.onRecordsLoaded(300);
+      scheduler.onJobEnd(CANCELLED, false, readyAt, 300);
     } else {
-      scheduler.loaded(0);
+      scheduler.onRecordsLoaded(0);
       scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
       scheduler.onJob(dependent, false, 6, 0, 0);
-      scheduler.onEnd(CANCELLED, false, readyAt, readyAt);
-      scheduler.onJobGone(CANCELLED, readyAt);
+      scheduler.onJobEnd(CANCELLED, false, readyAt, readyAt);
+      scheduler.onJobDeleted(CANCELLED, readyAt);
       scheduler.onJob(other, false, 7, 250, 300);
     }
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 300); // Room for four.
--- a/src/test/java/graderelay/core/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -18,7 +18,7 @@
   @Test
   void largeArrayBeginsAlthoughSmallerOnesKeepComing() {
     Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(5.0, 20.0)));
-    s.loaded(0);
+    s.onRecordsLoaded(0);
     hearing(s, "n-1", 0);
     s.onJob(SchedulerFixture.array("j-8", 4), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1); // The machine is full before the large one comes.
--- a/src/test/java/graderelay/core/LateMachinesTest.java
+++ b/src/test/java/graderelay/core/LateMachinesTest.java
@@ -6,75 +6,76 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Machines that come up late, never, or at once. */
+/** Scale-out when machines boot late, never, or before the scale-out request is responded to. */
 class LateMachinesTest {
-  private static List<String> scaledIn(Scheduler s) {
+  private static List<String> scaledIn(Scheduler scheduler) {
     List<String> names = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.ScaleIn g) {
-        names.addAll(g.machines());
+    for (Action action : SchedulerFixture.taken(scheduler)) {
+      if (action instanceof Action.ScaleIn scaleIn) {
+        names.addAll(scaleIn.machines());
       }
     }
     return names;
   }
 
   @Test
-  void workWhoseNewMachineWasTakenByOthersGetsAnother() {
-    Scheduler s = SchedulerFixture.scheduler(1);
-    s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
-    s.tick(1);
-    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
-    assertThat(first).hasSizeGreaterThanOrEqualTo(6);
-    // All but one are up in the usual five seconds, and one never comes.
+  void requestsReplacementForOverdueMachineWhileOthersOfItsTypeBoot() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
+    scheduler.tick(1);
+    List<String> requested = SchedulerFixture.scaledOut(scheduler, 1.2);
+    assertThat(requested).hasSizeGreaterThanOrEqualTo(6);
+    // All machines but one boot within the nominal five seconds; the first one never does.
     long seq = 1;
-    int more = 0;
+    int additionalRequests = 0;
     for (double now = 6; now < 24; now += 1) {
-      for (String m : first.subList(1, first.size())) {
-        SchedulerFixture.machine(s, m, 1, seq, now);
+      for (String machine : requested.subList(1, requested.size())) {
+        SchedulerFixture.machine(scheduler, machine, 1, seq, now);
       }
       seq++;
-      s.tick(now);
-      SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
-      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
+      scheduler.tick(now);
+      SchedulerFixture.commitAll(scheduler, (long) (100 + now), now + 0.1);
+      additionalRequests += SchedulerFixture.scaledOut(scheduler, now + 0.2).size();
     }
-    assertThat(more).isEqualTo(1);
-    assertThat(scaledIn(s)).isEmpty(); // It may still come.
-    s.tick(40);
-    assertThat(scaledIn(s)).contains(first.get(0));
+    assertThat(additionalRequests).isEqualTo(1);
+    assertThat(scaledIn(scheduler)).isEmpty(); // The overdue machine may still come up.
+    scheduler.tick(40);
+    assertThat(scaledIn(scheduler)).contains(requested.get(0));
   }
 
   @Test
-  void whenAllBootsAreSlowMachinesAreNotScaledOutAndGivenUpInTurn() {
-    Scheduler s = SchedulerFixture.scheduler(1);
-    s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
-    s.tick(1);
-    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
-    int more = 0;
+  void keepsBootingMachinesAndLimitsNewRequestsWhenAllBootsStall() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
+    scheduler.tick(1);
+    List<String> requested = SchedulerFixture.scaledOut(scheduler, 1.2);
+    int additionalRequests = 0;
     for (double now = 2; now < 100; now += 1) {
-      s.tick(now); // Twenty times the nominal five seconds.
-      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
+      scheduler.tick(now); // Until twenty times the nominal boot time of five seconds.
+      additionalRequests += SchedulerFixture.scaledOut(scheduler, now + 0.2).size();
     }
-    assertThat(scaledIn(s)).isEmpty();
-    assertThat(more).isLessThan(first.size());
-    for (String m : first) {
-      SchedulerFixture.machine(s, m, 1, 1, 100);
+    assertThat(scaledIn(scheduler)).isEmpty();
+    assertThat(additionalRequests).isLessThan(requested.size());
+    for (String machine : requested) {
+      SchedulerFixture.machine(scheduler, machine, 1, 1, 100);
     }
-    for (String m : first) {
-      SchedulerFixture.machine(s, m, 1, 2, 101);
+    for (String machine : requested) {
+      SchedulerFixture.machine(scheduler, machine, 1, 2, 101);
     }
-    SchedulerFixture.commitAll(s, 200, 101.1);
-    assertThat(SchedulerFixture.launches(s)).isEqualTo(24);
+    SchedulerFixture.commitAll(scheduler, 200, 101.1);
+    assertThat(SchedulerFixture.launches(scheduler)).isEqualTo(24);
   }
 
   @Test
-  void machineThatIsUpBeforeItsScaleOutIsAnsweredGetsWork() {
-    Scheduler s = SchedulerFixture.scheduler(1);
-    s.onJob(SchedulerFixture.array("j-1", 4), false, 5, 0.1, 0.1);
-    s.tick(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 1.3);
-    SchedulerFixture.commitAll(s, 10, 1.4);
-    assertThat(SchedulerFixture.launches(s)).isEqualTo(4);
-    SchedulerFixture.scaledOut(s, 2); // And what the answer names beside it is known as well.
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(4);
+  void placesTasksOnMachineThatBootsBeforeItsScaleOutResponse() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    scheduler.onJob(SchedulerFixture.array("j-1", 4), false, 5, 0.1, 0.1);
+    scheduler.tick(1);
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 1.3);
+    SchedulerFixture.commitAll(scheduler, 10, 1.4);
+    assertThat(SchedulerFixture.launches(scheduler)).isEqualTo(4);
+    // The response adds the machines that it names and leaves the claims on n-1 unchanged.
+    SchedulerFixture.scaledOut(scheduler, 2);
+    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(4);
   }
 }
--- a/src/test/java/graderelay/core/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/core/ManyMachineFailuresTest.java
@@ -10,59 +10,62 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Many machines that fail at once. */
+/** Order of probes and task ends when many machines fail at once. */
 class ManyMachineFailuresTest {
   @Test
-  void whenHundredsFallSilentThoseWithServicesAreAskedFirst() {
-    Scheduler s = SchedulerFixture.scheduler(1);
+  void probesMachinesWithServicesFirstWhenHundredsAreSilent() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 300; i++) {
-      SchedulerFixture.machine(s, name(i), 1, 1, 0);
+      SchedulerFixture.machine(scheduler, name(i), 1, 1, 0);
     }
-    s.onJob(SchedulerFixture.service("j-1", 24), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    Set<String> hosts = new HashSet<>();
+    scheduler.onJob(SchedulerFixture.service("j-1", 24), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    Set<String> machinesWithServices = new HashSet<>();
     for (int i = 0; i < 300; i++) {
-      if (SchedulerFixture.claimsOf(s, name(i)) > 0) {
-        hosts.add(name(i));
+      if (SchedulerFixture.claimsOf(scheduler, name(i)) > 0) {
+        machinesWithServices.add(name(i));
       }
     }
-    assertThat(hosts).hasSizeGreaterThan(5);
-    SchedulerFixture.taken(s).clear();
-    s.tick(8); // Nobody has sent a heartbeat for four intervals.
-    Set<String> asked = new HashSet<>();
-    for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.SendCommands c) {
-        asked.add(c.machine());
+    assertThat(machinesWithServices).hasSizeGreaterThan(5);
+    SchedulerFixture.taken(scheduler).clear();
+    scheduler.tick(8); // No machine has sent a heartbeat for four intervals.
+    Set<String> probed = new HashSet<>();
+    for (Action action : SchedulerFixture.taken(scheduler)) {
+      if (action instanceof Action.SendCommands sent) {
+        probed.add(sent.machine());
       }
     }
-    assertThat(asked).containsAll(hosts);
-    // What a third of a core can ask in a second, and no more.
-    assertThat(asked).hasSizeLessThanOrEqualTo(68);
+    assertThat(probed).containsAll(machinesWithServices);
+    // The limit on direct commands per second, which takes about a third of a CPU core.
+    assertThat(probed).hasSizeLessThanOrEqualTo(68);
   }
 
   @Test
-  void whenMachinesDieTheEndsOfReplicasAreWrittenBeforeThoseOfArrays() {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of(), 10); // Four changes may be under way.
-    s.loaded(0);
+  void writesEndsOfServiceTasksBeforeArrayTasksWhenMachinesFail() {
+    // A rate of ten changes per second allows four changes in flight.
+    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 10);
+    scheduler.onRecordsLoaded(0);
     for (int i = 0; i < 6; i++) {
-      SchedulerFixture.machine(s, name(i), 1, 1, 0);
+      SchedulerFixture.machine(scheduler, name(i), 1, 1, 0);
     }
-    for (int k = 0; k < 9; k++) {
-      // The services come last.
-      s.onJob(
-          k < 6 ? SchedulerFixture.array("j-a" + k, 2) : SchedulerFixture.service("j-s" + k, 2),
+    for (int index = 0; index < 9; index++) {
+      // The services are submitted last.
+      scheduler.onJob(
+          index < 6
+              ? SchedulerFixture.array("j-a" + index, 2)
+              : SchedulerFixture.service("j-s" + index, 2),
           false,
           5,
           0,
           0);
-      SchedulerFixture.commitAll(s, 10 + k, 0.1 + k * 0.1);
+      SchedulerFixture.commitAll(scheduler, 10 + index, 0.1 + index * 0.1);
     }
-    SchedulerFixture.taken(s).clear();
-    s.tick(60); // Every lease is over.
+    SchedulerFixture.taken(scheduler).clear();
+    scheduler.tick(60); // All leases have expired.
     List<String> ended = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.Write w) {
-        w.taskBatches().forEach(p -> ended.add(p.key().job()));
+    for (Action action : SchedulerFixture.taken(scheduler)) {
+      if (action instanceof Action.Write write) {
+        write.taskBatches().forEach(put -> ended.add(put.key().job()));
       }
     }
     assertThat(ended).hasSize(4).contains("j-s6", "j-s7", "j-s8");
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -25,7 +25,7 @@
   void whatGivesMoreJobsInTimeForItsTasksGoesFirst(
       int waitingTasks, int dueTasks, boolean dueFirst) {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(25.0, 120.0)));
-    scheduler.loaded(0);
+    scheduler.onRecordsLoaded(0);
     scheduler.onJob(SchedulerFixture.array(WAITING, waitingTasks), false, 5, 0, 0);
     scheduler.onJob(SchedulerFixture.due(DUE, dueTasks, 100), false, 6, 1, 1);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four.
@@ -43,7 +43,7 @@
   @Test
   void jobWithDependentsPressesBeforeItsWantedWaitIsOver() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
-    scheduler.loaded(0);
+    scheduler.onRecordsLoaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
     scheduler.onJob(SchedulerFixture.array(WAITING, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
--- a/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
@@ -6,45 +6,47 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which machines a scale out requests for work that may wait for its deadline. */
+/** On-demand machines requested for jobs with deadlines while no spot machines are available. */
 class ScaleOutForDeadlinesTest {
   @Test
-  void wantedStartWithinMinutesLeavesDeadlineWorkPatient() {
-    // It need not start before a machine boots, so on-demand instances are scaled out only as it
-    // presses.
-    assertThat(onDemand(150, 400)).isEqualTo(1);
-    assertThat(onDemand(10, 400)).isEqualTo(5);
-    assertThat(onDemand(150, 30)).isGreaterThan(2);
+  void startObjectiveLongerThanBootTimeAllowsWaitingForSpot() {
+    // With a start objective of 150 s, on-demand machines are requested only as far as the deadline
+    // requires, since they can still boot in time.
+    assertThat(onDemandMachines(150, 400)).isEqualTo(1);
+    assertThat(onDemandMachines(10, 400)).isEqualTo(5);
+    assertThat(onDemandMachines(150, 30)).isGreaterThan(2);
   }
 
   @Test
-  void overdueWorkOfClassWithWantedStartStillScalesOut() {
-    // All that was wanted of it is over, and it still has to run.
-    assertThat(onDemand(150, 400, -500)).isEqualTo(2);
+  void overdueJobOfClassWithStartObjectiveStillScalesOut() {
+    // Submitted 500 s ago: the start objective and the deadline have passed, but it still must run.
+    assertThat(onDemandMachines(150, 400, -500)).isEqualTo(2);
   }
 
   /**
-   * On-demand instances scaled out for twenty tasks of 10 s while there are no others to be had.
+   * Number of on-demand machines requested for twenty tasks of 10 s while the cloud has no spot
+   * machines.
    */
-  private static int onDemand(double wait, double deadline) {
-    return onDemand(wait, deadline, 0);
+  private static int onDemandMachines(double startObjectiveS, double deadlineS) {
+    return onDemandMachines(startObjectiveS, deadlineS, 0);
   }
 
-  private static int onDemand(double wait, double deadline, double submittedAt) {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(wait)));
-    s.loaded(0);
-    s.onJob(SchedulerFixture.due("j-1", 20, deadline), false, 5, submittedAt, 0);
-    int onDemand = 0;
+  private static int onDemandMachines(
+      double startObjectiveS, double deadlineS, double submittedAt) {
+    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(startObjectiveS)));
+    scheduler.onRecordsLoaded(0);
+    scheduler.onJob(SchedulerFixture.due("j-1", 20, deadlineS), false, 5, submittedAt, 0);
+    int machines = 0;
     for (int i = 1; i < 4; i++) {
-      s.tick(i);
-      for (Action a : s.take()) {
-        if (a instanceof Action.ScaleOut h && h.spot()) {
-          s.onScaleOutAnswered(h.id(), null, true, i);
-        } else if (a instanceof Action.ScaleOut h) {
-          onDemand += h.count();
+      scheduler.tick(i);
+      for (Action action : scheduler.takeActions()) {
+        if (action instanceof Action.ScaleOut scaleOut && scaleOut.spot()) {
+          scheduler.onScaleOutResponse(scaleOut.id(), null, true, i);
+        } else if (action instanceof Action.ScaleOut scaleOut) {
+          machines += scaleOut.count();
         }
       }
     }
-    return onDemand;
+    return machines;
   }
 }
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -18,7 +18,7 @@
   /** A leader that has taken its first look. */
   public static Scheduler scheduler(long term) {
     Scheduler s = takingOver(term);
-    s.loaded(0);
+    s.onRecordsLoaded(0);
     return s;
   }
 
@@ -54,7 +54,7 @@
             Map.of(),
             new Policy.Tuning(500, 3, 3, 30, 1, true, false));
     Scheduler s = new Scheduler(p, term, "process", new SplittableRandom(1), 0);
-    s.onTypes(List.of(new MachineType("small", 4, 0, 16, 1, 1, 0.4, 5, List.of("a", "b"))));
+    s.onMachineTypes(List.of(new MachineType("small", 4, 0, 16, 1, 1, 0.4, 5, List.of("a", "b"))));
     return s;
   }
 
@@ -203,7 +203,7 @@
   /** Returns all actions that the scheduler has given and no step has answered. */
   public static List<Action> taken(Scheduler s) {
     List<Action> all = TAKEN.computeIfAbsent(s, k -> new ArrayList<>());
-    all.addAll(s.take());
+    all.addAll(s.takeActions());
     return all;
   }
 
@@ -217,7 +217,7 @@
         for (int i = 0; i < h.count(); i++) {
           some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
         }
-        s.onScaleOutAnswered(h.id(), some, false, now);
+        s.onScaleOutResponse(h.id(), some, false, now);
         names.addAll(some);
       }
     }
@@ -257,7 +257,7 @@
     for (Action a : new ArrayList<>(taken(s))) {
       if (a instanceof Action.Write w) {
         TAKEN.get(s).remove(a);
-        s.onWrite(w.id(), how, 0, now);
+        s.onTransactionOutcome(w.id(), how, 0, now);
       }
     }
   }
@@ -271,7 +271,7 @@
         all.remove(a);
         writes(s);
         WRITES.get(s)[0]++;
-        s.onWrite(w.id(), TransactionOutcome.COMMITTED, revision, now);
+        s.onTransactionOutcome(w.id(), TransactionOutcome.COMMITTED, revision, now);
       }
     }
     s.step(now + 0.05);
--- a/src/test/java/graderelay/core/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -57,7 +57,7 @@
     s.step(0.2);
     long before = s.examinedCount();
     for (int i = 0; i < 9; i++) {
-      s.onScaleOutAnswered(
+      s.onScaleOutResponse(
           99, List.of(), false, 0.21 + i * 0.011); // Something that starts a round.
       s.step(0.21 + i * 0.011);
     }
@@ -102,7 +102,7 @@
   @Test
   void endsWaitForTheirShareOfTheChangesSoThatClaimsDoNotQueueBehindThem() {
     Scheduler s = SchedulerFixture.takingOver(1, Map.of(), 10);
-    s.loaded(0);
+    s.onRecordsLoaded(0);
     for (int i = 0; i < 6; i++) {
       hearing(s, name(i), 0);
     }
@@ -122,7 +122,7 @@
     for (int i = 0; i < 40; i++) {
       SchedulerFixture.commitAll(s, revision++, 5 + i * 0.1);
     }
-    assertThat(s.teamUse().get("team").cpus()).isGreaterThan(0); // The rest has begun.
+    assertThat(s.usageByTeam().get("team").cpus()).isGreaterThan(0); // The rest has begun.
   }
 
   @Test
--- a/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -51,8 +51,8 @@
     s.step(1);
     Action.Write fence = writes(s).get(0);
     assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before it.
-    AccountChange change = fence.accounts().get(0);
-    s.onWrite(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
+    AccountChange change = fence.accountChanges().get(0);
+    s.onTransactionOutcome(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
     s.onQuota(stored(Account.of(change.use(), change.writer(), 20), 20));
     return s;
   }
@@ -64,7 +64,7 @@
     List<Action.Write> writes = writes(s);
     assertThat(writes).hasSize(1);
     assertThat(writes.get(0).taskBatches()).hasSize(3);
-    AccountChange raise = writes.get(0).accounts().get(0);
+    AccountChange raise = writes.get(0).accountChanges().get(0);
     assertThat(raise.use()).isEqualTo(LIMIT);
     assertThat(raise.onRevision()).isEqualTo(20);
     assertThat(raise.onLimits()).isEqualTo(5);
@@ -97,14 +97,14 @@
   void endOfJobReleasesItsClaimsOnlyOnceItHasCommitted() {
     Scheduler s = fenced(1);
     s.step(2);
-    s.onWrite(writes(s).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
+    s.onTransactionOutcome(writes(s).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
     s.onCancelled("j-000000", 3); // It was never launched.
     s.step(3.1);
     Action.Write end =
-        writes(s).stream().filter(w -> !w.ends().isEmpty()).findFirst().orElseThrow();
+        writes(s).stream().filter(w -> !w.jobEnds().isEmpty()).findFirst().orElseThrow();
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
-    s.onWrite(end.id(), TransactionOutcome.COMMITTED, 22, 4);
+    s.onTransactionOutcome(end.id(), TransactionOutcome.COMMITTED, 22, 4);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
   }
 }
--- a/src/test/java/graderelay/scenario/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -114,7 +114,7 @@
     s.step(5.7); // The end is on its way to the store, no more.
     SchedulerFixture.work(s, "n-1", 4, 0, 6);
     s.step(6.7);
-    assertThat(s.whyWaiting("j-2")).contains("j-1");
+    assertThat(s.waitReason("j-2")).contains("j-1");
     SchedulerFixture.commitAll(s, 11, 7);
     SchedulerFixture.commitAll(s, 12, 7.2);
     assertThat(SchedulerFixture.tasksStarted(s, "j-2")).isEqualTo(1);
@@ -152,7 +152,7 @@
     }
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("preempt"));
     assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
-    assertThat(s.whyWaiting("j-2")).contains("j-1");
+    assertThat(s.waitReason("j-2")).contains("j-1");
   }
 
   @Test
--- a/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -122,7 +122,7 @@
     for (int i = 0; i < MACHINES; i++) {
       hearing(s, name(i), 0);
     }
-    s.loaded(0);
+    s.onRecordsLoaded(0);
     for (int i = 0; i < MACHINES / REPLICAS; i++) {
       s.onJob(SchedulerFixture.wholeMachines(String.format("j-%d", i), REPLICAS), false, 5, 0, 0);
       SchedulerFixture.commitAll(s, 10 + i, 0.1 + 0.1 * i);
@@ -136,9 +136,9 @@
       List<Action> actions = SchedulerFixture.taken(s);
       int records = 0;
       for (Action a : actions) {
-        if (a instanceof Action.KeepImages images) {
+        if (a instanceof Action.StoreImages images) {
           records++;
-          recorded.addAll(images.machines().keySet());
+          recorded.addAll(images.imagesByMachine().keySet());
         }
       }
       assertThat(records).isLessThanOrEqualTo(24);
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -151,15 +151,16 @@
     String warm = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
     SchedulerFixture.work(first, warm, 2, 1, 1);
     first.tick(20);
-    Action.KeepImages kept =
-        (Action.KeepImages)
+    Action.StoreImages kept =
+        (Action.StoreImages)
             SchedulerFixture.taken(first).stream()
-                .filter(a -> a instanceof Action.KeepImages)
+                .filter(a -> a instanceof Action.StoreImages)
                 .findFirst()
                 .orElseThrow();
     Scheduler next = SchedulerFixture.takingOver(2);
-    next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(kept.machines(), 60)));
-    next.loaded(20);
+    next.onStoredImages(
+        StateCodec.decodeImages(StateCodec.encodeImages(kept.imagesByMachine(), 60)));
+    next.onRecordsLoaded(20);
     for (int i = 1; i <= 6; i++) {
       SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
     }
@@ -171,8 +172,8 @@
   @Test
   void onFullFleetTheFreeSlotGoesToTheArrayWhoseImageIsPresent() {
     Scheduler s = SchedulerFixture.takingOver(1);
-    s.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
-    s.loaded(0);
+    s.onStoredImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
+    s.onRecordsLoaded(0);
     hearing(s, "n-1", 0);
     hearing(s, "n-2", 0);
     s.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -106,7 +106,7 @@
     Scheduler s = SchedulerFixture.takingOver(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
     s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
-    s.loaded(0);
+    s.onRecordsLoaded(0);
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 5, 1),
         1); // The earlier leader's launch may be under way.
