--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -152,15 +152,16 @@
     String machineWithImage = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
     SchedulerFixture.work(first, machineWithImage, 2, 1, 1);
     first.tick(20);
-    Action.KeepImages keepImages =
-        (Action.KeepImages)
+    Action.StoreImages keepImages =
+        (Action.StoreImages)
             SchedulerFixture.taken(first).stream()
-                .filter(action -> action instanceof Action.KeepImages)
+                .filter(action -> action instanceof Action.StoreImages)
                 .findFirst()
                 .orElseThrow();
     Scheduler next = SchedulerFixture.takingOver(2);
-    next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(keepImages.machines(), 60)));
-    next.loaded(20);
+    next.onStoredImages(
+        StateCodec.decodeImages(StateCodec.encodeImages(keepImages.imagesByMachine(), 60)));
+    next.onRecordsLoaded(20);
     for (int i = 1; i <= 6; i++) {
       SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
     }
@@ -172,8 +173,8 @@
   @Test
   void freeSlotsOfFullFleetGoToArrayWhoseImageIsPresent() {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
-    scheduler.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
-    scheduler.loaded(0);
+    scheduler.onStoredImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
+    scheduler.onRecordsLoaded(0);
     hearing(scheduler, "n-1", 0);
     hearing(scheduler, "n-2", 0);
     scheduler.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -111,7 +111,7 @@
     Scheduler scheduler = SchedulerFixture.takingOver(2);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
     scheduler.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
-    scheduler.loaded(0);
+    scheduler.onRecordsLoaded(0);
     // The launch command of the earlier leader may still arrive.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 5, 1), 1);
     SchedulerFixture.commitAll(scheduler, 10, 1.1);
