--- a/src/main/java/graderelay/api/DependencyCheck.java
+++ b/src/main/java/graderelay/api/DependencyCheck.java
@@ -89,7 +89,7 @@
         open.add(id);
       }
     }
-    outcome.accepted(spec.needing(open));
+    outcome.accepted(spec.withDependencies(open));
   }
 
   private static ApiError unusable(String id, String why) {
--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -153,9 +153,9 @@
     for (Team team : limits.teams()) {
       var use = useByTeam.get(team.name());
       ObjectNode entry = teams.addObject().put("name", team.name());
-      entry.put("cpus_used", use == null ? 0 : use.cpus()).put("cpus", team.cpus());
-      entry.put("cpus_max", team.cpusMax()).put("gpus_used", use == null ? 0 : use.gpus());
-      entry.put("gpus", team.gpus()).put("gpus_max", team.gpusMax());
+      entry.put("cpus_used", use == null ? 0 : use.cpus()).put("cpus", team.cpuGuarantee());
+      entry.put("cpus_max", team.cpuLimit()).put("gpus_used", use == null ? 0 : use.gpus());
+      entry.put("gpus", team.gpuGuarantee()).put("gpus_max", team.gpuLimit());
     }
     ObjectNode body = Json.object();
     body.set("teams", teams);
--- a/src/main/java/graderelay/api/JobCreation.java
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -62,7 +62,7 @@
     if (Json.write(StateCodec.encodeJob(spec, true)).length <= mostBytes) {
       return Optional.empty();
     }
-    JobSpec withoutDependencies = spec.needing(List.of());
+    JobSpec withoutDependencies = spec.withDependencies(List.of());
     if (Json.write(StateCodec.encodeJob(withoutDependencies, true)).length <= mostBytes) {
       String open =
           UserCodec.DEPENDENCIES
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -64,7 +64,7 @@
     long tasks = 0;
     Amount waiting = Amount.NONE;
     for (Job job : cluster.jobs.values()) {
-      if (job.waiting() && job.spec.team().equals(team)) {
+      if (job.isWaiting() && job.spec.team().equals(team)) {
         tasks += job.openTasks.cardinality();
         waiting = waiting.plus(job.taskAmount.times(job.openTasks.cardinality()));
       }
@@ -78,6 +78,6 @@
     if (job != null && job.awaitsDependencies() && !job.cancelRequested) {
       return "it needs " + String.join(", ", new TreeSet<>(job.pendingDependencies));
     }
-    return job == null || !job.waiting() ? null : job.waitReason;
+    return job == null || !job.isWaiting() ? null : job.waitReason;
   }
 }
--- a/src/main/java/graderelay/core/CandidateMachines.java
+++ b/src/main/java/graderelay/core/CandidateMachines.java
@@ -5,36 +5,37 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The machines that have room for a task of one job, in strata by how good they are for it, best
- * first: those with the image, since a fetch takes longer than anything else on the way to a start,
- * and spot machines before others where allowed, since only such work can use them. Built once a
- * round, so that many tasks of a job cost little more than one. Each pick is the best fit (least
- * CPU left over) of a random sample of the best stratum that has a machine.
+ * The machines that have room for a task of one job, in tiers of decreasing preference. Machines
+ * with the image come first, since a fetch takes longer than any other step of a start; among
+ * equals, spot machines come first where the job allows them, since only such jobs can use them.
+ * Built once a round, so that placing many tasks of a job costs little more than placing one. Each
+ * pick is the best fit (least CPU left over) of a random sample of the best tier that has a
+ * machine.
  */
 final class CandidateMachines {
-  /** The first stratum of machines that neither have nor fetch the image. */
-  private static final int COLD = 4;
+  /** The first tier of machines that neither have nor are fetching the image. */
+  private static final int FIRST_WITHOUT_IMAGE = 4;
 
-  /** The first stratum of machines that fetch the image. */
-  private static final int FETCHING = 2;
+  /** The first tier of machines that are fetching the image. */
+  private static final int FIRST_FETCHING = 2;
 
-  private static final int STRATA = COLD + 2;
+  private static final int TIER_COUNT = FIRST_WITHOUT_IMAGE + 2;
 
   private final ClusterState cluster;
   private final RandomGenerator random;
   private final PlacementRules rules;
   private final Job job;
-  private final boolean zoned;
-  private final List<List<Machine>> strata = new ArrayList<>();
+  private final boolean zoneConstrained;
+  private final List<List<Machine>> tiers = new ArrayList<>();
 
-  /** The answer of {@link #warmRoomCanBeMade}, null before it was first asked. */
-  private Boolean warmRoomCanBeMade;
+  /** The result of {@link #canMakeRoomOnMachineWithImage}, null before the first call. */
+  private Boolean canMakeRoomOnMachineWithImage;
 
   /**
-   * Sorts the machines that the job may use by how good a fit they are.
+   * Sorts the machines that the job may use into tiers.
    *
    * @param withRoom the machines that may have room
-   * @param warmOnly whether only machines that have or fetch the image count
+   * @param withImageOnly whether to use only machines that have the image or are fetching it
    */
   CandidateMachines(
       ClusterState cluster,
@@ -42,37 +43,40 @@
       PlacementRules rules,
       Job job,
       List<Machine> withRoom,
-      boolean warmOnly) {
+      boolean withImageOnly) {
     this.cluster = cluster;
     this.random = random;
     this.rules = rules;
     this.job = job;
-    this.zoned = PlacementRules.zoned(job);
-    for (int i = 0; i < STRATA; i++) {
-      strata.add(new ArrayList<>());
+    this.zoneConstrained = PlacementRules.isZoneConstrained(job);
+    for (int i = 0; i < TIER_COUNT; i++) {
+      tiers.add(new ArrayList<>());
     }
     for (Machine machine : withRoom) {
-      if (machine.holds(job.taskResources) && rules.allowed(job, machine)) {
-        int stratum = stratum(job, machine);
-        if (!warmOnly || stratum < COLD) {
-          strata.get(stratum).add(machine);
+      if (machine.holds(job.taskResources) && rules.isAllowed(job, machine)) {
+        int tier = tier(job, machine);
+        if (!withImageOnly || tier < FIRST_WITHOUT_IMAGE) {
+          tiers.get(tier).add(machine);
         }
       }
     }
     cluster.examinedCount += withRoom.size();
   }
 
-  private static int stratum(Job job, Machine machine) {
+  private static int tier(Job job, Machine machine) {
     String image = job.spec.image();
-    int byImage = machine.hasImage(image) ? 0 : machine.isFetching(image) ? FETCHING : COLD;
+    int imageTier =
+        machine.hasImage(image)
+            ? 0
+            : machine.isFetching(image) ? FIRST_FETCHING : FIRST_WITHOUT_IMAGE;
     int onDemandPenalty = job.spec.spot() && !machine.spot ? 1 : 0;
-    return byImage + onDemandPenalty;
+    return imageTier + onDemandPenalty;
   }
 
-  /** The best fit of a sample from the best stratum that has a machine, or null. */
+  /** The best fit of a sample from the best tier that has a machine, or null. */
   Machine pick() {
-    for (List<Machine> stratum : strata) {
-      Machine machine = sample(zoned && !stratum.isEmpty() ? zoneAllowed(stratum) : stratum);
+    for (List<Machine> tier : tiers) {
+      Machine machine = sample(zoneConstrained && !tier.isEmpty() ? inAllowedZones(tier) : tier);
       if (machine != null) {
         return machine;
       }
@@ -80,17 +84,17 @@
     return null;
   }
 
-  /** Those in zones that take one more task of the job, as its claims stand now. */
-  private List<Machine> zoneAllowed(List<Machine> stratum) {
-    List<Machine> allowed = new ArrayList<>(stratum);
-    allowed.removeIf(machine -> !PlacementRules.zoneAllowed(job, machine.zone));
-    cluster.examinedCount += stratum.size();
+  /** The machines in zones that allow one more task of the job, given its present claims. */
+  private List<Machine> inAllowedZones(List<Machine> tier) {
+    List<Machine> allowed = new ArrayList<>(tier);
+    allowed.removeIf(machine -> !PlacementRules.isZoneAllowed(job, machine.zone));
+    cluster.examinedCount += tier.size();
     return allowed;
   }
 
   /**
-   * The best fit of a few machines drawn at random without replacement, or null; machines that are
-   * full by now are dropped from the pool. Drawn ones move behind the first {@code active}.
+   * The best fit of a few machines drawn at random without replacement, or null. Machines that have
+   * become full are removed from the pool; drawn ones are swapped behind the first {@code active}.
    */
   private Machine sample(List<Machine> pool) {
     Machine chosen = null;
@@ -120,14 +124,14 @@
   }
 
   /**
-   * True if the job should start sooner than its image can be fetched, and work that it may preempt
-   * runs on a machine that has the image. Only for a short time: after that any room will do.
-   * Worked out once for the job.
+   * True if the job should wait a little for room on a machine that has its image, see {@link
+   * PlacementRules#canMakeRoomOnMachineWithImage}; false once its start objective has passed.
+   * Computed once for the job.
    */
-  boolean warmRoomCanBeMade(List<Machine> usable, double now) {
-    if (warmRoomCanBeMade == null) {
-      warmRoomCanBeMade = rules.warmRoomCanBeMade(job, usable, now);
+  boolean canMakeRoomOnMachineWithImage(List<Machine> usable, double now) {
+    if (canMakeRoomOnMachineWithImage == null) {
+      canMakeRoomOnMachineWithImage = rules.canMakeRoomOnMachineWithImage(job, usable, now);
     }
-    return warmRoomCanBeMade;
+    return canMakeRoomOnMachineWithImage;
   }
 }
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -63,7 +63,7 @@
   final PriorityCounts byPriority = new PriorityCounts();
 
   /** Which jobs wait for which. */
-  Dependencies dependencies;
+  DependencyGraph dependencies;
 
   // ---------------------------------------------------------------- machines
 
@@ -77,7 +77,7 @@
   final Map<String, List<String>> knownImages = new HashMap<>();
 
   /** Records that share the images of each thousand machines. */
-  int imagePartsPerThousand = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
+  int imagePartsPerThousand = SchedulerLimits.IMAGE_RECORDS_PER_THOUSAND_MACHINES;
 
   /** Records that share the images of all machines. */
   int imageParts;
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/CompareAndSwapAnswers.java
@@ -64,7 +64,7 @@
   /** A job's final record has committed, or is to be written again. */
   private void onJobEndAnswer(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
     if (outcome != TransactionOutcome.COMMITTED) {
-      job.ending = false;
+      job.endInFlight = false;
       cluster.maybeEndedJobs.add(job);
       return;
     }
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -58,7 +58,7 @@
   }
 
   private static Job.TaskBatch batchOf(Claim claim) {
-    return claim.job.taskBatch(claim.job.spec.batchOf(claim.task));
+    return claim.job.taskBatch(claim.job.spec.batchIndexOf(claim.task));
   }
 
   /** Claims that are to be ended now, with the task batches that are claimed of or beside them. */
@@ -80,7 +80,7 @@
         continue;
       }
       if (batch.inFlight
-          || claim.job.ending
+          || claim.job.endInFlight
           || whole.computeIfAbsent(claim.job, JobEndWriter::isProvenDone)) {
         continue;
       }
@@ -115,7 +115,7 @@
     // and then there is room in it again. What ends here stays ending, and is written with what
     // ends
     // next.
-    batch.fullUntil = now + FULL_BATCH_S;
+    batch.recordFullUntil = now + FULL_BATCH_S;
     giveUp(added, now);
     return added.isEmpty() ? null : change(batch, List.of(), ended, now);
   }
--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -9,49 +9,55 @@
 import java.util.Set;
 
 /**
- * What deadlines ask of the fleet: how many CPUs the arrays need to be in time (work by deadline,
- * summed up, over the time that is left), which jobs may wait for spot machines, and which are
- * deferrable.
+ * Computes what the fleet needs to meet deadlines: the CPUs with which all arrays are done in time
+ * (their work summed up by deadline, over the time that is left), which jobs may wait for spot
+ * machines, and which jobs are deferrable.
  */
 final class Deadlines {
-  /** Seconds before a deadline at which work should be done: fetches, heartbeats and the poll. */
+  /**
+   * Time before a deadline at which work should be done, which leaves room for image fetches,
+   * heartbeats and polling.
+   */
   static final double DEADLINE_MARGIN_S = 8;
 
-  /** Times its expected run time before its deadline from which a job preempts others' work. */
-  private static final double DEFERRABLE_RUNS = 1.5;
+  /**
+   * A job may preempt beyond its guarantee once less than this many times its expected run time is
+   * left before its deadline.
+   */
+  private static final double DEFERRABLE_RUN_TIMES = 1.5;
 
-  /** Share of the fleet's CPUs that tasks of uneven size can fill. */
-  private static final double PACKING = 0.85;
+  /** Share of the fleet's CPUs that tasks of different sizes can fill. */
+  private static final double PACKING_EFFICIENCY = 0.85;
 
   /**
-   * Times the slowest nominal boot beyond which a start objective leaves time to scale out for it
-   * when it presses: some machines take several times as long.
+   * A job may wait for spot machines only if its start objective is longer than this many times the
+   * slowest nominal boot time, since some machines take several times as long to boot.
    */
-  private static final double SPOT_WAIT_BOOTS = 3;
+  private static final double SPOT_WAIT_BOOT_TIMES = 3;
 
   /**
-   * Times the work that jobs of a class with objectives are counted as: bursts come while machines
-   * boot, and a late start costs more than a machine that stands idle for a minute.
+   * Factor on the work of jobs whose class has objectives: bursts arrive while machines boot, and a
+   * late start costs more than a machine that is idle for a minute.
    */
   private static final double OBJECTIVE_WORK_FACTOR = 1.5;
 
-  /** Seconds in which all work should be done at the latest when no deadline presses. */
-  private static final double RELAXED_RUN_S = 60;
+  /** Time within which all work should be done if no deadline requires more CPUs. */
+  private static final double RELAXED_COMPLETION_S = 60;
 
   /**
-   * Share of its expected run time that a running task counts as having left at least, also once it
-   * has overrun that time.
+   * Minimum share of its expected run time that a running task is assumed to have left, even after
+   * it has overrun that time.
    */
-  private static final double LEAST_REMAINING_SHARE = 0.25;
+  private static final double MIN_REMAINING_SHARE = 0.25;
 
   /**
-   * Work with the time by which it should be done.
+   * Work and the time by which it should be done.
    *
-   * @param at seconds on the leader's clock
+   * @param dueAt seconds on the leader's clock
    * @param work CPU seconds
-   * @param estimate expected run time of one task, in seconds
+   * @param estimateS expected run time of one task, in seconds
    */
-  private record DueWork(double at, double work, double estimate) {}
+  private record DueWork(double dueAt, double work, double estimateS) {}
 
   private final ClusterState cluster;
   private final RunTimeEstimates estimates;
@@ -62,47 +68,50 @@
   }
 
   /**
-   * True if the job may wait for spot machines as long as its deadline is kept. A start objective
-   * is no reason against it if a scale out can bring machines up well within that.
+   * True if the job may wait for spot machines as long as its deadline is met. A start objective
+   * allows that if machines can be scaled out well within it.
    */
   boolean mayWaitForSpot(Job job) {
-    return mayWaitForSpot(job.spec, job.hasDue());
+    return mayWaitForSpot(job.spec, job.hasDueTime());
   }
 
-  /** As for a job of this spec that has a due time only if it has a deadline of its own. */
+  /**
+   * The same for a job of this spec without dependents, which has a due time only if the spec has a
+   * deadline.
+   */
   boolean mayWaitForSpot(JobSpec spec) {
     return mayWaitForSpot(spec, spec.deadlineS() != null);
   }
 
-  private boolean mayWaitForSpot(JobSpec spec, boolean due) {
-    if (spec.isService() || !spec.spot() || !due) {
+  private boolean mayWaitForSpot(JobSpec spec, boolean hasDueTime) {
+    if (spec.isService() || !spec.spot() || !hasDueTime) {
       return false;
     }
     Double startObjectiveS = cluster.policy.startObjectivesS().get(spec.jobClass());
     return startObjectiveS == null
-        || startObjectiveS > SPOT_WAIT_BOOTS * BootTimes.slowestNominal(cluster);
+        || startObjectiveS > SPOT_WAIT_BOOT_TIMES * BootTimes.slowestNominal(cluster);
   }
 
-  /** True if more than deadlines is wanted of the class: a first start, or an end, by a time. */
+  /** True if the job's class has a start or completion objective. */
   private boolean hasObjective(JobSpec spec) {
     return cluster.policy.startObjectivesS().containsKey(spec.jobClass())
         || cluster.policy.completionObjectivesS().containsKey(spec.jobClass());
   }
 
   /**
-   * Jobs that may wait for room to come free instead of preempting others' work for it: they have a
-   * deadline, time is left for their tasks to run one and a half times, and their class has no
+   * Jobs that may wait for room to be freed instead of preempting work beyond their guarantee: they
+   * have a deadline, time is left to run their tasks one and a half times, and their class has no
    * objectives.
    */
-  Set<Job> deferrable(double now) {
+  Set<Job> deferrableJobs(double now) {
     Set<Job> jobs = new HashSet<>();
     for (Job job : cluster.jobs.values()) {
-      if (!job.waiting() || job.spec.isService() || !job.hasDue() || hasObjective(job.spec)) {
+      if (!job.isWaiting() || job.spec.isService() || !job.hasDueTime() || hasObjective(job.spec)) {
         continue;
       }
       double latestEnd = job.dueAt() - DEADLINE_MARGIN_S;
-      if (now + estimates.estimate(job.spec) * DEFERRABLE_RUNS < latestEnd
-          && !QueueOrder.starved(job, now)) {
+      if (now + estimates.estimate(job.spec) * DEFERRABLE_RUN_TIMES < latestEnd
+          && !QueueOrder.isStarved(job, now)) {
         jobs.add(job);
       }
     }
@@ -110,16 +119,16 @@
   }
 
   /**
-   * CPUs with which all work that may wait for spot machines would be in time. A job that can't be
-   * in time any more adds its work but does not press.
+   * CPUs with which all work that may wait for spot machines would be in time. The work of a job
+   * that can't be in time any more is included, but its deadline does not raise the number.
    *
-   * @param yielding jobs that yield to teammates: their deadlines don't count
+   * @param yielding jobs that yield to other jobs of their team; their deadlines are ignored
    */
   double neededCpus(Set<Job> yielding, double now) {
     double runningCpus = 0;
     double totalWork = 0;
-    List<DueWork> pressing = new ArrayList<>();
-    Map<String, List<DueWork>> pressingByTeam = new HashMap<>();
+    List<DueWork> deadlineWork = new ArrayList<>();
+    Map<String, List<DueWork>> deadlineWorkByTeam = new HashMap<>();
     for (Job job : cluster.jobs.values()) {
       if (!mayWaitForSpot(job) || job.cancelRequested || job.suspect || job.awaitsDependencies()) {
         continue;
@@ -129,28 +138,30 @@
       totalWork += due.work();
       runningCpus += job.claims.size() * spec.cpus();
       if (hasObjective(spec) || !yielding.contains(job)) {
-        pressing.add(due);
-        pressingByTeam.computeIfAbsent(spec.team(), t -> new ArrayList<>()).add(due);
+        deadlineWork.add(due);
+        deadlineWorkByTeam.computeIfAbsent(spec.team(), t -> new ArrayList<>()).add(due);
       }
     }
-    double withinLimits = cpusWithinTeamLimits(pressingByTeam, now);
-    double needed = Math.min(cpusToMeet(pressing, now), withinLimits);
-    return Math.max(needed, Math.min(runningCpus, totalWork / RELAXED_RUN_S)) / PACKING;
+    double withinLimits = cpusWithinTeamLimits(deadlineWorkByTeam, now);
+    double needed = Math.min(cpusToMeet(deadlineWork, now), withinLimits);
+    return Math.max(needed, Math.min(runningCpus, totalWork / RELAXED_COMPLETION_S))
+        / PACKING_EFFICIENCY;
   }
 
   private DueWork dueWork(Job job, double now) {
     double estimate = estimates.estimate(job.spec);
     double work = remainingWork(job, estimate, now);
     if (hasObjective(job.spec)) {
-      work *= OBJECTIVE_WORK_FACTOR; // It has more than its deadline to meet.
+      work *= OBJECTIVE_WORK_FACTOR; // It has objectives to meet besides its deadline.
     }
     return new DueWork(dueAt(job, estimate, now), work, estimate);
   }
 
   /**
-   * By when the job's work should be done. Of a class with objectives that is the next of them that
-   * can still be met, and when none can, soon: an overdue job is to run as well, and must not wait
-   * on a fleet that is made smaller since nothing presses.
+   * The time by which the job's work should be done. For a class with objectives that is the next
+   * objective or deadline that can still be met, or if there is none, a time soon from now: an
+   * overdue job still has to run, and must not wait on a fleet that is scaled in because no
+   * deadline requires it.
    */
   private double dueAt(Job job, double estimate, double now) {
     double deadline = job.dueAt();
@@ -171,61 +182,67 @@
         next = Math.min(next, end);
       }
     }
-    double soon = now + RELAXED_RUN_S + DEADLINE_MARGIN_S + estimate * 0.5;
+    double soon = now + RELAXED_COMPLETION_S + DEADLINE_MARGIN_S + estimate * 0.5;
     return next == Double.MAX_VALUE ? soon : next;
   }
 
-  /** The teams' needs summed up, each no more than its limit: more would stand idle. */
+  /**
+   * The sum of the CPUs that the teams need, each up to its limit, since CPUs beyond it would be
+   * idle.
+   */
   private double cpusWithinTeamLimits(Map<String, List<DueWork>> byTeam, double now) {
     double sum = 0;
     for (var teamWork : byTeam.entrySet()) {
       double needed = cpusToMeet(teamWork.getValue(), now);
-      sum += Math.min(needed, limitLeftForArrays(teamWork.getKey()));
+      sum += Math.min(needed, limitCpusLeftForArrays(teamWork.getKey()));
     }
     return sum;
   }
 
-  /** CPUs with which the work of each deadline and all before it is done in time. */
+  /** CPUs with which the work of each deadline and of all before it is done in time. */
   private static double cpusToMeet(List<DueWork> dueWork, double now) {
-    dueWork.sort(Comparator.comparingDouble(DueWork::at));
+    dueWork.sort(Comparator.comparingDouble(DueWork::dueAt));
     double work = 0;
     double needed = 0;
     for (DueWork due : dueWork) {
       work += due.work();
       // The last wave of tasks has to start this long before the deadline.
-      double slack = due.at() - now - due.estimate() * 0.5 - DEADLINE_MARGIN_S;
-      if (slack > due.estimate() * 0.5) {
+      double slack = due.dueAt() - now - due.estimateS() * 0.5 - DEADLINE_MARGIN_S;
+      if (slack > due.estimateS() * 0.5) {
         needed = Math.max(needed, work / slack);
       }
     }
     return needed;
   }
 
-  /** CPUs that a team's limit leaves beside its services; without a limit, any number. */
-  double limitLeftForArrays(String teamName) {
+  /**
+   * CPUs that a team's limit leaves for arrays beside its services; {@code Double.MAX_VALUE}
+   * without a limit.
+   */
+  double limitCpusLeftForArrays(String teamName) {
     Team team = cluster.policy.team(teamName);
-    if (team == null || team.cpusMax() <= 0) {
+    if (team == null || team.cpuLimit() <= 0) {
       return Double.MAX_VALUE;
     }
-    double left = team.cpusMax();
+    double cpusLeft = team.cpuLimit();
     for (Job job : cluster.jobs.values()) {
       if (job.spec.isService() && job.spec.team().equals(teamName)) {
-        left -= job.claims.size() * job.spec.cpus();
+        cpusLeft -= job.claims.size() * job.spec.cpus();
       }
     }
-    return left;
+    return cpusLeft;
   }
 
   /**
-   * The work of the job that is not done yet, in CPU seconds.
+   * The job's remaining work, in CPU seconds.
    *
-   * @param estimate expected run time of one task, in seconds
+   * @param estimateS expected run time of one task, in seconds
    */
-  static double remainingWork(Job job, double estimate, double now) {
-    double work = job.openTasks.cardinality() * estimate * job.spec.cpus();
+  static double remainingWork(Job job, double estimateS, double now) {
+    double work = job.openTasks.cardinality() * estimateS * job.spec.cpus();
     for (Claim claim : job.claims.values()) {
-      double ran = claim.runningSince > 0 ? now - claim.runningSince : 0;
-      work += Math.max(estimate - ran, estimate * LEAST_REMAINING_SHARE) * job.spec.cpus();
+      double ranS = claim.runningSince > 0 ? now - claim.runningSince : 0;
+      work += Math.max(estimateS - ranS, estimateS * MIN_REMAINING_SHARE) * job.spec.cpus();
     }
     return work;
   }
--- a/src/main/java/graderelay/core/Dependencies.java
+++ b/src/main/java/graderelay/core/DependencyGraph.java
@@ -12,42 +12,43 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * DAG dependencies between jobs: which wait for which. A job is claimed only once the committed
- * final record of each of its dependencies says done; such a record never changes, so no claim can
- * be too early, whoever leads. A job that depends on a cancelled one is cancelled with it: it can't
- * have begun, so only records change, which are written as the rate of the store allows.
+ * The dependencies between jobs, which form a DAG. A job is claimed only once the committed final
+ * record of each of its dependencies says that it is done. Such a record never changes, so no claim
+ * is too early, whichever process leads. A job that depends on a cancelled one is cancelled with
+ * it. It can't have started, so only records change, which are written at the rate that the store
+ * allows.
  */
-final class Dependencies {
-  /** Seconds between requests for the final record of a dependency that was not seen to end. */
-  private static final double FETCH_EVERY_S = 2;
+final class DependencyGraph {
+  /** Time between requests for the final record of a dependency that is not known to have ended. */
+  private static final double FETCH_INTERVAL_S = 2;
 
-  /** Final records asked for at once, a batch. */
-  private static final int MOST_FETCHED = 200;
+  /** Maximum number of final records in one request. */
+  private static final int MAX_RECORDS_PER_FETCH = 200;
 
   private final ClusterState cluster;
   private final DependencyUrgency urgency;
 
-  /** Live jobs by the id of a job that they wait for. */
+  /** The live jobs that wait for a dependency, by its id. */
   private final Map<String, Set<Job>> dependents = new HashMap<>();
 
   /**
-   * Dependencies that are not live here, and when their final records were last asked for, in
-   * seconds on the leader's clock.
+   * Dependencies that are not among the live jobs, with the time at which their final records were
+   * last requested, in seconds on the leader's clock.
    */
   private final Map<String, Double> unresolved = new LinkedHashMap<>();
 
   /**
-   * Makes the graph of a new leader.
+   * Creates the dependency graph of a new leader.
    *
    * @param estimate expected run time of a task, in seconds
    */
-  Dependencies(ClusterState cluster, ToDoubleFunction<JobSpec> estimate) {
+  DependencyGraph(ClusterState cluster, ToDoubleFunction<JobSpec> estimate) {
     this.cluster = cluster;
     this.urgency = new DependencyUrgency(cluster, estimate);
   }
 
-  /** A job has come. Returns the jobs that are cancelled with one that they depend on. */
-  List<Job> added(Job job) {
+  /** Adds a job. Returns the jobs that are cancelled because it depends on a cancelled one. */
+  List<Job> add(Job job) {
     unresolved.remove(job.spec.id());
     boolean cancelled = false;
     for (String id : job.pendingDependencies) {
@@ -65,7 +66,10 @@
     return cancelled ? withDependents(Set.of(job)) : List.of();
   }
 
-  /** These jobs and all that depend on them, at any depth, that are not stopped yet. */
+  /**
+   * These jobs and all that depend on them, at any depth, without those whose cancellation is
+   * already requested.
+   */
   private List<Job> withDependents(Set<Job> first) {
     Set<Job> all = new LinkedHashSet<>();
     Deque<Job> next = new ArrayDeque<>(first);
@@ -78,23 +82,24 @@
     return List.copyOf(all);
   }
 
-  /** A job was cancelled. Returns the jobs that are cancelled with it. */
-  List<Job> cancelledWith(String id) {
+  /** The jobs to cancel because a job that they depend on, at any depth, was cancelled. */
+  List<Job> dependentsToCancel(String id) {
     return withDependents(dependents.getOrDefault(id, Set.of()));
   }
 
   /**
-   * A job's final record says that it is done. Returns the jobs that now wait for no other.
+   * Handles a final record that says that a job is done. Returns the jobs that wait for no other
+   * dependency now.
    *
    * @param at when it ended, in seconds on the leader's clock
    */
-  List<Job> done(String id, double at) {
+  List<Job> onDone(String id, double endedAt) {
     unresolved.remove(id);
     Set<Job> waiting = dependents.remove(id);
     List<Job> ready = new ArrayList<>();
     for (Job dependent : waiting == null ? Set.<Job>of() : waiting) {
       dependent.pendingDependencies.remove(id);
-      dependent.dependenciesEndedAt = Math.max(dependent.dependenciesEndedAt, at);
+      dependent.dependenciesEndedAt = Math.max(dependent.dependenciesEndedAt, endedAt);
       if (dependent.pendingDependencies.isEmpty() && !dependent.cancelRequested) {
         ready.add(dependent);
       }
@@ -102,15 +107,17 @@
     return ready;
   }
 
-  /** A job's final record says that it is cancelled. Returns the jobs cancelled with it. */
-  List<Job> cancelled(String id) {
+  /**
+   * Handles a final record that says that a job was cancelled. Returns the jobs to cancel with it.
+   */
+  List<Job> onCancelled(String id) {
     unresolved.remove(id);
-    List<Job> all = cancelledWith(id);
+    List<Job> all = dependentsToCancel(id);
     dependents.remove(id);
     return all;
   }
 
-  /** Recomputes which dependencies are urgent; to be called periodically. */
+  /** Updates the urgency of all dependencies; to be called periodically. */
   void updateUrgency(double now) {
     for (String id : dependents.keySet()) {
       Job dependency = cluster.jobs.get(id);
@@ -120,18 +127,21 @@
     }
   }
 
-  /** The same for the dependencies of a job that has just come, at any depth. */
+  /** Updates the urgency of a new job's dependencies, at any depth. */
   void updateUrgency(Job job, double now) {
     urgency.updateDependenciesOf(job, now);
   }
 
-  /** True if a job that is known here waits for this one. */
+  /** True if a live job waits for this one. */
   boolean hasDependents(String id) {
     return dependents.containsKey(id);
   }
 
-  /** The job's record is gone; if another job waits for it, its final record has to be fetched. */
-  void removed(Job job) {
+  /**
+   * Removes a job whose record is gone. If another job waits for it, its final record has to be
+   * fetched.
+   */
+  void remove(Job job) {
     for (String id : job.pendingDependencies) {
       Set<Job> others = dependents.get(id);
       if (others != null && others.remove(job) && others.isEmpty()) {
@@ -144,11 +154,11 @@
     }
   }
 
-  /** The jobs whose final records should be fetched from the store now. */
+  /** The ids of the jobs whose final records should be fetched from the store now. */
   List<String> finalRecordsToFetch(double now) {
     List<String> ids = new ArrayList<>();
     for (var entry : unresolved.entrySet()) {
-      if (now - entry.getValue() > FETCH_EVERY_S && ids.size() < MOST_FETCHED) {
+      if (now - entry.getValue() > FETCH_INTERVAL_S && ids.size() < MAX_RECORDS_PER_FETCH) {
         entry.setValue(now);
         ids.add(entry.getKey());
       }
--- a/src/main/java/graderelay/core/DependencyUrgency.java
+++ b/src/main/java/graderelay/core/DependencyUrgency.java
@@ -7,21 +7,22 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * How urgent a job is for those that depend on it: their priority and deadlines act on it through
- * all levels of the DAG, earlier by the time that each level takes.
+ * Propagates the priorities and deadlines of jobs to the jobs that they depend on, through all
+ * levels of the DAG. At each level, the due time is earlier by the time that the level takes to
+ * run.
  */
 final class DependencyUrgency {
   /**
-   * Seconds between the end of a job and the start of one that depends on it: heartbeat,
-   * transactions, image fetch.
+   * Time between the end of a job and the start of one that depends on it: heartbeat, transactions,
+   * image fetch.
    */
-  private static final double STAGE_S = 4;
+  private static final double DEPENDENT_START_DELAY_S = 4;
 
   private final ClusterState cluster;
   private final ToDoubleFunction<JobSpec> estimate;
 
   /**
-   * Makes the urgency of a new leader's jobs.
+   * Creates an instance for the jobs of a new leader.
    *
    * @param estimate expected run time of a task, in seconds
    */
@@ -30,13 +31,14 @@
     this.estimate = estimate;
   }
 
-  /** Priority and deadline of a job act on those that it depends on, at any depth. */
-  void propagate(Job last) {
+  /** Propagates the priority and deadline of a job to its dependencies, at any depth. */
+  void propagate(Job origin) {
     Deque<Job> changed = new ArrayDeque<>();
-    changed.add(last);
+    changed.add(origin);
     while (!changed.isEmpty()) {
       Job dependent = changed.poll();
-      double neededBy = dependent.dueAt() - estimate.applyAsDouble(dependent.spec) - STAGE_S;
+      double neededBy =
+          dependent.dueAt() - estimate.applyAsDouble(dependent.spec) - DEPENDENT_START_DELAY_S;
       for (String id : dependent.pendingDependencies) {
         Job dependency = cluster.jobs.get(id);
         if (dependency == null) {
@@ -52,13 +54,13 @@
     }
   }
 
-  /** Recomputes whether a job that others depend on has to hurry for them. */
+  /** Updates whether a job is urgent for its dependents. */
   void update(Job job, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     job.updateUrgency(estimate.applyAsDouble(job.spec), startObjectiveS, now);
   }
 
-  /** The same for all that a job depends on, at any depth, each once. */
+  /** Updates each dependency of a job, at any depth, once. */
   void updateDependenciesOf(Job job, double now) {
     Set<Job> seen = new HashSet<>();
     Deque<Job> next = new ArrayDeque<>();
--- a/src/main/java/graderelay/core/DirectCommandBatch.java
+++ b/src/main/java/graderelay/core/DirectCommandBatch.java
@@ -26,7 +26,7 @@
     if (commands == null) {
       return rate.tryAcquire(now, reserve);
     }
-    return commands.size() < SchedulerLimits.MOST_ORDERS;
+    return commands.size() < SchedulerLimits.MAX_COMMANDS_PER_MESSAGE;
   }
 
   /** Adds a command for the machine, after {@link #mayAdd} said that it may be. */
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -47,7 +47,7 @@
   void onFailure(Machine machine, Claim claim, double now) {
     Job job = claim.job;
     boolean early = claim.runningSince == 0 || now - claim.runningSince < GOOD_RUN_S;
-    boolean proven = job.doneCount > 0 || (job.ranWell && early);
+    boolean proven = job.doneCount > 0 || (job.ranSuccessfully && early);
     job.failedMachines.add(machine.name);
     int cap = cluster.policy.tuning().attemptCap();
     if (job.suspect) {
@@ -134,8 +134,8 @@
   /** A task of the claim runs, or is done: neither its job nor its machine fails everything. */
   void onSuccess(Machine machine, Claim claim, double now) {
     Job job = claim.job;
-    if (!job.ranWell || job.unproven || job.suspect) {
-      job.ranWell = true;
+    if (!job.ranSuccessfully || job.unproven || job.suspect) {
+      job.ranSuccessfully = true;
       job.unproven = false;
       cluster.roundNeeded = true;
       if (job.suspect) {
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -66,7 +66,7 @@
     double surplusLeft = reopen(onDemand, surplusCpus);
     onDemand.sort(Comparator.comparingDouble(machine -> -wastedPrice(machine)));
     closeSome(onDemand, surplusLeft, spareRoomMachines, now);
-    moves.moveOffClosing(onDemand, fewAtOnce(onDemand), now);
+    moves.moveOffConsolidatingMachines(onDemand, fewAtOnce(onDemand), now);
   }
 
   /** True if arrays are waiting, or have come of late, that need on-demand machines at once. */
@@ -189,7 +189,7 @@
     for (Machine machine : onDemand) {
       if (machine != except && !machine.consolidating && machine.hasImage(spec.image())) {
         Resources room = machine.capacity.minus(machine.serviceResources);
-        slots += room.times(Resources.of(spec));
+        slots += room.countFitting(Resources.of(spec));
       }
     }
     return slots;
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -102,10 +102,10 @@
     boots.plan(now);
     List<PackingBin> bins = scaleOut.bins(now);
     double availableCpus = scaleOut.cpusForArrays(bins);
-    yieldingToTeammates = teammateYielding.yielding(availableCpus, now);
-    deferrable = deadlines.deferrable(now);
+    yieldingToTeammates = teammateYielding.yieldingJobs(availableCpus, now);
+    deferrable = deadlines.deferrableJobs(now);
     // Only what teams' limits make hopeless is left out: a fleet too small for the rest is to grow.
-    Set<Job> hopeless = teammateYielding.yielding(Double.MAX_VALUE, now);
+    Set<Job> hopeless = teammateYielding.yieldingJobs(Double.MAX_VALUE, now);
     double neededCpus = deadlines.neededCpus(hopeless, now);
     Set<Machine> spareRoomMachines = new HashSet<>();
     Map<JobSpec, Integer> spareRoom = demand.spareRoom(now);
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -9,39 +9,47 @@
 import java.util.TreeMap;
 
 /**
- * The leader's working view of a live job: its stored task batches, its claims, how it has fared so
- * far, and how urgent it is for itself and for the jobs that depend on it.
+ * The leader's in-memory state of a live job: its stored task batches, its claims, its failures,
+ * and its urgency, which includes that of the jobs that depend on it.
  */
 final class Job {
-  /** Run times left before it is due at which a job goes by the priority of its dependents. */
-  private static final double URGENT_RUNS = 2;
+  /**
+   * A job takes its dependents' priority when fewer than this many of its expected run times, plus
+   * {@link #URGENT_MARGIN_S}, are left until they need it.
+   */
+  private static final double URGENT_RUN_TIMES = 2;
 
-  /** Seconds on top of those run times. */
-  private static final double URGENT_S = 45;
+  /** Seconds added to those run times. */
+  private static final double URGENT_MARGIN_S = 45;
 
-  /** Share of its class's wanted wait after which a job goes by the priority of its dependents. */
-  private static final double URGENT_WAIT_SHARE = 0.4;
+  /**
+   * Share of its class's start objective after which a waiting job takes its dependents' priority.
+   */
+  private static final double URGENT_START_OBJECTIVE_SHARE = 0.4;
 
-  /** One stored task batch, with what is under way for it. */
+  /** One stored task batch and the transaction on it that is in flight, if any. */
   static final class TaskBatch {
     final TaskBatchKey key;
 
-    /** Number of its first task within the job. */
+    /** Index of its first task within the job. */
     final int firstTask;
 
     TaskBatchRecord record;
     long revision;
 
-    /** A transaction on it has not been answered yet, so its revision is about to change. */
+    /** True while a transaction on it is unanswered, so that its revision is about to change. */
     boolean inFlight;
 
-    /** What the watch said while the transaction was unanswered, or null. */
+    /** The newer record that the watch delivered while the transaction was unanswered, or null. */
     TaskBatchRecord newerRecord;
 
     long newerRevision;
 
-    /** No more of its tasks are claimed before this time, since its record would be too large. */
-    double fullUntil = Double.NEGATIVE_INFINITY;
+    /**
+     * Time before which no more of its tasks are claimed, because its record would exceed the value
+     * size limit of the store.
+     */
+    double recordFullUntil = Double.NEGATIVE_INFINITY;
 
     TaskBatch(TaskBatchKey key, int firstTask, TaskBatchRecord record, long revision) {
       this.key = key;
@@ -55,105 +63,121 @@
 
   final JobSpec spec;
 
-  /** What one task takes. */
+  /** Resources that one task takes. */
   final Resources taskResources;
 
-  /** The same, as stored limits count it. */
+  /** The same as an exact amount, in which stored limits are counted. */
   final Amount taskAmount;
 
   /** Revision of the job's own record. */
   long revision;
 
-  /** Its user, or the cancellation of a job that it depends on, has asked to cancel it. */
+  /**
+   * True once its user has requested its cancellation, or a job that it depends on was cancelled.
+   */
   boolean cancelRequested;
 
-  /** The transaction that writes its final record is under way. */
-  boolean ending;
+  /** True while the transaction that writes its final record is in flight. */
+  boolean endInFlight;
 
-  /**
-   * Task batches stored or about to be; task batches that no task was ever claimed of are absent.
-   */
+  /** Task batches by index. A batch is absent while none of its tasks has ever been claimed. */
   final TreeMap<Integer, TaskBatch> taskBatches = new TreeMap<>();
 
   // ---------------------------------------------------------------- tasks and claims
 
-  /** Tasks that nobody has claimed and that are not done. */
+  /** Tasks that are neither claimed nor done. */
   final BitSet openTasks;
 
-  /** Claims by task number. */
+  /** Claims by task index. */
   final Map<Integer, Claim> claims = new HashMap<>();
 
-  /** Claims by zone, as far as their machines' zones are known. */
+  /** Number of claims by zone, without those on machines whose zone is not known yet. */
   final Map<String, Integer> zoneClaims = new HashMap<>();
 
-  /** Tasks that are done. */
+  /** Number of tasks that are done. */
   int doneCount;
 
-  /** Claims that are being preempted for a waiting task of this job. */
+  /** Number of preemptions in progress that make room for a waiting task of this job. */
   int pendingPreemptions;
 
   // ---------------------------------------------------------------- times, on the leader's clock
 
-  /** When its user submitted it: its deadline counts from then, all else from eligibleSince. */
+  /**
+   * When its user submitted it. Its deadline counts from then, everything else from eligibleSince.
+   */
   double acceptedAt;
 
-  /** When it could begin: its submission, or the end of the last job it depended on. */
+  /**
+   * When its tasks could first be placed: its submission, or the end of the last job that it
+   * depends on.
+   */
   double eligibleSince;
 
-  /** When the queue's head began to wait; for fairness, and to tell operators why it waits. */
+  /** Since when its next open task has been waiting. Used for fairness and shown to operators. */
   double waitingSince;
 
-  /** No task is placed before this time, after failures on several machines. */
+  /** Time before which no task of it is placed: the backoff after failures on several machines. */
   double notBefore;
 
   // ---------------------------------------------------------------- placement
 
-  /** Why the last round placed no task of it; for logs and the administration API. */
+  /** Why the last placement round placed no task of it; for logs and the administration API. */
   String waitReason = "new";
 
-  /** {@link ClusterState#roomVersion} when a round last found no room for it. */
+  /** {@link ClusterState#roomVersion} when a placement round last found no room for it. */
   long noRoomVersion = -1;
 
-  /** When that was; what only time changes is looked at again after a while. */
+  /**
+   * When that was. The job is retried after a while even if no room was freed, since some
+   * conditions change with time alone.
+   */
   double noRoomSince;
 
   // ---------------------------------------------------------------- failures
 
-  /** Machines on which a task of this job failed by itself, see {@link FailureAttribution}. */
+  /** Machines on which a task of this job failed on its own, see {@link FailureAttribution}. */
   final Set<String> failedMachines = new HashSet<>();
 
-  /** It failed on several machines and succeeded on none: tried one task at a time. */
+  /**
+   * True if it failed on several machines and succeeded on none; then one task is tried at a time.
+   */
   boolean suspect;
 
   /** When it became suspect. */
   double suspectSince;
 
-  /** Pauses since it became suspect, each twice as long as the one before. */
+  /** Number of backoffs since it became suspect; each is twice as long as the one before. */
   int backoffCount;
 
-  /** A task of it was seen running for a while, or done. */
-  boolean ranWell;
+  /** True once a task of it was seen running for a while, or done. */
+  boolean ranSuccessfully;
 
-  /** Loaded with many attempts and no success: a few tasks first show whether it can run. */
+  /**
+   * True if it was loaded from the store with many attempts and no success; then only a few tasks
+   * are claimed until one of them runs.
+   */
   boolean unproven;
 
   // ---------------------------------------------------------------- DAG dependencies
 
   /**
-   * Jobs that it waits for: those whose final record has not been seen to say that they are done.
+   * DependencyGraph that are not known to be done: no final record that says so has been seen yet.
    */
   final Set<String> pendingDependencies = new HashSet<>();
 
-  /** The latest end, so far, of a job that it depended on. */
+  /** The latest end so far of a job that it depends on. */
   double dependenciesEndedAt = Double.NEGATIVE_INFINITY;
 
-  /** When it has to be done for its dependents to be in time, or infinite. */
+  /** When it has to be done so that its dependents can meet their deadlines, or infinite. */
   double dependentsDueAt = Double.POSITIVE_INFINITY;
 
-  /** Its dependents would be late if it waited with ordinary work. */
+  /**
+   * True if it is queued with its dependents' priority now: they would otherwise be late, or none
+   * of them has a deadline.
+   */
   boolean urgentForDependents;
 
-  /** The priority of its most urgent dependent, direct or through others, or its own. */
+  /** The highest priority among its own and those of its direct and indirect dependents. */
   private Priority priority;
 
   Job(JobSpec spec, long revision, boolean cancelRequested, double now) {
@@ -169,7 +193,7 @@
     this.openTasks.set(0, spec.tasks());
   }
 
-  /** The task batch with this number, which begins fresh if none of its tasks was claimed yet. */
+  /** The task batch at this index, created empty if none of its tasks has been claimed yet. */
   TaskBatch taskBatch(int index) {
     return taskBatches.computeIfAbsent(
         index,
@@ -181,79 +205,94 @@
                 0));
   }
 
-  /** True if it has tasks to place now or as soon as there is room. */
-  boolean waiting() {
-    return !cancelRequested && !ending && !openTasks.isEmpty() && pendingDependencies.isEmpty();
+  /** True if it has tasks that can be placed as soon as there is room. */
+  boolean isWaiting() {
+    return !cancelRequested
+        && !endInFlight
+        && !openTasks.isEmpty()
+        && pendingDependencies.isEmpty();
   }
 
-  /** True while nothing of it may be claimed; it is no demand, and its times have not begun. */
+  /**
+   * True while no task of it may be claimed. Until then it adds no demand and its waiting time does
+   * not count.
+   */
   boolean awaitsDependencies() {
     return !pendingDependencies.isEmpty();
   }
 
   /** True if all of its tasks are done. */
-  boolean complete() {
+  boolean isComplete() {
     return doneCount == spec.tasks();
   }
 
   /** True while none of its tasks has ever been claimed. */
-  boolean neverBegan() {
+  boolean neverClaimed() {
     return claims.isEmpty() && taskBatches.isEmpty();
   }
 
   /**
-   * What its place in the queue goes by. What only its dependents make urgent waits with ordinary
-   * work while there is time, and goes before it when they would be late.
+   * The priority by which it is queued. Dependents of higher priority raise it to normal at most
+   * while there is time; once they would otherwise be late, it is queued with theirs.
    */
   Priority priority() {
-    if (urgentForDependents || !priority.beats(spec.priority())) {
+    if (urgentForDependents || !priority.isHigherThan(spec.priority())) {
       return priority;
     }
-    boolean low = Priority.NORMAL.beats(spec.priority());
-    return low && !Priority.NORMAL.beats(priority) ? Priority.NORMAL : spec.priority();
+    boolean low = Priority.NORMAL.isHigherThan(spec.priority());
+    return low && !Priority.NORMAL.isHigherThan(priority) ? Priority.NORMAL : spec.priority();
   }
 
-  /** The priority of its most urgent dependent, or its own, whether or not it is urgent now. */
+  /**
+   * The highest priority among its own and those of its dependents, whether or not it is urgent for
+   * them now.
+   */
   Priority inheritedPriority() {
     return priority;
   }
 
   /**
-   * A dependent has this priority; live claims keep theirs.
+   * Raises the inherited priority to that of a dependent. Claims that already exist keep the
+   * priority that they were made with.
    *
    * @return true if it is higher than the one inherited so far
    */
-  boolean inheritPriority(Priority other) {
-    boolean raised = other.beats(priority); // Whether or not it is urgent now.
-    priority = raised ? other : priority;
+  boolean inheritPriority(Priority dependentPriority) {
+    boolean raised =
+        dependentPriority.isHigherThan(priority); // Independent of urgentForDependents.
+    priority = raised ? dependentPriority : priority;
     return raised;
   }
 
   /**
-   * Updates whether its dependents leave it little time.
+   * Updates whether its dependents need it so soon that it takes their priority.
    *
-   * @param estimateS how long a task of it takes, in seconds
-   * @param wantedWaitS seconds within which its class should start, or null if none is wanted
+   * @param estimateS expected run time of a task, in seconds
+   * @param startObjectiveS seconds from submission within which jobs of its class should start, or
+   *     null if there is no such objective
    */
-  void updateUrgency(double estimateS, Double wantedWaitS, double now) {
-    double waited = now - eligibleSince;
+  void updateUrgency(double estimateS, Double startObjectiveS, double now) {
+    double waitedS = now - eligibleSince;
     boolean startIsUrgent =
-        wantedWaitS != null
+        startObjectiveS != null
             && pendingDependencies.isEmpty()
-            && waited > wantedWaitS * URGENT_WAIT_SHARE
-            && waited < wantedWaitS;
+            && waitedS > startObjectiveS * URGENT_START_OBJECTIVE_SHARE
+            && waitedS < startObjectiveS;
     urgentForDependents =
         dependentsDueAt == Double.POSITIVE_INFINITY
-            || dependentsDueAt - now < URGENT_RUNS * estimateS + URGENT_S
+            || dependentsDueAt - now < URGENT_RUN_TIMES * estimateS + URGENT_MARGIN_S
             || startIsUrgent;
   }
 
-  /** True if it, or a dependent, has a deadline. */
-  boolean hasDue() {
+  /** True if it or one of its dependents has a deadline. */
+  boolean hasDueTime() {
     return dueAt() < Double.POSITIVE_INFINITY;
   }
 
-  /** When it has to be done, in seconds on the leader's clock, or infinite. */
+  /**
+   * When it has to be done for its own deadline and those of its dependents, in seconds on the
+   * leader's clock, or infinite.
+   */
   double dueAt() {
     double ownDueAt =
         spec.deadlineS() == null ? Double.POSITIVE_INFINITY : acceptedAt + spec.deadlineS();
--- a/src/main/java/graderelay/core/JobEndWriter.java
+++ b/src/main/java/graderelay/core/JobEndWriter.java
@@ -20,7 +20,7 @@
 
   /** True if the job is not cancelled or ending, and each task is done or proven done. */
   static boolean isProvenDone(Job job) {
-    if (job.cancelRequested || job.ending || !job.openTasks.isEmpty()) {
+    if (job.cancelRequested || job.endInFlight || !job.openTasks.isEmpty()) {
       return false;
     }
     for (Claim claim : job.claims.values()) {
@@ -41,7 +41,7 @@
       boolean over = job.cancelRequested ? job.claims.isEmpty() : isProvenDone(job);
       if (!over) {
         cluster.maybeEndedJobs.remove(job);
-      } else if (job.ending
+      } else if (job.endInFlight
           || job.taskBatches.values().stream().anyMatch(batch -> batch.inFlight)) {
         continue;
       } else if (job.cancelRequested) {
@@ -73,7 +73,7 @@
         drops.add(new Action.TaskBatchDrop(batch.key, batch.revision));
       }
     }
-    job.ending = true;
+    job.endInFlight = true;
     Action.JobEnd end =
         new Action.JobEnd(
             job.spec.id(), job.revision, job.cancelRequested, job.spec.tasks(), List.copyOf(drops));
--- a/src/main/java/graderelay/core/JobPlacer.java
+++ b/src/main/java/graderelay/core/JobPlacer.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Places the open tasks of one job in a placement round: each takes the best of the candidate
- * machines, as far as the team's quota, the job's task batch records and its failures allow. What
- * keeps a task from being placed becomes the job's wait reason.
+ * Places the open tasks of one job in a placement round. Each task takes the best of the candidate
+ * machines, within the limits of the team's quota, the task batch records and the backoff after
+ * failures. If a task can't be placed, the cause becomes the job's wait reason.
  */
 final class JobPlacer {
   private final ClusterState cluster;
@@ -21,79 +21,88 @@
   }
 
   /**
-   * Places what it can of one job and returns how many task batch records that changes.
+   * Places as many tasks of a job as possible and returns how many task batch records that changes.
    *
-   * @param mostTasks tasks to place at most
-   * @param warmOnly whether only machines that have or fetch the image count
+   * @param maxTasks maximum number of tasks to place
+   * @param withImageOnly whether to use only machines that have the image or are fetching it
    */
-  int place(Job job, int mostTasks, boolean warmOnly, PlacementRound.Context context) {
+  int place(Job job, int maxTasks, boolean withImageOnly, PlacementRound.Context context) {
     if (job.notBefore > context.now()) {
       job.waitReason = backoffReason(job);
       return 0;
     }
-    if (quota.obstructed(job)) {
+    if (quota.isAdmissionBlocked(job)) {
       return 0;
     }
-    String reason = noneThisRound(job, mostTasks, context.now());
+    String reason = skipReason(job, maxTasks, context.now());
     if (reason != null) {
       job.waitReason = reason;
       return 0;
     }
-    return new Placement(job, mostTasks, warmOnly, context).placeOpenTasks();
+    return new Placement(job, maxTasks, withImageOnly, context).placeOpenTasks();
   }
 
-  /** The wait reason of a job that backs off after failures. */
+  /** The wait reason of a job in backoff after failures. */
   private static String backoffReason(Job job) {
     return job.suspect
-        ? "it fails on every machine (" + job.failedMachines.size() + "); tried again later"
+        ? "it fails on every machine ("
+            + job.failedMachines.size()
+            + " so far); backing off before the next try"
         : "backing off after failures";
   }
 
-  /** The wait reason of a job of which no task may be placed in this round, or null. */
-  private String noneThisRound(Job job, int mostTasks, double now) {
-    if (mostTasks <= 0) {
-      noRoomFound(job, now);
-      return "room is kept for work above it";
+  /** The wait reason of a job of which no task may be placed in this round, or null if some may. */
+  private String skipReason(Job job, int maxTasks, double now) {
+    if (maxTasks <= 0) {
+      excludeUntilRoomIsFreed(job, now);
+      return "the free room is reserved for work of higher priority";
     }
-    if (job.claims.size() >= rules.mostTried(job)) {
-      return "a few of its tasks are tried first, since it may fail on every machine";
+    if (job.claims.size() >= rules.maxConcurrentClaims(job)) {
+      return "only a few of its tasks are tried until one runs, since it may fail on every machine";
     }
     return null;
   }
 
-  /** Leaves the job out of rounds for a short pause, or until room is freed. */
-  private void noRoomFound(Job job, double now) {
+  /** Excludes the job from rounds until room is freed or a short pause has passed. */
+  private void excludeUntilRoomIsFreed(Job job, double now) {
     job.noRoomVersion = cluster.roomVersion;
     job.noRoomSince = now;
   }
 
-  /** The placement of one job's open tasks, in task order. */
+  /** The placement of one job's open tasks in the order of their indices. */
   private final class Placement {
     private final Job job;
-    private final int mostTasks;
-    private final boolean warmOnly;
+    private final int maxTasks;
+    private final boolean withImageOnly;
     private final PlacementRound.Context context;
 
-    /** Built for the first task that may be placed, since it looks at every machine with room. */
+    /**
+     * Built only when the first task may be placed, since building it examines every machine with
+     * room.
+     */
     private CandidateMachines candidates;
 
     private Job.TaskBatch lastBatch;
     private int recordsChanged;
     private int tasksPlaced;
 
-    private Placement(Job job, int mostTasks, boolean warmOnly, PlacementRound.Context context) {
+    private Placement(
+        Job job, int maxTasks, boolean withImageOnly, PlacementRound.Context context) {
       this.job = job;
-      this.mostTasks = mostTasks;
-      this.warmOnly = warmOnly;
+      this.maxTasks = maxTasks;
+      this.withImageOnly = withImageOnly;
       this.context = context;
     }
 
-    /** Claims machines until one of the limits is met; returns the records changed. */
+    /**
+     * Claims machines until there is no room or a limit is reached; returns the number of task
+     * batch records changed.
+     */
     int placeOpenTasks() {
       int task = job.openTasks.nextSetBit(0);
       while (task >= 0) {
-        int batchIndex = job.spec.batchOf(task);
-        if (closed(job.taskBatches.get(batchIndex))) {
+        int batchIndex = job.spec.batchIndexOf(task);
+        if (isBlocked(job.taskBatches.get(batchIndex))) {
           task = job.openTasks.nextSetBit((batchIndex + 1) * job.spec.batchCapacity());
           continue;
         }
@@ -102,7 +111,7 @@
           break;
         }
         claim(task, batchIndex, machine);
-        if (enoughPlaced()) {
+        if (limitReached()) {
           break;
         }
         task = job.openTasks.nextSetBit(task + 1);
@@ -111,52 +120,53 @@
     }
 
     /** True if no task of the batch may be claimed now; sets the wait reason. */
-    private boolean closed(Job.TaskBatch batch) {
+    private boolean isBlocked(Job.TaskBatch batch) {
       if (batch == null) {
         return false;
       }
       if (batch.inFlight) {
-        job.waitReason = "a change of its slice is being committed";
+        job.waitReason = "a change of its task batch record is being committed";
         return true;
       }
-      if (batch.fullUntil > context.now()) {
-        job.waitReason = "its record is as large as the state service allows";
+      if (batch.recordFullUntil > context.now()) {
+        job.waitReason =
+            "its task batch record has the maximum size that the key-value store allows";
         return true;
       }
       return false;
     }
 
-    /** The machine that takes the next task, or null; then the wait reason says why. */
+    /** The machine for the next task, or null; then the wait reason is set. */
     private Machine machineForNextTask() {
       if (!quota.limitAllows(job)) {
-        job.waitReason = quota.limitReason(job);
+        job.waitReason = quota.limitWaitReason(job);
         return null;
       }
       if (candidates == null) {
         candidates =
-            new CandidateMachines(cluster, random, rules, job, context.withRoom(), warmOnly);
+            new CandidateMachines(cluster, random, rules, job, context.withRoom(), withImageOnly);
       }
       Machine machine = candidates.pick();
       if (machine == null) {
-        noRoom();
+        recordNoRoom();
         return null;
       }
       if (!machine.hasImage(job.spec.image())
-          && candidates.warmRoomCanBeMade(context.usable(), context.now())) {
-        job.waitReason = "room is being made where its image is";
+          && candidates.canMakeRoomOnMachineWithImage(context.usable(), context.now())) {
+        job.waitReason = "room is being made on a machine that has its image";
         return null;
       }
       return machine;
     }
 
-    /** Notes that no machine had room, unless only warm machines were looked at. */
-    private void noRoom() {
-      if (warmOnly) {
+    /** Records that no machine had room, unless only machines with the image were examined. */
+    private void recordNoRoom() {
+      if (withImageOnly) {
         return;
       }
       job.waitReason =
-          context.usable().isEmpty() ? "no machine reports" : "no room on an allowed machine";
-      noRoomFound(job, context.now());
+          context.usable().isEmpty() ? "no machine is available" : "no allowed machine has room";
+      excludeUntilRoomIsFreed(job, context.now());
     }
 
     private void claim(int task, int batchIndex, Machine machine) {
@@ -170,12 +180,12 @@
       tasksPlaced++;
     }
 
-    private boolean enoughPlaced() {
-      if (job.claims.size() >= rules.mostTried(job)) {
+    private boolean limitReached() {
+      if (job.claims.size() >= rules.maxConcurrentClaims(job)) {
         return true;
       }
-      if (tasksPlaced >= mostTasks) {
-        job.waitReason = "slice cap of a round";
+      if (tasksPlaced >= maxTasks) {
+        job.waitReason = "the maximum number of its tasks placed in one round is reached";
         return true;
       }
       return false;
--- a/src/main/java/graderelay/core/JobRecordEvents.java
+++ b/src/main/java/graderelay/core/JobRecordEvents.java
@@ -30,7 +30,7 @@
       if (!job.awaitsDependencies()) {
         planner.onArrival(spec, submittedAt);
       }
-      cluster.dependencies.added(job).forEach(dependent -> cancelWithNeeded(dependent, now));
+      cluster.dependencies.add(job).forEach(dependent -> cancelWithNeeded(dependent, now));
       cluster.dependencies.updateUrgency(job, now);
       // Task batches that came first, while the job's own record had not been seen yet.
       records.jobCame(spec.id());
@@ -68,7 +68,7 @@
     stops.cancelJob(job, now);
     cluster
         .dependencies
-        .cancelledWith(job.spec.id())
+        .dependentsToCancel(job.spec.id())
         .forEach(dependent -> cancelWithNeeded(dependent, now));
   }
 
@@ -92,10 +92,10 @@
       return;
     }
     if (cancelled) {
-      cluster.dependencies.cancelled(id).forEach(dependent -> cancelWithNeeded(dependent, now));
+      cluster.dependencies.onCancelled(id).forEach(dependent -> cancelWithNeeded(dependent, now));
       return;
     }
-    for (Job dependent : cluster.dependencies.done(id, Math.min(at, now))) {
+    for (Job dependent : cluster.dependencies.onDone(id, Math.min(at, now))) {
       dependent.eligibleSince = Math.max(dependent.acceptedAt, dependent.dependenciesEndedAt);
       dependent.waitingSince = now;
       dependent.waitReason = "new";
@@ -108,7 +108,7 @@
   /** The job's record is gone from the store. */
   void onJobGone(String id, double now) {
     Job job = cluster.jobs.get(id);
-    if (job != null && !job.ending) {
+    if (job != null && !job.endInFlight) {
       records.forget(job, now);
     }
   }
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -183,10 +183,10 @@
 
   /** The same as {@code free().holds(need)}, without an object for each question. */
   boolean holds(Resources need) {
-    return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && need.cpus() <= freeCpus() + Resources.SLACK
-        && need.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
-        && need.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
+    return claims.size() < SchedulerLimits.MAX_TASKS_PER_MACHINE
+        && need.cpus() <= freeCpus() + Resources.ROUNDING_TOLERANCE
+        && need.gpus() <= capacity.gpus() - used.gpus() + Resources.ROUNDING_TOLERANCE
+        && need.memGb() <= capacity.memGb() - used.memGb() + Resources.ROUNDING_TOLERANCE;
   }
 
   /** What the claims leave of the machine. */
--- a/src/main/java/graderelay/core/PackingBin.java
+++ b/src/main/java/graderelay/core/PackingBin.java
@@ -29,10 +29,10 @@
   /** The bin of a machine that the leader knows. */
   static PackingBin of(Machine machine) {
     InstancePool pool = new InstancePool(machine.type, machine.zone, machine.spot);
-    int slots = SchedulerLimits.MOST_ON_MACHINE - machine.claims.size();
+    int slots = SchedulerLimits.MAX_TASKS_PER_MACHINE - machine.claims.size();
     PackingBin bin = new PackingBin(machine, pool, machine.free(), slots);
     for (Claim claim : machine.claims.values()) {
-      if (!claim.job.spec.isService() && Priority.PROD.beats(claim.priority)) {
+      if (!claim.job.spec.isService() && Priority.PROD.isHigherThan(claim.priority)) {
         bin.preemptible = bin.preemptible.plus(claim.resources());
       }
     }
@@ -41,13 +41,13 @@
 
   /** The empty bin of a machine that is to come. */
   static PackingBin requested(InstancePool pool, MachineType type) {
-    return new PackingBin(null, pool, Resources.of(type), SchedulerLimits.MOST_ON_MACHINE);
+    return new PackingBin(null, pool, Resources.of(type), SchedulerLimits.MAX_TASKS_PER_MACHINE);
   }
 
   /** How many tasks of the spec it can take; a service also where arrays make room for it. */
   int room(JobSpec spec) {
     Resources room = spec.isService() ? free.plus(preemptible) : free;
-    return Math.min(slotsLeft, room.times(Resources.of(spec)));
+    return Math.min(slotsLeft, room.countFitting(Resources.of(spec)));
   }
 
   /** Packs so many tasks of the spec into it. */
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -6,25 +6,27 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Placement rounds: in queue order, each waiting task takes the best fit of a few machines drawn
- * from those that send heartbeats, and where there is no room, work that may be preempted for it is
- * stopped. {@link JobPlacer} places the tasks of one job.
+ * Runs placement rounds. In queue order, each waiting task is placed on the best fit of a few
+ * machines drawn from those that send heartbeats; where there is no room, work that may be
+ * preempted for it is stopped. {@link JobPlacer} places the tasks of one job.
  */
 final class PlacementRound {
-  /** Seconds for which a job that found no room waits while no room was freed. */
+  /** Time for which a job that found no room is skipped unless room is freed. */
   private static final double NO_ROOM_PAUSE_S = 0.25;
 
   /**
-   * Seconds after its submission from which the first task of a job that has never begun takes the
-   * next room whatever its priority.
+   * Time after which the first task of a job that has never started takes the next room, whatever
+   * its priority.
    */
-  private static final double MUST_BEGIN_S = 150;
+  private static final double OVERDUE_START_S = 150;
 
-  /** Whether only machines with the image count, for a rank that is placed in a single pass. */
-  private static final boolean[] ONE_PASS = {false};
+  /**
+   * Passes over a group with one job; each value says whether only machines with the image count.
+   */
+  private static final boolean[] SINGLE_JOB_PASSES = {false};
 
-  /** The same for a rank of several jobs: machines with the image first, then all. */
-  private static final boolean[] WARM_PASS_FIRST = {true, false};
+  /** Passes over a group of several jobs: machines with the image first, then all. */
+  private static final boolean[] GROUP_PASSES = {true, false};
 
   private final ClusterState cluster;
   private final QuotaGate quota;
@@ -34,7 +36,7 @@
   private final Preemption preemption;
 
   /**
-   * What all steps of one placement round share.
+   * State that all steps of a placement round share.
    *
    * @param usable all machines that may be given tasks
    * @param withRoom those of them that may have room
@@ -53,20 +55,27 @@
     this.preemption = new Preemption(cluster, rules, quota);
   }
 
-  /** Takes what the last fleet plan found of the jobs that wait. */
-  void planned(Set<Job> yieldingToTeammates, Set<Job> deferrable) {
-    order.yieldingToTeammates(yieldingToTeammates);
-    preemption.deferrable(deferrable);
+  /**
+   * Sets the results of the last fleet plan that placement uses.
+   *
+   * @param yieldingToTeammates jobs that yield to other jobs of their team
+   * @param deferrable jobs that can wait for room beyond their guarantee
+   */
+  void onFleetPlan(Set<Job> yieldingToTeammates, Set<Job> deferrable) {
+    order.setYieldingToTeammates(yieldingToTeammates);
+    preemption.setDeferrable(deferrable);
   }
 
   /**
-   * Places what can be placed and returns the new claims, counted but not committed yet.
+   * Places as many tasks as possible and returns the new claims, which are counted but not
+   * committed yet.
    *
-   * @param changes records that arrays may change in this round; services may go beyond it
+   * @param changeBudget number of records that arrays may change in this round; services may exceed
+   *     it
    */
-  List<Claim> round(int changes, double now) {
+  List<Claim> placeTasks(int changeBudget, double now) {
     List<Claim> claims = new ArrayList<>();
-    List<QueueOrder.Entry> queue = waiting(now);
+    List<QueueOrder.Entry> queue = waitingJobs(now);
     if (queue.isEmpty()) {
       return claims;
     }
@@ -74,29 +83,29 @@
     quota.reserveForStarvedJobs(now);
     reservations.reserve(queue, now);
     List<Machine> usable = usableMachines(now);
-    Context context = new Context(usable, withRoom(usable, queue), claims, now);
-    int changesLeft = changes - startOverdueJobs(queue, context);
+    Context context = new Context(usable, machinesWithRoom(usable, queue), claims, now);
+    int changesLeft = changeBudget - startOverdueJobs(queue, context);
     for (int from = 0, to; from < queue.size(); from = to) {
-      to = endOfRank(queue, from);
-      changesLeft = placeRank(queue.subList(from, to), changesLeft, context);
+      to = endOfGroup(queue, from);
+      changesLeft = placeGroup(queue.subList(from, to), changesLeft, context);
     }
     preemption.makeRoom(queue, usable, now);
     return claims;
   }
 
-  /** The jobs that wait, except those that found no room of late and nothing changed since. */
-  private List<QueueOrder.Entry> waiting(double now) {
+  /** The waiting jobs, without those that recently found no room if none was freed since. */
+  private List<QueueOrder.Entry> waitingJobs(double now) {
     order.beginRound(now);
     List<QueueOrder.Entry> queue = new ArrayList<>();
     for (Job job : cluster.jobs.values()) {
-      if (job.waiting() && !foundNoRoomOfLate(job, now)) {
+      if (job.isWaiting() && !foundNoRoomRecently(job, now)) {
         queue.add(order.entry(job, now));
       }
     }
     return queue;
   }
 
-  private boolean foundNoRoomOfLate(Job job, double now) {
+  private boolean foundNoRoomRecently(Job job, double now) {
     return job.noRoomVersion == cluster.roomVersion && now - job.noRoomSince < NO_ROOM_PAUSE_S;
   }
 
@@ -112,71 +121,74 @@
   }
 
   /**
-   * Places the first task of each job that has waited longest, whatever its priority; returns the
-   * records changed. On a fleet filled by work of higher priority, a job of the lowest priority
-   * would not begin at all.
+   * Places the first task of each job that has waited too long for its first start, whatever its
+   * priority; returns the number of records changed. On a fleet filled by work of higher priority,
+   * a job of the lowest priority would otherwise never start.
    */
   private int startOverdueJobs(List<QueueOrder.Entry> queue, Context context) {
     int changed = 0;
     for (QueueOrder.Entry entry : queue) {
       Job job = entry.job;
-      if (job.neverBegan() && context.now() - job.eligibleSince > MUST_BEGIN_S) {
+      if (job.neverClaimed() && context.now() - job.eligibleSince > OVERDUE_START_S) {
         changed += placer.place(job, 1, false, context);
       }
     }
     return changed;
   }
 
-  /** The end (exclusive) of the run of entries from {@code from} with the same claim to room. */
-  private static int endOfRank(List<QueueOrder.Entry> queue, int from) {
+  /** The end (exclusive) of the group of entries from {@code from} that have the same rank. */
+  private static int endOfGroup(List<QueueOrder.Entry> queue, int from) {
     int to = from + 1;
-    while (to < queue.size() && queue.get(from).ranksWith(queue.get(to))) {
+    while (to < queue.size() && queue.get(from).hasSameRankAs(queue.get(to))) {
       to++;
     }
     return to;
   }
 
   /**
-   * Places jobs with the same claim to room; returns the record changes left. Of arrays, first
-   * those whose image is there already: on a full fleet, slots come back a few at a time, and each
-   * fetch leaves one idle. One that ranks alone takes the best machines first anyway.
+   * Places jobs of the same rank; returns how much of the change budget is left. Arrays go first to
+   * machines that have their image: on a full fleet, room is freed a little at a time, and each
+   * image fetch leaves it idle. A single job needs no separate pass, since it prefers these
+   * machines anyway.
    */
-  private int placeRank(List<QueueOrder.Entry> rank, int changes, Context context) {
-    int changesLeft = changes;
-    boolean alone = rank.size() == 1;
-    for (boolean warmOnly : alone ? ONE_PASS : WARM_PASS_FIRST) {
-      for (QueueOrder.Entry entry : rank) {
+  private int placeGroup(List<QueueOrder.Entry> group, int changeBudget, Context context) {
+    int changesLeft = changeBudget;
+    boolean singleJob = group.size() == 1;
+    for (boolean withImageOnly : singleJob ? SINGLE_JOB_PASSES : GROUP_PASSES) {
+      for (QueueOrder.Entry entry : group) {
         Job job = entry.job;
         boolean service = job.spec.isService();
-        if (service && !warmOnly && !alone) {
-          continue; // Placed by the first pass, wherever there was room.
+        if (service && !withImageOnly && !singleJob) {
+          continue; // The first pass placed it wherever there was room.
         }
-        int unreserved = reservations.unreserved(job, context.usable(), context.claims());
+        int unreservedTasks =
+            reservations.maxUnreservedTasks(job, context.usable(), context.claims());
         if (changesLeft <= 0 && !service) {
-          job.waitReason = "changes of the state service are used up for the moment";
+          job.waitReason = "the limit of key-value store changes in flight is reached";
           continue;
         }
-        int mostTasks = Math.min(job.spec.batchCapacity(), unreserved);
-        changesLeft -= placer.place(job, mostTasks, warmOnly && !service, context);
+        int maxTasks = Math.min(job.spec.batchCapacity(), unreservedTasks);
+        changesLeft -= placer.place(job, maxTasks, withImageOnly && !service, context);
       }
     }
     return changesLeft;
   }
 
   /**
-   * The machines on which the smallest task that waits may fit. Room only shrinks while a round
-   * places, so no job finds any on the others; on a busy fleet those are most, and each waiting job
-   * would examine all of them.
+   * The machines on which the smallest waiting task may fit. Room only shrinks while a round places
+   * tasks, so no job can use the others. On a busy fleet those are most machines, and each waiting
+   * job would examine all of them.
    */
-  private static List<Machine> withRoom(List<Machine> usable, List<QueueOrder.Entry> queue) {
-    double leastCpus = Double.MAX_VALUE;
+  private static List<Machine> machinesWithRoom(
+      List<Machine> usable, List<QueueOrder.Entry> queue) {
+    double smallestTaskCpus = Double.MAX_VALUE;
     for (QueueOrder.Entry entry : queue) {
-      leastCpus = Math.min(leastCpus, entry.job.taskResources.cpus());
+      smallestTaskCpus = Math.min(smallestTaskCpus, entry.job.taskResources.cpus());
     }
-    double smallest = leastCpus - Resources.SLACK;
+    double minFreeCpus = smallestTaskCpus - Resources.ROUNDING_TOLERANCE;
     List<Machine> withRoom = new ArrayList<>();
     for (Machine machine : usable) {
-      if (machine.freeCpus() >= smallest) {
+      if (machine.freeCpus() >= minFreeCpus) {
         withRoom.add(machine);
       }
     }
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Where a task of a job may go: the job's own constraints (types, zone, spot), the machines it
- * failed on, zone placement against its other claims, and how many tasks of a suspect job are tried
- * at once.
+ * Rules on where tasks of a job may run: the job's own constraints (machine types, zone, spot), the
+ * machines on which it failed, its zone placement, and how many tasks of a suspect job are tried at
+ * once.
  */
 final class PlacementRules {
   private final ClusterState cluster;
@@ -14,68 +14,69 @@
     this.cluster = cluster;
   }
 
-  /** The part that does not depend on where the job's other tasks are. */
-  boolean allowed(Job job, Machine machine) {
+  /** True if the machine meets the rules that do not depend on where the job's other tasks are. */
+  boolean isAllowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
     return (spec.types() == null || spec.types().contains(machine.type))
         && (spec.zone() == null || spec.zone().equals(machine.zone))
         && (spec.spot() || !machine.spot)
         && !machine.consolidating
-        && !avoided(job, machine);
+        && !isAvoided(job, machine);
   }
 
   /**
-   * Where a task of the job failed, unless that is most of the machines: a job must be tried on,
-   * and on a small fleet no other may be left.
+   * True for a machine on which a task of the job failed, unless the job failed on half of the
+   * machines or more: it has to be retried, and on a small fleet no other machine may be left.
    */
-  private boolean avoided(Job job, Machine machine) {
+  private boolean isAvoided(Job job, Machine machine) {
     return job.failedMachines.contains(machine.name)
         && job.failedMachines.size() * 2 < cluster.machines.size();
   }
 
   /**
-   * Tasks that may be claimed at once: few of a job that may be at fault, as trying costs little.
+   * Maximum number of claims that the job may have at once; small for a job that may itself cause
+   * its failures, so that trying it costs little.
    */
-  int mostTried(Job job) {
+  int maxConcurrentClaims(Job job) {
     if (job.suspect) {
       return 1;
     }
     return job.unproven ? cluster.policy.tuning().attemptCap() : Integer.MAX_VALUE;
   }
 
-  /** True if the job's tasks must stay in one zone or be spread over zones. */
-  static boolean zoned(Job job) {
+  /** True if the job's tasks must all be in one zone or must be spread over zones. */
+  static boolean isZoneConstrained(Job job) {
     return job.spec.oneZone() || job.spec.spread();
   }
 
   /**
-   * True if the zone may take one more task, given where the job's other tasks are. Judged on
-   * claims, not heartbeats.
+   * True if the zone may take one more task, given the zones of the job's other claims. Claims
+   * decide and not heartbeats, since a claimed task may not be in any heartbeat yet.
    */
-  static boolean zoneAllowed(Job job, String zone) {
-    if (!zoned(job)) {
+  static boolean isZoneAllowed(Job job, String zone) {
+    if (!isZoneConstrained(job)) {
       return true;
     }
-    int located = 0;
-    int inZone = 0;
+    int locatedClaims = 0;
+    int claimsInZone = 0;
     for (var zoneCount : job.zoneClaims.entrySet()) {
-      located += zoneCount.getValue();
-      inZone += zoneCount.getKey().equals(zone) ? zoneCount.getValue() : 0;
+      locatedClaims += zoneCount.getValue();
+      claimsInZone += zoneCount.getKey().equals(zone) ? zoneCount.getValue() : 0;
     }
-    if (located != job.claims.size()) {
-      return false; // A claim stands on a machine whose zone is not known yet.
+    if (locatedClaims != job.claims.size()) {
+      return false; // A claimed machine's zone is not known yet.
     }
-    if (job.spec.oneZone() && inZone != located) {
+    if (job.spec.oneZone() && claimsInZone != locatedClaims) {
       return false;
     }
-    return !job.spec.spread() || inZone < job.spec.zoneLimit();
+    return !job.spec.spread() || claimsInZone < job.spec.maxTasksPerZone();
   }
 
   /**
-   * True if the job should start sooner than its image can be fetched, and work that it may preempt
-   * runs on a machine that has the image.
+   * True if the job's start objective is shorter than the fetch of its image, and there is room, or
+   * room can be made by preemption, on a machine that has the image.
    */
-  boolean warmRoomCanBeMade(Job job, List<Machine> usable, double now) {
+  boolean canMakeRoomOnMachineWithImage(Job job, List<Machine> usable, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     if (startObjectiveS == null || now - job.waitingSince > startObjectiveS) {
       return false;
@@ -87,8 +88,8 @@
           && type != null
           && type.fetchGbPerS() > 0
           && job.spec.imageGb() / type.fetchGbPerS() > startObjectiveS
-          && allowed(job, machine)
-          && zoneAllowed(job, machine.zone)
+          && isAllowed(job, machine)
+          && isZoneAllowed(job, machine.zone)
           && canMakeRoom(job, machine)) {
         return true;
       }
@@ -96,17 +97,20 @@
     return false;
   }
 
-  /** True if room is on its way on the machine, or can be made at little loss. */
+  /**
+   * True if the machine has room for a task once its ending claims have ended and claims of lower
+   * priority are preempted.
+   */
   private static boolean canMakeRoom(Job job, Machine machine) {
-    Resources room = machine.free();
+    Resources free = machine.free();
     for (Claim claim : machine.claims.values()) {
       boolean ending = claim.stopRequested || claim.phase == Claim.Phase.ENDING;
-      boolean outranked =
-          claim.phase == Claim.Phase.COMMITTED && job.priority().beats(claim.priority);
-      if (ending || outranked) {
-        room = room.plus(claim.resources());
+      boolean lowerPriority =
+          claim.phase == Claim.Phase.COMMITTED && job.priority().isHigherThan(claim.priority);
+      if (ending || lowerPriority) {
+        free = free.plus(claim.resources());
       }
     }
-    return room.holds(job.taskResources);
+    return free.holds(job.taskResources);
   }
 }
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -68,7 +68,8 @@
    * @param zones how many more of them each zone may take
    * @param spotOnly whether on-demand machines are left out where a spot price exists
    */
-  InstancePool cheapest(JobSpec spec, int tasks, ZoneRoom zones, boolean spotOnly, double now) {
+  InstancePool cheapest(
+      JobSpec spec, int tasks, ZoneTaskLimit zones, boolean spotOnly, double now) {
     InstancePool cheapest = null;
     double leastPrice = Double.MAX_VALUE;
     for (MachineType type : cluster.types.values()) {
@@ -92,7 +93,8 @@
 
   /** Tasks of the spec that an empty machine of the type holds. */
   private static int slots(MachineType type, JobSpec spec) {
-    return Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(type).times(Resources.of(spec)));
+    return Math.min(
+        SchedulerLimits.MAX_TASKS_PER_MACHINE, Resources.of(type).countFitting(Resources.of(spec)));
   }
 
   private double pricePerTask(MachineType type, boolean spot, int slots) {
@@ -101,9 +103,9 @@
   }
 
   private boolean mayRequest(
-      JobSpec spec, InstancePool pool, ZoneRoom zones, boolean spotOnly, double now) {
+      JobSpec spec, InstancePool pool, ZoneTaskLimit zones, boolean spotOnly, double now) {
     return suits(spec, pool)
-        && zones.left(pool.zone()) != 0
+        && zones.remaining(pool.zone()) != 0
         && !(spotOnly && !pool.spot() && spotExists(pool.type()))
         && !(pool.spot() && !cluster.policy.tuning().spotAllowed())
         && !backsOff(pool, now);
--- a/src/main/java/graderelay/core/Preemption.java
+++ b/src/main/java/graderelay/core/Preemption.java
@@ -8,47 +8,49 @@
 import java.util.Set;
 
 /**
- * Makes room by preemption, after the placement of a round: stops work of lower priority, or work
- * that another team runs beyond its guarantee while the job is within its own, on as few machines
- * and with as little lost as possible. {@link PreemptionOffers} finds what stopping would cost.
+ * Preempts claims after the placement of a round, for jobs that found no room: claims of lower
+ * priority, or those of another team beyond its guarantee while the job is within its own. It stops
+ * work on as few machines, and loses as little of it, as possible; {@link PreemptionCandidates}
+ * computes the cost.
  */
 final class Preemption {
   /**
-   * Seconds from a stop to the start in its place, without the time to save: the worker's
-   * heartbeat, the change that ends the claim, the next claim, its launch. Where saving doesn't
-   * leave as much of a start objective, the work is stopped at once; what has lost least is chosen.
+   * Time from the stop of a task to the start of another in its place, without the time to save
+   * progress: the worker's heartbeat, the change that ends the claim, the next claim, and the
+   * launch. If a start objective leaves no time to save progress besides this, the task is stopped
+   * without it; the claims with the least lost work are chosen.
    */
   private static final double RESTART_S = 2;
 
-  /** Share of the fleet that work of lower priority may have without being stopped for arrays. */
-  private static final double SPARED_SHARE = 0.1;
+  /** Share of the fleet's CPUs up to which work of lower priority is not preempted for arrays. */
+  private static final double SPARED_FLEET_SHARE = 0.1;
 
   private final ClusterState cluster;
   private final PlacementRules rules;
   private final QuotaGate quota;
-  private final PreemptionOffers offers;
+  private final PreemptionCandidates candidates;
 
-  /** Jobs that can wait for room beyond their guarantee, see {@link Deadlines#deferrable}. */
+  /** Jobs that can wait for room beyond their guarantee, see {@link Deadlines#deferrableJobs}. */
   private Set<Job> deferrable = Set.of();
 
-  /** Whether what a priority outranks is too little to stop, worked out once a round. */
-  private final Map<Priority, Boolean> littleOutranked = new EnumMap<>(Priority.class);
+  /** Whether there is too little work below a priority to preempt it; computed once a round. */
+  private final Map<Priority, Boolean> littleLowerPriorityWork = new EnumMap<>(Priority.class);
 
   /**
-   * Demands for which no room can be made in this round. A thousand jobs that wait differ in little
-   * else than their names, and each would look at every machine and its claims.
+   * Demands for which no room can be made in this round. Without this, each of a thousand waiting
+   * jobs that are alike would examine every machine and its claims.
    */
   private final Set<Demand> unsatisfiable = new HashSet<>();
 
-  /** All that decides whether room can be made for a task, apart from what it would cost. */
+  /** Everything that decides whether room can be made for a task, except for the cost. */
   private record Demand(
       String team,
       Priority priority,
-      Resources need,
+      Resources taskResources,
       List<String> types,
       String zone,
       boolean spot) {
-    /** Null for a job whose own claims and failures decide as well. */
+    /** The demand of a job, or null if its own claims and failures also decide. */
     static Demand of(Job job) {
       JobSpec spec = job.spec;
       return spec.oneZone() || spec.spread() || !job.failedMachines.isEmpty()
@@ -67,19 +69,19 @@
     this.cluster = cluster;
     this.rules = rules;
     this.quota = quota;
-    this.offers = new PreemptionOffers(cluster, rules);
+    this.candidates = new PreemptionCandidates(cluster, rules);
   }
 
-  /** Takes the deferrable jobs as of the last fleet plan. */
-  void deferrable(Set<Job> jobs) {
+  /** Sets the deferrable jobs, as of the last fleet plan. */
+  void setDeferrable(Set<Job> jobs) {
     deferrable = jobs;
   }
 
-  /** Makes room, in queue order, for each job of the round that still has open tasks. */
+  /** Makes room for each job of the round that still has open tasks, in queue order. */
   void makeRoom(List<QueueOrder.Entry> queue, List<Machine> usable, double now) {
-    littleOutranked.clear();
+    littleLowerPriorityWork.clear();
     unsatisfiable.clear();
-    offers.beginRound();
+    candidates.beginRound();
     for (QueueOrder.Entry entry : queue) {
       Job job = entry.job;
       if (!job.openTasks.isEmpty() && job.notBefore <= now) {
@@ -91,45 +93,47 @@
   private void makeRoom(Job job, List<Machine> usable, double now) {
     int tasks = tasksWithoutRoom(job);
     boolean guaranteed = cluster.quotas.withinGuarantee(job.spec.team(), job.taskResources);
-    if (tasks <= 0 || !(guaranteed || cluster.byPriority.hasBelow(job.priority()))) {
+    if (tasks <= 0 || !(guaranteed || cluster.byPriority.hasLowerThan(job.priority()))) {
       return;
     }
     if (cluster.admission.isStopped(job.spec.team()) || !quota.limitAllows(job)) {
       return;
     }
     if (!guaranteed && deferrable.contains(job)) {
-      // Each task of it may cost dozens of small ones their work, and two changes each.
+      // Each of its tasks could preempt dozens of small ones, at two changes of the store each.
       return;
     }
     Demand demand = Demand.of(job);
-    if (unsatisfiable.contains(demand) || (!guaranteed && sparesOutranked(job, usable, now))) {
+    if (unsatisfiable.contains(demand)
+        || (!guaranteed && sparesLowerPriorityWork(job, usable, now))) {
       return;
     }
     boolean roomMade = new RoomSearch(job, guaranteed, usable, now).preemptFor(tasks);
     if (!roomMade && demand != null) {
-      unsatisfiable.add(demand); // Others only take away what might be stopped.
+      unsatisfiable.add(demand); // Other jobs only reduce what can be preempted.
     }
   }
 
-  /** Open tasks of the job for which room should be made; none or less means no task. */
+  /** Number of open tasks for which room should be made; 0 or negative if there are none. */
   private int tasksWithoutRoom(Job job) {
-    // What only waits for a change of its record may find room already.
-    int open = job.openTasks.cardinality() - CommitReservations.awaitingCommit(cluster, job);
-    return Math.min(open, rules.mostTried(job) - job.claims.size()) - job.pendingPreemptions;
+    // A task that only waits for its record's change may find room without preemption.
+    int open = job.openTasks.cardinality() - CommitReservations.tasksAwaitingCommit(cluster, job);
+    return Math.min(open, rules.maxConcurrentClaims(job) - job.claims.size())
+        - job.pendingPreemptions;
   }
 
-  /** The search for claims to stop for one job, one task's room at a time. */
+  /** The search for claims to preempt for one job, for one task after the other. */
   private final class RoomSearch {
     private final Job job;
     private final boolean guaranteed;
     private final List<Machine> usable;
     private final double now;
 
-    /** Whether the next task keeps the job's team within its guarantee, as of the last offers. */
+    /** Whether the next task keeps the job's team within its guarantee, as of the last search. */
     private boolean withinGuarantee;
 
-    /** Cheapest first; null before the first task. */
-    private PriorityQueue<PreemptionOffers.Offer> byCost;
+    /** The candidates, cheapest first; null before the first task. */
+    private PriorityQueue<PreemptionCandidates.Candidate> candidatesByCost;
 
     private RoomSearch(Job job, boolean guaranteed, List<Machine> usable, double now) {
       this.job = job;
@@ -139,92 +143,102 @@
     }
 
     /**
-     * Stops the cheapest claims for up to this many tasks. Returns false if the machines can't make
-     * room for a single one; a quota that allows no more is no reason for that.
+     * Preempts the cheapest claims for up to this many tasks. Returns false if the machines can't
+     * make room for a single one; a quota that allows no more tasks does not count as that.
      */
     boolean preemptFor(int tasks) {
-      Resources planned = Resources.NONE;
-      for (int made = 0; made < tasks; made++) {
-        planned = planned.plus(job.taskResources);
-        if (!cluster.quotas.withinLimit(job.spec.team(), planned)) {
+      Resources plannedResources = Resources.NONE;
+      for (int tasksWithRoom = 0; tasksWithRoom < tasks; tasksWithRoom++) {
+        plannedResources = plannedResources.plus(job.taskResources);
+        if (!cluster.quotas.withinLimit(job.spec.team(), plannedResources)) {
           return true;
         }
-        refreshOffers(planned);
-        PreemptionOffers.Offer best = cheapestOffer();
+        refreshCandidates(plannedResources);
+        PreemptionCandidates.Candidate best = cheapestCandidate();
         if (best == null) {
-          return made > 0;
+          return tasksWithRoom > 0;
         }
-        stop(best.claims(), job, now);
-        PreemptionOffers.Offer next = offers.offer(job, best.machine(), withinGuarantee, now);
+        preempt(best.victims(), job, now);
+        PreemptionCandidates.Candidate next =
+            candidates.findCheapest(job, best.machine(), withinGuarantee, now);
         if (next != null) {
-          byCost.add(next);
+          candidatesByCost.add(next);
         }
       }
       return true;
     }
 
-    /** Looks at all machines for the first task, and again once the guarantee is used up. */
-    private void refreshOffers(Resources planned) {
-      boolean within = guaranteed && cluster.quotas.withinGuarantee(job.spec.team(), planned);
-      if (byCost == null || within != withinGuarantee) {
-        withinGuarantee = within;
-        byCost = offers.offers(job, usable, within, now);
+    /** Searches all machines for the first task, and again once the guarantee is used up. */
+    private void refreshCandidates(Resources planned) {
+      boolean stillWithinGuarantee =
+          guaranteed && cluster.quotas.withinGuarantee(job.spec.team(), planned);
+      if (candidatesByCost == null || stillWithinGuarantee != withinGuarantee) {
+        withinGuarantee = stillWithinGuarantee;
+        candidatesByCost = candidates.findAll(job, usable, stillWithinGuarantee, now);
       }
     }
 
-    /** Takes out and returns the cheapest offer that still stands, or null. */
-    private PreemptionOffers.Offer cheapestOffer() {
-      boolean zoned = PlacementRules.zoned(job);
-      PreemptionOffers.Offer best = null;
-      while (best == null && !byCost.isEmpty()) {
-        PreemptionOffers.Offer offer = byCost.poll();
-        if (zoned && !PlacementRules.zoneAllowed(job, offer.machine().zone)) {
+    /** Removes and returns the cheapest candidate that is still valid, or null. */
+    private PreemptionCandidates.Candidate cheapestCandidate() {
+      boolean zoneConstrained = PlacementRules.isZoneConstrained(job);
+      PreemptionCandidates.Candidate best = null;
+      while (best == null && !candidatesByCost.isEmpty()) {
+        PreemptionCandidates.Candidate candidate = candidatesByCost.poll();
+        if (zoneConstrained && !PlacementRules.isZoneAllowed(job, candidate.machine().zone)) {
           continue;
         }
-        // What others were told to give up since may have brought a team down to its guarantee.
-        best = withinGuarantee ? offers.offer(job, offer.machine(), true, now) : offer;
+        // Preemptions since then may have reduced a team to its guarantee.
+        best =
+            withinGuarantee
+                ? candidates.findCheapest(job, candidate.machine(), true, now)
+                : candidate;
       }
       return best;
     }
   }
 
   /**
-   * True if what the job outranks is so little that it is spared: on a full fleet, a swarm of small
-   * long tasks was stopped again and again, dozens for each start, got nothing done in minutes, and
-   * every stop is two more changes of the store. An array takes the next room instead.
+   * True if there is so little work of lower priority that it is not preempted for this job. On a
+   * full fleet, many small long-running tasks were preempted repeatedly, dozens for each start, and
+   * made no progress for minutes; each preemption also costs two changes of the store. An array
+   * takes the next room that is freed instead.
    */
-  private boolean sparesOutranked(Job job, List<Machine> usable, double now) {
+  private boolean sparesLowerPriorityWork(Job job, List<Machine> usable, double now) {
     return !job.spec.isService()
-        && !QueueOrder.starved(job, now)
-        && littleOutranked.computeIfAbsent(job.priority(), p -> littleOutranked(p, usable));
+        && !QueueOrder.isStarved(job, now)
+        && littleLowerPriorityWork.computeIfAbsent(
+            job.priority(), priority -> littleLowerPriorityWork(priority, usable));
   }
 
-  private boolean littleOutranked(Priority priority, List<Machine> usable) {
+  private boolean littleLowerPriorityWork(Priority priority, List<Machine> usable) {
     double fleetCpus = 0;
     for (Machine machine : usable) {
       fleetCpus += machine.capacity.cpus();
     }
-    double outrankedCpus = 0;
+    double lowerPriorityCpus = 0;
     for (Job other : cluster.jobs.values()) {
-      if (priority.beats(other.priority())) {
-        outrankedCpus += other.claims.size() * other.spec.cpus();
+      if (priority.isHigherThan(other.priority())) {
+        lowerPriorityCpus += other.claims.size() * other.spec.cpus();
       }
     }
     cluster.examinedCount += usable.size();
-    return outrankedCpus <= fleetCpus * SPARED_SHARE;
+    return lowerPriorityCpus <= fleetCpus * SPARED_FLEET_SHARE;
   }
 
-  /** Stops the claims to make room for one task of the job; the first counts as made for it. */
-  private void stop(List<Claim> claims, Job job, double now) {
+  /**
+   * Preempts the claims to make room for one task of the job; the first claim counts as the
+   * preemption for it.
+   */
+  private void preempt(List<Claim> claims, Job job, double now) {
     Double startObjectiveS = cluster.policy.startObjectivesS().get(job.spec.jobClass());
     boolean first = true;
     for (Claim claim : claims) {
       boolean noTimeToSave =
-          job.priority().beats(claim.priority)
+          job.priority().isHigherThan(claim.priority)
               && startObjectiveS != null
               && startObjectiveS < claim.job.spec.saveS() + RESTART_S;
       cluster.requestStop(claim, now);
-      offers.stopped(claim);
+      candidates.onStopRequested(claim);
       claim.stopWithoutGrace = noTimeToSave;
       if (first) {
         claim.preemptedFor = job;
--- a/src/main/java/graderelay/core/Priority.java
+++ b/src/main/java/graderelay/core/Priority.java
@@ -1,14 +1,14 @@
 package graderelay.core;
 
-/** How urgent a job is; the declared order is the order of preference. */
+/** The priority of a job; declared from highest to lowest. */
 public enum Priority {
   PROD,
   URGENT,
   NORMAL,
   LOW;
 
-  /** True if work of this priority may preempt work of the other one. */
-  public boolean beats(Priority other) {
+  /** True if this priority is higher, so that work of it may preempt work of the other priority. */
+  public boolean isHigherThan(Priority other) {
     return compareTo(other) < 0;
   }
 }
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -5,13 +5,14 @@
 import java.util.Map;
 
 /**
- * The quota side of a placement round: whether a team's limit has room for one more task, with room
- * reserved for the first task of a starved job below the stored limit, and why not.
+ * Quota checks of a placement round: whether a team's limit allows one more task, and the wait
+ * reason if it does not. For the first task of a starved job, room is reserved below the stored
+ * limit.
  */
 final class QuotaGate {
   private final ClusterState cluster;
 
-  /** By team, the starved job for whose first task room is reserved below the team's limit. */
+  /** The starved job of each team for whose first task room is reserved below the team's limit. */
   private final Map<String, Job> reservedFor = new HashMap<>();
 
   QuotaGate(ClusterState cluster) {
@@ -19,9 +20,9 @@
   }
 
   /**
-   * Chooses, once a round, the job of each team for which room is reserved. A job as large as its
-   * team's limit would never begin beside a stream of small ones, each of which takes what the last
-   * one released.
+   * Chooses the job of each team for which room is reserved; to be called once a round. A job with
+   * tasks as large as its team's limit would never start beside a stream of small jobs, each of
+   * which takes the room that the last one released.
    */
   void reserveForStarvedJobs(double now) {
     reservedFor.clear();
@@ -29,33 +30,33 @@
       return;
     }
     for (Job job : cluster.jobs.values()) {
-      if (job.waiting()
-          && QueueOrder.starved(job, now)
+      if (job.isWaiting()
+          && QueueOrder.isStarved(job, now)
           && cluster.admission.allows(job.spec.team(), job.taskAmount)) {
-        reservedFor.merge(job.spec.team(), job, QuotaGate::goesBefore);
+        reservedFor.merge(job.spec.team(), job, QuotaGate::firstInQueue);
       }
     }
   }
 
-  /** The one of two jobs that the queue puts first: by priority, then by age. */
-  private static Job goesBefore(Job one, Job other) {
+  /** The job that is first in the queue, by priority and then by age. */
+  private static Job firstInQueue(Job one, Job other) {
     int byPriority = one.priority().compareTo(other.priority());
     boolean oneFirst = byPriority != 0 ? byPriority < 0 : one.eligibleSince <= other.eligibleSince;
     return oneFirst ? one : other;
   }
 
-  /** True if the team's limit has room for one more task beside what is reserved. */
+  /** True if the team's limit allows one more task of the job beside the reserved room. */
   boolean limitAllows(Job job) {
     Job starved = reservedFor.get(job.spec.team());
-    boolean reserves =
-        starved != null && starved != job && !job.priority().beats(starved.priority());
+    boolean reservesRoom =
+        starved != null && starved != job && !job.priority().isHigherThan(starved.priority());
     return cluster.quotas.withinLimit(
         job.spec.team(),
-        reserves ? job.taskResources.plus(starved.taskResources) : job.taskResources);
+        reservesRoom ? job.taskResources.plus(starved.taskResources) : job.taskResources);
   }
 
-  /** The wait reason for a job that {@link #limitAllows} refused. */
-  String limitReason(Job job) {
+  /** The wait reason of a job for which {@link #limitAllows} was false. */
+  String limitWaitReason(Job job) {
     String team = job.spec.team();
     if (!cluster.admission.allows(team, job.taskAmount)) {
       return "a task needs "
@@ -67,8 +68,8 @@
     return "team " + team + " is at its limit";
   }
 
-  /** True if nothing of the job's team may be claimed at the moment; sets its wait reason. */
-  boolean obstructed(Job job) {
+  /** True if no task of the job's team may be claimed at the moment; sets the job's wait reason. */
+  boolean isAdmissionBlocked(Job job) {
     AdmissionRefusal refusal = cluster.admission.refusal(job.spec.team());
     if (refusal == null) {
       return false;
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Takes in the stored quotas (limits and accounts) for {@link Scheduler}; while none are stored,
- * the guarantees and limits of the settings count.
+ * Applies stored quotas (limits and accounts) for {@link Scheduler}. While none are stored, the
+ * guarantees and limits of the settings apply.
  */
 final class QuotaUpdates {
   private final ClusterState cluster;
   private final StoredRecords records;
 
-  /** Guarantees and limits of the settings, which count while none are stored. */
+  /** Guarantees and limits of the settings, which apply while none are stored. */
   private final List<Team> settingsTeams;
 
   QuotaUpdates(ClusterState cluster, StoredRecords records, List<Team> settingsTeams) {
@@ -23,8 +23,10 @@
   }
 
   /**
-   * The stored limits and accounts, or null while they are switched off; to be called after the
-   * task batches of the same store update were taken in.
+   * Applies the stored limits and accounts. To be called after the task batches of the same store
+   * update were applied.
+   *
+   * @param stored limits and accounts, or null while stored limits are switched off
    */
   void onQuota(StoredQuota stored) {
     cluster.roundNeeded = true;
@@ -57,14 +59,14 @@
     return teams;
   }
 
-  /** Adds an action for each account that was found to differ from its committed claims. */
+  /** Adds an action for each account that differs from its team's committed claims. */
   void addDiscrepancies() {
     for (AccountDiscrepancy discrepancy : cluster.admission.takeDiscrepancies()) {
       cluster.actions.add(new Action.DifferenceFound(discrepancy));
     }
   }
 
-  /** An operator has a team's account rewritten from its committed claims. */
+  /** Rewrites a team's account from its committed claims, at an operator's request. */
   void replaceAccount(String team) {
     cluster.admission.replaceAccount(team);
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -23,7 +23,7 @@
    *
    * @param spare whether they stand for spare room, not for work that waits
    */
-  private record TaskGroup(JobSpec spec, int tasks, ZoneRoom zones, boolean spare) {}
+  private record TaskGroup(JobSpec spec, int tasks, ZoneTaskLimit zones, boolean spare) {}
 
   private final ClusterState cluster;
   private final Deadlines deadlines;
@@ -73,7 +73,7 @@
     for (boolean services : SERVICES_FIRST) {
       for (Job job : waiting) {
         if (job.spec.isService() == services) {
-          ZoneRoom zones = ZoneRoom.of(job);
+          ZoneTaskLimit zones = ZoneTaskLimit.of(job);
           packGroup(
               new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareRoomMachines);
         }
@@ -82,7 +82,7 @@
         JobSpec spec = spare.getKey();
         int tasks = spare.getValue();
         if (spec.isService() == services) {
-          ZoneRoom zones = ZoneRoom.ofSpareRoom(spec, tasks);
+          ZoneTaskLimit zones = ZoneTaskLimit.ofSpareRoom(spec, tasks);
           packGroup(new TaskGroup(spec, tasks, zones, true), spareRoomMachines);
         }
       }
@@ -93,7 +93,7 @@
   private List<Job> waitingJobs() {
     List<Job> waiting = new ArrayList<>();
     for (Job job : cluster.jobs.values()) {
-      if (job.waiting() && !job.suspect) {
+      if (job.isWaiting() && !job.suspect) {
         waiting.add(job);
       }
     }
@@ -113,7 +113,7 @@
     for (JobSpec spec : spare) {
       leastCpus = Math.min(leastCpus, spec.cpus());
     }
-    double smallest = leastCpus - Resources.SLACK;
+    double smallest = leastCpus - Resources.ROUNDING_TOLERANCE;
     bins.removeIf(bin -> bin.tooFullFor(smallest));
   }
 
@@ -125,11 +125,12 @@
     JobSpec spec = job.spec;
     Team team = cluster.policy.team(spec.team());
     int open = job.openTasks.cardinality();
-    if (team == null || team.cpusMax() <= 0 || spec.cpus() <= 0) {
+    if (team == null || team.cpuLimit() <= 0 || spec.cpus() <= 0) {
       return open;
     }
     double left = limitLeft.computeIfAbsent(spec.team(), cluster.quotas::cpusLeft);
-    int tasks = (int) Math.max(0, Math.min(open, (left + Resources.SLACK) / spec.cpus()));
+    int tasks =
+        (int) Math.max(0, Math.min(open, (left + Resources.ROUNDING_TOLERANCE) / spec.cpus()));
     limitLeft.put(spec.team(), left - tasks * spec.cpus());
     return tasks;
   }
@@ -176,8 +177,8 @@
   private static int packInto(PackingBin bin, TaskGroup group, int most) {
     int tasks = Math.min(most, bin.room(group.spec()));
     if (tasks > 0) {
-      tasks = Math.min(tasks, group.zones().left(bin.pool.zone()));
-      group.zones().take(bin.pool.zone(), tasks);
+      tasks = Math.min(tasks, group.zones().remaining(bin.pool.zone()));
+      group.zones().add(bin.pool.zone(), tasks);
     }
     bin.take(group.spec(), tasks);
     return tasks;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -47,7 +47,7 @@
     cluster.leaderSince = now;
     cluster.delegates =
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
-    cluster.dependencies = new Dependencies(cluster, planner::estimate);
+    cluster.dependencies = new DependencyGraph(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
     this.workers = WorkerTasks.create(cluster, records);
     DeletedMachines deleted = new DeletedMachines();
--- a/src/main/java/graderelay/core/SchedulerLimits.java
+++ b/src/main/java/graderelay/core/SchedulerLimits.java
@@ -1,34 +1,40 @@
 package graderelay.core;
 
-/** Limits and periods of the scheduling core that other packages and the tests refer to. */
+/** Limits and intervals of the scheduling core that other packages and tests refer to. */
 public final class SchedulerLimits {
-  /** Seconds between rounds at least, so that a burst of events is placed together. */
-  public static final double ROUND_EVERY_S = 0.01;
+  /** Minimum time between scheduling rounds, so that the events of a burst are handled together. */
+  public static final double MIN_ROUND_INTERVAL_S = 0.01;
 
   /**
-   * Seconds after its submission from which a job that has never begun goes before all others of
-   * its priority. Users want the largest to begin within four minutes; this leaves time to make
-   * room and to scale out.
+   * Time after which a job that has never started is placed before all others of its priority. The
+   * objective is that even the largest jobs start within four minutes; this leaves time to preempt
+   * and to scale out.
    */
-  public static final double WAITING_WINS_S = 75;
+  public static final double STARVATION_THRESHOLD_S = 75;
 
   /**
-   * Tasks on one machine: its heartbeat names all of them, with as many more that have exited, at
-   * some 75 bytes each, and a heartbeat of more than 64 KiB can't be taken from it any more.
+   * Maximum number of tasks on one machine. Its heartbeat lists all of them, and as many that have
+   * exited, at about 75 bytes each, and a heartbeat of more than 64 KiB is rejected.
    */
-  public static final int MOST_ON_MACHINE = 400;
+  public static final int MAX_TASKS_PER_MACHINE = 400;
 
   /**
-   * Records that share the images of each thousand machines: some 30 bytes a machine, so that they
-   * fit values of 2 KiB.
+   * Number of records over which the image lists of each thousand machines are distributed: at
+   * about 30 bytes a machine, each record then fits a value of 2 KiB.
    */
-  public static final int IMAGE_PARTS_PER_THOUSAND = 24;
+  public static final int IMAGE_RECORDS_PER_THOUSAND_MACHINES = 24;
 
-  /** Conditions that a transaction may have for each of its changes; a limit of the protocol. */
-  public static final int CONDITIONS_PER_OP = 4;
+  /**
+   * Maximum number of conditions in a transaction for each of its changes; a limit of the store's
+   * protocol.
+   */
+  public static final int MAX_CONDITIONS_PER_CHANGE = 4;
 
-  /** Commands in one message to a worker, a batch, so that its line stays well below 64 KiB. */
-  public static final int MOST_ORDERS = 400;
+  /**
+   * Maximum number of commands in one message to a worker, so that the message stays well below 64
+   * KiB.
+   */
+  public static final int MAX_COMMANDS_PER_MESSAGE = 400;
 
   private SchedulerLimits() {}
 }
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What only the passing of time sets off for {@link Scheduler} (lease expiry, probes, fleet plans,
- * account checks), and the scheduling round: place claims, then write them by compare-and-swap.
+ * Runs the periodic work of {@link Scheduler} (lease expiry, probes, fleet plans, account checks)
+ * and the scheduling rounds, each of which places claims and then writes them by compare-and-swap.
  */
 final class SchedulingRounds {
-  /** Seconds between rounds at most, for what only time changes. */
-  private static final double ROUND_AT_LEAST_EVERY_S = 0.5;
+  /** Maximum time between scheduling rounds, since some conditions change with time alone. */
+  private static final double MAX_ROUND_INTERVAL_S = 0.5;
 
-  /** Seconds between plans of the fleet; a machine takes many times this to boot. */
-  private static final double PLAN_EVERY_S = 1.0;
+  /** Time between fleet plans; a machine takes many times this to boot. */
+  private static final double PLAN_INTERVAL_S = 1.0;
 
-  /** Seconds between comparisons of the accounts with the committed claims. */
-  private static final double ACCOUNT_CHECK_EVERY_S = 1;
+  /** Time between comparisons of the teams' accounts with the committed claims. */
+  private static final double ACCOUNT_CHECK_INTERVAL_S = 1;
 
   private final ClusterState cluster;
   private final PlacementRound placement;
@@ -26,9 +26,9 @@
   private final MachineEvents machineEvents;
   private final QuotaUpdates quota;
 
-  private double lastAccountCheck = Double.NEGATIVE_INFINITY;
-  private double lastRound = Double.NEGATIVE_INFINITY;
-  private double lastPlan = Double.NEGATIVE_INFINITY;
+  private double lastAccountCheckAt = Double.NEGATIVE_INFINITY;
+  private double lastRoundAt = Double.NEGATIVE_INFINITY;
+  private double lastPlanAt = Double.NEGATIVE_INFINITY;
 
   SchedulingRounds(
       ClusterState cluster,
@@ -51,62 +51,68 @@
     this.quota = quota;
   }
 
-  /** Looks at everything that only the passing of time changes. */
+  /** Runs everything that depends on time, then a scheduling round if one is due. */
   void tick(double now) {
     proofs.expireLeases(now);
     workers.probes().probe(now);
     workers.fencing().raiseTermIfBlocked(now);
     workers.stops().repeatCancellations(now);
-    askForEnds(now);
+    requestFinalRecords(now);
     planIfDue(now);
-    if (now - lastAccountCheck >= ACCOUNT_CHECK_EVERY_S) {
-      lastAccountCheck = now;
+    if (now - lastAccountCheckAt >= ACCOUNT_CHECK_INTERVAL_S) {
+      lastAccountCheckAt = now;
       cluster.admission.check();
     }
-    if (now - lastRound >= ROUND_AT_LEAST_EVERY_S) {
+    if (now - lastRoundAt >= MAX_ROUND_INTERVAL_S) {
       cluster.roundNeeded = true;
     }
     step(now);
     quota.addDiscrepancies();
   }
 
-  /** Asks the store for the final records of DAG dependencies whose end is not known yet. */
-  private void askForEnds(double now) {
-    List<String> find = cluster.dependencies.finalRecordsToFetch(now);
-    if (!find.isEmpty()) {
-      cluster.actions.add(new Action.FindEnds(find));
+  /** Requests the final records of dependencies that are not known to have ended. */
+  private void requestFinalRecords(double now) {
+    List<String> jobIds = cluster.dependencies.finalRecordsToFetch(now);
+    if (!jobIds.isEmpty()) {
+      cluster.actions.add(new Action.FindEnds(jobIds));
     }
   }
 
-  /** Plans the fleet (scale out and in) once a plan period has passed, and tells the placement. */
+  /**
+   * Plans scale-out and scale-in once the plan interval has passed, and passes the results that
+   * placement uses to it.
+   */
   private void planIfDue(double now) {
-    if (now - lastPlan >= PLAN_EVERY_S && !cluster.loading) {
-      lastPlan = now;
+    if (now - lastPlanAt >= PLAN_INTERVAL_S && !cluster.loading) {
+      lastPlanAt = now;
       cluster.dependencies.updateUrgency(now);
       planner.plan(now);
-      placement.planned(planner.yieldingToTeammates(), planner.deferrable());
+      placement.onFleetPlan(planner.yieldingToTeammates(), planner.deferrable());
     }
   }
 
-  /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
+  /**
+   * Runs a scheduling round if anything changed. Returns the seconds after which it should be
+   * called again.
+   */
   double step(double now) {
     workers.launches().launchCommitted(now);
     if (!cluster.roundNeeded || cluster.loading) {
-      return ROUND_AT_LEAST_EVERY_S;
+      return MAX_ROUND_INTERVAL_S;
     }
-    double wait = lastRound + SchedulerLimits.ROUND_EVERY_S - now;
-    if (wait > 0) {
-      return wait;
+    double waitS = lastRoundAt + SchedulerLimits.MIN_ROUND_INTERVAL_S - now;
+    if (waitS > 0) {
+      return waitS;
     }
     cluster.roundNeeded = false;
-    lastRound = now;
+    lastRoundAt = now;
     machineEvents.forgetMachines();
-    boolean pause = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
-    List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
+    boolean claimsPaused = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
+    List<Claim> claims = claimsPaused ? List.of() : placement.placeTasks(writer.changesLeft(), now);
     workers.stops().stopRequestedClaims(now);
     writer.write(claims, now);
     jobEnds.endJobs();
     workers.launches().launchCommitted(now);
-    return ROUND_AT_LEAST_EVERY_S;
+    return MAX_ROUND_INTERVAL_S;
   }
 }
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -6,26 +6,29 @@
 import java.util.Map;
 
 /**
- * Moves services off closing machines, a few at a time, to where there is room and their image: a
- * replica is asked to stop, and placement starts it again elsewhere.
+ * Moves services off machines that are being consolidated, a few at a time, to machines with room
+ * and their image: a replica is requested to stop, and placement starts it again elsewhere.
  */
 final class ServiceMoves {
-  /** Share of a machine up to which services are moved off it. */
-  private static final double MOST_SERVICE_SHARE = 0.5;
+  /** Share of a machine's CPUs that services may use for them to be moved off it. */
+  private static final double MAX_SERVICE_CPU_SHARE = 0.5;
 
-  /** Seconds between moves of replicas, each of which is away for a moment. */
-  private static final double MOVE_EVERY_S = 2;
+  /** Minimum time between moves, each of which makes a replica unavailable for a moment. */
+  private static final double MOVE_INTERVAL_S = 2;
 
   private final ClusterState cluster;
-  private double lastMove = Double.NEGATIVE_INFINITY;
+  private double lastMoveAt = Double.NEGATIVE_INFINITY;
 
   ServiceMoves(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** True if the machine's services fit on the other on-demand machines that stay. */
+  /**
+   * True if the machine's services fit on the other on-demand machines that are not being
+   * consolidated.
+   */
   boolean canMoveServicesOff(Machine machine, List<Machine> onDemand, double now) {
-    if (machine.serviceResources.cpus() > MOST_SERVICE_SHARE * machine.capacity.cpus()) {
+    if (machine.serviceResources.cpus() > MAX_SERVICE_CPU_SHARE * machine.capacity.cpus()) {
       return false;
     }
     Map<Machine, Resources> free = new LinkedHashMap<>();
@@ -51,7 +54,7 @@
 
   private static Machine firstWithRoom(Claim claim, Map<Machine, Resources> free) {
     for (var entry : free.entrySet()) {
-      if (entry.getValue().holds(claim.resources()) && suits(claim, entry.getKey())) {
+      if (entry.getValue().holds(claim.resources()) && canRunOn(claim, entry.getKey())) {
         return entry.getKey();
       }
     }
@@ -59,10 +62,10 @@
   }
 
   /**
-   * True if the service may be moved to the target. Services with rules on zones stay where they
-   * are, since moves of some of them are delicate.
+   * True if the service may be moved to the target. Services with zone constraints are not moved,
+   * since moving single replicas could violate the constraint.
    */
-  private static boolean suits(Claim claim, Machine target) {
+  private static boolean canRunOn(Claim claim, Machine target) {
     JobSpec spec = claim.job.spec;
     return target.hasImage(spec.image())
         && (spec.types() == null || spec.types().contains(target.type))
@@ -71,12 +74,15 @@
         && (!spec.spread() || spec.tasks() == 1);
   }
 
-  /** Asks at most so many settled services on closing machines to stop, where room waits. */
-  void moveOffClosing(List<Machine> onDemand, int most, double now) {
-    if (now - lastMove < MOVE_EVERY_S) {
+  /**
+   * Requests the stop of up to this many services on machines that are being consolidated, each
+   * only if another machine has room for it.
+   */
+  void moveOffConsolidatingMachines(List<Machine> onDemand, int maxMoves, double now) {
+    if (now - lastMoveAt < MOVE_INTERVAL_S) {
       return;
     }
-    int left = most;
+    int movesLeft = maxMoves;
     Map<Machine, Resources> planned = new HashMap<>();
     for (Machine machine : onDemand) {
       if (!machine.consolidating) {
@@ -84,23 +90,23 @@
       }
       for (Claim claim : machine.claims.values()) {
         Machine target =
-            settled(claim, now) ? target(claim, machine, onDemand, planned, now) : null;
+            hasSettled(claim, now) ? moveTarget(claim, machine, onDemand, planned, now) : null;
         if (target == null) {
           continue;
         }
         cluster.requestStop(claim, now);
-        lastMove = now;
+        lastMoveAt = now;
         planned.merge(target, claim.resources(), Resources::plus);
         cluster.log("move " + claim.taskId() + " off " + machine.name);
-        if (--left <= 0) {
+        if (--movesLeft <= 0) {
           return;
         }
       }
     }
   }
 
-  /** True for a service that has run for a while and was not asked to stop. */
-  private static boolean settled(Claim claim, double now) {
+  /** True for a service that has run for a while and was not requested to stop. */
+  private static boolean hasSettled(Claim claim, double now) {
     return claim.phase == Claim.Phase.COMMITTED
         && !claim.stopRequested
         && claim.job.spec.isService()
@@ -109,11 +115,11 @@
   }
 
   /**
-   * The first machine that takes the service, or null.
+   * The first machine that has room for the service, or null.
    *
-   * @param planned what the moves of this plan so far will take on each machine
+   * @param planned resources that the moves of this plan so far will take on each machine
    */
-  private Machine target(
+  private Machine moveTarget(
       Claim claim,
       Machine from,
       List<Machine> onDemand,
@@ -123,16 +129,16 @@
       if (target != from
           && !target.consolidating
           && target.holds(claim.resources())
-          && suits(claim, target)
+          && canRunOn(claim, target)
           && MachineAvailability.isAvailable(cluster, target, now)
-          && freeBeside(planned, target).holds(claim.resources())) {
+          && freeAfterMoves(planned, target).holds(claim.resources())) {
         return target;
       }
     }
     return null;
   }
 
-  private static Resources freeBeside(Map<Machine, Resources> planned, Machine machine) {
+  private static Resources freeAfterMoves(Map<Machine, Resources> planned, Machine machine) {
     return machine.free().minus(planned.getOrDefault(machine, Resources.NONE));
   }
 }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -144,7 +144,7 @@
     }
     cluster.jobs.remove(job.spec.id());
     cluster.admission.committed().removeJob(job.spec.id());
-    cluster.dependencies.removed(job);
+    cluster.dependencies.remove(job);
     cluster.cancelledJobs.remove(job);
     cluster.maybeEndedJobs.remove(job);
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/Team.java
+++ b/src/main/java/graderelay/core/Team.java
@@ -4,23 +4,26 @@
 import graderelay.quota.TeamQuota;
 
 /**
- * A team's quota; 0 means none.
+ * A team's guarantee and limit; 0 means that there is none.
  *
- * @param cpus guaranteed CPUs
- * @param cpusMax the limit of CPUs
- * @param gpus guaranteed GPUs
- * @param gpusMax the limit of GPUs
+ * @param name the team's name
+ * @param cpuGuarantee guaranteed CPUs
+ * @param cpuLimit limit of CPUs
+ * @param gpuGuarantee guaranteed GPUs
+ * @param gpuLimit limit of GPUs
  */
-public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-  /** The team with a stored quota. */
+public record Team(
+    String name, double cpuGuarantee, double cpuLimit, double gpuGuarantee, double gpuLimit) {
+  /** Creates a team from its stored quota. */
   public static Team of(String name, TeamQuota quota) {
     Amount guarantee = quota.guarantee();
     Amount limit = quota.limit();
     return new Team(name, guarantee.cpus(), limit.cpus(), guarantee.gpus(), limit.gpus());
   }
 
-  /** Its guarantee and limit as they are stored. */
+  /** The guarantee and limit in the form in which they are stored. */
   public TeamQuota quota() {
-    return new TeamQuota(Amount.granted(cpus, gpus), Amount.granted(cpusMax, gpusMax));
+    return new TeamQuota(
+        Amount.granted(cpuGuarantee, gpuGuarantee), Amount.granted(cpuLimit, gpuLimit));
   }
 }
--- a/src/main/java/graderelay/core/TeamQuotas.java
+++ b/src/main/java/graderelay/core/TeamQuotas.java
@@ -4,41 +4,40 @@
 import java.util.Map;
 
 /**
- * What the claims of each team take together, and how that stands to the team's guarantee and
- * limit. Claims are counted, not heartbeats, so that a task counts from before its launch until its
- * end is proven.
+ * Resource usage of each team, compared with its guarantee and limit. Usage counts claims and not
+ * the tasks that heartbeats show, so a task counts from before its launch until its end is proven.
  */
 final class TeamQuotas {
   private final ClusterState cluster;
-  private final Map<String, Resources> used = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
 
   TeamQuotas(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** Counts a claim's resources for its team. */
+  /** Adds a claim's resources to its team's usage. */
   void allocate(String team, Resources resources) {
-    used.merge(team, resources, Resources::plus);
+    usageByTeam.merge(team, resources, Resources::plus);
   }
 
-  /** Takes a claim's resources out of its team's sum. */
+  /** Subtracts a claim's resources from its team's usage. */
   void release(String team, Resources resources) {
-    used.merge(team, Resources.NONE.minus(resources), Resources::plus);
+    usageByTeam.merge(team, Resources.NONE.minus(resources), Resources::plus);
   }
 
-  /** What the team's claims take. */
+  /** The resources that the team's claims take. */
   Resources usage(String team) {
-    return used.getOrDefault(team, Resources.NONE);
+    return usageByTeam.getOrDefault(team, Resources.NONE);
   }
 
-  /** A copy of what the claims of every team take. */
+  /** A copy of the usage of every team. */
   Map<String, Resources> usageByTeam() {
-    return Map.copyOf(used);
+    return Map.copyOf(usageByTeam);
   }
 
-  /** True if one more task of this size keeps the team within its limit. */
+  /** True if the team stays within its limit with these additional resources. */
   boolean withinLimit(String team, Resources extra) {
-    // Asked for each task that is placed: without stored limits it costs nothing.
+    // Called for each task that is placed, so the stored limits are skipped if there are none.
     if (cluster.admission.enabled() && !cluster.admission.fits(team, extra.amount())) {
       return false;
     }
@@ -46,41 +45,45 @@
     if (quota == null) {
       return true;
     }
-    Resources then = usage(team).plus(extra);
-    return (quota.cpusMax() <= 0 || then.cpus() <= quota.cpusMax() + Resources.SLACK)
-        && (quota.gpusMax() <= 0 || then.gpus() <= quota.gpusMax() + Resources.SLACK);
+    Resources total = usage(team).plus(extra);
+    return (quota.cpuLimit() <= 0
+            || total.cpus() <= quota.cpuLimit() + Resources.ROUNDING_TOLERANCE)
+        && (quota.gpuLimit() <= 0
+            || total.gpus() <= quota.gpuLimit() + Resources.ROUNDING_TOLERANCE);
   }
 
-  /** CPUs that the team's limit leaves beside its claims; without a limit, any number. */
+  /**
+   * CPUs that the team may still claim below its limit; {@code Double.MAX_VALUE} without a limit.
+   */
   double cpusLeft(String team) {
     if (cluster.admission.isStopped(team)) {
       return 0;
     }
     Team quota = cluster.policy.team(team);
-    return quota == null || quota.cpusMax() <= 0
+    return quota == null || quota.cpuLimit() <= 0
         ? Double.MAX_VALUE
-        : quota.cpusMax() - usage(team).cpus();
+        : quota.cpuLimit() - usage(team).cpus();
   }
 
-  /** True if this much more work of the team stays within its guarantee. */
+  /** True if the team stays within its guarantee with these additional resources. */
   boolean withinGuarantee(String team, Resources extra) {
     Team quota = cluster.policy.team(team);
-    if (quota == null || (quota.cpus() <= 0 && quota.gpus() <= 0)) {
+    if (quota == null || (quota.cpuGuarantee() <= 0 && quota.gpuGuarantee() <= 0)) {
       return false;
     }
-    Resources then = usage(team).plus(extra);
-    return then.cpus() <= quota.cpus() + Resources.SLACK
-        && then.gpus() <= quota.gpus() + Resources.SLACK;
+    Resources total = usage(team).plus(extra);
+    return total.cpus() <= quota.cpuGuarantee() + Resources.ROUNDING_TOLERANCE
+        && total.gpus() <= quota.gpuGuarantee() + Resources.ROUNDING_TOLERANCE;
   }
 
-  /** True if the team would still use at least its guarantee without this part of its claims. */
-  boolean beyondGuarantee(String team, Resources part) {
+  /** True if the team would still use at least its guarantee after losing these resources. */
+  boolean beyondGuarantee(String team, Resources lost) {
     Team quota = cluster.policy.team(team);
     if (quota == null) {
       return true;
     }
-    Resources then = usage(team).minus(part);
-    return then.cpus() + Resources.SLACK >= quota.cpus()
-        && then.gpus() + Resources.SLACK >= quota.gpus();
+    Resources remaining = usage(team).minus(lost);
+    return remaining.cpus() + Resources.ROUNDING_TOLERANCE >= quota.cpuGuarantee()
+        && remaining.gpus() + Resources.ROUNDING_TOLERANCE >= quota.gpuGuarantee();
   }
 }
--- a/src/main/java/graderelay/core/TeammateYielding.java
+++ b/src/main/java/graderelay/core/TeammateYielding.java
@@ -10,22 +10,28 @@
 import java.util.Set;
 
 /**
- * Which jobs yield to others of their team, so that as few as possible are late: where a team's
- * limit or the fleet can't do everything in time, running by deadline alone makes one job late
- * after the other. By deadline, whenever the sum is too long, the longest yields.
+ * Chooses the jobs that yield to other jobs of their team, so that as few jobs as possible are
+ * late. Where a team's limit or the fleet can't complete all work in time, running it by deadline
+ * alone makes one job late after the other. Jobs are therefore added by deadline, and whenever
+ * their total work takes too long, the one with the most work yields, as in the Moore-Hodgson
+ * algorithm.
  */
 final class TeammateYielding {
-  /** Spans from acceptance to due time by which a job may be late before it stops yielding. */
-  private static final double OVERDUE_SPANS = 2;
+  /**
+   * A job stops yielding once it is late by this many times the time from its acceptance to its due
+   * time.
+   */
+  private static final double YIELDING_END_FACTOR = 2;
 
   /**
-   * What one job with a deadline still has to do.
+   * Remaining work of one job with a deadline.
    *
-   * @param due seconds on the leader's clock at which it should be done
+   * @param job the job
+   * @param dueAt when it should be done, in seconds on the leader's clock
    * @param work CPU seconds
-   * @param estimate expected run time of one task, in seconds
+   * @param estimateS expected run time of one task, in seconds
    */
-  private record RemainingJob(Job job, double due, double work, double estimate) {}
+  private record RemainingJob(Job job, double dueAt, double work, double estimateS) {}
 
   private final ClusterState cluster;
   private final Deadlines deadlines;
@@ -38,13 +44,13 @@
   }
 
   /**
-   * The jobs that yield on a fleet with so many CPUs for arrays; a team has at most those and what
-   * its limit leaves.
+   * The jobs that yield on a fleet with this many CPUs for arrays. A team gets at most those, and
+   * at most what its limit leaves for arrays.
    */
-  Set<Job> yielding(double fleetCpus, double now) {
+  Set<Job> yieldingJobs(double fleetCpus, double now) {
     Set<Job> yielding = new HashSet<>();
     for (var teamJobs : remainingByTeam(now).entrySet()) {
-      double teamCpus = Math.min(fleetCpus, deadlines.limitLeftForArrays(teamJobs.getKey()));
+      double teamCpus = Math.min(fleetCpus, deadlines.limitCpusLeftForArrays(teamJobs.getKey()));
       if (teamCpus > 0) {
         addYielding(teamJobs.getValue(), teamCpus, now, yielding);
       }
@@ -56,7 +62,7 @@
     Map<String, List<RemainingJob>> byTeam = new HashMap<>();
     for (Job job : cluster.jobs.values()) {
       if (mayYield(job)) {
-        byTeam.computeIfAbsent(job.spec.team(), t -> new ArrayList<>()).add(remaining(job, now));
+        byTeam.computeIfAbsent(job.spec.team(), t -> new ArrayList<>()).add(remainingJob(job, now));
       }
     }
     return byTeam;
@@ -64,34 +70,34 @@
 
   private static boolean mayYield(Job job) {
     return !job.spec.isService()
-        && job.hasDue()
+        && job.hasDueTime()
         && !job.cancelRequested
         && !job.suspect
-        && !job.complete()
+        && !job.isComplete()
         && !job.awaitsDependencies();
   }
 
-  private RemainingJob remaining(Job job, double now) {
-    double estimate = estimates.estimate(job.spec);
-    double due = job.dueAt() - Deadlines.DEADLINE_MARGIN_S;
-    return new RemainingJob(job, due, Deadlines.remainingWork(job, estimate, now), estimate);
+  private RemainingJob remainingJob(Job job, double now) {
+    double estimateS = estimates.estimate(job.spec);
+    double dueAt = job.dueAt() - Deadlines.DEADLINE_MARGIN_S;
+    return new RemainingJob(job, dueAt, Deadlines.remainingWork(job, estimateS, now), estimateS);
   }
 
-  /** Adds the jobs of one team that yield while it has so many CPUs. */
+  /** Adds the jobs of one team that yield if it has this many CPUs. */
   private static void addYielding(
       List<RemainingJob> jobs, double cpus, double now, Set<Job> yielding) {
-    jobs.sort(Comparator.comparingDouble(RemainingJob::due));
-    PriorityQueue<RemainingJob> taken =
+    jobs.sort(Comparator.comparingDouble(RemainingJob::dueAt));
+    PriorityQueue<RemainingJob> selected =
         new PriorityQueue<>(Comparator.comparingDouble((RemainingJob r) -> -r.work()));
     double work = 0;
     for (RemainingJob next : jobs) {
       if (yieldedLongEnough(next, now)) {
-        continue; // It goes first now.
+        continue; // It yields no longer.
       }
-      taken.add(next);
+      selected.add(next);
       work += next.work();
-      while (!taken.isEmpty() && now + work / cpus + next.estimate() * 0.5 > next.due()) {
-        RemainingJob longest = taken.poll();
+      while (!selected.isEmpty() && now + work / cpus + next.estimateS() * 0.5 > next.dueAt()) {
+        RemainingJob longest = selected.poll();
         work -= longest.work();
         yielding.add(longest.job());
         if (longest == next) {
@@ -103,6 +109,6 @@
 
   private static boolean yieldedLongEnough(RemainingJob remaining, double now) {
     double span = remaining.job().dueAt() - remaining.job().acceptedAt;
-    return now > remaining.due() + OVERDUE_SPANS * span;
+    return now > remaining.dueAt() + YIELDING_END_FACTOR * span;
   }
 }
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -86,7 +86,7 @@
     int raisesThen = raises.size() + (raise ? 1 : 0);
     int conditions = CONDITIONS_EACH * (taskBatchesThen + teamsThen) + OTHER_CONDITIONS;
     return taskBatchesThen + raisesThen <= mostChanges
-        && (teamsThen == 0 || conditions <= mostChanges * SchedulerLimits.CONDITIONS_PER_OP)
+        && (teamsThen == 0 || conditions <= mostChanges * SchedulerLimits.MAX_CONDITIONS_PER_CHANGE)
         && bytes + change.bytes() <= TXN_BYTES;
   }
 
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -68,7 +68,7 @@
   int imagePartsPerThousand() {
     return writesCompactForm()
         ? COMPACT_IMAGE_PARTS_PER_THOUSAND
-        : SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
+        : SchedulerLimits.IMAGE_RECORDS_PER_THOUSAND_MACHINES;
   }
 
   /** The images on machines in all records, the newer form last. */
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -238,7 +238,7 @@
     }
     double wait = core.step(loop.now());
     actions.carryOut();
-    if (wait < SchedulerLimits.ROUND_EVERY_S * 2 && !stepping) {
+    if (wait < SchedulerLimits.MIN_ROUND_INTERVAL_S * 2 && !stepping) {
       stepping = true;
       stepTimer = loop.after(wait, this::step);
     }
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -150,7 +150,7 @@
 
   /** Conditions that a transaction may have beside the fence. */
   static int mostConditions(int txnOps) {
-    return Math.max(1, txnOps * SchedulerLimits.CONDITIONS_PER_OP - 1);
+    return Math.max(1, txnOps * SchedulerLimits.MAX_CONDITIONS_PER_CHANGE - 1);
   }
 
   /** Executes a transaction, with the fence as one more condition. */
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.JobKind;
 import graderelay.core.JobSpec;
-import graderelay.core.Kind;
 import graderelay.core.Priority;
 import java.util.ArrayList;
 import java.util.List;
@@ -89,7 +89,7 @@
         id,
         n.path(CLASS).asText().intern(),
         n.path(TEAM).asText().intern(),
-        Kind.valueOf(n.path(KIND).asText()),
+        JobKind.valueOf(n.path(KIND).asText()),
         Priority.valueOf(n.path(PRIORITY).asText()),
         n.path(TASKS).asInt(),
         n.path(CPUS).asDouble(),
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -34,7 +34,8 @@
     ArrayNode list = n.putArray(CLASSES);
     for (Action.Demand demand : classes) {
       ObjectNode jobClass = list.addObject();
-      jobClass.set(LATEST_JOB, JobRecordCodec.encode(demand.latest().needing(List.of()), false));
+      jobClass.set(
+          LATEST_JOB, JobRecordCodec.encode(demand.latest().withDependencies(List.of()), false));
       ArrayNode arrivals = jobClass.putArray(ARRIVALS);
       for (double[] ageAndJobs : demand.arrivals()) {
         long arrivedAtMs = nowMs - (long) (ageAndJobs[0] * 1000);
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import graderelay.core.JobKind;
 import graderelay.core.JobSpec;
-import graderelay.core.Kind;
 import graderelay.core.Priority;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -110,7 +110,7 @@
       throw new BadRequest(JOB_ID, "must look like j-000412");
     }
     // Before the other fields: of several mistakes, this one is told.
-    Kind kind = kind(fields.text(KIND));
+    JobKind kind = kind(fields.text(KIND));
     return new JobSpec(
         id,
         fields.text(JOB_CLASS),
@@ -137,10 +137,10 @@
         dependencies(fields.raw(DEPENDENCIES), id));
   }
 
-  private static Kind kind(String text) throws BadRequest {
+  private static JobKind kind(String text) throws BadRequest {
     return switch (text) {
-      case ARRAY -> Kind.ARRAY;
-      case SERVICE -> Kind.SERVICE;
+      case ARRAY -> JobKind.ARRAY;
+      case SERVICE -> JobKind.SERVICE;
       default -> throw new BadRequest(KIND, "must be array or standing");
     };
   }
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -155,7 +155,8 @@
   private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> commands) {
     byte[] body =
         Json.write(
-            WorkerCodec.encodeHeartbeatResponse(term, commands, SchedulerLimits.MOST_ORDERS));
+            WorkerCodec.encodeHeartbeatResponse(
+                term, commands, SchedulerLimits.MAX_COMMANDS_PER_MESSAGE));
     to.accept(Answer.json(OK, body));
   }
 
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyEdgeCasesTest.java
@@ -18,15 +18,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards of dependencies and of the lower limits that no test of a whole pipeline misses. */
-class DependencyGuardsTest {
+/**
+ * Dependencies between jobs, and the lowered limits of the store: cases that the tests of whole
+ * pipelines do not cover.
+ */
+class DependencyEdgeCasesTest {
   private static final String CANCELLED = "j-000001";
   private static final String DEPENDENT = "j-000002";
   private static final String OTHER = "j-000003";
 
   /**
-   * The leader ends dependents at once. The cancelled job's own end has to wait for the proof that
-   * its tasks are gone, which a machine that hangs puts off, and nothing of theirs ever ran.
+   * The dependents of a cancelled job never ran, so the leader ends them at once. The cancelled job
+   * itself ends only when its tasks are proven gone, which a machine that stops responding can
+   * delay.
    */
   @Test
   void dependentsOfCancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
@@ -34,28 +38,28 @@
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 1);
-    scheduler.onJob(dependent.needing(List.of(CANCELLED)), false, 6, 0, 0);
+    scheduler.onJob(dependent.withDependencies(List.of(CANCELLED)), false, 6, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
     assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
     scheduler.onJob(
-        SchedulerFixture.array(CANCELLED, 1), true, 11, 0, 1); // The machine says nothing.
+        SchedulerFixture.array(CANCELLED, 1), true, 11, 0, 1); // The machine sends no heartbeat.
     scheduler.step(1.2);
     assertThat(ends(scheduler)).containsExactly(DEPENDENT);
   }
 
   /**
-   * The ends of hundreds of dependents that are cancelled together take many seconds' worth of
-   * changes, and nobody waits for them: work that has just come is claimed before they are written.
+   * When hundreds of dependents are cancelled together, writing their ends takes many seconds'
+   * worth of changes. A new job must be claimed before all of them are written.
    */
   @Test
-  void endsOfWideFanDoNotDelayTheClaimsOfOthers() {
+  void endsOfHundredsOfDependentsDoNotDelayClaimsOfOtherJobs() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
     for (int i = 0; i < 500; i++) {
       JobSpec dependent = SchedulerFixture.array(String.format("j-%06d", 100 + i), 1);
-      scheduler.onJob(dependent.needing(List.of(CANCELLED)), false, 6 + i, 0, 0);
+      scheduler.onJob(dependent.withDependencies(List.of(CANCELLED)), false, 6 + i, 0, 0);
     }
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), true, 600, 0, 1);
     scheduler.step(1.1);
@@ -69,7 +73,7 @@
       SchedulerFixture.answerWrites(scheduler, TransactionOutcome.COMMITTED, 2 + i * 0.1);
       scheduler.step(2.05 + i * 0.1);
     }
-    assertThat(ended).hasSize(501); // In their own time, all of them.
+    assertThat(ended).hasSize(501); // All of them, at the rate of the store.
   }
 
   private static List<String> ends(Scheduler scheduler) {
@@ -81,16 +85,16 @@
   }
 
   /**
-   * A dependent's waiting time counts from the end of the last job that it needed, also for a new
-   * leader, which knows it from the final record alone: a dependent that has just become ready does
-   * not pass what has waited for longer, and one that became ready long ago does.
+   * A dependent's waiting time counts from the end of its last dependency, also under a new leader,
+   * which has that time only from the final record: a dependent that has just become ready does not
+   * pass jobs that have waited for longer, and one that became ready long ago does.
    */
   @ParameterizedTest
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
-  void timesOfDependentCountFromWhenItCouldBegin(
+  void waitingTimeOfDependentCountsFromEndOfItsDependencies(
       boolean failover, double readyAt, boolean passesOthers) {
     Scheduler scheduler = SchedulerFixture.takingOver(1);
-    JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
+    JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).withDependencies(List.of(CANCELLED));
     JobSpec other = SchedulerFixture.ranked(OTHER, Priority.NORMAL, 4, null);
     if (failover) {
       scheduler.onJob(dependent, false, 6, 0, 300);
@@ -112,30 +116,30 @@
   }
 
   /**
-   * Task batches of new jobs fit the limits to come in the form that the version in production
-   * reads.
+   * Task batches of new jobs have to fit the lowered limits in the plain form, the one that the
+   * version in production reads.
    */
   @Test
-  void taskBatchesOfNewJobsFitTheLowerLimitsInThePlainForm() {
+  void taskBatchesOfNewJobsFitTheLoweredLimitsInPlainForm() {
     SimWorld world =
         new SimWorld(431, WorldShape.of(3).fleet(30, List.of("a", "b")), RandomDay.LOWER);
     world.loop.run(3);
     SimJob job = world.users.job("j-000780", 900, 0.2, 6, true);
     world.users.submit(0, job);
-    int plain = 0;
+    int plainCount = 0;
     for (int i = 0; i < 200; i++) {
       world.loop.run(0.2);
-      for (var item : world.store.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
-        if (item.getKey().startsWith(StateCodec.TASK_BATCHES)) {
-          JsonNode taskBatch = item.getValue().value();
+      for (var record : world.store.items.tailMap(StateCodec.TASK_BATCHES).entrySet()) {
+        if (record.getKey().startsWith(StateCodec.TASK_BATCHES)) {
+          JsonNode taskBatch = record.getValue().value();
           assertThat(Json.write(taskBatch).length)
               .isLessThanOrEqualTo(RandomDay.LOWER.valueBytes());
           assertThat(taskBatch.has("a") || taskBatch.has("done")).as("plain").isTrue();
-          plain += taskBatch.has("a") ? 1 : 0;
+          plainCount += taskBatch.has("a") ? 1 : 0;
         }
       }
     }
-    assertThat(plain).isPositive();
+    assertThat(plainCount).isPositive();
     fine(world);
   }
 }
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -9,56 +9,57 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The order of jobs that compete for the same room, where some are due and others want to start.
+ * The order of jobs that compete for the same room, where some have a deadline and others a start
+ * objective.
  */
 class QueueOrderTest {
-  private static final String WAITING = "j-000001";
-  private static final String DUE = "j-000002";
+  private static final String WITH_START_OBJECTIVE = "j-000001";
+  private static final String WITH_DEADLINE = "j-000002";
 
   /**
-   * Work of one priority with a deadline, and work with wanted waiting times: whichever gives more
-   * jobs in time for its tasks goes first. A large array that wants to start does not let a few
-   * small tasks be late, nor does a large one that is due hold up a small one.
+   * Among jobs of one priority, of which some have a deadline and others a start objective, the
+   * group that meets more objectives per task goes first. A large array with a start objective does
+   * not make a few small tasks late, and a large array with a deadline does not delay a small one.
    */
   @ParameterizedTest
   @CsvSource({"50, 4, true", "2, 100, false"})
-  void whatGivesMoreJobsInTimeForItsTasksGoesFirst(
-      int waitingTasks, int dueTasks, boolean dueFirst) {
+  void jobsThatMeetMoreObjectivesPerTaskGoFirst(int waitingTasks, int dueTasks, boolean dueFirst) {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(25.0, 120.0)));
     scheduler.loaded(0);
-    scheduler.onJob(SchedulerFixture.array(WAITING, waitingTasks), false, 5, 0, 0);
-    scheduler.onJob(SchedulerFixture.due(DUE, dueTasks, 100), false, 6, 1, 1);
+    scheduler.onJob(SchedulerFixture.array(WITH_START_OBJECTIVE, waitingTasks), false, 5, 0, 0);
+    scheduler.onJob(SchedulerFixture.due(WITH_DEADLINE, dueTasks, 100), false, 6, 1, 1);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four.
     SchedulerFixture.commitAll(scheduler, 10, 2.1);
-    long due = SchedulerFixture.tasksStarted(scheduler, DUE);
-    long waiting = SchedulerFixture.tasksStarted(scheduler, WAITING);
+    long due = SchedulerFixture.tasksStarted(scheduler, WITH_DEADLINE);
+    long waiting = SchedulerFixture.tasksStarted(scheduler, WITH_START_OBJECTIVE);
     assertThat(due).isEqualTo(dueFirst ? 4 : 4 - waitingTasks);
     assertThat(waiting).isEqualTo(4 - due);
   }
 
   /**
-   * A job with dependents of low priority goes by the priority of its dependent from some time
-   * before its class's wanted wait is over, although its deadline is far away.
+   * A job of low priority with an urgent dependent is queued with its dependent's priority some
+   * time before the start objective of its class passes, even if its deadline is far away.
    */
   @Test
-  void jobWithDependentsPressesBeforeItsWantedWaitIsOver() {
+  void jobTakesDependentsPriorityBeforeItsStartObjectivePasses() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
-    scheduler.onJob(SchedulerFixture.array(WAITING, 40), false, 5, 0, 0);
+    scheduler.onJob(SchedulerFixture.array(WITH_START_OBJECTIVE, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    scheduler.onJob(SchedulerFixture.ranked(DUE, Priority.LOW, 1, null), false, 6, 1, 1);
+    scheduler.onJob(SchedulerFixture.ranked(WITH_DEADLINE, Priority.LOW, 1, null), false, 6, 1, 1);
     JobSpec last = SchedulerFixture.ranked("j-000003", Priority.URGENT, 1, 900.0);
-    scheduler.onJob(last.needing(List.of(DUE)), false, 7, 1, 1);
+    scheduler.onJob(last.withDependencies(List.of(WITH_DEADLINE)), false, 7, 1, 1);
     for (int i = 2; i < 16; i += 2) {
       SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(n -> n.contains("preempt"));
+    assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(line -> line.contains("preempt"));
     for (int i = 16; i < 30; i += 2) {
       SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
-    assertThat(SchedulerFixture.logLines(scheduler)).anyMatch(n -> n.contains("preempt j-000001"));
+    assertThat(SchedulerFixture.logLines(scheduler))
+        .anyMatch(line -> line.contains("preempt j-000001"));
   }
 }
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -71,17 +71,17 @@
 
   /** An array of tasks of this image. */
   public static JobSpec array(String id, int tasks, String image) {
-    return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, image, null, false);
+    return spec(id, JobKind.ARRAY, Priority.NORMAL, tasks, image, null, false);
   }
 
   /** An array that should be done so long after its submission. */
   public static JobSpec due(String id, int tasks, double deadlineS) {
-    return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, "i", deadlineS, false);
+    return spec(id, JobKind.ARRAY, Priority.NORMAL, tasks, "i", deadlineS, false);
   }
 
   /** An array of another priority, with a deadline or without. */
   public static JobSpec ranked(String id, Priority priority, int tasks, Double deadlineS) {
-    return spec(id, Kind.ARRAY, priority, tasks, "i", deadlineS, false);
+    return spec(id, JobKind.ARRAY, priority, tasks, "i", deadlineS, false);
   }
 
   /** An array of a team that the settings don't limit, of the lowest priority. */
@@ -134,23 +134,23 @@
 
   /** A service of so many replicas. */
   public static JobSpec service(String id, int tasks) {
-    return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, false);
+    return spec(id, JobKind.SERVICE, Priority.PROD, tasks, "i", null, false);
   }
 
   /** A service of which at most half may be in one zone. */
   public static JobSpec spread(String id, int tasks) {
-    return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, true);
+    return spec(id, JobKind.SERVICE, Priority.PROD, tasks, "i", null, true);
   }
 
   private static JobSpec spec(
       String id,
-      Kind kind,
+      JobKind kind,
       Priority priority,
       int tasks,
       String image,
       Double deadlineS,
       boolean spread) {
-    boolean array = kind == Kind.ARRAY;
+    boolean array = kind == JobKind.ARRAY;
     return new JobSpec(
         id,
         array ? "batch" : "web",
--- a/src/test/java/graderelay/core/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/core/SpreadPlacementTest.java
@@ -8,37 +8,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Replicas that have to be spread over zones. */
+/** Placement of replicas that have to be spread over zones. */
 class SpreadPlacementTest {
-  /** A service whose replicas run in both zones, by the time that everybody has settled. */
-  private static SimWorld spread(long seed) {
-    SimWorld w = world(seed, WorldShape.of(5));
-    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
-    w.loop.run(20);
-    assertThat(w.invariants.starts)
-        .isEqualTo(6); // A machine was scaled out in each of them for it.
-    return w;
+  /** A world in which the replicas of a service run in both zones. */
+  private static SimWorld worldWithSpreadService(long seed) {
+    SimWorld world = world(seed, WorldShape.of(5));
+    world.users.submit(0, world.users.job("j-000110", 6, 1, 0, false, true));
+    world.loop.run(20);
+    assertThat(world.invariants.starts)
+        .isEqualTo(6); // A machine was scaled out for it in each zone.
+    return world;
   }
 
   private static SimWorld world(long seed, WorldShape shape) {
-    SimWorld w = new SimWorld(seed, shape);
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+    SimWorld world = new SimWorld(seed, shape);
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
   @Test
-  void replicasThatOneZoneMayNotTakeScaleOutInAnother() {
-    Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0); // In zone a, with room for all of them.
-    s.onJob(SchedulerFixture.spread("j-1", 2), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    s.tick(1);
+  void replicasBeyondTheZoneLimitScaleOutAnotherZone() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // In zone a, with room for all of them.
+    scheduler.onJob(SchedulerFixture.spread("j-1", 2), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    scheduler.tick(1);
     List<String> zones = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
-      if (a instanceof Action.ScaleOut h) {
-        zones.add(h.zone());
+    for (Action action : SchedulerFixture.taken(scheduler)) {
+      if (action instanceof Action.ScaleOut scaleOut) {
+        zones.add(scaleOut.zone());
       }
     }
     assertThat(zones).containsExactly("b");
--- a/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -18,50 +18,53 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the core counts and sends where limits are stored. */
+/** What the scheduling core counts and writes while stored limits are in use. */
 class StoredLimitsInCoreTest {
   private static final Amount LIMIT = Amount.granted(3, 0);
 
-  private static StoredQuota stored(Account account, long asOf) {
+  private static StoredQuota storedQuota(Account account, long asOf) {
     LimitRecord limits = LimitRecord.of(new TeamQuota(Amount.NONE, LIMIT), 5, "operator", 0);
     Map<String, Account> accounts = account.revision() == 0 ? Map.of() : Map.of("team", account);
     return new StoredQuota(Map.of("team", limits), accounts, true, asOf);
   }
 
-  private static List<Action.Write> writes(Scheduler s) {
+  private static List<Action.Write> takeWrites(Scheduler scheduler) {
     List<Action.Write> writes = new ArrayList<>();
-    for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.Write w) {
-        writes.add(w);
+    for (Action action : new ArrayList<>(taken(scheduler))) {
+      if (action instanceof Action.Write write) {
+        writes.add(write);
       }
     }
-    taken(s).clear();
+    taken(scheduler).clear();
     return writes;
   }
 
-  /** A leader that has fenced the account at revision 20, with jobs of one task and a machine. */
-  private static Scheduler fenced(int jobs) {
-    Scheduler s = scheduler(1);
-    machine(s, "n-000001", 1, 1, 0);
-    machine(s, "n-000001", 1, 2, 0.1);
+  /**
+   * A leader that has fenced the team's account at revision 20, with jobs of one task each and one
+   * machine.
+   */
+  private static Scheduler schedulerWithFencedAccount(int jobs) {
+    Scheduler scheduler = scheduler(1);
+    machine(scheduler, "n-000001", 1, 1, 0);
+    machine(scheduler, "n-000001", 1, 2, 0.1);
     for (int i = 0; i < jobs; i++) {
-      s.onJob(array("j-00000" + i, 1), false, 10 + i, 0, 0);
+      scheduler.onJob(array("j-00000" + i, 1), false, 10 + i, 0, 0);
     }
-    s.onQuota(stored(Account.ABSENT, 19));
-    s.step(1);
-    Action.Write fence = writes(s).get(0);
-    assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before it.
+    scheduler.onQuota(storedQuota(Account.ABSENT, 19));
+    scheduler.step(1);
+    Action.Write fence = takeWrites(scheduler).get(0);
+    assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before the account is fenced.
     AccountChange change = fence.accounts().get(0);
-    s.onWrite(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
-    s.onQuota(stored(Account.of(change.use(), change.writer(), 20), 20));
-    return s;
+    scheduler.onWrite(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
+    scheduler.onQuota(storedQuota(Account.of(change.use(), change.writer(), 20), 20));
+    return scheduler;
   }
 
   @Test
   void claimsOfOneRoundRaiseTheirTeamsAccountOnceAndOnlyToTheLimit() {
-    Scheduler s = fenced(5);
-    s.step(2);
-    List<Action.Write> writes = writes(s);
+    Scheduler scheduler = schedulerWithFencedAccount(5);
+    scheduler.step(2);
+    List<Action.Write> writes = takeWrites(scheduler);
     assertThat(writes).hasSize(1);
     assertThat(writes.get(0).taskBatches()).hasSize(3);
     AccountChange raise = writes.get(0).accounts().get(0);
@@ -71,40 +74,43 @@
   }
 
   @Test
-  void taskBatchChangeSeenWhileAnotherIsUnderWayCountsAtOnce() {
-    Scheduler s = fenced(1);
-    s.step(2);
-    assertThat(writes(s).get(0).taskBatches()).hasSize(1);
-    s.onTaskBatch(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+  void taskBatchChangeSeenDuringAnotherWriteCountsAtOnce() {
+    Scheduler scheduler = schedulerWithFencedAccount(1);
+    scheduler.step(2);
+    assertThat(takeWrites(scheduler).get(0).taskBatches()).hasSize(1);
+    scheduler.onTaskBatch(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
   }
 
   @Test
-  void claimsThatStandWhenLimitsComeToBeStoredCountFromThenOn() {
-    Scheduler s = scheduler(1);
-    machine(s, "n-000001", 1, 1, 0);
-    machine(s, "n-000001", 1, 2, 0.1);
-    s.onJob(array("j-000000", 2), false, 10, 0, 0);
-    SchedulerFixture.commitAll(s, 12, 1);
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
-    s.onQuota(stored(Account.ABSENT, 19));
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(2, 0));
-    s.onQuota(null);
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+  void existingClaimsCountFromWhenLimitsAreFirstStored() {
+    Scheduler scheduler = scheduler(1);
+    machine(scheduler, "n-000001", 1, 1, 0);
+    machine(scheduler, "n-000001", 1, 2, 0.1);
+    scheduler.onJob(array("j-000000", 2), false, 10, 0, 0);
+    SchedulerFixture.commitAll(scheduler, 12, 1);
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+    scheduler.onQuota(storedQuota(Account.ABSENT, 19));
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(2, 0));
+    scheduler.onQuota(null);
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
   }
 
   @Test
   void endOfJobReleasesItsClaimsOnlyOnceItHasCommitted() {
-    Scheduler s = fenced(1);
-    s.step(2);
-    s.onWrite(writes(s).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
-    s.onCancelled("j-000000", 3); // It was never launched.
-    s.step(3.1);
+    Scheduler scheduler = schedulerWithFencedAccount(1);
+    scheduler.step(2);
+    scheduler.onWrite(takeWrites(scheduler).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+    scheduler.onCancelled("j-000000", 3); // It was never launched.
+    scheduler.step(3.1);
     Action.Write end =
-        writes(s).stream().filter(w -> !w.ends().isEmpty()).findFirst().orElseThrow();
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
-    s.onWrite(end.id(), TransactionOutcome.COMMITTED, 22, 4);
-    assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+        takeWrites(scheduler).stream()
+            .filter(write -> !write.ends().isEmpty())
+            .findFirst()
+            .orElseThrow();
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+    scheduler.onWrite(end.id(), TransactionOutcome.COMMITTED, 22, 4);
+    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
   }
 }
--- a/src/test/java/graderelay/scenario/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -107,7 +107,7 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
-    s.onJob(SchedulerFixture.array("j-2", 1).needing(List.of("j-1")), false, 6, 0, 0);
+    s.onJob(SchedulerFixture.array("j-2", 1).withDependencies(List.of("j-1")), false, 6, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
     assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
     SchedulerFixture.work(s, "n-1", 2, 1, 5);
@@ -145,7 +145,7 @@
     s.onJob(SchedulerFixture.ranked("j-1", Priority.LOW, 4, null), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
     JobSpec urgent = SchedulerFixture.ranked("j-2", Priority.URGENT, 40, 300.0);
-    s.onJob(urgent.needing(List.of("j-1")), false, 6, 0.2, 0.2);
+    s.onJob(urgent.withDependencies(List.of("j-1")), false, 6, 0.2, 0.2);
     for (int i = 1; i < 400; i += 10) {
       SchedulerFixture.machine(s, "n-1", 1, 1 + i, i);
       s.tick(i);
@@ -161,9 +161,9 @@
     s.onJob(SchedulerFixture.ranked("j-1", Priority.NORMAL, 4, null), false, 5, 0, 0);
     s.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 4, null), false, 6, 0, 0);
     JobSpec middle = SchedulerFixture.ranked("j-3", Priority.LOW, 1, null);
-    s.onJob(middle.needing(List.of("j-2")), false, 7, 0, 0);
+    s.onJob(middle.withDependencies(List.of("j-2")), false, 7, 0, 0);
     JobSpec last = SchedulerFixture.ranked("j-4", Priority.URGENT, 1, 50.0);
-    s.onJob(last.needing(List.of("j-3")), false, 8, 0, 0);
+    s.onJob(last.withDependencies(List.of("j-3")), false, 8, 0, 0);
     SchedulerFixture.machine(s, "n-1", 1, 1, 0); // Room for four.
     SchedulerFixture.commitAll(s, 10, 0.1);
     assertThat(SchedulerFixture.tasksStarted(s, "j-2")).isEqualTo(4);
@@ -178,7 +178,7 @@
     SchedulerFixture.commitAll(s, 10, 0.1);
     s.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 1, null), false, 6, 1, 1);
     JobSpec last = SchedulerFixture.ranked("j-3", Priority.URGENT, 1, 400.0);
-    s.onJob(last.needing(List.of("j-2")), false, 7, 1, 1);
+    s.onJob(last.withDependencies(List.of("j-2")), false, 7, 1, 1);
     for (int i = 2; i < 304; i += 2) {
       SchedulerFixture.work(s, "n-1", 2L * i, 0, i);
       s.tick(i + 0.9);
--- a/src/test/java/graderelay/wire/DeploymentProtocolTest.java
+++ b/src/test/java/graderelay/wire/DeploymentProtocolTest.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.Heartbeat;
+import graderelay.core.JobKind;
 import graderelay.core.JobSpec;
-import graderelay.core.Kind;
 import graderelay.core.ListedMachine;
 import graderelay.core.MachineType;
 import graderelay.core.Priority;
@@ -57,7 +57,7 @@
                 "j-000412",
                 "train",
                 "vision",
-                Kind.ARRAY,
+                JobKind.ARRAY,
                 Priority.URGENT,
                 16,
                 8,
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -6,8 +6,8 @@
 import graderelay.config.OperatorSettings;
 import graderelay.core.Action;
 import graderelay.core.CancellationKnowledge;
+import graderelay.core.JobKind;
 import graderelay.core.JobSpec;
-import graderelay.core.Kind;
 import graderelay.core.Priority;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
@@ -107,7 +107,7 @@
                 "j-000002",
                 "preview",
                 "harbor",
-                Kind.SERVICE,
+                JobKind.SERVICE,
                 Priority.PROD,
                 6,
                 2.5,
@@ -198,7 +198,7 @@
         new Action.Demand(
             StateCodec.decodeJob(
                     "j-000001", ProductionFormats.record("g/demand").at("/classes/0/latest"))
-                .needing(List.of("j-000009")),
+                .withDependencies(List.of("j-000009")),
             List.of(new double[] {4.5, 60}, new double[] {61.25, 12})));
     assertStoredAs("g/demand", StateCodec.encodeDemand(demand, NOW_MS, LARGE));
     Map<String, List<String>> images =
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
@@ -4,8 +4,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.core.Action;
+import graderelay.core.JobKind;
 import graderelay.core.JobSpec;
-import graderelay.core.Kind;
 import graderelay.core.Priority;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
@@ -78,7 +78,7 @@
         id,
         "render-final",
         "blue team",
-        Kind.SERVICE,
+        JobKind.SERVICE,
         Priority.URGENT,
         12,
         3.5,
@@ -105,7 +105,7 @@
         id,
         "frame-batch",
         "harbor",
-        Kind.ARRAY,
+        JobKind.ARRAY,
         Priority.LOW,
         1200,
         8,
@@ -151,7 +151,7 @@
     assertThat(read.get(0).arrivals()).hasSize(2);
     assertThat(read.get(0).arrivals().get(0)).containsExactly(4.5, 60);
     assertThat(read.get(0).arrivals().get(1)).containsExactly(61.25, 12);
-    assertThat(read.get(1).latest()).isEqualTo(fullJob("j-0").needing(List.of()));
+    assertThat(read.get(1).latest()).isEqualTo(fullJob("j-0").withDependencies(List.of()));
     assertThat(read.get(1).arrivals()).hasSize(1);
     assertThat(read.get(1).arrivals().get(0)).containsExactly(0, 3);
   }
