--- a/src/main/java/graderelay/core/Deadlines.java
+++ b/src/main/java/graderelay/core/Deadlines.java
@@ -171,13 +171,13 @@
     String jobClass = job.spec.jobClass();
     Double startS = cluster.policy.startObjectivesS().get(jobClass);
     Double completionS = cluster.policy.completionObjectivesS().get(jobClass);
-    double[] wantedEnds = {
+    double[] targetEnds = {
       startS == null || job.openTasks.isEmpty() ? deadline : job.eligibleSince + startS + estimate,
       completionS == null ? deadline : job.eligibleSince + completionS,
       deadline
     };
     double next = Double.MAX_VALUE;
-    for (double end : wantedEnds) {
+    for (double end : targetEnds) {
       if (end - now - DEADLINE_MARGIN_S > estimate) {
         next = Math.min(next, end);
       }
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -13,8 +13,8 @@
  * objective.
  */
 class QueueOrderTest {
-  private static final String WITH_START_OBJECTIVE = "j-000001";
-  private static final String WITH_DEADLINE = "j-000002";
+  private static final String FIRST_JOB = "j-000001";
+  private static final String SECOND_JOB = "j-000002";
 
   /**
    * Among jobs of one priority, of which some have a deadline and others a start objective, the
@@ -26,30 +26,31 @@
   void jobsThatMeetMoreObjectivesPerTaskGoFirst(int waitingTasks, int dueTasks, boolean dueFirst) {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(25.0, 120.0)));
     scheduler.loaded(0);
-    scheduler.onJob(SchedulerFixture.array(WITH_START_OBJECTIVE, waitingTasks), false, 5, 0, 0);
-    scheduler.onJob(SchedulerFixture.due(WITH_DEADLINE, dueTasks, 100), false, 6, 1, 1);
+    scheduler.onJob(SchedulerFixture.array(FIRST_JOB, waitingTasks), false, 5, 0, 0);
+    scheduler.onJob(SchedulerFixture.due(SECOND_JOB, dueTasks, 100), false, 6, 1, 1);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four.
     SchedulerFixture.commitAll(scheduler, 10, 2.1);
-    long due = SchedulerFixture.tasksStarted(scheduler, WITH_DEADLINE);
-    long waiting = SchedulerFixture.tasksStarted(scheduler, WITH_START_OBJECTIVE);
+    long due = SchedulerFixture.tasksStarted(scheduler, SECOND_JOB);
+    long waiting = SchedulerFixture.tasksStarted(scheduler, FIRST_JOB);
     assertThat(due).isEqualTo(dueFirst ? 4 : 4 - waitingTasks);
     assertThat(waiting).isEqualTo(4 - due);
   }
 
   /**
    * A job of low priority with an urgent dependent is queued with its dependent's priority some
-   * time before the start objective of its class passes, even if its deadline is far away.
+   * time before the start objective of its class passes, although the dependent's deadline is far
+   * away.
    */
   @Test
   void jobTakesDependentsPriorityBeforeItsStartObjectivePasses() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
     scheduler.loaded(0);
     SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
-    scheduler.onJob(SchedulerFixture.array(WITH_START_OBJECTIVE, 40), false, 5, 0, 0);
+    scheduler.onJob(SchedulerFixture.array(FIRST_JOB, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    scheduler.onJob(SchedulerFixture.ranked(WITH_DEADLINE, Priority.LOW, 1, null), false, 6, 1, 1);
-    JobSpec last = SchedulerFixture.ranked("j-000003", Priority.URGENT, 1, 900.0);
-    scheduler.onJob(last.withDependencies(List.of(WITH_DEADLINE)), false, 7, 1, 1);
+    scheduler.onJob(SchedulerFixture.ranked(SECOND_JOB, Priority.LOW, 1, null), false, 6, 1, 1);
+    JobSpec dependent = SchedulerFixture.ranked("j-000003", Priority.URGENT, 1, 900.0);
+    scheduler.onJob(dependent.withDependencies(List.of(SECOND_JOB)), false, 7, 1, 1);
     for (int i = 2; i < 16; i += 2) {
       SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
