--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -10,7 +10,7 @@
  * and their image: a replica is requested to stop, and placement starts it again elsewhere.
  */
 final class ServiceMoves {
-  /** Share of a machine's CPUs that services may use for them to be moved off it. */
+  /** Services are moved off a machine only if they use at most this share of its CPUs. */
   private static final double MAX_SERVICE_CPU_SHARE = 0.5;
 
   /** Minimum time between moves, each of which makes a replica unavailable for a moment. */
--- a/src/test/java/graderelay/core/DependencyEdgeCasesTest.java
+++ b/src/test/java/graderelay/core/DependencyEdgeCasesTest.java
@@ -109,7 +109,7 @@
       scheduler.onJobGone(CANCELLED, readyAt);
       scheduler.onJob(other, false, 7, 250, 300);
     }
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 300); // Room for four.
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 300); // Room for four tasks.
     SchedulerFixture.commitAll(scheduler, 10, 300.1);
     assertThat(SchedulerFixture.tasksStarted(scheduler, DEPENDENT)).isEqualTo(passesOthers ? 4 : 0);
     assertThat(SchedulerFixture.tasksStarted(scheduler, OTHER)).isEqualTo(passesOthers ? 0 : 4);
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -28,7 +28,7 @@
     scheduler.loaded(0);
     scheduler.onJob(SchedulerFixture.array(FIRST_JOB, waitingTasks), false, 5, 0, 0);
     scheduler.onJob(SchedulerFixture.due(SECOND_JOB, dueTasks, 100), false, 6, 1, 1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four.
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four tasks.
     SchedulerFixture.commitAll(scheduler, 10, 2.1);
     long due = SchedulerFixture.tasksStarted(scheduler, SECOND_JOB);
     long waiting = SchedulerFixture.tasksStarted(scheduler, FIRST_JOB);
@@ -45,7 +45,7 @@
   void jobTakesDependentsPriorityBeforeItsStartObjectivePasses() {
     Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
     scheduler.loaded(0);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
+    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four tasks.
     scheduler.onJob(SchedulerFixture.array(FIRST_JOB, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
     scheduler.onJob(SchedulerFixture.ranked(SECOND_JOB, Priority.LOW, 1, null), false, 6, 1, 1);
