--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -67,7 +67,7 @@
   final PriorityCounts claimCountByPriority = new PriorityCounts();
 
   /** Dependencies between jobs. */
-  Dependencies dependencies;
+  DependencyGraph dependencies;
 
   // ---------------------------------------------------------------- machines
 
@@ -81,7 +81,7 @@
   final Map<String, List<String>> storedImages = new HashMap<>();
 
   /** Number of image records per 1,000 machines. */
-  int imageShardsPerThousandMachines = SchedulerLimits.IMAGE_PARTS_PER_THOUSAND;
+  int imageShardsPerThousandMachines = SchedulerLimits.IMAGE_RECORDS_PER_THOUSAND_MACHINES;
 
   /** Number of image records for the whole fleet. */
   int imageShardCount;
--- a/src/main/java/graderelay/core/FleetConsolidation.java
+++ b/src/main/java/graderelay/core/FleetConsolidation.java
@@ -73,7 +73,7 @@
     double surplusLeft = unmark(onDemand, surplusCpus);
     onDemand.sort(Comparator.comparingDouble(machine -> -hourlyPriceBesideServices(machine)));
     markSome(onDemand, surplusLeft, spareCapacityMachines, now);
-    serviceMoves.moveOffClosing(onDemand, maxPerPlan(onDemand), now);
+    serviceMoves.moveOffConsolidatingMachines(onDemand, maxPerPlan(onDemand), now);
   }
 
   /** True if arrays that need on-demand machines at once are waiting or arrived recently. */
@@ -203,7 +203,7 @@
     for (Machine machine : onDemand) {
       if (machine != excluded && !machine.consolidating && machine.hasImage(spec.image())) {
         Resources free = machine.capacity.minus(machine.serviceResources);
-        slots += free.times(Resources.of(spec));
+        slots += free.countFitting(Resources.of(spec));
       }
     }
     return slots;
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -106,11 +106,11 @@
     bootTimes.updateStalledTypes(now);
     List<PackingBin> bins = scaleOutPlanner.bins(now);
     double availableCpus = scaleOutPlanner.cpusAvailableToArrays(bins);
-    jobsYieldingToTeammates = teammateYielding.yielding(availableCpus, now);
-    deferrableJobs = deadlines.deferrable(now);
+    jobsYieldingToTeammates = teammateYielding.yieldingJobs(availableCpus, now);
+    deferrableJobs = deadlines.deferrableJobs(now);
     // Excludes only jobs that would be late because of their team's limit, however large the fleet.
     // The fleet must grow for all others.
-    Set<Job> lateUnderTeamLimits = teammateYielding.yielding(Double.MAX_VALUE, now);
+    Set<Job> lateUnderTeamLimits = teammateYielding.yieldingJobs(Double.MAX_VALUE, now);
     double neededCpus = deadlines.neededCpus(lateUnderTeamLimits, now);
     Set<Machine> spareCapacityMachines = new HashSet<>();
     Map<JobSpec, Integer> spareCapacity = demandHistory.spareCapacity(now);
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -197,10 +197,10 @@
    * matches {@link Resources#holds} on {@link #free()}, but allocates no object per call.
    */
   boolean hasRoomFor(Resources request) {
-    return claims.size() < SchedulerLimits.MOST_ON_MACHINE
-        && request.cpus() <= freeCpus() + Resources.SLACK
-        && request.gpus() <= capacity.gpus() - used.gpus() + Resources.SLACK
-        && request.memGb() <= capacity.memGb() - used.memGb() + Resources.SLACK;
+    return claims.size() < SchedulerLimits.MAX_TASKS_PER_MACHINE
+        && request.cpus() <= freeCpus() + Resources.ROUNDING_TOLERANCE
+        && request.gpus() <= capacity.gpus() - used.gpus() + Resources.ROUNDING_TOLERANCE
+        && request.memGb() <= capacity.memGb() - used.memGb() + Resources.ROUNDING_TOLERANCE;
   }
 
   /** Resources that are not taken by claims. */
--- a/src/main/java/graderelay/core/PackingBin.java
+++ b/src/main/java/graderelay/core/PackingBin.java
@@ -29,10 +29,10 @@
   /** Returns the bin of a running or booting machine. */
   static PackingBin of(Machine machine) {
     InstancePool pool = new InstancePool(machine.type, machine.zone, machine.spot);
-    int slots = SchedulerLimits.MOST_ON_MACHINE - machine.claims.size();
+    int slots = SchedulerLimits.MAX_TASKS_PER_MACHINE - machine.claims.size();
     PackingBin bin = new PackingBin(machine, pool, machine.free(), slots);
     for (Claim claim : machine.claims.values()) {
-      if (!claim.job.spec.isService() && Priority.PROD.beats(claim.priority)) {
+      if (!claim.job.spec.isService() && Priority.PROD.isHigherThan(claim.priority)) {
         bin.preemptible = bin.preemptible.plus(claim.resources());
       }
     }
@@ -41,13 +41,13 @@
 
   /** Returns the empty bin of a requested or planned machine. */
   static PackingBin ofRequestedMachine(InstancePool pool, MachineType type) {
-    return new PackingBin(null, pool, Resources.of(type), SchedulerLimits.MOST_ON_MACHINE);
+    return new PackingBin(null, pool, Resources.of(type), SchedulerLimits.MAX_TASKS_PER_MACHINE);
   }
 
   /** Number of tasks of the spec that fit; for a service, preemptible resources count as free. */
   int capacityFor(JobSpec spec) {
     Resources room = spec.isService() ? free.plus(preemptible) : free;
-    return Math.min(freeSlots, room.times(Resources.of(spec)));
+    return Math.min(freeSlots, room.countFitting(Resources.of(spec)));
   }
 
   /** Packs tasks of the spec into the bin. */
--- a/src/main/java/graderelay/core/PoolChooser.java
+++ b/src/main/java/graderelay/core/PoolChooser.java
@@ -72,7 +72,8 @@
    * @param zones number of further tasks that each zone may take
    * @param spotOnly whether to exclude on-demand machines of types that have spot instances
    */
-  InstancePool cheapestPool(JobSpec spec, int tasks, ZoneRoom zones, boolean spotOnly, double now) {
+  InstancePool cheapestPool(
+      JobSpec spec, int tasks, ZoneTaskLimit zones, boolean spotOnly, double now) {
     InstancePool cheapest = null;
     double lowestPrice = Double.MAX_VALUE;
     for (MachineType type : cluster.machineTypes.values()) {
@@ -96,7 +97,8 @@
 
   /** Number of tasks of the spec that fit on an empty machine of the type. */
   private static int tasksPerMachine(MachineType type, JobSpec spec) {
-    return Math.min(SchedulerLimits.MOST_ON_MACHINE, Resources.of(type).times(Resources.of(spec)));
+    return Math.min(
+        SchedulerLimits.MAX_TASKS_PER_MACHINE, Resources.of(type).countFitting(Resources.of(spec)));
   }
 
   private double pricePerTask(MachineType type, boolean spot, int tasksPerMachine) {
@@ -105,9 +107,9 @@
   }
 
   private boolean mayRequest(
-      JobSpec spec, InstancePool pool, ZoneRoom zones, boolean spotOnly, double now) {
+      JobSpec spec, InstancePool pool, ZoneTaskLimit zones, boolean spotOnly, double now) {
     return isEligible(spec, pool)
-        && zones.left(pool.zone()) != 0
+        && zones.remaining(pool.zone()) != 0
         && !(spotOnly && !pool.spot() && isSpotAvailable(pool.type()))
         && !(pool.spot() && !cluster.policy.tuning().spotAllowed())
         && !isBackingOff(pool, now);
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -23,7 +23,7 @@
    *
    * @param spare whether they represent spare capacity rather than waiting tasks
    */
-  private record TaskGroup(JobSpec spec, int tasks, ZoneRoom zones, boolean spare) {}
+  private record TaskGroup(JobSpec spec, int tasks, ZoneTaskLimit zones, boolean spare) {}
 
   private final ClusterState cluster;
   private final Deadlines deadlines;
@@ -74,7 +74,7 @@
     for (boolean services : SERVICES_FIRST) {
       for (Job job : waiting) {
         if (job.spec.isService() == services) {
-          ZoneRoom zones = ZoneRoom.of(job);
+          ZoneTaskLimit zones = ZoneTaskLimit.of(job);
           packGroup(
               new TaskGroup(job.spec, tasksWithinLimit(job), zones, false), spareCapacityMachines);
         }
@@ -83,7 +83,7 @@
         JobSpec spec = spare.getKey();
         int tasks = spare.getValue();
         if (spec.isService() == services) {
-          ZoneRoom zones = ZoneRoom.ofSpareRoom(spec, tasks);
+          ZoneTaskLimit zones = ZoneTaskLimit.ofSpareRoom(spec, tasks);
           packGroup(new TaskGroup(spec, tasks, zones, true), spareCapacityMachines);
         }
       }
@@ -94,7 +94,7 @@
   private List<Job> waitingJobs() {
     List<Job> waiting = new ArrayList<>();
     for (Job job : cluster.jobs.values()) {
-      if (job.waiting() && !job.suspect) {
+      if (job.isWaiting() && !job.suspect) {
         waiting.add(job);
       }
     }
@@ -114,7 +114,7 @@
     for (JobSpec spec : spareSpecs) {
       smallestTaskCpus = Math.min(smallestTaskCpus, spec.cpus());
     }
-    double minFreeCpus = smallestTaskCpus - Resources.SLACK;
+    double minFreeCpus = smallestTaskCpus - Resources.ROUNDING_TOLERANCE;
     bins.removeIf(bin -> bin.isTooFullFor(minFreeCpus));
   }
 
@@ -126,12 +126,12 @@
     JobSpec spec = job.spec;
     Team team = cluster.policy.team(spec.team());
     int openTaskCount = job.openTasks.cardinality();
-    if (team == null || team.cpusMax() <= 0 || spec.cpus() <= 0) {
+    if (team == null || team.cpuLimit() <= 0 || spec.cpus() <= 0) {
       return openTaskCount;
     }
     double cpusLeft = cpusLeftByTeam.computeIfAbsent(spec.team(), cluster.quotas::cpusLeft);
     int tasks =
-        (int) Math.max(0, Math.min(openTaskCount, (cpusLeft + Resources.SLACK) / spec.cpus()));
+        (int) Math.max(0, Math.min(openTaskCount, (cpusLeft + Resources.ROUNDING_TOLERANCE) / spec.cpus()));
     cpusLeftByTeam.put(spec.team(), cpusLeft - tasks * spec.cpus());
     return tasks;
   }
@@ -179,8 +179,8 @@
   private static int packInto(PackingBin bin, TaskGroup group, int maxTasks) {
     int tasks = Math.min(maxTasks, bin.capacityFor(group.spec()));
     if (tasks > 0) {
-      tasks = Math.min(tasks, group.zones().left(bin.pool.zone()));
-      group.zones().take(bin.pool.zone(), tasks);
+      tasks = Math.min(tasks, group.zones().remaining(bin.pool.zone()));
+      group.zones().add(bin.pool.zone(), tasks);
     }
     bin.pack(group.spec(), tasks);
     return tasks;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -47,7 +47,7 @@
     cluster.leaderSince = now;
     cluster.delegates =
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
-    cluster.dependencies = new Dependencies(cluster, planner::estimateRunTimeS);
+    cluster.dependencies = new DependencyGraph(cluster, planner::estimateRunTimeS);
     this.records = new StoredRecords(cluster);
     this.workerTasks = WorkerTasks.create(cluster, records);
     DeletedMachines deletedMachines = new DeletedMachines();
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -152,7 +152,7 @@
 
   /** The maximum number of conditions that a transaction may have besides the fence. */
   static int maxConditions(int txnOps) {
-    return Math.max(1, txnOps * SchedulerLimits.CONDITIONS_PER_OP - 1);
+    return Math.max(1, txnOps * SchedulerLimits.MAX_CONDITIONS_PER_CHANGE - 1);
   }
 
   /** Executes a transaction, with the fence as an additional condition. */
