--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -172,12 +172,12 @@
 
   /** Seconds that a worker's lease lasts at most, whatever its clock does. */
   private double longestLeaseS() {
-    return leaseS * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
+    return leaseS * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO) + LeaseTiming.LEASE_MARGIN_S;
   }
 
   /** Seconds of a cancellation's time that a lease renewed without knowing of it leaves. */
   private double cancelSpareS() {
-    return cancelS * (1 - LeaseTiming.DRIFT) - longestLeaseS() - CANCEL_MARGIN_S;
+    return cancelS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO) - longestLeaseS() - CANCEL_MARGIN_S;
   }
 
   /** The zones of the other controllers by name, or none where all controllers are in one zone. */
--- a/src/main/java/graderelay/core/AttemptKey.java
+++ b/src/main/java/graderelay/core/AttemptKey.java
@@ -1,18 +1,18 @@
 package graderelay.core;
 
-/** Names one attempt of one task, as a worker's heartbeat names it. */
+/** Identifies one attempt of one task, as in a worker's heartbeat. */
 record AttemptKey(String task, int attempt) {
-  /** The attempt that the claim is for. */
+  /** The key of the claimed attempt. */
   static AttemptKey of(Claim claim) {
     return new AttemptKey(claim.taskId(), claim.attempt);
   }
 
-  /** The attempt that an entry of a heartbeat shows. */
-  static AttemptKey of(Heartbeat.Entry entry) {
-    return new AttemptKey(entry.task(), entry.attempt());
+  /** The key of an attempt that a heartbeat lists. */
+  static AttemptKey of(Heartbeat.TaskStatus status) {
+    return new AttemptKey(status.task(), status.attempt());
   }
 
-  /** The attempt that the command is about. */
+  /** The key of the attempt that the command targets. */
   static AttemptKey of(WorkerCommand command) {
     return new AttemptKey(command.task(), command.attempt());
   }
--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -1,32 +1,32 @@
 package graderelay.core;
 
 /**
- * One attempt of one task that is claimed on a machine, from the moment the claim is sent to the
- * key-value store until its end is committed there. Quota, spread and room count claims, not
- * heartbeats.
+ * The claim of one task attempt on a machine, from the moment the claim is sent to the key-value
+ * store until its end is committed there. Quota, zone spread and free resources are computed from
+ * claims, not from heartbeats.
  */
 final class Claim {
-  /** How far the claim's record in the key-value store is. */
+  /** State of the claim's record in the key-value store. */
   enum Phase {
-    /** The transaction that claims it is under way; nothing may start. */
+    /** The transaction that adds the claim is in flight; the attempt must not be launched. */
     CLAIMING,
     /** The claim is committed. */
     COMMITTED,
-    /** It is proven gone; the transaction that says so has yet to commit. */
+    /** The attempt is proven to have ended; the transaction that records it has yet to commit. */
     ENDING
   }
 
-  /** What is known of the launch command of this attempt under the present leader. */
-  enum Launch {
-    /** No command is under way that could still be carried out. */
+  /** What the current leader knows about the launch command of this attempt. */
+  enum LaunchState {
+    /** No launch command is in flight that a worker could still execute. */
     NONE,
-    /** Sent in a heartbeat's response: decided as soon as the next heartbeat arrives. */
+    /** Sent in a heartbeat response; the next heartbeat shows whether it was executed. */
     IN_RESPONSE,
-    /** Sent straight to the worker and not answered yet. */
+    /** Sent directly to the worker, which has not responded yet. */
     DIRECT,
-    /** Sent straight, and no answer came: it may be carried out minutes later. */
+    /** Sent directly without a response: the worker may still execute it minutes later. */
     UNACKNOWLEDGED,
-    /** A heartbeat has shown the attempt. */
+    /** A heartbeat has listed the attempt, or the worker has executed the command. */
     CONFIRMED
   }
 
@@ -35,59 +35,59 @@
   final int attempt;
   final String machine;
 
-  /** The incarnation of the machine's worker that it is claimed on. */
+  /** The incarnation of the machine's worker for which the attempt is claimed. */
   final long session;
 
-  /** When it was claimed, or first seen by this leader. */
+  /** When it was claimed, or when this leader first read it from the store. */
   final double claimedAt;
 
-  /** Its job's when it was claimed; sums count it under this. */
+  /** The job's priority at the time of the claim; totals per priority count the claim under it. */
   final Priority priority;
 
-  /** Zone it is counted in, null until the machine is located. */
+  /** Zone in which the claim is counted, or null until the machine's zone is known. */
   String zone;
 
   Phase phase = Phase.CLAIMING;
-  Launch launch = Launch.NONE;
+  LaunchState launchState = LaunchState.NONE;
 
-  /** The term under which the latest launch was sent. */
+  /** Term under which the latest launch command was sent. */
   long launchTerm;
 
-  /** Sequence number of the heartbeat whose response carried the launch. */
+  /** Sequence number of the heartbeat whose response contained the launch command. */
   long launchHeartbeatSeq;
 
-  /** When the latest launch was sent. */
+  /** When the latest launch command was sent. */
   double launchedAt;
 
-  /** Loaded from the records of an earlier leader, who may have launched it. */
+  /** True if loaded from the records of an earlier leader, which may have launched the attempt. */
   boolean fromEarlierLeader;
 
-  /** What the last heartbeat showed of it, or null before that. */
+  /** Stage in the last heartbeat that listed the attempt, or null if none did. */
   Heartbeat.Stage stage;
 
   double stageSince;
 
-  /** When a heartbeat first showed it running, 0 before that. */
+  /** When a heartbeat first listed the attempt as running, or 0. */
   double runningSince;
 
-  /** It has run for a while, which speaks for its job and its machine. */
+  /** True if it ran long enough to count as a success of its job and its machine. */
   boolean ranLongEnough;
 
-  /** Asked to stop by the leader for a reason other than its job's cancellation. */
+  /** True if the leader requested a stop for a reason other than the job's cancellation. */
   boolean stopRequested;
 
   double stopRequestedAt;
 
-  /** It is to stop at once, without time to save its progress. */
+  /** True if it must stop at once, without a grace period to save its progress. */
   boolean stopWithoutGrace;
 
-  /** The job that this claim makes room for, or null. */
+  /** The job for which this claim is being preempted, or null. */
   Job preemptedFor;
 
-  /** When a kill was last sent straight to its worker. */
+  /** When a kill was last sent directly to its worker. */
   double lastKillAt = Double.NEGATIVE_INFINITY;
 
-  /** When ending: true if the task is done. */
+  /** In phase ENDING: true if the task is done. */
   boolean taskDone;
 
   Claim(Job job, int task, int attempt, String machine, long session, double claimedAt) {
@@ -101,25 +101,25 @@
     this.stageSince = claimedAt;
   }
 
-  /** The task's id, as workers and the API name it. */
+  /** The task's id on workers and in the API. */
   String taskId() {
     return job.spec.taskId(task);
   }
 
-  /** What the attempt takes of its machine. */
+  /** The resources that the attempt uses on its machine. */
   Resources resources() {
     return job.taskResources;
   }
 
-  /** True if the claim is live and nothing that could still start it is under way. */
+  /** True if the claim is committed and no launch command exists that could still start it. */
   boolean neverLaunched() {
-    return phase == Phase.COMMITTED && launch == Launch.NONE && !fromEarlierLeader;
+    return phase == Phase.COMMITTED && launchState == LaunchState.NONE && !fromEarlierLeader;
   }
 
-  /** True while a launch command may still start it although no heartbeat shows it. */
-  boolean launchUnresolved() {
-    return launch == Launch.DIRECT
-        || launch == Launch.UNACKNOWLEDGED
-        || launch == Launch.IN_RESPONSE;
+  /** True while a launch command may still start it although no heartbeat lists it. */
+  boolean hasUnresolvedLaunch() {
+    return launchState == LaunchState.DIRECT
+        || launchState == LaunchState.UNACKNOWLEDGED
+        || launchState == LaunchState.IN_RESPONSE;
   }
 }
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /**
- * Writes the claims of a round as compare-and-swap transactions: new ones and ended ones, one
- * record for each task batch, with the accounts of their teams. {@link JobEndWriter} writes the
- * ends of jobs.
+ * Writes the new and ended claims of a scheduling round as compare-and-swap transactions, with one
+ * record for each task batch, together with the accounts of the teams. {@link JobEndWriter} writes
+ * the final records of jobs.
  */
 final class CompareAndSwapWriter {
-  /** Seconds for which nothing is claimed in a record that is as large as is allowed. */
-  private static final double FULL_BATCH_S = 1;
+  /** Pause before tasks of a batch are claimed again after its record exceeded the value size. */
+  private static final double FULL_BATCH_PAUSE_S = 1;
 
   private final ClusterState cluster;
   private final StoredRecords records;
@@ -29,25 +29,25 @@
     this.inFlight = inFlight;
   }
 
-  /** Puts new claims and ended ones into transactions, one record for each task batch. */
+  /** Sends the given new claims and the ended claims in transactions. */
   void write(List<Claim> claims, double now) {
     Map<Job.TaskBatch, List<Claim>> claimed = new LinkedHashMap<>();
     for (Claim claim : claims) {
       claimed.computeIfAbsent(batchOf(claim), k -> new ArrayList<>()).add(claim);
     }
-    Map<Job.TaskBatch, List<Claim>> ended = endedBeside(claimed.keySet(), now);
-    Set<Job.TaskBatch> all = new LinkedHashSet<>(claimed.keySet());
-    all.addAll(ended.keySet());
+    Map<Job.TaskBatch, List<Claim>> ended = selectEndedClaims(claimed.keySet(), now);
+    Set<Job.TaskBatch> batches = new LinkedHashSet<>(claimed.keySet());
+    batches.addAll(ended.keySet());
     TransactionPacker packer =
         new TransactionPacker(Math.max(1, cluster.policy.txnOps()), cluster.admission, this::send);
-    for (Job.TaskBatch batch : all) {
+    for (Job.TaskBatch batch : batches) {
       List<Claim> added = claimed.getOrDefault(batch, List.of());
-      List<Claim> endedHere = ended.getOrDefault(batch, List.of());
-      TaskBatchChange change = change(batch, added, endedHere, now);
+      List<Claim> endedInBatch = ended.getOrDefault(batch, List.of());
+      TaskBatchChange change = buildChange(batch, added, endedInBatch, now);
       if (change != null && !packer.add(change)) {
-        // Placed again once the team's account has been raised.
-        giveUp(added, now);
-        change = change(batch, List.of(), endedHere, now);
+        // These tasks are placed again once the team's account has been raised.
+        withdraw(added, now);
+        change = buildChange(batch, List.of(), endedInBatch, now);
         if (change != null) {
           packer.add(change);
         }
@@ -61,18 +61,23 @@
     return claim.job.taskBatch(claim.job.spec.batchOf(claim.task));
   }
 
-  /** Claims that are to be ended now, with the task batches that are claimed of or beside them. */
-  private Map<Job.TaskBatch, List<Claim>> endedBeside(Set<Job.TaskBatch> claimed, double now) {
+  /**
+   * Selects the ended claims to write now: those of claimed batches, then others as room allows.
+   */
+  private Map<Job.TaskBatch, List<Claim>> selectEndedClaims(
+      Set<Job.TaskBatch> claimedBatches, double now) {
     Map<Job.TaskBatch, List<Claim>> ended = new LinkedHashMap<>();
-    int room = inFlight.changesLeft() - claimed.size();
-    Map<Job, Boolean> whole = new HashMap<>();
-    // When hundreds of machines die at once, replicas are down until their ends have committed.
-    List<Claim> ends = new ArrayList<>(records.endingClaims);
-    ends.sort(Comparator.comparing(claim -> !claim.job.spec.isService()));
-    for (Claim claim : ends) {
+    int remainingChanges = inFlight.remainingChanges() - claimedBatches.size();
+    Map<Job, Boolean> provenDoneByJob = new HashMap<>();
+    // Services first: when hundreds of machines fail at once, their replicas are only replaced
+    // after the ends of their claims have committed.
+    List<Claim> endingClaims = new ArrayList<>(records.endingClaims);
+    endingClaims.sort(Comparator.comparing(claim -> !claim.job.spec.isService()));
+    for (Claim claim : endingClaims) {
       Job.TaskBatch batch = batchOf(claim);
       if (claim.job.cancelRequested) {
-        // The whole job ends in one write; until then a new leader asks for the proof again.
+        // The final record of the job replaces its batches in one write. Until then, a new leader
+        // has to prove again that the claim has ended.
         if (!batch.inFlight) {
           records.endingClaims.remove(claim);
           cluster.removeClaim(claim, now);
@@ -81,12 +86,12 @@
       }
       if (batch.inFlight
           || claim.job.ending
-          || whole.computeIfAbsent(claim.job, JobEndWriter::isProvenDone)) {
+          || provenDoneByJob.computeIfAbsent(claim.job, JobEndWriter::isProvenDone)) {
         continue;
       }
-      // Ends wait for the changes that are left beside the claims; meanwhile more of a batch's
-      // tasks end, and one change says it of all.
-      if (!claimed.contains(batch) && !ended.containsKey(batch) && room-- <= 0) {
+      // Claims go first; ends use the remaining changes. Delaying them costs little, since more
+      // tasks of the batch end in the meantime and one change covers all of them.
+      if (!claimedBatches.contains(batch) && !ended.containsKey(batch) && remainingChanges-- <= 0) {
         continue;
       }
       ended.computeIfAbsent(batch, k -> new ArrayList<>()).add(claim);
@@ -94,8 +99,8 @@
     return ended;
   }
 
-  /** The task batch with these claims and without those, or null if nothing can be stored of it. */
-  private TaskBatchChange change(
+  /** Returns the change that adds and ends these claims, or null if there is nothing to store. */
+  private TaskBatchChange buildChange(
       Job.TaskBatch batch, List<Claim> added, List<Claim> ended, double now) {
     if (added.isEmpty() && ended.isEmpty()) {
       return null;
@@ -107,61 +112,62 @@
     for (Claim claim : added) {
       record.claim(claim.task - batch.firstTask, claim.attempt, claim.machine, claim.session);
     }
-    TaskBatchRecord fitting = fitting(record, cluster.policy.valueBytes());
-    if (fitting != null) {
-      return new TaskBatchChange(cluster.jobs.get(batch.key.job()), batch, fitting, added, ended);
+    TaskBatchRecord fittingRecord = fitToValueSize(record, cluster.policy.valueBytes());
+    if (fittingRecord != null) {
+      return new TaskBatchChange(
+          cluster.jobs.get(batch.key.job()), batch, fittingRecord, added, ended);
     }
-    // Made by an earlier version for larger values. What is claimed of it ends sooner or later,
-    // and then there is room in it again. What ends here stays ending, and is written with what
-    // ends
-    // next.
-    batch.fullUntil = now + FULL_BATCH_S;
-    giveUp(added, now);
-    return added.isEmpty() ? null : change(batch, List.of(), ended, now);
+    // The record exceeds the value size: an earlier version created the batch for larger values.
+    // It shrinks when its current claims end. The claims that end here remain in endingClaims and
+    // are written together with the next ones.
+    batch.fullUntil = now + FULL_BATCH_PAUSE_S;
+    withdraw(added, now);
+    return added.isEmpty() ? null : buildChange(batch, List.of(), ended, now);
   }
 
-  /** Withdraws claims that were never sent. */
-  private void giveUp(List<Claim> claims, double now) {
+  /** Withdraws claims that were never sent to the store. */
+  private void withdraw(List<Claim> claims, double now) {
     for (Claim claim : claims) {
       cluster.removeClaim(claim, now);
       claim.job.openTasks.set(claim.task);
     }
   }
 
-  /** Fences accounts that a team waits for, and lowers those that reserve too much. */
+  /** Fences accounts that block a team, and lowers accounts that reserve more than is claimed. */
   private void writeAccounts(double now) {
     if (!cluster.admission.enabled()) {
       return;
     }
-    int most = Math.max(1, cluster.policy.txnOps());
-    emitAccounts(cluster.admission.fences(most));
-    emitAccounts(cluster.admission.releases(Math.min(most, inFlight.changesLeft()), now));
+    int maxAccounts = Math.max(1, cluster.policy.txnOps());
+    sendAccounts(cluster.admission.fences(maxAccounts));
+    sendAccounts(
+        cluster.admission.releases(Math.min(maxAccounts, inFlight.remainingChanges()), now));
   }
 
-  private void emitAccounts(List<AccountChange> accounts) {
+  private void sendAccounts(List<AccountChange> accounts) {
     if (!accounts.isEmpty()) {
       inFlight.send(new Action.Write(inFlight.nextId(), List.of(), List.of(), List.of(), accounts));
     }
   }
 
-  /** The record in a form that fits a value, or null if there is none. */
-  private static TaskBatchRecord fitting(TaskBatchRecord record, int valueBytes) {
-    if (record.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK <= valueBytes
-        || record.bytes(false) <= valueBytes) {
+  /** Returns the record in a form that fits the store's value size, or null if none does. */
+  private static TaskBatchRecord fitToValueSize(TaskBatchRecord record, int valueBytes) {
+    if (record.size() * TaskBatchRecord.MAX_BYTES_PER_TASK <= valueBytes
+        || record.maxBytes(false) <= valueBytes) {
       return record;
     }
-    return record.bytes(true) <= valueBytes ? record.packedCopy() : null;
+    return record.maxBytes(true) <= valueBytes ? record.packedCopy() : null;
   }
 
   private void send(List<TaskBatchChange> changes, Set<String> teams) {
     Map<TaskBatchKey, List<Claim>> claimed = new HashMap<>();
     Map<TaskBatchKey, List<Claim>> ended = new HashMap<>();
     List<Action.TaskBatchPut> puts = new ArrayList<>();
-    for (TaskBatchChange claim : changes) {
-      claimed.put(claim.taskBatch().key, claim.claimed());
-      ended.put(claim.taskBatch().key, claim.ended());
-      puts.add(claim.put());
-      claim.taskBatch().inFlight = true;
+    for (TaskBatchChange change : changes) {
+      claimed.put(change.taskBatch().key, change.claimed());
+      ended.put(change.taskBatch().key, change.ended());
+      puts.add(change.put());
+      change.taskBatch().inFlight = true;
     }
     List<AccountChange> accounts = new ArrayList<>();
     teams.forEach(team -> accounts.add(cluster.admission.claim(team)));
@@ -171,8 +177,8 @@
         ended);
   }
 
-  /** Records that a round may change beside what is under way. */
-  int changesLeft() {
-    return inFlight.changesLeft();
+  /** Number of records that a round may change in addition to the changes in flight. */
+  int remainingChanges() {
+    return inFlight.remainingChanges();
   }
 }
--- a/src/main/java/graderelay/core/DirectCommandBatch.java
+++ b/src/main/java/graderelay/core/DirectCommandBatch.java
@@ -5,38 +5,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands that are sent straight to workers together: one message for each machine. */
+/** A batch of commands that are sent directly to workers, in one message for each machine. */
 final class DirectCommandBatch {
   private final ClusterState cluster;
-  private final DirectCommandRate rate;
-  private final Map<Machine, List<WorkerCommand>> byMachine = new LinkedHashMap<>();
+  private final DirectCommandRateLimiter rateLimiter;
+  private final Map<Machine, List<WorkerCommand>> commandsByMachine = new LinkedHashMap<>();
 
-  DirectCommandBatch(ClusterState cluster, DirectCommandRate rate) {
+  DirectCommandBatch(ClusterState cluster, DirectCommandRateLimiter rateLimiter) {
     this.cluster = cluster;
-    this.rate = rate;
+    this.rateLimiter = rateLimiter;
   }
 
   /**
-   * True if one more command may go to the machine: its message has room, and there is one already
-   * or the rate allows one more. A body may have 64 KiB: what goes beyond that follows with the
-   * heartbeats' responses.
+   * Returns true if one more command may be added for the machine. The first command for a machine
+   * takes a token from the rate limiter; after that the message takes commands up to its limit,
+   * which keeps the body below 64 KiB. Commands that are not added go with heartbeat responses.
    */
-  boolean mayAdd(Machine machine, double now, double reserve) {
-    List<WorkerCommand> commands = byMachine.get(machine);
+  boolean tryAcquireSlot(Machine machine, double now, double reserveShare) {
+    List<WorkerCommand> commands = commandsByMachine.get(machine);
     if (commands == null) {
-      return rate.tryAcquire(now, reserve);
+      return rateLimiter.tryAcquire(now, reserveShare);
     }
     return commands.size() < SchedulerLimits.MOST_ORDERS;
   }
 
-  /** Adds a command for the machine, after {@link #mayAdd} said that it may be. */
+  /** Adds a command for the machine; {@link #tryAcquireSlot} must have returned true for it. */
   void add(Machine machine, WorkerCommand command) {
-    byMachine.computeIfAbsent(machine, m -> new ArrayList<>()).add(command);
+    commandsByMachine.computeIfAbsent(machine, m -> new ArrayList<>()).add(command);
   }
 
-  /** Sends the commands of each machine. */
+  /** Sends one message to each machine. */
   void send() {
-    byMachine.forEach(
+    commandsByMachine.forEach(
         (machine, commands) ->
             cluster.actions.add(
                 new Action.SendCommands(
--- a/src/main/java/graderelay/core/FailureAttribution.java
+++ b/src/main/java/graderelay/core/FailureAttribution.java
@@ -1,39 +1,39 @@
 package graderelay.core;
 
 /**
- * Whose fault a failed task is. Mostly it is the machine's, but a job that was submitted with a
- * mistake fails on every machine. Evidence on both sides decides: what else succeeds on the
- * machine, and where else the job succeeds or fails. The protocol knows no failed stage and an
- * accepted job must run, so a job at fault is tried on, one task at a time and ever more rarely; it
- * costs no other job a machine.
+ * Attributes failed tasks to their machine or to their job. Most failures are caused by the
+ * machine, but a job that was submitted with an error fails on every machine. The decision is based
+ * on what else succeeds on the machine, and on where else the job succeeds or fails. The protocol
+ * has no failed state and an accepted job must run, so a faulty job is retried one task at a time
+ * with exponential backoff, and its failures do not take machines out of use.
  */
 final class FailureAttribution {
-  /** Errors in a row on one machine, of several jobs, after which it is replaced. */
-  private static final int BAD_STREAK = 3;
+  /** Consecutive errors on one machine, by more than one job, after which it is replaced. */
+  private static final int FAULTY_MACHINE_ERRORS = 3;
 
-  /** Seconds without new tasks after an error on a machine; doubles with each in a row. */
-  private static final double QUARANTINE_S = 5;
+  /** Seconds without new tasks after an error on a machine; doubles with each consecutive error. */
+  private static final double INITIAL_QUARANTINE_S = 5;
 
-  /** Seconds; longest quarantine, so that a machine that has recovered is used again. */
-  private static final double LONGEST_QUARANTINE_S = 60;
+  /** Upper bound on the quarantine, so that a machine that has recovered is used again. */
+  private static final double MAX_QUARANTINE_S = 60;
 
-  /** Seconds of a job's first pause after failing on several machines; doubles. */
-  static final double JOB_BACKOFF_S = 2;
+  /** Seconds of a job's first pause after failures on several machines; doubles each time. */
+  static final double INITIAL_JOB_BACKOFF_S = 2;
 
   /**
-   * Seconds that a task has to run to speak for its job and its machine: mistakes and sick machines
-   * mostly end it at its start.
+   * Seconds that a task has to run to count as a success of its job and its machine. Faulty jobs
+   * and faulty machines mostly fail tasks right after the start.
    */
-  static final double GOOD_RUN_S = 5;
+  static final double MIN_SUCCESSFUL_RUN_S = 5;
 
   /**
-   * Times the attempt cap of machines on which tasks of a job fail, although others of it succeed,
-   * after which machines are not blamed for it any more.
+   * Multiple of the attempt cap for jobs of which other tasks succeed: once tasks of such a job
+   * have failed on this many machines, its failures no longer count against machines.
    */
-  private static final int PROVEN_JOB_MACHINES = 4;
+  private static final int PROVEN_JOB_CAP_FACTOR = 4;
 
-  /** Seconds; longest pause of such a job: an accepted job must run, so it is tried on. */
-  private static final double LONGEST_JOB_BACKOFF_S = 30;
+  /** Upper bound on a job's pause: an accepted job must run, so it is retried without end. */
+  private static final double MAX_JOB_BACKOFF_S = 30;
 
   private final ClusterState cluster;
   private final FleetPlanner planner;
@@ -43,47 +43,49 @@
     this.planner = planner;
   }
 
-  /** A task of the claim failed by itself. */
+  /** Handles an attempt that exited with an error. */
   void onFailure(Machine machine, Claim claim, double now) {
     Job job = claim.job;
-    boolean early = claim.runningSince == 0 || now - claim.runningSince < GOOD_RUN_S;
-    boolean proven = job.doneCount > 0 || (job.ranWell && early);
+    boolean failedEarly =
+        claim.runningSince == 0 || now - claim.runningSince < MIN_SUCCESSFUL_RUN_S;
+    boolean isProvenJob = job.doneCount > 0 || (job.ranWell && failedEarly);
     job.failedMachines.add(machine.name);
-    int cap = cluster.policy.tuning().attemptCap();
+    int attemptCap = cluster.policy.tuning().attemptCap();
     if (job.suspect) {
-      // The rest of one volley says nothing new; only a later try does.
+      // Only attempts claimed after the job became suspect are new evidence.
       if (claim.claimedAt > job.suspectSince) {
         backOff(job, now);
       }
       return;
     }
-    if (job.failedMachines.size() >= (proven ? cap * PROVEN_JOB_MACHINES : cap)) {
-      if (!proven) {
+    if (job.failedMachines.size()
+        >= (isProvenJob ? attemptCap * PROVEN_JOB_CAP_FACTOR : attemptCap)) {
+      if (!isProvenJob) {
         markSuspect(job, now);
       }
-      return; // Some tasks of a job whose others succeed may carry a mistake of their own.
+      return; // Single tasks of a job may be faulty even if others of it succeed.
     }
-    blameMachine(machine, job, now);
+    countAgainstMachine(machine, job, now);
   }
 
-  /** The failure counts against the machine: a pause, or no new tasks after several. */
-  private void blameMachine(Machine machine, Job job, double now) {
+  /** Quarantines the machine; after several failures it gets no new tasks and is replaced. */
+  private void countAgainstMachine(Machine machine, Job job, double now) {
     machine.lastErrorAt = now;
     machine.errorJobs.merge(job.spec.id(), 1, Integer::sum);
     int streak = machine.errorStreak();
-    double pause = QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
+    double pauseS = INITIAL_QUARANTINE_S * Math.pow(2, Math.min(8, streak - 1));
     machine.quarantineUntil =
-        Math.max(machine.quarantineUntil, now + Math.min(LONGEST_QUARANTINE_S, pause));
-    if (streak >= BAD_STREAK && machine.errorJobs.size() > 1 && !machine.faulty) {
+        Math.max(machine.quarantineUntil, now + Math.min(MAX_QUARANTINE_S, pauseS));
+    if (streak >= FAULTY_MACHINE_ERRORS && machine.errorJobs.size() > 1 && !machine.faulty) {
       machine.faulty = true;
       machine.drain = true;
-      // What runs there already is left alone: only starts were seen to fail.
-      cluster.log("machine " + machine.name + " fails tasks of several jobs: no new ones");
-      exonerateJobs(machine, now);
+      // Running tasks continue: only failures at the start have been observed.
+      cluster.log("machine " + machine.name + " fails tasks of several jobs: it gets no new tasks");
+      discardJobFailures(machine, now);
     }
   }
 
-  /** It failed on several machines and succeeded nowhere: they are not to blame for it. */
+  /** Marks a job that failed on several machines and succeeded on none; clears these machines. */
   private void markSuspect(Job job, double now) {
     job.suspect = true;
     job.suspectSince = now;
@@ -94,16 +96,17 @@
         job.spec.id()
             + " fails on every machine, "
             + job.failedMachines.size()
-            + " so far: tried one task at a time from now on");
-    for (String name : job.failedMachines) {
-      Machine machine = cluster.machines.get(name);
+            + " so far: retrying one task at a time");
+    for (String machineName : job.failedMachines) {
+      Machine machine = cluster.machines.get(machineName);
       if (machine == null || machine.errorJobs.remove(job.spec.id()) == null) {
         continue;
       }
       if (machine.faulty && machine.errorJobs.size() < 2 && !machine.scalingIn) {
         machine.faulty = false;
         machine.drain = false;
-        cluster.log("machine " + machine.name + " is used again: the jobs were at fault");
+        cluster.log(
+            "machine " + machine.name + " is used again: its failures were caused by the jobs");
       }
       if (machine.errorJobs.isEmpty()) {
         machine.quarantineUntil = Double.NEGATIVE_INFINITY;
@@ -113,25 +116,25 @@
     cluster.roundNeeded = true;
   }
 
-  /** The machine fails everything, so that jobs are not to blame for what failed there. */
-  private void exonerateJobs(Machine machine, double now) {
+  /** Discards the failures on a faulty machine from the records of the jobs. */
+  private void discardJobFailures(Machine machine, double now) {
     for (Job job : cluster.jobs.values()) {
       boolean failedHere = job.failedMachines.remove(machine.name);
       if (failedHere
           && job.suspect
           && job.failedMachines.size() < cluster.policy.tuning().attemptCap()) {
-        clearSuspicion(job, now);
+        clearSuspect(job, now);
       }
     }
   }
 
-  /** Tries no task of the job for a while, each time twice as long as before. */
+  /** Pauses placement of the job's tasks, each time for twice as long as before. */
   private void backOff(Job job, double now) {
-    double pause = JOB_BACKOFF_S * Math.pow(2, Math.min(8, job.backoffCount++));
-    job.notBefore = now + Math.min(LONGEST_JOB_BACKOFF_S, pause);
+    double pauseS = INITIAL_JOB_BACKOFF_S * Math.pow(2, Math.min(8, job.backoffCount++));
+    job.notBefore = now + Math.min(MAX_JOB_BACKOFF_S, pauseS);
   }
 
-  /** A task of the claim runs, or is done: neither its job nor its machine fails everything. */
+  /** Handles an attempt that has run long enough or is done; this clears its job and machine. */
   void onSuccess(Machine machine, Claim claim, double now) {
     Job job = claim.job;
     if (!job.ranWell || job.unproven || job.suspect) {
@@ -139,23 +142,24 @@
       job.unproven = false;
       cluster.roundNeeded = true;
       if (job.suspect) {
-        clearSuspicion(job, now);
+        clearSuspect(job, now);
       }
     }
-    // What was started before the machine fell sick goes on there, and shows nothing.
+    // Attempts from before the machine's last error may still succeed on a faulty machine, so they
+    // prove nothing.
     if (claim.claimedAt > machine.lastErrorAt) {
       machine.errorJobs.clear();
     }
   }
 
-  /** The job is not at fault after all: it is placed as others are. */
-  private void clearSuspicion(Job job, double now) {
+  /** Returns the job to normal placement: its failures were caused by machines. */
+  private void clearSuspect(Job job, double now) {
     job.suspect = false;
     job.backoffCount = 0;
     job.notBefore = now;
     job.failedMachines.clear();
     cluster.roundNeeded = true;
     cluster.roomVersion++;
-    cluster.log(job.spec.id() + " is not at fault: its machines were");
+    cluster.log(job.spec.id() + " is no longer suspect: its failures were caused by machines");
   }
 }
--- a/src/main/java/graderelay/core/Heartbeat.java
+++ b/src/main/java/graderelay/core/Heartbeat.java
@@ -5,13 +5,14 @@
 import java.util.Map;
 
 /**
- * A worker's heartbeat with status: what it says of itself and of the task attempts it holds. The
- * wire protocol calls it a report ({@code graderelay.wire.WorkerCodec} maps it once).
+ * A worker's heartbeat: its status and the status of its task attempts. The wire protocol calls it
+ * a report; {@code graderelay.wire.WorkerCodec} does the mapping.
  *
- * @param session the worker's incarnation (agent epoch); a restarted worker has a larger one
+ * @param session the worker's incarnation (agent epoch), which increases with every restart
  * @param seq the heartbeat's sequence number within its incarnation
  * @param term the highest term the worker has seen
- * @param noticeS seconds until the cloud takes the machine, or null
+ * @param interruptionNoticeS seconds until the cloud reclaims the machine, or null without an
+ *     interruption notice
  */
 public record Heartbeat(
     String machine,
@@ -22,10 +23,10 @@
     long session,
     long seq,
     long term,
-    Double noticeS,
-    List<Entry> tasks) {
+    Double interruptionNoticeS,
+    List<TaskStatus> tasks) {
 
-  /** State of a task on the worker. */
+  /** State of a task attempt on the worker. */
   public enum Stage {
     FETCHING,
     RUNNING,
@@ -33,20 +34,21 @@
     EXITED
   }
 
-  /** One task on the worker; {@code why} is empty unless it has exited. */
-  public record Entry(String task, int attempt, Stage stage, String why, boolean saved) {}
+  /** Status of one task attempt; {@code exitReason} is empty unless the attempt has exited. */
+  public record TaskStatus(
+      String task, int attempt, Stage stage, String exitReason, boolean saved) {}
 
-  /** Newer means the larger session, then the larger sequence. */
-  public boolean newerThan(long otherSession, long otherSeq) {
+  /** Compares by session first, then by sequence number. */
+  public boolean isNewerThan(long otherSession, long otherSeq) {
     return session > otherSession || (session == otherSession && seq > otherSeq);
   }
 
-  /** The tasks on the worker, by the attempt that each entry names. */
-  Map<AttemptKey, Entry> entriesByAttempt() {
-    Map<AttemptKey, Entry> entries = new HashMap<>();
-    for (Entry entry : tasks) {
-      entries.put(AttemptKey.of(entry), entry);
+  /** Returns the status of each listed task by its attempt. */
+  Map<AttemptKey, TaskStatus> statusByAttempt() {
+    Map<AttemptKey, TaskStatus> statusByAttempt = new HashMap<>();
+    for (TaskStatus status : tasks) {
+      statusByAttempt.put(AttemptKey.of(status), status);
     }
-    return entries;
+    return statusByAttempt;
   }
 }
--- /dev/null
+++ b/src/main/java/graderelay/core/HeartbeatCommandSelector.java
@@ -0,0 +1,71 @@
+package graderelay.core;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Selects the worker commands for the response to a heartbeat: kills and reaps of the attempts that
+ * the heartbeat lists, and launches of claimed attempts that it does not list.
+ */
+final class HeartbeatCommandSelector {
+  private final ClusterState cluster;
+
+  HeartbeatCommandSelector(ClusterState cluster) {
+    this.cluster = cluster;
+  }
+
+  /** Returns the commands for the response to the machine's latest heartbeat; none if stale. */
+  List<WorkerCommand> commandsFor(Heartbeat heartbeat, double now) {
+    List<WorkerCommand> commands = new ArrayList<>();
+    Machine machine = cluster.machines.get(heartbeat.machine());
+    if (machine == null
+        || machine.session != heartbeat.session()
+        || machine.seq != heartbeat.seq()) {
+      return commands;
+    }
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      addForListed(machine, status, commands, now);
+    }
+    for (Claim claim : machine.claims.values()) {
+      addLaunch(machine, claim, heartbeat, commands, now);
+    }
+    return commands;
+  }
+
+  /** Adds a kill or reap of an attempt that the heartbeat lists, if one is due. */
+  private static void addForListed(
+      Machine machine, Heartbeat.TaskStatus status, List<WorkerCommand> commands, double now) {
+    Claim claim = machine.claims.get(status.task());
+    boolean exited = status.stage() == Heartbeat.Stage.EXITED;
+    boolean matchesClaim =
+        claim != null && claim.attempt == status.attempt() && claim.session == machine.session;
+    if (matchesClaim) {
+      WorkerCommand.Kill kill = exited ? null : TaskStopper.killFor(claim, now);
+      if (kill != null) {
+        commands.add(kill);
+      }
+    } else if (!exited) {
+      commands.add(new WorkerCommand.Kill(status.task(), status.attempt(), 0));
+    } else if (!machine.unreapableAttempts.contains(AttemptKey.of(status))) {
+      commands.add(new WorkerCommand.Reap(status.task(), status.attempt()));
+    }
+  }
+
+  /** Adds a launch of the claimed attempt, unless one is in flight or already confirmed. */
+  private void addLaunch(
+      Machine machine, Claim claim, Heartbeat heartbeat, List<WorkerCommand> commands, double now) {
+    boolean needsLaunch =
+        claim.launchState == Claim.LaunchState.NONE
+            || claim.launchState == Claim.LaunchState.UNACKNOWLEDGED;
+    if (!needsLaunch || !TaskLauncher.mayLaunch(machine, claim)) {
+      return;
+    }
+    commands.add(new WorkerCommand.Launch(claim.taskId(), claim.attempt));
+    if (claim.launchState == Claim.LaunchState.NONE) {
+      claim.launchState = Claim.LaunchState.IN_RESPONSE;
+      claim.launchHeartbeatSeq = heartbeat.seq();
+      claim.launchTerm = cluster.term;
+      claim.launchedAt = now;
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/graderelay/core/HeartbeatHandler.java
@@ -0,0 +1,151 @@
+package graderelay.core;
+
+/**
+ * Handles heartbeats that workers send on their own initiative or in response to direct commands:
+ * drops stale ones, renews the machine's lease, and has the claims on the machine reconciled with
+ * the status.
+ */
+final class HeartbeatHandler {
+  private final ClusterState cluster;
+  private final DeletedMachines deletedMachines;
+  private final ResponseLossDetector responseLossDetector;
+  private final ClaimReconciler reconciler;
+  private final TaskStopper taskStopper;
+  private final FleetPlanner planner;
+  private long staleCount;
+
+  HeartbeatHandler(
+      ClusterState cluster,
+      DeletedMachines deletedMachines,
+      ClaimReconciler reconciler,
+      TaskStopper taskStopper,
+      FleetPlanner planner) {
+    this.cluster = cluster;
+    this.deletedMachines = deletedMachines;
+    this.responseLossDetector = new ResponseLossDetector(cluster);
+    this.reconciler = reconciler;
+    this.taskStopper = taskStopper;
+    this.planner = planner;
+  }
+
+  /** Number of heartbeats dropped because a newer one had arrived before. */
+  long staleCount() {
+    return staleCount;
+  }
+
+  /**
+   * Handles a heartbeat.
+   *
+   * @return false if it is stale, so that it neither proves anything nor renews the lease
+   */
+  boolean onHeartbeat(Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
+    if (deletedMachines.contains(heartbeat.machine())) {
+      return false; // Delayed in the network: the cloud has reported the machine as deleted.
+    }
+    Machine machine = cluster.getOrAddMachine(heartbeat.machine(), now);
+    if (machine.heartbeatReceived && !heartbeat.isNewerThan(machine.session, machine.seq)) {
+      onStaleHeartbeat(machine, heartbeat, origin);
+      return false; // Delayed in the network: a newer status is known.
+    }
+    boolean isFirstHeartbeat = !machine.heartbeatReceived;
+    final boolean wasAvailable = MachineAvailability.isAvailable(cluster, machine, now);
+    if (isFirstHeartbeat || machine.type == null || !machine.type.equals(heartbeat.type())) {
+      cluster.setTypeAndZone(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+    }
+    if (isFirstHeartbeat || heartbeat.session() != machine.session) {
+      machine.sessionSeenAt = now;
+      machine.unreapableAttempts.clear(); // Commands for the old session are refused.
+    }
+    if (!isFirstHeartbeat) {
+      responseLossDetector.check(machine, heartbeat, origin, now);
+    }
+    recordHeartbeat(machine, heartbeat, origin, now);
+    if (isFirstHeartbeat) {
+      machine.idleSince = now;
+      planner.onUp(machine, now);
+      cluster.log(
+          "machine " + machine.name + " sends heartbeats: " + machine.type + " in " + machine.zone);
+    }
+    handleInterruptionNotice(machine, heartbeat, now);
+    updateImages(machine, heartbeat, now);
+    reconciler.reconcile(machine, heartbeat, origin.workerInitiated(), now);
+    if (!wasAvailable && MachineAvailability.isAvailable(cluster, machine, now)) {
+      cluster.roomVersion++;
+      cluster.roundNeeded = true;
+    }
+    return true;
+  }
+
+  /** Counts a heartbeat that is not newer than the last one: it proves nothing, renews no lease. */
+  private void onStaleHeartbeat(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
+    staleCount++;
+    if (origin.workerInitiated() && heartbeat.session() == machine.session) {
+      // It was sent before the newer one arrived, so a response to it cannot renew the lease beyond
+      // the arrival of the newer one.
+      machine.lastAnsweredAt = Math.max(machine.lastAnsweredAt, machine.lastHeartbeatAt);
+    }
+  }
+
+  /** Stores the worker's status from the heartbeat; an expired lease becomes valid again. */
+  private static void recordHeartbeat(
+      Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
+    if (heartbeat.session() != machine.session) {
+      machine.firstAnsweredAt = Double.NaN;
+    }
+    machine.heartbeatReceived = true;
+    machine.leaseExpired = false;
+    machine.address = heartbeat.address();
+    machine.session = heartbeat.session();
+    machine.seq = heartbeat.seq();
+    machine.lastSeenTerm = Math.max(machine.lastSeenTerm, heartbeat.term());
+    machine.lastHeartbeatAt = now;
+    machine.failedProbes = 0;
+    if (origin.workerInitiated()) {
+      machine.heartbeatVia = origin.controller();
+      machine.heartbeatAnswered = false;
+    }
+    machine.lastHeartbeat = heartbeat;
+    machine.fetching.clear();
+  }
+
+  /** Drains the machine when its worker reports the cloud's interruption notice. */
+  private void handleInterruptionNotice(Machine machine, Heartbeat heartbeat, double now) {
+    if (heartbeat.interruptionNoticeS() != null && machine.interruptionAt == null) {
+      machine.interruptionAt = now + heartbeat.interruptionNoticeS();
+      cluster.log(
+          "machine "
+              + machine.name
+              + " will be reclaimed by the cloud in "
+              + heartbeat.interruptionNoticeS()
+              + " s");
+      taskStopper.drainMachine(machine, now);
+    }
+  }
+
+  /** Updates which images the machine is fetching and which it has. */
+  private static void updateImages(Machine machine, Heartbeat heartbeat, double now) {
+    for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
+      Claim claim = machine.claims.get(status.task());
+      if (claim == null) {
+        continue;
+      }
+      String image = claim.job.spec.image();
+      if (status.stage() == Heartbeat.Stage.FETCHING) {
+        machine.fetching.add(image);
+      } else if (status.exitReason().isEmpty() || status.exitReason().equals("done")) {
+        machine.learnImage(image, now);
+      }
+    }
+  }
+
+  /** Records a response to the machine's last heartbeat; the lease starts no later than this. */
+  void onHeartbeatAnswered(String machineName, double now) {
+    Machine machine = cluster.machines.get(machineName);
+    if (machine != null) {
+      machine.lastAnsweredAt = now;
+      machine.firstAnsweredAt =
+          Double.isNaN(machine.firstAnsweredAt) ? now : machine.firstAnsweredAt;
+      machine.heartbeatAnswered = true;
+    }
+  }
+}
--- a/src/main/java/graderelay/core/HeartbeatOrigin.java
+++ b/src/main/java/graderelay/core/HeartbeatOrigin.java
@@ -1,18 +1,18 @@
 package graderelay.core;
 
 /**
- * How a worker's status came to the leader.
+ * How a worker's status reached the leader.
  *
- * @param checkIn true for a heartbeat that the worker sent by itself, false for its answer to
- *     worker commands that were sent to it directly
- * @param controller the controller that a check-in came to, "" for the leader itself
+ * @param workerInitiated true for a heartbeat that the worker sent on its own initiative, false for
+ *     its response to direct commands
+ * @param controller the controller that received such a heartbeat, "" for the leader itself
  */
-record HeartbeatOrigin(boolean checkIn, String controller) {
-  /** The worker answered commands that were sent to it directly. */
-  static final HeartbeatOrigin COMMAND_ANSWER = new HeartbeatOrigin(false, "");
+record HeartbeatOrigin(boolean workerInitiated, String controller) {
+  /** The status came in the response to commands that were sent directly to the worker. */
+  static final HeartbeatOrigin COMMAND_RESPONSE = new HeartbeatOrigin(false, "");
 
-  /** The worker sent its heartbeat to this controller. */
-  static HeartbeatOrigin checkIn(String controller) {
+  /** The worker sent its heartbeat to the given controller. */
+  static HeartbeatOrigin workerInitiated(String controller) {
     return new HeartbeatOrigin(true, controller);
   }
 }
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -177,7 +177,7 @@
             new TaskBatch(
                 new TaskBatchKey(spec.id(), i),
                 i * spec.batchCapacity(),
-                TaskBatchRecord.fresh(spec.batchSize(i)),
+                TaskBatchRecord.unclaimed(spec.batchSize(i)),
                 0));
   }
 
--- a/src/main/java/graderelay/core/JobEndWriter.java
+++ b/src/main/java/graderelay/core/JobEndWriter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Writes the final records of jobs that are over, and drops the records of task batches that no
+ * Writes the final records of jobs that have ended, and deletes the records of task batches that no
  * longer have a job.
  */
 final class JobEndWriter {
@@ -18,7 +18,7 @@
     this.inFlight = inFlight;
   }
 
-  /** True if the job is not cancelled or ending, and each task is done or proven done. */
+  /** True if the job is neither cancelled nor ending, and each task is done or proven done. */
   static boolean isProvenDone(Job job) {
     if (job.cancelRequested || job.ending || !job.openTasks.isEmpty()) {
       return false;
@@ -32,14 +32,14 @@
   }
 
   /**
-   * Ends jobs that are complete or cancelled with nothing left, and drops task batches without a
+   * Ends jobs that are complete, and cancelled jobs without claims; deletes task batches without a
    * job.
    */
   void endJobs() {
     List<Job> cancelled = new ArrayList<>();
     for (Job job : new ArrayList<>(cluster.maybeEndedJobs)) {
-      boolean over = job.cancelRequested ? job.claims.isEmpty() : isProvenDone(job);
-      if (!over) {
+      boolean hasEnded = job.cancelRequested ? job.claims.isEmpty() : isProvenDone(job);
+      if (!hasEnded) {
         cluster.maybeEndedJobs.remove(job);
       } else if (job.ending
           || job.taskBatches.values().stream().anyMatch(batch -> batch.inFlight)) {
@@ -50,11 +50,12 @@
         endJob(job);
       }
     }
-    // Their records say already that they are cancelled, and nobody waits for their ends: hundreds
-    // that go with one job that they depend on must not delay the claims of others.
+    // The records of cancelled jobs already show the cancellation, so no user waits for their final
+    // records. Cancelling one job may cancel hundreds of dependents, whose ends must not delay the
+    // claims of other jobs.
     for (Job job : cancelled) {
-      if (inFlight.cancelledEndsOut() > 0
-          && inFlight.changesLeft() <= inFlight.mostChangesOut() / 2) {
+      if (inFlight.cancelledEndsInFlight() > 0
+          && inFlight.remainingChanges() <= inFlight.maxChangesInFlight() / 2) {
         break;
       }
       endJob(job);
@@ -62,14 +63,15 @@
     dropOrphans();
   }
 
-  /** Replaces the job by its final record. */
+  /** Replaces the job's record with its final record. */
   private void endJob(Job job) {
-    // Users wait for the end, nobody for the task batches to go: in a swarm of single tasks they
-    // would take as many changes again. What is left goes as soon as there is time.
-    int most = Math.min(cluster.policy.txnOps() - 2, inFlight.changesLeft() - 2);
+    // Users wait for the final record but not for the deletion of the task batches, which for many
+    // single-task jobs would double the number of changes. The remaining batches are deleted later
+    // as orphans.
+    int maxDrops = Math.min(cluster.policy.txnOps() - 2, inFlight.remainingChanges() - 2);
     List<Action.TaskBatchDrop> drops = new ArrayList<>();
     for (Job.TaskBatch batch : job.taskBatches.values()) {
-      if (batch.revision > 0 && drops.size() < most) {
+      if (batch.revision > 0 && drops.size() < maxDrops) {
         drops.add(new Action.TaskBatchDrop(batch.key, batch.revision));
       }
     }
@@ -81,17 +83,18 @@
         new Action.Write(inFlight.nextId(), List.of(), List.of(end), List.of(), List.of()));
   }
 
-  /** Drops as many records without a job as one transaction and the rate allow. */
+  /** Deletes as many records without a job as one transaction and the rate allow. */
   private void dropOrphans() {
-    int most = Math.min(cluster.policy.txnOps(), inFlight.changesLeft());
-    if (records.orphans.isEmpty() || most <= 0 || inFlight.orphanWriteOpen()) {
+    int maxDrops = Math.min(cluster.policy.txnOps(), inFlight.remainingChanges());
+    if (records.orphanRevisions.isEmpty() || maxDrops <= 0 || inFlight.isOrphanWriteInFlight()) {
       return;
     }
     List<Action.TaskBatchDrop> drops = new ArrayList<>();
-    for (var it = records.orphans.entrySet().iterator(); it.hasNext() && drops.size() < most; ) {
-      var orphan = it.next();
+    for (var iterator = records.orphanRevisions.entrySet().iterator();
+        iterator.hasNext() && drops.size() < maxDrops; ) {
+      var orphan = iterator.next();
       drops.add(new Action.TaskBatchDrop(orphan.getKey(), orphan.getValue()));
-      it.remove();
+      iterator.remove();
     }
     inFlight.send(new Action.Write(inFlight.nextId(), List.of(), List.of(), drops, List.of()));
   }
--- a/src/main/java/graderelay/core/LaunchFencing.java
+++ b/src/main/java/graderelay/core/LaunchFencing.java
@@ -1,35 +1,35 @@
 package graderelay.core;
 
 /**
- * Fences unacknowledged launches that stand in the way of a stop. The leader raises its term;
- * workers that have seen the new one refuse a launch of the old one, however late it arrives.
+ * Fences unacknowledged launches that block the stop of an attempt. The leader raises its term;
+ * workers that have seen the new term refuse a launch with the old one, however late it arrives.
  */
 final class LaunchFencing {
   /** Seconds that an unacknowledged launch may block a stop before the term is raised. */
-  private static final double UNACKNOWLEDGED_S = 5;
+  private static final double MAX_BLOCKED_STOP_S = 5;
 
-  /** Seconds between raises of the term: workers take a higher one at most twice a lease. */
-  private static final double RAISE_PAUSE_S = 8;
+  /** Minimum seconds between raises: workers accept a higher term at most twice per lease. */
+  private static final double MIN_RAISE_INTERVAL_S = 8;
 
   private final ClusterState cluster;
   private double lastRaiseAt = Double.NEGATIVE_INFINITY;
-  private boolean raising;
+  private boolean raiseInFlight;
 
   LaunchFencing(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** Asks for a new term if an unacknowledged launch has blocked a stop for too long. */
+  /** Requests a new term if an unacknowledged launch has blocked a stop for too long. */
   void raiseTermIfBlocked(double now) {
-    if (raising || now - lastRaiseAt < RAISE_PAUSE_S) {
+    if (raiseInFlight || now - lastRaiseAt < MIN_RAISE_INTERVAL_S) {
       return;
     }
     for (Machine machine : cluster.machines.values()) {
       for (Claim claim : machine.claims.values()) {
         if (blocksStop(claim, now)) {
-          raising = true;
+          raiseInFlight = true;
           lastRaiseAt = now;
-          cluster.log("raising the term: a launch of " + claim.taskId() + " is of unknown fate");
+          cluster.log("raising the term: a launch of " + claim.taskId() + " is unacknowledged");
           cluster.actions.add(new Action.RaiseTerm());
           return;
         }
@@ -39,23 +39,23 @@
 
   private boolean blocksStop(Claim claim, double now) {
     return claim.phase == Claim.Phase.COMMITTED
-        && claim.launch == Claim.Launch.UNACKNOWLEDGED
+        && claim.launchState == Claim.LaunchState.UNACKNOWLEDGED
         && (claim.job.cancelRequested || claim.stopRequested)
-        && now - claim.launchedAt > UNACKNOWLEDGED_S
+        && now - claim.launchedAt > MAX_BLOCKED_STOP_S
         && claim.launchTerm == cluster.term;
   }
 
-  /** The term was raised to {@code newTerm}, or could not be if that is no higher than ours. */
-  void onTerm(long newTerm, double now) {
-    raising = false;
+  /** Handles the outcome: {@code newTerm} is higher than the current term only on success. */
+  void onRaiseOutcome(long newTerm, double now) {
+    raiseInFlight = false;
     if (newTerm > cluster.term) {
       cluster.term = newTerm;
       lastRaiseAt = now;
     }
   }
 
-  /** True while a new term is asked for, in which nothing is claimed. */
-  boolean isRaising() {
-    return raising;
+  /** True while a request for a new term is in flight; meanwhile no tasks are claimed. */
+  boolean isRaiseInFlight() {
+    return raiseInFlight;
   }
 }
--- a/src/main/java/graderelay/core/LeaseDelegates.java
+++ b/src/main/java/graderelay/core/LeaseDelegates.java
@@ -4,138 +4,156 @@
 import java.util.Map;
 
 /**
- * The leader's record of the controllers that may renew workers' leases in a zone that is cut off.
- * A lease delegate answers its zone's workers by itself, without commands, only while it reaches
- * neither the leader nor the key-value store, and only for a limited time after the leader's last
- * grant. Nothing is known of a lease delegate that is silent, so its zone's leases count as renewed
- * until its grant has run out; from one that speaks we know that it does not answer by itself.
+ * The leader's record of the lease delegates: controllers that may renew workers' leases in a
+ * partitioned zone. A lease delegate renews the leases of its zone's workers autonomously, without
+ * commands, only while it reaches neither the leader nor the key-value store, and only for a
+ * limited time after the leader's last grant. If a lease delegate is silent, the leader has to
+ * assume that it renews leases until its grant expires. A request from it shows that it is not
+ * autonomous.
  */
 final class LeaseDelegates {
   /**
    * A lease delegate's request for a grant.
    *
-   * @param process tells its process from earlier ones of the same member
-   * @param number number of the request within its process
-   * @param grantTerm term of the leader whose grant it has, 0 if it has none
-   * @param lastHeardAt the leader's time of the last grant that it has heard of
-   * @param aloneS seconds since it last answered by itself, or since its process began
+   * @param process distinguishes the delegate's process from earlier ones of the same member
+   * @param requestNumber number of the request within the process
+   * @param grantTerm term of the leader that issued its current grant, 0 without a grant
+   * @param lastReceivedGrantAt time on the leader's clock at which the last grant that it received
+   *     was sent
+   * @param autonomousAgeS seconds since it last renewed leases autonomously, or since its process
+   *     started
    */
   record GrantRequest(
       String member,
       String process,
-      long number,
+      long requestNumber,
       long grantTerm,
-      double lastHeardAt,
-      double aloneS) {}
+      double lastReceivedGrantAt,
+      double autonomousAgeS) {}
 
   /**
-   * A lease delegate releases its grants, since it reaches the key-value store but not the leader.
+   * The release of a lease delegate's grants, which it sends when it reaches the key-value store
+   * but not the leader.
    *
-   * @param process tells its process from earlier ones of the same member
-   * @param number number of the last request whose grant is released
-   * @param grantTerm term of the leader whose grant it has
-   * @param aloneS seconds since it last answered by itself, or since its process began
+   * @param process distinguishes the delegate's process from earlier ones of the same member
+   * @param lastRequestNumber number of the last request whose grant is released
+   * @param grantTerm term of the leader that issued its current grant
+   * @param autonomousAgeS seconds since it last renewed leases autonomously, or since its process
+   *     started
    */
-  record GrantRelease(String member, String process, long number, long grantTerm, double aloneS) {}
+  record GrantRelease(
+      String member,
+      String process,
+      long lastRequestNumber,
+      long grantTerm,
+      double autonomousAgeS) {}
 
   private static final class LeaseDelegate {
     final String zone;
     String process = "";
 
     /** Number of the last request that was granted. */
-    long grantedNumber;
+    long grantedRequestNumber;
 
-    /** When its grant runs out. */
+    /** When its grant expires. */
     double grantedUntil;
 
-    /** When we sent the last grant that it is known to have heard of. */
-    double heardAt = Double.NEGATIVE_INFINITY;
+    /** When the leader sent the last grant that the delegate is known to have received. */
+    double receivedGrantAt = Double.NEGATIVE_INFINITY;
 
-    /** When it may last have answered its workers by itself, as far as it has said. */
-    double aloneAt = Double.NEGATIVE_INFINITY;
+    /** Latest known time at which it may have renewed leases autonomously. */
+    double lastAutonomousAt = Double.NEGATIVE_INFINITY;
 
     LeaseDelegate(String zone, double grantedUntil) {
       this.zone = zone;
       this.grantedUntil = grantedUntil;
     }
 
-    /** True if it may be answering its workers by itself. */
-    boolean maybeAlone(double now) {
-      return now > heardAt + LeaseTiming.DELEGATE_ALONE_S * (1 - LeaseTiming.DRIFT);
+    /** True if it may be renewing leases autonomously. */
+    boolean mayBeAutonomous(double now) {
+      return now
+          > receivedGrantAt
+              + LeaseTiming.DELEGATE_AUTONOMY_DELAY_S * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
     }
   }
 
-  private final Map<String, LeaseDelegate> byMember = new HashMap<>();
+  private final Map<String, LeaseDelegate> delegatesByMember = new HashMap<>();
   private final long term;
   private final double grantS;
   private final double leaseS;
 
   /**
-   * The lease delegates of a new leader. Earlier leaders granted until they lost the leadership at
-   * the latest, which was before now.
+   * Creates the lease delegates of a new leader. Earlier leaders issued their last grants before
+   * they lost the leadership and therefore before {@code now}.
    *
    * @param zones the zone of each member that is a lease delegate
-   * @param grantS seconds that a grant lasts
-   * @param leaseS seconds that a worker's lease lasts
+   * @param grantS duration of a grant in seconds
+   * @param leaseS duration of a worker's lease in seconds
    */
   LeaseDelegates(Map<String, String> zones, long term, double grantS, double leaseS, double now) {
     this.term = term;
-    this.grantS = grantS * (1 + LeaseTiming.DRIFT);
+    this.grantS = grantS * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
     this.leaseS = leaseS;
     zones.forEach(
-        (member, zone) -> byMember.put(member, new LeaseDelegate(zone, now + this.grantS)));
+        (member, zone) ->
+            delegatesByMember.put(member, new LeaseDelegate(zone, now + this.grantS)));
   }
 
-  /** Takes a request; true if the member is a lease delegate, which has a grant from now on. */
+  /** Issues a grant from now on; returns false if the member is not a lease delegate. */
   boolean grant(GrantRequest request, double now) {
-    LeaseDelegate delegate = byMember.get(request.member());
+    LeaseDelegate delegate = delegatesByMember.get(request.member());
     if (delegate == null) {
       return false;
     }
     if (!request.process().equals(delegate.process)) {
       delegate.process = request.process();
-      delegate.grantedNumber = 0;
+      delegate.grantedRequestNumber = 0;
     }
-    delegate.grantedNumber = Math.max(delegate.grantedNumber, request.number());
+    delegate.grantedRequestNumber =
+        Math.max(delegate.grantedRequestNumber, request.requestNumber());
     delegate.grantedUntil = Math.max(delegate.grantedUntil, now + grantS);
-    delegate.aloneAt = Math.max(delegate.aloneAt, now - request.aloneS());
+    delegate.lastAutonomousAt = Math.max(delegate.lastAutonomousAt, now - request.autonomousAgeS());
     if (request.grantTerm() == term) {
-      delegate.heardAt = Math.max(delegate.heardAt, request.lastHeardAt());
+      delegate.receivedGrantAt = Math.max(delegate.receivedGrantAt, request.lastReceivedGrantAt());
     }
     return true;
   }
 
-  /** Withdraws the member's grants, unless it was granted one since, which may be in effect. */
+  /** Withdraws the member's grants, unless a later one has been issued, which may be in effect. */
   void release(GrantRelease release, double now) {
-    LeaseDelegate delegate = byMember.get(release.member());
+    LeaseDelegate delegate = delegatesByMember.get(release.member());
     if (delegate != null
         && release.grantTerm() == term
         && release.process().equals(delegate.process)
-        && delegate.grantedNumber <= release.number()) {
-      delegate.aloneAt = Math.max(delegate.aloneAt, now - release.aloneS());
+        && delegate.grantedRequestNumber <= release.lastRequestNumber()) {
+      delegate.lastAutonomousAt =
+          Math.max(delegate.lastAutonomousAt, now - release.autonomousAgeS());
       delegate.grantedUntil = Double.NEGATIVE_INFINITY;
     }
   }
 
-  /** No lease in the zone, null for any, was renewed by a lease delegate later than this. */
-  double renewedUntil(String zone, double now) {
-    double last = Double.NEGATIVE_INFINITY;
-    for (LeaseDelegate delegate : byMember.values()) {
+  /**
+   * Returns the latest time at which a lease delegate may have renewed a lease in the zone, or in
+   * any zone if {@code zone} is null.
+   */
+  double latestRenewalAt(String zone, double now) {
+    double latest = Double.NEGATIVE_INFINITY;
+    for (LeaseDelegate delegate : delegatesByMember.values()) {
       if (zone == null || zone.equals(delegate.zone)) {
-        last = Math.max(last, delegate.aloneAt);
-        if (delegate.maybeAlone(now)) {
-          last = Math.max(last, Math.min(now, delegate.grantedUntil));
+        latest = Math.max(latest, delegate.lastAutonomousAt);
+        if (delegate.mayBeAutonomous(now)) {
+          latest = Math.max(latest, Math.min(now, delegate.grantedUntil));
         }
       }
     }
-    return last;
+    return latest;
   }
 
-  /** True if leases in the zone may go on since a lease delegate answered its workers by itself. */
+  /** True if leases in the zone may still be valid because a lease delegate renewed them. */
   boolean mayRenew(String zone, double now) {
-    for (LeaseDelegate delegate : byMember.values()) {
+    for (LeaseDelegate delegate : delegatesByMember.values()) {
       if (delegate.zone.equals(zone)
-          && delegate.maybeAlone(now)
+          && delegate.mayBeAutonomous(now)
           && now < delegate.grantedUntil + leaseS) {
         return true;
       }
--- a/src/main/java/graderelay/core/LeaseTiming.java
+++ b/src/main/java/graderelay/core/LeaseTiming.java
@@ -1,18 +1,19 @@
 package graderelay.core;
 
-/** Timing of worker and leader leases shared by every package that computes with leases. */
+/** Constants for computing with the leases of workers and of the leader, in all packages. */
 public final class LeaseTiming {
-  /** Seconds beyond a worker's lease: timers fire late on a starved process. */
+  /** Added to a worker's lease, since timers fire late in a process that is starved of CPU. */
   public static final double LEASE_MARGIN_S = 0.5;
 
-  /** Share by which two steady clocks may differ: 0.05% on either side. */
-  public static final double DRIFT = 0.001;
+  /** Relative drift allowed between two monotonic clocks: 0.05% on either side. */
+  public static final double MAX_CLOCK_DRIFT_RATIO = 0.001;
 
   /**
-   * Seconds since the leader's last answer before which a lease delegate never answers by itself:
-   * several of its requests, and less than a worker needs to find it.
+   * Seconds since the leader's last response during which a lease delegate never renews leases
+   * autonomously. This covers several of its requests, and is less than a worker needs to switch
+   * over to it.
    */
-  public static final double DELEGATE_ALONE_S = 4;
+  public static final double DELEGATE_AUTONOMY_DELAY_S = 4;
 
   private LeaseTiming() {}
 }
--- a/src/main/java/graderelay/core/TerminationProofs.java
+++ b/src/main/java/graderelay/core/LostMachineHandler.java
@@ -3,33 +3,36 @@
 import java.util.ArrayList;
 
 /**
- * Ends claims that are proven gone without a heartbeat of their worker: its lease has expired, so
- * that it has stopped its tasks, or the cloud says that the machine is gone.
+ * Ends the claims on lost machines. No heartbeat is needed to prove that their attempts have ended:
+ * either the worker's lease has expired, so that the worker has stopped its tasks, or the cloud has
+ * reported that the machine is gone.
  */
-final class TerminationProofs {
+final class LostMachineHandler {
   private final ClusterState cluster;
   private final StoredRecords records;
 
-  TerminationProofs(ClusterState cluster, StoredRecords records) {
+  LostMachineHandler(ClusterState cluster, StoredRecords records) {
     this.cluster = cluster;
     this.records = records;
   }
 
   /**
-   * Ends the claims on machines whose lease has expired. A worker's lease runs from our last
-   * answer, or from the failover for those answered before it.
+   * Ends the claims on machines whose lease has expired. A worker's lease starts at this leader's
+   * last response, or at the failover if only earlier leaders have responded to it.
    */
   void expireLeases(double now) {
-    double lease = cluster.policy.leaseS() * (1 + LeaseTiming.DRIFT) + LeaseTiming.LEASE_MARGIN_S;
+    double leaseS =
+        cluster.policy.leaseS() * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+            + LeaseTiming.LEASE_MARGIN_S;
     for (Machine machine : cluster.machines.values()) {
       if (!machine.heartbeatReceived && machine.claims.isEmpty()) {
         continue;
       }
-      if (now <= lastRenewalAt(machine) + lease) {
+      if (now <= lastRenewalAt(machine) + leaseS) {
         continue;
       }
-      // A lease delegate of its zone may have answered it since.
-      if (now <= cluster.delegates.renewedUntil(machine.zone, now) + lease) {
+      // A lease delegate of its zone may have renewed the lease since.
+      if (now <= cluster.delegates.latestRenewalAt(machine.zone, now) + leaseS) {
         continue;
       }
       if (!machine.leaseExpired) {
@@ -37,33 +40,33 @@
         cluster.log(
             "the lease of " + machine.name + " is over, " + machine.claims.size() + " claims");
       }
-      // Also those that committed since: nothing is launched on a machine whose lease is over.
+      // This includes claims committed after the expiry: nothing is launched on such a machine.
       for (Claim claim : new ArrayList<>(machine.claims.values())) {
         if (claim.phase == Claim.Phase.COMMITTED) {
-          records.end(claim, false, now);
+          records.endClaim(claim, false, now);
         }
       }
     }
   }
 
-  /** The latest time at which this leader, or one before it, can have renewed the lease. */
+  /** The latest time at which this or an earlier leader can have renewed the lease. */
   private double lastRenewalAt(Machine machine) {
     return Math.max(Math.max(machine.lastAnsweredAt, machine.sessionSeenAt), cluster.leaderSince);
   }
 
-  /** Ends the claims on a machine that the cloud says is gone, for the reason given. */
-  void machineGone(Machine machine, String reason, double now) {
+  /** Ends the claims on a machine that the cloud has reported as gone, for the given reason. */
+  void onMachineGone(Machine machine, String reason, double now) {
     for (Claim claim : new ArrayList<>(machine.claims.values())) {
       if (claim.phase == Claim.Phase.COMMITTED) {
         cluster.log(
             claim.taskId()
                 + " attempt "
                 + claim.attempt
-                + " is gone with "
+                + " ended on "
                 + machine.name
                 + ": "
                 + reason);
-        records.end(claim, false, now);
+        records.endClaim(claim, false, now);
       }
     }
   }
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -15,8 +15,8 @@
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final DeletedMachines deleted;
-  private final TerminationProofs proofs;
-  private final TaskStops stops;
+  private final LostMachineHandler proofs;
+  private final TaskStopper stops;
 
   /** Deleted machines that still carry claims whose end has to commit. */
   private final Set<String> toForget = new LinkedHashSet<>();
@@ -25,8 +25,8 @@
       ClusterState cluster,
       FleetPlanner planner,
       DeletedMachines deleted,
-      TerminationProofs proofs,
-      TaskStops stops) {
+      LostMachineHandler proofs,
+      TaskStopper stops) {
     this.cluster = cluster;
     this.planner = planner;
     this.deleted = deleted;
@@ -73,7 +73,7 @@
     }
     if (listed.stage().equals("failed") && !machine.failed) {
       machine.failed = true;
-      proofs.machineGone(machine, "the cloud lists it as failed", now);
+      proofs.onMachineGone(machine, "the cloud lists it as failed", now);
     }
   }
 
@@ -90,7 +90,7 @@
       if (machine == null || !machine.scalingIn) {
         continue;
       }
-      proofs.machineGone(machine, "it was scaled in", now);
+      proofs.onMachineGone(machine, "it was scaled in", now);
       deleted.add(name);
       toForget.add(name);
     }
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -37,7 +37,7 @@
     }
     if (!cluster.admission.enabled()) {
       cluster.admission.enable();
-      records.trackAll();
+      records.trackAllUsage();
     }
     cluster.admission.update(stored);
     cluster.policy = cluster.policy.with(stored.seeded() ? teams(stored) : settingsTeams);
--- /dev/null
+++ b/src/main/java/graderelay/core/ResponseLossDetector.java
@@ -0,0 +1,104 @@
+package graderelay.core;
+
+import java.util.Map;
+
+/**
+ * Detects machines whose heartbeats arrive while the responses to them are lost. A heartbeat alone
+ * does not prove that responses reach its worker: they may be lost, and the heartbeat may be a
+ * delayed duplicate. The time between two heartbeats does not prove it either, because the
+ * deployment chooses it and it may be as long as a worker's response timeout. The behavior of the
+ * worker does: after a response it stays with that controller, and without one it switches to the
+ * next controller.
+ */
+final class ResponseLossDetector {
+  private final ClusterState cluster;
+
+  ResponseLossDetector(ClusterState cluster) {
+    this.cluster = cluster;
+  }
+
+  /**
+   * Decides from a machine's next heartbeat whether the response to its previous one arrived.
+   * {@code machine} still holds the state of the previous heartbeat.
+   */
+  void check(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
+    String evidence =
+        origin.workerInitiated() && machine.heartbeatAnswered
+            ? findLossEvidence(machine, heartbeat, origin, now)
+            : null;
+    if (evidence == null && receivedResponse(machine, heartbeat, origin)) {
+      if (machine.answersLostSince != null) {
+        cluster.log("machine " + machine.name + " receives heartbeat responses again");
+      }
+      machine.answersLostSince = null;
+    } else if (evidence != null && machine.answersLostSince == null) {
+      machine.answersLostSince = now;
+      cluster.log("machine " + machine.name + " does not hear us: " + evidence);
+    }
+  }
+
+  /** Describes for the log why the last heartbeat's response must have been lost, or null. */
+  private String findLossEvidence(
+      Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
+    boolean sameSession = heartbeat.session() == machine.session;
+    if (isNextInSequence(machine, heartbeat) && !origin.controller().equals(machine.heartbeatVia)) {
+      return "it switched to another controller after our response";
+    }
+    if (sameSession && heartbeat.term() < cluster.firstTerm) {
+      return "its term is lower than that of our response";
+    }
+    if (sameSession && lacksLaunchedAttempt(machine, heartbeat)) {
+      return "it doesn't list an attempt that our response launched";
+    }
+    if (heartbeat.session() > machine.session
+        && leaseExpiredDespiteResponse(machine, heartbeat, now)) {
+      return "its lease expired shortly after our response";
+    }
+    return null;
+  }
+
+  /**
+   * True if a new session shows that the responses to the old session were lost. A single response
+   * proves nothing, since it may have been sent when the lease had already expired, for example
+   * after a failover.
+   */
+  private boolean leaseExpiredDespiteResponse(Machine machine, Heartbeat heartbeat, double now) {
+    return now - machine.lastAnsweredAt < cluster.policy.leaseS() / 2
+        && (heartbeat.term() >= cluster.firstTerm
+            || machine.lastAnsweredAt - machine.firstAnsweredAt
+                > cluster.policy.heartbeatIntervalS() / 2);
+  }
+
+  /** True if the heartbeat shows that a message from this leader has reached the worker. */
+  private static boolean receivedResponse(
+      Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
+    return !origin.workerInitiated()
+        || heartbeat.term() > machine.lastSeenTerm
+        || (isNextInSequence(machine, heartbeat) && machine.heartbeatAnswered);
+  }
+
+  /**
+   * True if the worker sent no other heartbeat and no command response between the last one and
+   * this one. After a gap it is unknown which responses the worker received.
+   */
+  private static boolean isNextInSequence(Machine machine, Heartbeat heartbeat) {
+    return heartbeat.session() == machine.session && heartbeat.seq() == machine.seq + 1;
+  }
+
+  /** True if an attempt launched in the response to an earlier heartbeat is missing in this one. */
+  private static boolean lacksLaunchedAttempt(Machine machine, Heartbeat heartbeat) {
+    Map<AttemptKey, Heartbeat.TaskStatus> statusByAttempt = null;
+    for (Claim claim : machine.claims.values()) {
+      if (claim.launchState == Claim.LaunchState.IN_RESPONSE
+          && claim.phase == Claim.Phase.COMMITTED
+          && claim.session == heartbeat.session()
+          && heartbeat.seq() > claim.launchHeartbeatSeq) {
+        statusByAttempt = statusByAttempt == null ? heartbeat.statusByAttempt() : statusByAttempt;
+        if (!statusByAttempt.containsKey(AttemptKey.of(claim))) {
+          return true;
+        }
+      }
+    }
+    return false;
+  }
+}
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -141,7 +141,8 @@
         boolean silent =
             other.failedProbes > 0
                 || now - Math.max(other.lastHeartbeatAt, startedAt)
-                    > cluster.policy.heartbeatIntervalS() * SilentWorkerProbes.SILENT_INTERVALS;
+                    > cluster.policy.heartbeatIntervalS()
+                        * SilentWorkerProber.PROBE_AFTER_INTERVALS;
         counted.count(other.zone, silent);
       }
     }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -14,21 +14,21 @@
  * The scheduling core of the leader: a façade with one method for each event. Events come in with
  * the time, actions go out; nothing here waits, reads a clock or touches a socket. All times are
  * seconds on the leader's steady clock. The parts share one {@link ClusterState}: {@link
- * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link CompareAndSwapAnswers}
- * the transactions that change them, {@link HeartbeatIntake} and {@link ClaimReconciliation} what
- * heartbeats show, {@link TerminationProofs} what is proven gone without them, and {@link
- * WorkerTasks} what workers are told.
+ * StoredRecords} has the records, {@link CompareAndSwapWriter} and {@link
+ * TransactionOutcomeHandler} the transactions that change them, {@link HeartbeatHandler} and {@link
+ * ClaimReconciler} what heartbeats show, {@link LostMachineHandler} what is proven gone without
+ * them, and {@link WorkerControl} what workers are told.
  */
 public final class Scheduler {
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final CompareAndSwapAnswers answers;
-  private final WorkerTasks workers;
-  private final HeartbeatIntake heartbeats;
-  private final HeartbeatResponses responses;
-  private final CommandDeliveryEvents deliveries;
-  private final JobRecordEvents jobEvents;
+  private final TransactionOutcomeHandler answers;
+  private final WorkerControl workers;
+  private final HeartbeatHandler heartbeats;
+  private final HeartbeatCommandSelector responses;
+  private final CommandDeliveryHandler deliveries;
+  private final JobRecordHandler jobEvents;
   private final QuotaUpdates quota;
   private final MachineEvents machineEvents;
   private final AdminViews views;
@@ -49,24 +49,24 @@
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new Dependencies(cluster, planner::estimate);
     this.records = new StoredRecords(cluster);
-    this.workers = WorkerTasks.create(cluster, records);
+    this.workers = WorkerControl.create(cluster, records);
     DeletedMachines deleted = new DeletedMachines();
-    ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
+    ClaimReconciler reconciliation = new ClaimReconciler(cluster, records, planner);
     this.heartbeats =
-        new HeartbeatIntake(cluster, deleted, reconciliation, workers.stops(), planner);
-    this.responses = new HeartbeatResponses(cluster);
-    this.deliveries = new CommandDeliveryEvents(cluster, records, heartbeats);
-    this.jobEvents = new JobRecordEvents(cluster, planner, records, workers.stops());
+        new HeartbeatHandler(cluster, deleted, reconciliation, workers.stopper(), planner);
+    this.responses = new HeartbeatCommandSelector(cluster);
+    this.deliveries = new CommandDeliveryHandler(cluster, records, heartbeats);
+    this.jobEvents = new JobRecordHandler(cluster, planner, records, workers.stopper());
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
     this.answers =
-        new CompareAndSwapAnswers(
+        new TransactionOutcomeHandler(
             cluster,
             records,
             inFlight,
-            (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
+            (end, at) -> jobEvents.onFinalRecord(end.job(), end.cancelled(), at, at));
     this.quota = new QuotaUpdates(cluster, records, policy.teams());
-    TerminationProofs proofs = new TerminationProofs(cluster, records);
-    this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stops());
+    LostMachineHandler proofs = new LostMachineHandler(cluster, records);
+    this.machineEvents = new MachineEvents(cluster, planner, deleted, proofs, workers.stopper());
     this.views = new AdminViews(cluster);
     PlacementRound placement = new PlacementRound(cluster, random);
     CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
@@ -102,12 +102,12 @@
    * end of it can commit against the record as we know it, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
-    jobEvents.onCancelled(job, now);
+    jobEvents.onPeerCancellation(job, now);
   }
 
   /** The committed final record of a job, which others may need; {@code at} is when it was made. */
   public void onEnd(String job, boolean cancelled, double at, double now) {
-    jobEvents.onEnd(job, cancelled, at, now);
+    jobEvents.onFinalRecord(job, cancelled, at, now);
   }
 
   /** The key-value store allows smaller values, or fewer changes a second, than at our start. */
@@ -148,7 +148,7 @@
 
   /** The job's record is gone from the store. */
   public void onJobGone(String id, double now) {
-    jobEvents.onJobGone(id, now);
+    jobEvents.onJobRemoved(id, now);
   }
 
   // ---------------------------------------------------------------- workers
@@ -168,7 +168,7 @@
    * The same for a heartbeat that came to another controller, or to this one if {@code via} is "".
    */
   public boolean onHeartbeat(Heartbeat heartbeat, String via, double now) {
-    return heartbeats.onHeartbeat(heartbeat, HeartbeatOrigin.checkIn(via), now);
+    return heartbeats.onHeartbeat(heartbeat, HeartbeatOrigin.workerInitiated(via), now);
   }
 
   /** The worker's lease cannot begin later than this answer. */
@@ -186,8 +186,8 @@
    * answer, or null if there is none.
    */
   public void onCommandDelivery(
-      Action.SendCommands sent, CommandDelivery delivery, Heartbeat status, double now) {
-    deliveries.onDelivery(sent, delivery, status, now);
+      Action.SendCommands sent, CommandDeliveryOutcome delivery, Heartbeat status, double now) {
+    deliveries.onCommandDelivery(sent, delivery, status, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
@@ -256,19 +256,19 @@
 
   /** A task batch record was removed from the store. */
   public void onTaskBatchGone(TaskBatchKey key) {
-    records.onTaskBatchGone(key);
+    records.onTaskBatchRemoved(key);
   }
 
   /** The answer to compare-and-swap transaction {@code id}; {@code revision} is its revision. */
   public void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
-    answers.onWrite(id, outcome, revision, now);
+    answers.onOutcome(id, outcome, revision, now);
   }
 
   // ---------------------------------------------------------------- time
 
   /** The term was raised, or could not be. */
   public void onTerm(long newTerm, double now) {
-    workers.fencing().onTerm(newTerm, now);
+    workers.fencing().onRaiseOutcome(newTerm, now);
   }
 
   /** Looks at everything that only the passing of time changes. */
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -21,8 +21,8 @@
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
   private final JobEndWriter jobEnds;
-  private final WorkerTasks workers;
-  private final TerminationProofs proofs;
+  private final WorkerControl workers;
+  private final LostMachineHandler proofs;
   private final MachineEvents machineEvents;
   private final QuotaUpdates quota;
 
@@ -36,8 +36,8 @@
       FleetPlanner planner,
       CompareAndSwapWriter writer,
       JobEndWriter jobEnds,
-      WorkerTasks workers,
-      TerminationProofs proofs,
+      WorkerControl workers,
+      LostMachineHandler proofs,
       MachineEvents machineEvents,
       QuotaUpdates quota) {
     this.cluster = cluster;
@@ -54,9 +54,9 @@
   /** Looks at everything that only the passing of time changes. */
   void tick(double now) {
     proofs.expireLeases(now);
-    workers.probes().probe(now);
+    workers.prober().probeDueMachines(now);
     workers.fencing().raiseTermIfBlocked(now);
-    workers.stops().repeatCancellations(now);
+    workers.stopper().repeatCancellationKills(now);
     askForEnds(now);
     planIfDue(now);
     if (now - lastAccountCheck >= ACCOUNT_CHECK_EVERY_S) {
@@ -90,7 +90,7 @@
 
   /** Runs a round if anything changed. Returns the seconds until it wants to be called again. */
   double step(double now) {
-    workers.launches().launchCommitted(now);
+    workers.launcher().launchCommitted(now);
     if (!cluster.roundNeeded || cluster.loading) {
       return ROUND_AT_LEAST_EVERY_S;
     }
@@ -101,12 +101,12 @@
     cluster.roundNeeded = false;
     lastRound = now;
     machineEvents.forgetMachines();
-    boolean pause = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
-    List<Claim> claims = pause ? List.of() : placement.round(writer.changesLeft(), now);
-    workers.stops().stopRequestedClaims(now);
+    boolean pause = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaiseInFlight();
+    List<Claim> claims = pause ? List.of() : placement.round(writer.remainingChanges(), now);
+    workers.stopper().stopRequestedClaims(now);
     writer.write(claims, now);
     jobEnds.endJobs();
-    workers.launches().launchCommitted(now);
+    workers.launcher().launchCommitted(now);
     return ROUND_AT_LEAST_EVERY_S;
   }
 }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -9,32 +9,32 @@
 import java.util.Set;
 
 /**
- * The stored records as this leader knows them: task batch records that come from the
- * consensus-backed store are taken in here, and so is the end of each claim. The store's records
- * are the truth: a claim counts from the moment its compare-and-swap is sent until one that ends it
- * has committed. {@link CompareAndSwapWriter} writes what changes.
+ * The stored records as this leader knows them. It applies task batch records read from the
+ * consensus-backed store and collects the ends of claims. The store is the source of truth: a claim
+ * counts from the moment its compare-and-swap is sent until one that ends it has committed. {@link
+ * CompareAndSwapWriter} writes the changes.
  */
 final class StoredRecords {
   private final ClusterState cluster;
 
-  /** Task batch records seen without their job, with their revision: to be dropped. */
-  final Map<TaskBatchKey, Long> orphans = new LinkedHashMap<>();
+  /** Revisions of the task batch records without a job, which are to be deleted. */
+  final Map<TaskBatchKey, Long> orphanRevisions = new LinkedHashMap<>();
 
-  /** Claims proven gone, or never launched, whose end has yet to commit. */
+  /** Claims whose end has yet to commit: their attempts have ended or were never launched. */
   final Set<Claim> endingClaims = new LinkedHashSet<>();
 
-  /** Claims that committed since the last launch pass. */
+  /** Claims committed since the last call of {@link TaskLauncher#launchCommitted}. */
   final List<Claim> committedClaims = new ArrayList<>();
 
   StoredRecords(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** A task batch record came from the store, at revision {@code revision}. */
+  /** Applies a task batch record read from the store at {@code revision}. */
   void onTaskBatch(TaskBatchKey key, TaskBatchRecord record, long revision, double now) {
     Job job = cluster.jobs.get(key.job());
     if (job == null) {
-      orphans.put(key, revision);
+      orphanRevisions.put(key, revision);
       return;
     }
     if (record.size() != job.spec.batchSize(key.index())) {
@@ -44,91 +44,93 @@
     if (revision <= batch.revision) {
       return;
     }
-    track(job, batch.key, record, revision);
+    trackUsage(job, batch.key, record, revision);
     if (batch.inFlight) {
       batch.newerRecord = record;
       batch.newerRevision = revision;
       return;
     }
-    adopt(job, batch, record, revision, now);
+    adoptRecord(job, batch, record, revision, now);
   }
 
-  /** A task batch record was removed from the store. */
-  void onTaskBatchGone(TaskBatchKey key) {
-    orphans.remove(key);
+  /** Handles the removal of a task batch record from the store. */
+  void onTaskBatchRemoved(TaskBatchKey key) {
+    orphanRevisions.remove(key);
   }
 
-  /** A job's own record has come: its task batches that came first are no orphans. */
-  void jobCame(String id) {
-    orphans.keySet().removeIf(k -> k.job().equals(id));
+  /** Handles a job's record that was read after its task batches, which are no longer orphans. */
+  void onJobRecord(String id) {
+    orphanRevisions.keySet().removeIf(key -> key.job().equals(id));
   }
 
-  /** Takes a record that somebody else wrote, or that a write of ours with no answer made. */
-  void adopt(Job job, Job.TaskBatch batch, TaskBatchRecord record, long revision, double now) {
+  /** Adopts a record written by another leader, or by this one in a write without a response. */
+  void adoptRecord(
+      Job job, Job.TaskBatch batch, TaskBatchRecord record, long revision, double now) {
     batch.record = record;
     batch.revision = revision;
-    for (int i = 0; i < record.size(); i++) {
-      adoptTask(job, batch.firstTask + i, record, i, now);
+    for (int index = 0; index < record.size(); index++) {
+      adoptTask(job, batch.firstTask + index, record, index, now);
     }
     cluster.maybeEndedJobs.add(job);
     job.doneCount = 0;
-    for (Job.TaskBatch each : job.taskBatches.values()) {
-      job.doneCount += each.record.doneCount();
+    for (Job.TaskBatch taskBatch : job.taskBatches.values()) {
+      job.doneCount += taskBatch.record.doneCount();
     }
     if (cluster.loading) {
-      job.unproven = job.doneCount == 0 && job.claims.isEmpty() && triedOften(job);
+      job.unproven = job.doneCount == 0 && job.claims.isEmpty() && reachedAttemptCap(job);
     }
     cluster.roundNeeded = true;
   }
 
-  /** Brings the claim of one task in line with the {@code i}-th entry of its batch's record. */
-  private void adoptTask(Job job, int task, TaskBatchRecord record, int i, double now) {
+  /** Updates the claim of one task from entry {@code index} of its batch's record. */
+  private void adoptTask(Job job, int task, TaskBatchRecord record, int index, double now) {
     Claim claim = job.claims.get(task);
-    if (claim != null && matches(claim, record, i)) {
+    if (claim != null && matches(claim, record, index)) {
       return;
     }
     if (claim != null) {
       endingClaims.remove(claim);
       cluster.removeClaim(claim, now);
     }
-    if (record.machine(i) != null) {
-      adoptClaim(job, task, record, i, now);
-    } else if (record.done(i)) {
+    if (record.machine(index) != null) {
+      adoptClaim(job, task, record, index, now);
+    } else if (record.done(index)) {
       job.openTasks.clear(task);
     } else {
       job.openTasks.set(task);
     }
   }
 
-  private static boolean matches(Claim claim, TaskBatchRecord record, int i) {
-    return record.machine(i) != null
-        && claim.machine.equals(record.machine(i))
-        && claim.session == record.session(i)
-        && claim.attempt == record.attempt(i);
+  private static boolean matches(Claim claim, TaskBatchRecord record, int index) {
+    return record.machine(index) != null
+        && claim.machine.equals(record.machine(index))
+        && claim.session == record.session(index)
+        && claim.attempt == record.attempt(index);
   }
 
-  /** Adds the claim that a record holds and this leader doesn't know. */
-  private void adoptClaim(Job job, int task, TaskBatchRecord record, int i, double now) {
+  /** Adds a claim that a record holds but this leader does not have. */
+  private void adoptClaim(Job job, int task, TaskBatchRecord record, int index, double now) {
     Claim claim =
-        new Claim(job, task, record.attempt(i), record.machine(i), record.session(i), now);
+        new Claim(
+            job, task, record.attempt(index), record.machine(index), record.session(index), now);
     claim.phase = Claim.Phase.COMMITTED;
     claim.fromEarlierLeader = cluster.loading;
     cluster.addClaim(claim, now);
     if (!cluster.loading) {
-      // Written by a transaction of ours whose answer was lost, so it was never launched. Its
-      // place may have been given to others meanwhile: it must not be launched now.
-      end(claim, false, now);
+      // This leader wrote it in a transaction whose response was lost, so it was never launched.
+      // Its resources may have been claimed for other tasks since, so it must not be launched now.
+      endClaim(claim, false, now);
     }
   }
 
   /**
-   * Every task of the task batches seen had as many attempts as a job may fail before it is
-   * suspect.
+   * True if every task in the known task batches has reached the attempt cap, the number of
+   * failures after which a job becomes suspect.
    */
-  private boolean triedOften(Job job) {
+  private boolean reachedAttemptCap(Job job) {
     for (Job.TaskBatch batch : job.taskBatches.values()) {
-      for (int i = 0; i < batch.record.size(); i++) {
-        if (batch.record.attempt(i) < cluster.policy.tuning().attemptCap()) {
+      for (int index = 0; index < batch.record.size(); index++) {
+        if (batch.record.attempt(index) < cluster.policy.tuning().attemptCap()) {
           return false;
         }
       }
@@ -136,8 +138,8 @@
     return true;
   }
 
-  /** Forgets a job and all its claims: its record is gone. */
-  void forget(Job job, double now) {
+  /** Removes a job without a stored record and all its claims. */
+  void removeJob(Job job, double now) {
     for (Claim claim : new ArrayList<>(job.claims.values())) {
       endingClaims.remove(claim);
       cluster.removeClaim(claim, now);
@@ -150,37 +152,43 @@
     cluster.roundNeeded = true;
   }
 
-  /** The claim is proven gone, or was never launched; {@code isDone} if its task is done. */
-  void end(Claim claim, boolean isDone, double now) {
+  /**
+   * Ends a claim whose attempt is proven to have ended or was never launched; {@code taskDone}
+   * tells if its task is done.
+   */
+  void endClaim(Claim claim, boolean taskDone, double now) {
     if (claim.phase == Claim.Phase.ENDING) {
       return;
     }
     claim.phase = Claim.Phase.ENDING;
-    claim.taskDone = isDone;
+    claim.taskDone = taskDone;
     endingClaims.add(claim);
     cluster.maybeEndedJobs.add(claim.job);
     cluster.roundNeeded = true;
   }
 
-  /** Counts what a task batch's committed claims take, where stored limits are switched on. */
-  void track(Job job, TaskBatchKey key, TaskBatchRecord record, long revision) {
+  /** Updates the usage of a task batch's committed claims if stored limits are enabled. */
+  void trackUsage(Job job, TaskBatchKey key, TaskBatchRecord record, long revision) {
     if (cluster.admission.enabled()) {
-      Amount use = job.taskAmount.times(record.claimedCount());
-      cluster.admission.committed().put(job.spec.id(), key.index(), job.spec.team(), revision, use);
+      Amount usage = job.taskAmount.times(record.claimedCount());
+      cluster
+          .admission
+          .committed()
+          .put(job.spec.id(), key.index(), job.spec.team(), revision, usage);
     }
   }
 
-  /** Stored limits are switched on: counts all claims that are known. */
-  void trackAll() {
+  /** Counts the usage of all known claims; called when stored limits are enabled. */
+  void trackAllUsage() {
     for (Job job : cluster.jobs.values()) {
       for (Job.TaskBatch batch : job.taskBatches.values()) {
-        boolean newer = batch.newerRecord != null && batch.newerRevision > batch.revision;
-        if (newer || batch.revision > 0) {
-          track(
+        boolean hasNewerRecord = batch.newerRecord != null && batch.newerRevision > batch.revision;
+        if (hasNewerRecord || batch.revision > 0) {
+          trackUsage(
               job,
               batch.key,
-              newer ? batch.newerRecord : batch.record,
-              newer ? batch.newerRevision : batch.revision);
+              hasNewerRecord ? batch.newerRecord : batch.record,
+              hasNewerRecord ? batch.newerRevision : batch.revision);
         }
       }
       for (Claim claim : job.claims.values()) {
--- a/src/main/java/graderelay/core/TaskBatchChange.java
+++ b/src/main/java/graderelay/core/TaskBatchChange.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A task batch's record that is about to be written by a compare-and-swap.
+ * A change of a task batch's record that is about to be written by a compare-and-swap.
  *
- * @param record what it will say
+ * @param record the new record
  * @param claimed the claims that it adds
  * @param ended the claims that it ends
  */
@@ -15,9 +15,9 @@
     TaskBatchRecord record,
     List<Claim> claimed,
     List<Claim> ended) {
-  /** Bytes of the stored form at most. */
-  int bytes() {
-    return record.size() * TaskBatchRecord.BATCH_BYTES_PER_TASK;
+  /** Upper bound on the bytes of the stored form. */
+  int maxBytes() {
+    return record.size() * TaskBatchRecord.MAX_BYTES_PER_TASK;
   }
 
   /** The write of this change, conditioned on the revisions of the batch and of its job. */
--- a/src/main/java/graderelay/core/TaskBatchKey.java
+++ b/src/main/java/graderelay/core/TaskBatchKey.java
@@ -1,8 +1,8 @@
 package graderelay.core;
 
 /**
- * Names one task batch: the part of a job array's tasks that one stored record holds and one
- * compare-and-swap claims. Stored under {@code g/slice/JOB/INDEX}.
+ * Identifies a task batch: those tasks of a job that share one stored record, so that one
+ * compare-and-swap can claim all of them. Stored under {@code g/slice/JOB/INDEX}.
  *
  * @param job the job's id
  * @param index the batch's number within the job, from 0
--- a/src/main/java/graderelay/core/TaskBatchRecord.java
+++ b/src/main/java/graderelay/core/TaskBatchRecord.java
@@ -5,31 +5,35 @@
 import java.util.Map;
 
 /**
- * The stored record of one task batch: up to as many tasks of one job array as the job's batch
- * capacity. It is the truth about which attempt of which task is claimed on which machine and
- * incarnation (session). Immutable: a change makes a copy.
+ * The stored record of one task batch, which holds up to the job's batch capacity of tasks. It is
+ * the source of truth for which attempt of which task is claimed on which machine and incarnation
+ * (session). Immutable once shared: changes are made on a copy.
  */
 public final class TaskBatchRecord {
-  /** Bytes that one task takes in a task batch record at most, machine name included. */
-  public static final int BATCH_BYTES_PER_TASK = 32;
+  /** Upper bound on the bytes of one task in a task batch record, including the machine name. */
+  public static final int MAX_BYTES_PER_TASK = 32;
 
-  /** Bytes of an empty record's stored form, at most. */
-  private static final int EMPTY_BYTES = 32;
+  /** Upper bound on the bytes of an empty record's stored form. */
+  private static final int MAX_EMPTY_BYTES = 32;
 
-  /** Below this a number is one character of one byte, see the codec; the backslash takes two. */
-  private static final int ONE_BYTE = 50;
+  /**
+   * Lower numbers are stored as one character of one byte in the packed form, see {@code
+   * graderelay.wire.TaskBatchRecordCodec}. Higher ones may need more: the backslash takes two
+   * bytes.
+   */
+  private static final int ONE_BYTE_NUMBER_LIMIT = 50;
 
   private final int[] attempts;
   private final String[] machines;
   private final long[] sessions;
   private final boolean[] done;
 
-  /** Stored in fewer bytes, which earlier versions can't read. */
+  /** True if it is stored in the packed form, which earlier versions cannot read. */
   private boolean packed;
 
   /**
-   * A record of {@code attempts.length} tasks; the four arrays have that length and are taken, not
-   * copied. Task {@code i} is the batch's {@code i}-th task.
+   * Creates a record of {@code attempts.length} tasks. All four arrays have this length and are not
+   * copied; index {@code i} is the batch's {@code i}-th task.
    */
   public TaskBatchRecord(int[] attempts, String[] machines, long[] sessions, boolean[] done) {
     this.attempts = attempts;
@@ -38,8 +42,8 @@
     this.done = done;
   }
 
-  /** A task batch none of whose tasks was ever claimed. */
-  public static TaskBatchRecord fresh(int tasks) {
+  /** Creates the record of a task batch of which no task has ever been claimed. */
+  public static TaskBatchRecord unclaimed(int tasks) {
     return new TaskBatchRecord(
         new int[tasks], new String[tasks], new long[tasks], new boolean[tasks]);
   }
@@ -49,17 +53,17 @@
     return attempts.length;
   }
 
-  /** The number of the last attempt, 0 if the task was never claimed. */
+  /** The number of task {@code i}'s last attempt, or 0 if it was never claimed. */
   public int attempt(int i) {
     return attempts[i];
   }
 
-  /** The machine task {@code i} is claimed on, or null. */
+  /** The machine on which task {@code i} is claimed, or null. */
   public String machine(int i) {
     return machines[i];
   }
 
-  /** The incarnation (session) of the machine's worker that task {@code i} is claimed on. */
+  /** The incarnation (session) of the worker on which task {@code i} is claimed. */
   public long session(int i) {
     return sessions[i];
   }
@@ -87,12 +91,12 @@
     return count;
   }
 
-  /** True if it is to be stored in fewer bytes, in a form that earlier versions can't read. */
+  /** True if it is stored in the packed form, which is smaller but unreadable to old versions. */
   public boolean packed() {
     return packed;
   }
 
-  /** The same, to be stored in that form. */
+  /** Returns a copy that is stored in the packed form. */
   public TaskBatchRecord packedCopy() {
     TaskBatchRecord copy = copy();
     copy.packed = true;
@@ -100,55 +104,58 @@
   }
 
   /**
-   * Upper bound on the bytes of its stored form.
+   * Returns an upper bound on the bytes of its stored form.
    *
-   * @param small whether it is stored in the packed form, with a character for each small number
+   * @param packedForm true for the packed form, which stores each number as one character
    */
-  int bytes(boolean small) {
-    int bytes = EMPTY_BYTES;
-    Map<String, Integer> placeByIncarnation = new HashMap<>();
+  int maxBytes(boolean packedForm) {
+    int maxBytes = MAX_EMPTY_BYTES;
+    Map<String, Integer> indexByIncarnation = new HashMap<>();
     for (int i = 0; i < attempts.length; i++) {
       String machine = machines[i];
-      Integer place = null;
+      Integer incarnationIndex = null;
       if (machine != null) {
         String incarnation = machine + "#" + sessions[i];
-        place = placeByIncarnation.get(incarnation);
-        if (place == null) {
-          place = placeByIncarnation.size();
-          placeByIncarnation.put(incarnation, place);
-          bytes += machine.length() + 6 + digits(sessions[i]);
+        incarnationIndex = indexByIncarnation.get(incarnation);
+        if (incarnationIndex == null) {
+          incarnationIndex = indexByIncarnation.size();
+          indexByIncarnation.put(incarnation, incarnationIndex);
+          maxBytes += machine.length() + 6 + digits(sessions[i]);
         }
       }
-      if (small) {
-        bytes += (attempts[i] < ONE_BYTE ? 1 : 3) + (place == null || place < ONE_BYTE ? 1 : 3);
+      if (packedForm) {
+        maxBytes +=
+            (attempts[i] < ONE_BYTE_NUMBER_LIMIT ? 1 : 3)
+                + (incarnationIndex == null || incarnationIndex < ONE_BYTE_NUMBER_LIMIT ? 1 : 3);
       } else {
-        bytes += digits(attempts[i]) + 1 + (place == null ? 3 : digits(place) + 1);
+        maxBytes +=
+            digits(attempts[i]) + 1 + (incarnationIndex == null ? 3 : digits(incarnationIndex) + 1);
       }
     }
-    return bytes;
+    return maxBytes;
   }
 
   private static int digits(long number) {
     return Long.toString(number).length();
   }
 
-  /** A copy that may be changed by {@link #claim} and {@link #release} before it is shared. */
+  /** Returns a copy, which {@link #claim} and {@link #release} may change before it is shared. */
   TaskBatchRecord copy() {
     return new TaskBatchRecord(attempts.clone(), machines.clone(), sessions.clone(), done.clone());
   }
 
-  /** Only on a fresh copy: claims task i for a new attempt. */
+  /** Claims task {@code i} for a new attempt; only allowed on a copy that is not shared yet. */
   void claim(int i, int attempt, String machine, long session) {
     attempts[i] = attempt;
     machines[i] = machine;
     sessions[i] = session;
   }
 
-  /** Only on a fresh copy: ends the claim of task i. */
-  void release(int i, boolean isDone) {
+  /** Ends the claim of task {@code i}; only allowed on a copy that is not shared yet. */
+  void release(int i, boolean taskDone) {
     machines[i] = null;
     sessions[i] = 0;
-    done[i] |= isDone;
+    done[i] |= taskDone;
   }
 
   @Override
--- a/src/main/java/graderelay/core/TaskLaunches.java
+++ b/src/main/java/graderelay/core/TaskLauncher.java
@@ -2,19 +2,19 @@
 
 import java.util.Comparator;
 
-/** Launches attempts straight on their workers as soon as their claims have committed. */
-final class TaskLaunches {
+/** Launches attempts by direct commands to their workers as soon as their claims have committed. */
+final class TaskLauncher {
   private final ClusterState cluster;
   private final StoredRecords records;
-  private final DirectCommandRate rate;
+  private final DirectCommandRateLimiter rateLimiter;
 
-  TaskLaunches(ClusterState cluster, StoredRecords records, DirectCommandRate rate) {
+  TaskLauncher(ClusterState cluster, StoredRecords records, DirectCommandRateLimiter rateLimiter) {
     this.cluster = cluster;
     this.records = records;
-    this.rate = rate;
+    this.rateLimiter = rateLimiter;
   }
 
-  /** True if the attempt may be started: a committed claim of this session and no stop request. */
+  /** True if the claim is committed for the current session and no stop of it is requested. */
   static boolean mayLaunch(Machine machine, Claim claim) {
     return claim.phase == Claim.Phase.COMMITTED
         && !claim.fromEarlierLeader
@@ -25,13 +25,14 @@
   }
 
   /**
-   * Launches what has committed since the last call, and ends claims that can't start any more.
-   * What is not sent now goes with the response to the machine's next heartbeat.
+   * Launches the attempts whose claims have committed since the last call, and ends claims that
+   * must not start any more. Launches that are not sent now go with the response to the machine's
+   * next heartbeat.
    */
   void launchCommitted(double now) {
-    DirectCommandBatch batch = new DirectCommandBatch(cluster, rate);
-    // Services first, should there be too many for now: users wait for them most.
-    records.committedClaims.sort(Comparator.comparing(c -> !c.job.spec.isService()));
+    DirectCommandBatch batch = new DirectCommandBatch(cluster, rateLimiter);
+    // Services first, in case the rate does not suffice for all: users wait for them most.
+    records.committedClaims.sort(Comparator.comparing(claim -> !claim.job.spec.isService()));
     for (Claim claim : records.committedClaims) {
       Machine machine = cluster.machines.get(claim.machine);
       if (claim.phase != Claim.Phase.COMMITTED
@@ -40,13 +41,13 @@
         continue;
       }
       if (isObsolete(machine, claim)) {
-        records.end(claim, false, now);
+        records.endClaim(claim, false, now);
         continue;
       }
       if (isReachable(machine, now)
           && mayLaunch(machine, claim)
-          && claim.launch == Claim.Launch.NONE
-          && batch.mayAdd(machine, now, reserve(claim))) {
+          && claim.launchState == Claim.LaunchState.NONE
+          && batch.tryAcquireSlot(machine, now, reserveShare(claim))) {
         launch(machine, claim, batch, now);
       }
     }
@@ -54,7 +55,7 @@
     batch.send();
   }
 
-  /** True if the claim is not to be started any more. */
+  /** True if the claim's attempt must not be started any more. */
   private static boolean isObsolete(Machine machine, Claim claim) {
     return claim.session < machine.session
         || claim.job.cancelRequested
@@ -69,10 +70,10 @@
         && !machine.leaseExpired;
   }
 
-  private static double reserve(Claim claim) {
+  private static double reserveShare(Claim claim) {
     return claim.job.spec.isService()
-        ? DirectCommandRate.NO_RESERVE
-        : DirectCommandRate.RESERVE_FOR_SERVICES;
+        ? DirectCommandRateLimiter.NO_RESERVE_SHARE
+        : DirectCommandRateLimiter.SERVICE_RESERVE_SHARE;
   }
 
   private void launch(Machine machine, Claim claim, DirectCommandBatch batch, double now) {
@@ -87,7 +88,7 @@
             + cluster.term
             + (machine.hasImage(claim.job.spec.image()) ? "" : ", image to be fetched"));
     cluster.actions.add(new Action.MetricEvent("started", now - claim.job.waitingSince));
-    claim.launch = Claim.Launch.DIRECT;
+    claim.launchState = Claim.LaunchState.DIRECT;
     claim.launchTerm = cluster.term;
     claim.launchedAt = now;
     batch.add(machine, new WorkerCommand.Launch(claim.taskId(), claim.attempt));
--- a/src/main/java/graderelay/core/TaskStops.java
+++ b/src/main/java/graderelay/core/TaskStopper.java
@@ -5,30 +5,30 @@
 import java.util.List;
 
 /**
- * Stops attempts: those of cancelled jobs, of drained machines, and preempted ones. Kills go
- * straight to the workers; the responses to heartbeats repeat them. A claim that was never launched
- * ends at once.
+ * Stops the attempts of cancelled jobs and on drained machines, and preempted attempts. Kills are
+ * sent directly to the workers, and again in the responses to heartbeats. A claim that was never
+ * launched ends at once.
  */
-final class TaskStops {
+final class TaskStopper {
   /**
-   * Seconds between repeated direct kills of one task; heartbeats' responses repeat them anyway.
+   * Minimum seconds between direct kills of one task; heartbeat responses repeat the kill as well.
    */
-  private static final double KILL_AGAIN_S = 3;
+  private static final double KILL_REPEAT_INTERVAL_S = 3;
 
-  /** Seconds on top of the time a task needs to save, for the way to the worker. */
-  private static final double SAVE_SLACK_S = 2;
+  /** Seconds added to the time that a task needs to save, for the delay to the worker. */
+  private static final double SAVE_MARGIN_S = 2;
 
   private final ClusterState cluster;
   private final StoredRecords records;
-  private final DirectCommandRate rate;
+  private final DirectCommandRateLimiter rateLimiter;
 
-  TaskStops(ClusterState cluster, StoredRecords records, DirectCommandRate rate) {
+  TaskStopper(ClusterState cluster, StoredRecords records, DirectCommandRateLimiter rateLimiter) {
     this.cluster = cluster;
     this.records = records;
-    this.rate = rate;
+    this.rateLimiter = rateLimiter;
   }
 
-  /** The kill that a claim's attempt is due, or null if it is not to be stopped, or is saving. */
+  /** Returns the kill to send for the claim, or null if it must not stop or is still saving. */
   static WorkerCommand.Kill killFor(Claim claim, double now) {
     if (claim.job.cancelRequested) {
       return kill(claim, 0);
@@ -40,11 +40,11 @@
     if (claim.stopWithoutGrace || spec.checkpointS() <= 0) {
       return kill(claim, 0);
     }
-    double grace = spec.saveS() + SAVE_SLACK_S;
+    double graceS = spec.saveS() + SAVE_MARGIN_S;
     if (claim.stage == Heartbeat.Stage.SAVING) {
-      return now - claim.stageSince > 2 * grace ? kill(claim, 0) : null;
+      return now - claim.stageSince > 2 * graceS ? kill(claim, 0) : null;
     }
-    return kill(claim, grace);
+    return kill(claim, graceS);
   }
 
   private static WorkerCommand.Kill kill(Claim claim, double graceS) {
@@ -52,7 +52,7 @@
   }
 
   /** Stops all attempts of a cancelled job. */
-  void cancelJob(Job job, double now) {
+  void stopCancelledJob(Job job, double now) {
     endNeverLaunched(new ArrayList<>(job.claims.values()), now);
     sendKills(job.claims.values(), now);
   }
@@ -64,13 +64,13 @@
         cluster.requestStop(claim, now);
       }
       if (claim.neverLaunched()) {
-        records.end(claim, false, now);
+        records.endClaim(claim, false, now);
       }
     }
     sendKills(machine.claims.values(), now);
   }
 
-  /** Stops all attempts that were asked to stop for a reason other than a cancellation. */
+  /** Stops all attempts with a stop request for a reason other than a cancellation. */
   void stopRequestedClaims(double now) {
     if (cluster.stoppingClaims.isEmpty()) {
       return;
@@ -85,8 +85,8 @@
     sendKills(stopping, now);
   }
 
-  /** Kills what is left of cancelled jobs once more. */
-  void repeatCancellations(double now) {
+  /** Sends the kills for the remaining attempts of cancelled jobs again. */
+  void repeatCancellationKills(double now) {
     for (Job job : cluster.cancelledJobs) {
       sendKills(job.claims.values(), now);
     }
@@ -95,14 +95,14 @@
   private void endNeverLaunched(List<Claim> claims, double now) {
     for (Claim claim : claims) {
       if (claim.neverLaunched()) {
-        records.end(claim, false, now);
+        records.endClaim(claim, false, now);
       }
     }
   }
 
-  /** Sends the kills that are due straight away. */
+  /** Sends the kills that are due directly to the workers. */
   private void sendKills(Collection<Claim> claims, double now) {
-    DirectCommandBatch batch = new DirectCommandBatch(cluster, rate);
+    DirectCommandBatch batch = new DirectCommandBatch(cluster, rateLimiter);
     for (Claim claim : claims) {
       Machine machine = cluster.machines.get(claim.machine);
       if (machine == null || !canBeKilled(machine, claim, now)) {
@@ -110,8 +110,8 @@
       }
       WorkerCommand.Kill kill = killFor(claim, now);
       if (kill != null
-          && now - claim.lastKillAt > KILL_AGAIN_S
-          && batch.mayAdd(machine, now, DirectCommandRate.NO_RESERVE)) {
+          && now - claim.lastKillAt > KILL_REPEAT_INTERVAL_S
+          && batch.tryAcquireSlot(machine, now, DirectCommandRateLimiter.NO_RESERVE_SHARE)) {
         claim.lastKillAt = now;
         batch.add(machine, kill);
       }
--- a/src/main/java/graderelay/core/TransactionOutcome.java
+++ b/src/main/java/graderelay/core/TransactionOutcome.java
@@ -1,11 +1,11 @@
 package graderelay.core;
 
-/** How a compare-and-swap transaction on the key-value store ended. */
+/** Outcome of a compare-and-swap transaction on the key-value store. */
 public enum TransactionOutcome {
-  /** All of it was written. */
+  /** All changes were written. */
   COMMITTED,
-  /** A condition didn't hold; nothing was written. */
+  /** A condition did not hold; nothing was written. */
   REFUSED,
-  /** No answer came; the cached records have been brought up to date since. */
+  /** No response was received; the cached records have been refreshed since. */
   UNKNOWN
 }
--- a/src/main/java/graderelay/core/CompareAndSwapAnswers.java
+++ b/src/main/java/graderelay/core/TransactionOutcomeHandler.java
@@ -7,22 +7,23 @@
 import java.util.function.ObjDoubleConsumer;
 
 /**
- * Takes in the answers to compare-and-swap transactions. What committed is the stored record now;
- * the new claims of a refused one wait again and its ended claims are written again; one with no
- * answer counts as committed only if the record seen meanwhile is the one it wrote.
+ * Handles the outcomes of compare-and-swap transactions. The records of a committed transaction
+ * become the known stored records. If a transaction is refused, the tasks of its new claims return
+ * to the queue and its ended claims are written again. A transaction without a response counts as
+ * committed only if the record read from the store since then is the one that it wrote.
  */
-final class CompareAndSwapAnswers {
+final class TransactionOutcomeHandler {
   private final ClusterState cluster;
   private final StoredRecords records;
   private final TransactionsInFlight inFlight;
   private final ObjDoubleConsumer<Action.JobEnd> onJobEnded;
 
   /**
-   * Makes one.
+   * Creates the handler.
    *
-   * @param onJobEnded hears of each job's end that has committed, and when its answer came
+   * @param onJobEnded called with each committed job end and the time of the transaction's response
    */
-  CompareAndSwapAnswers(
+  TransactionOutcomeHandler(
       ClusterState cluster,
       StoredRecords records,
       TransactionsInFlight inFlight,
@@ -33,9 +34,9 @@
     this.onJobEnded = onJobEnded;
   }
 
-  /** The answer to transaction {@code id}; {@code revision} is the store's revision after it. */
-  void onWrite(long id, TransactionOutcome outcome, long revision, double now) {
-    TransactionsInFlight.Transaction transaction = inFlight.takeAnswered(id);
+  /** Handles the outcome of transaction {@code id}; it left the store at {@code revision}. */
+  void onOutcome(long id, TransactionOutcome outcome, long revision, double now) {
+    TransactionsInFlight.Transaction transaction = inFlight.removeCompleted(id);
     if (transaction == null) {
       return;
     }
@@ -43,45 +44,45 @@
     for (Action.TaskBatchPut put : write.taskBatches()) {
       Job job = cluster.jobs.get(put.key().job());
       if (job != null) {
-        onTaskBatchAnswer(job, put, transaction, outcome, revision, now);
+        onTaskBatchOutcome(job, put, transaction, outcome, revision, now);
       }
     }
     for (Action.JobEnd end : write.ends()) {
       Job job = cluster.jobs.get(end.job());
       if (job != null) {
-        onJobEndAnswer(job, end, outcome, now);
+        onJobEndOutcome(job, end, outcome, now);
       }
     }
     for (Action.TaskBatchDrop drop : write.drops()) {
       if (outcome != TransactionOutcome.COMMITTED) {
-        records.orphans.putIfAbsent(drop.key(), drop.revision());
+        records.orphanRevisions.putIfAbsent(drop.key(), drop.revision());
       }
     }
-    onAccountsAnswer(write.accounts(), outcome, revision);
+    onAccountsOutcome(write.accounts(), outcome, revision);
     cluster.roundNeeded = true;
   }
 
-  /** A job's final record has committed, or is to be written again. */
-  private void onJobEndAnswer(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
+  /** Removes the job if its final record has committed; otherwise has it written again. */
+  private void onJobEndOutcome(Job job, Action.JobEnd end, TransactionOutcome outcome, double now) {
     if (outcome != TransactionOutcome.COMMITTED) {
       job.ending = false;
       cluster.maybeEndedJobs.add(job);
       return;
     }
-    cluster.log(end.job() + (end.cancelled() ? " is stopped" : " is done"));
-    Set<TaskBatchKey> dropped = new HashSet<>();
-    end.taskBatches().forEach(drop -> dropped.add(drop.key()));
-    for (Job.TaskBatch left : job.taskBatches.values()) {
-      if (!dropped.contains(left.key) && left.revision > 0) {
-        records.orphans.put(left.key, left.revision);
+    cluster.log(end.job() + (end.cancelled() ? " is cancelled" : " is done"));
+    Set<TaskBatchKey> droppedKeys = new HashSet<>();
+    end.taskBatches().forEach(drop -> droppedKeys.add(drop.key()));
+    for (Job.TaskBatch batch : job.taskBatches.values()) {
+      if (!droppedKeys.contains(batch.key) && batch.revision > 0) {
+        records.orphanRevisions.put(batch.key, batch.revision);
       }
     }
-    records.forget(job, now);
+    records.removeJob(job, now);
     onJobEnded.accept(end, now);
   }
 
-  /** What the transaction's task batches say has been taken before. */
-  private void onAccountsAnswer(
+  /** Updates the team accounts; the transaction's task batches have been handled before. */
+  private void onAccountsOutcome(
       List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     if (outcome == TransactionOutcome.COMMITTED) {
       cluster.admission.committed(accounts, revision);
@@ -92,7 +93,7 @@
     }
   }
 
-  private void onTaskBatchAnswer(
+  private void onTaskBatchOutcome(
       Job job,
       Action.TaskBatchPut put,
       TransactionsInFlight.Transaction transaction,
@@ -110,15 +111,15 @@
     } else if (outcome == TransactionOutcome.UNKNOWN && put.record().equals(newerRecord)) {
       onTaskBatchCommitted(job, batch, put.record(), batch.newerRevision, claimed, ended, now);
     } else {
-      // The ended claims stay among those that are ending, and are written again.
-      onTaskBatchRefused(job, claimed, now);
+      // The ended claims remain in endingClaims and are written again.
+      onTaskBatchNotCommitted(job, claimed, now);
     }
     if (newerRecord != null && batch.newerRevision > batch.revision) {
-      records.adopt(job, batch, newerRecord, batch.newerRevision, now);
+      records.adoptRecord(job, batch, newerRecord, batch.newerRevision, now);
     }
   }
 
-  /** The record that was written is the stored one now. */
+  /** Adopts the written record as the stored one. */
   private void onTaskBatchCommitted(
       Job job,
       Job.TaskBatch batch,
@@ -129,7 +130,7 @@
       double now) {
     batch.record = record;
     batch.revision = revision;
-    records.track(job, batch.key, record, revision);
+    records.trackUsage(job, batch.key, record, revision);
     for (Claim claim : ended) {
       records.endingClaims.remove(claim);
       cluster.removeClaim(claim, now);
@@ -148,8 +149,8 @@
     }
   }
 
-  /** Nothing was written: the tasks of the new claims wait again. */
-  private void onTaskBatchRefused(Job job, List<Claim> claimed, double now) {
+  /** Removes the new claims, whose tasks wait for placement again. */
+  private void onTaskBatchNotCommitted(Job job, List<Claim> claimed, double now) {
     for (Claim claim : claimed) {
       cluster.removeClaim(claim, now);
       job.openTasks.set(claim.task);
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -9,97 +9,102 @@
 import java.util.function.BiConsumer;
 
 /**
- * Packs changed task batches into compare-and-swap transactions that the key-value store takes.
- * Where stored limits are switched on, a transaction with claims is conditioned on the accounts of
- * their teams, and raises those that do not cover the claims; nothing more of such a team can go
- * before that has committed.
+ * Packs changed task batches into compare-and-swap transactions within the limits of the key-value
+ * store. If stored limits are enabled, a transaction with claims is conditioned on the accounts of
+ * their teams and raises accounts that do not cover the claims. Further claims of such a team have
+ * to wait until that transaction has committed.
  */
 final class TransactionPacker {
-  /** Bytes of task batch records in one transaction; the protocol allows 64 KiB in all. */
-  private static final int TXN_BYTES = 40 * 1024;
+  /** Task batch records in one transaction; the protocol allows 64 KiB for all of it. */
+  private static final int MAX_RECORD_BYTES = 40 * 1024;
 
   /**
-   * Conditions beside those on task batches, jobs, accounts and limits: leader and feature level.
+   * Conditions of each transaction in addition to those on task batches, jobs, accounts and limits:
+   * the leader record and the feature level.
    */
-  private static final int OTHER_CONDITIONS = 2;
+  private static final int FIXED_CONDITIONS = 2;
 
-  /** Of a task batch the batch and its job, of a team its account and its limits. */
-  private static final int CONDITIONS_EACH = 2;
+  /** Per task batch: the batch and its job. Per team: its account and its limits. */
+  private static final int CONDITIONS_PER_BATCH_OR_TEAM = 2;
 
-  private final int mostChanges;
+  private final int maxChanges;
   private final AdmissionControl admission;
-  private final BiConsumer<List<TaskBatchChange>, Set<String>> send;
+  private final BiConsumer<List<TaskBatchChange>, Set<String>> sendTransaction;
 
-  /** Teams whose account is raised by an earlier transaction. */
-  private final Set<String> raised = new HashSet<>();
+  /** Teams whose accounts are raised by transactions sent before. */
+  private final Set<String> teamsRaisedBefore = new HashSet<>();
 
   private List<TaskBatchChange> changes = new ArrayList<>();
 
-  /** Teams with claims in the transaction at hand, and those of them whose account it raises. */
+  /** Teams with claims in the current transaction. */
   private Set<String> teams = new TreeSet<>();
 
-  private Set<String> raises = new TreeSet<>();
-  private int bytes;
+  /** Those of the teams whose accounts the current transaction raises. */
+  private Set<String> teamsToRaise = new TreeSet<>();
+
+  private int recordBytes;
 
   /**
-   * Makes one.
+   * Creates a packer.
    *
-   * @param mostChanges puts and deletes that a transaction may have
-   * @param send takes the task batches of a transaction, and the teams whose claims it holds
+   * @param maxChanges maximum number of puts and deletes in a transaction
+   * @param sendTransaction sends a transaction, given its task batches and the teams whose claims
+   *     it contains
    */
   TransactionPacker(
-      int mostChanges,
+      int maxChanges,
       AdmissionControl admission,
-      BiConsumer<List<TaskBatchChange>, Set<String>> send) {
-    this.mostChanges = mostChanges;
+      BiConsumer<List<TaskBatchChange>, Set<String>> sendTransaction) {
+    this.maxChanges = maxChanges;
     this.admission = admission;
-    this.send = send;
+    this.sendTransaction = sendTransaction;
   }
 
-  /** Takes a task batch in, unless it holds claims of a team whose account is just being raised. */
+  /** Adds a change; returns false if a transaction sent before raises the account of its team. */
   boolean add(TaskBatchChange change) {
     String team = change.job().spec.team();
-    boolean claims = admission.enabled() && !change.claimed().isEmpty();
-    boolean newTeam = claims && !teams.contains(team);
-    boolean raise = newTeam && admission.mustRaise(team);
-    if (!changes.isEmpty() && !fits(change, newTeam, raise)) {
+    boolean addsClaims = admission.enabled() && !change.claimed().isEmpty();
+    boolean isNewTeam = addsClaims && !teams.contains(team);
+    boolean raisesAccount = isNewTeam && admission.mustRaise(team);
+    if (!changes.isEmpty() && !fits(change, isNewTeam, raisesAccount)) {
       flush();
-      newTeam = claims;
+      isNewTeam = addsClaims;
     }
-    if (claims && raised.contains(team)) {
+    if (addsClaims && teamsRaisedBefore.contains(team)) {
       return false;
     }
-    if (newTeam) {
+    if (isNewTeam) {
       teams.add(team);
     }
-    if (newTeam && admission.mustRaise(team)) {
-      raises.add(team);
+    if (isNewTeam && admission.mustRaise(team)) {
+      teamsToRaise.add(team);
     }
     changes.add(change);
-    bytes += change.bytes();
+    recordBytes += change.maxBytes();
     return true;
   }
 
-  private boolean fits(TaskBatchChange change, boolean newTeam, boolean raise) {
-    int taskBatchesThen = changes.size() + 1;
-    int teamsThen = teams.size() + (newTeam ? 1 : 0);
-    int raisesThen = raises.size() + (raise ? 1 : 0);
-    int conditions = CONDITIONS_EACH * (taskBatchesThen + teamsThen) + OTHER_CONDITIONS;
-    return taskBatchesThen + raisesThen <= mostChanges
-        && (teamsThen == 0 || conditions <= mostChanges * SchedulerLimits.CONDITIONS_PER_OP)
-        && bytes + change.bytes() <= TXN_BYTES;
+  private boolean fits(TaskBatchChange change, boolean isNewTeam, boolean raisesAccount) {
+    int taskBatchCount = changes.size() + 1;
+    int teamCount = teams.size() + (isNewTeam ? 1 : 0);
+    int raiseCount = teamsToRaise.size() + (raisesAccount ? 1 : 0);
+    int conditionCount =
+        CONDITIONS_PER_BATCH_OR_TEAM * (taskBatchCount + teamCount) + FIXED_CONDITIONS;
+    return taskBatchCount + raiseCount <= maxChanges
+        && (teamCount == 0 || conditionCount <= maxChanges * SchedulerLimits.CONDITIONS_PER_OP)
+        && recordBytes + change.maxBytes() <= MAX_RECORD_BYTES;
   }
 
-  /** Sends what has been taken in. */
+  /** Sends the current transaction, if it has changes. */
   void flush() {
     if (changes.isEmpty()) {
       return;
     }
-    raised.addAll(raises);
-    send.accept(changes, teams);
+    teamsRaisedBefore.addAll(teamsToRaise);
+    sendTransaction.accept(changes, teams);
     changes = new ArrayList<>();
     teams = new TreeSet<>();
-    raises = new TreeSet<>();
-    bytes = 0;
+    teamsToRaise = new TreeSet<>();
+    recordBytes = 0;
   }
 }
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * The compare-and-swap transactions that have been sent and not yet answered, and how many changes
- * they hold: the rate of the consensus-backed store bounds what may be under way.
+ * The compare-and-swap transactions that have been sent and await a response, and the number of
+ * their changes, which is bounded by the write rate of the consensus-backed store.
  */
 final class TransactionsInFlight {
-  /** Seconds' worth of changes that may be under way to the key-value store at once. */
-  private static final double CHANGES_OUT_S = 0.4;
+  /** The changes in flight may take the key-value store this long at its write rate. */
+  private static final double MAX_IN_FLIGHT_S = 0.4;
 
-  /** Changes that may be under way in any case: a round trip must not leave the rate unused. */
-  private static final int LEAST_CHANGES_OUT = 4;
+  /** Allowed at any rate, so that the store does not idle during a round trip. */
+  private static final int MIN_CHANGES_IN_FLIGHT = 4;
 
   private final ClusterState cluster;
 
   /**
-   * A transaction under way.
+   * A transaction in flight.
    *
    * @param claimed the claims that it adds, by task batch
    * @param ended the claims that it ends, by task batch
@@ -29,47 +29,47 @@
       Map<TaskBatchKey, List<Claim>> claimed,
       Map<TaskBatchKey, List<Claim>> ended) {}
 
-  private final Map<Long, Transaction> byId = new HashMap<>();
+  private final Map<Long, Transaction> transactionsById = new HashMap<>();
 
   private long nextId = 1;
 
-  /** Changes in transactions that have not been answered. */
-  private int changesOut;
+  /** Number of changes in the transactions in flight. */
+  private int changesInFlight;
 
   TransactionsInFlight(ClusterState cluster) {
     this.cluster = cluster;
   }
 
-  /** The id of the next transaction. */
+  /** Returns a new transaction id. */
   long nextId() {
     return nextId++;
   }
 
-  /** The transaction {@code id} was answered: what it contained, or null if it is not ours. */
-  Transaction takeAnswered(long id) {
-    Transaction transaction = byId.remove(id);
+  /** Removes and returns the completed transaction {@code id}, or null if it is not in flight. */
+  Transaction removeCompleted(long id) {
+    Transaction transaction = transactionsById.remove(id);
     if (transaction != null) {
-      changesOut -= changes(transaction.write());
+      changesInFlight -= countChanges(transaction.write());
     }
     return transaction;
   }
 
-  /** Sends a transaction that adds and ends claims, and keeps it until its answer comes. */
+  /** Sends a transaction that adds and ends claims; it stays in flight until its response. */
   void send(
       Action.Write write,
       Map<TaskBatchKey, List<Claim>> claimed,
       Map<TaskBatchKey, List<Claim>> ended) {
-    byId.put(write.id(), new Transaction(write, claimed, ended));
-    changesOut += changes(write);
+    transactionsById.put(write.id(), new Transaction(write, claimed, ended));
+    changesInFlight += countChanges(write);
     cluster.actions.add(write);
   }
 
-  /** Sends a transaction that changes no task batch, and keeps it until its answer comes. */
+  /** Sends a transaction without claims; it stays in flight until its response. */
   void send(Action.Write write) {
     send(write, Map.of(), Map.of());
   }
 
-  private static int changes(Action.Write write) {
+  private static int countChanges(Action.Write write) {
     int changes = write.taskBatches().size() + write.drops().size();
     changes += (int) write.accounts().stream().filter(AccountChange::writes).count();
     for (Action.JobEnd end : write.ends()) {
@@ -79,28 +79,29 @@
   }
 
   /**
-   * How many changes may be under way: what is sent beyond the rate only queues, and what comes
-   * later and is more urgent would queue behind it.
+   * Returns the maximum number of changes in flight. Changes beyond the store's write rate would
+   * only queue there, and more urgent ones that come later would queue behind them.
    */
-  int mostChangesOut() {
-    return Math.max(LEAST_CHANGES_OUT, (int) (cluster.policy.changesPerS() * CHANGES_OUT_S));
+  int maxChangesInFlight() {
+    return Math.max(MIN_CHANGES_IN_FLIGHT, (int) (cluster.policy.changesPerS() * MAX_IN_FLIGHT_S));
   }
 
-  /** Records that a round may change beside what is under way. */
-  int changesLeft() {
-    return mostChangesOut() - changesOut;
+  /** Returns how many more changes may be sent now. */
+  int remainingChanges() {
+    return maxChangesInFlight() - changesInFlight;
   }
 
-  /** Transactions under way that end a cancelled job. */
-  long cancelledEndsOut() {
-    return byId.values().stream()
+  /** Returns the number of cancelled jobs whose final records are in flight. */
+  long cancelledEndsInFlight() {
+    return transactionsById.values().stream()
         .flatMap(transaction -> transaction.write().ends().stream())
         .filter(Action.JobEnd::cancelled)
         .count();
   }
 
-  /** True if a transaction that drops records without a job is under way. */
-  boolean orphanWriteOpen() {
-    return byId.values().stream().anyMatch(t -> !t.write().drops().isEmpty());
+  /** True if a transaction that deletes records without a job is in flight. */
+  boolean isOrphanWriteInFlight() {
+    return transactionsById.values().stream()
+        .anyMatch(transaction -> !transaction.write().drops().isEmpty());
   }
 }
--- a/src/main/java/graderelay/core/WorkerCommand.java
+++ b/src/main/java/graderelay/core/WorkerCommand.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-/** A command to a worker about one attempt of one task. */
+/** A command to a worker for one task attempt. */
 public sealed interface WorkerCommand {
   /** The task's id. */
   String task();
@@ -8,12 +8,12 @@
   /** The number of the attempt. */
   int attempt();
 
-  /** Starts the attempt, or does nothing if the worker has it in any state. */
+  /** Starts the attempt; does nothing if the worker already has it, in any state. */
   record Launch(String task, int attempt) implements WorkerCommand {}
 
-  /** Ends it, after it has saved its progress if {@code graceS} seconds allow that. */
+  /** Stops the attempt; it has {@code graceS} seconds to save its progress. */
   record Kill(String task, int attempt, double graceS) implements WorkerCommand {}
 
-  /** Takes an ended attempt out of the worker's heartbeats, after which the worker forgets it. */
+  /** Removes an exited attempt from the worker and its heartbeats. */
   record Reap(String task, int attempt) implements WorkerCommand {}
 }
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -39,6 +39,6 @@
   static int mostBatchTasks(Settings settings) {
     // New records must fit the limits that the store will have later as well.
     return Math.max(
-        1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.BATCH_BYTES_PER_TASK));
+        1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
   }
 }
--- a/src/main/java/graderelay/service/WorkerCommandSender.java
+++ b/src/main/java/graderelay/service/WorkerCommandSender.java
@@ -1,7 +1,7 @@
 package graderelay.service;
 
 import graderelay.core.Action;
-import graderelay.core.CommandDelivery;
+import graderelay.core.CommandDeliveryOutcome;
 import graderelay.core.Scheduler;
 import graderelay.net.Loop;
 import graderelay.state.Leadership;
@@ -34,7 +34,7 @@
   /** Sends commands to one worker, or nothing while this controller's session lease is over. */
   void send(Action.SendCommands command) {
     if (!leadership.mayActAsLeader()) {
-      core.onCommandDelivery(command, CommandDelivery.NEVER_LEFT, null, loop.now());
+      core.onCommandDelivery(command, CommandDeliveryOutcome.NEVER_LEFT, null, loop.now());
       return;
     }
     LOG.debug("to {}: {}", command.machine(), command.commands());
@@ -48,9 +48,9 @@
                 }));
   }
 
-  private void countOutcome(Action.SendCommands command, CommandDelivery sent) {
+  private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome sent) {
     metrics.count("graderelay.orders", "outcome", sent.name().toLowerCase(Locale.ROOT));
-    if (sent != CommandDelivery.EXECUTED) {
+    if (sent != CommandDeliveryOutcome.EXECUTED) {
       LOG.info("commands to {} ended {}: {}", command.machine(), sent, command.commands());
     }
   }
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -1,8 +1,8 @@
 package graderelay.state;
 
 import graderelay.config.Settings;
-import graderelay.core.CancellationKnowledge;
 import graderelay.core.Heartbeat;
+import graderelay.core.KnownCancellations;
 import graderelay.core.LeaseTiming;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
@@ -130,7 +130,7 @@
   /** The kills that go with an answer to a heartbeat; any controller may command them, always. */
   public List<WorkerCommand> kills(Heartbeat heartbeat) {
     List<WorkerCommand> kills = new ArrayList<>();
-    for (Heartbeat.Entry entry : heartbeat.tasks()) {
+    for (Heartbeat.TaskStatus entry : heartbeat.tasks()) {
       if (entry.stage() != Heartbeat.Stage.EXITED && cancelled(jobOf(entry.task()))) {
         kills.add(new WorkerCommand.Kill(entry.task(), entry.attempt(), 0));
       }
@@ -165,16 +165,16 @@
   // ---------------------------------------------------------------- exchange with peers
 
   /** What we tell peers of our knowledge. */
-  public CancellationKnowledge ownKnowledge() {
+  public KnownCancellations ownKnowledge() {
     forgetRecorded();
     Collection<String> jobs = new TreeSet<>(cache.cancelledJobs());
     jobs.addAll(learnedAt.keySet());
     if (jobs.size() > MOST_CANCELLATIONS) {
-      return CancellationKnowledge.NONE;
+      return KnownCancellations.NONE;
     }
     double now = loop.now();
     double known = knownUntil();
-    return new CancellationKnowledge(
+    return new KnownCancellations(
         isComplete(),
         now - startedAt,
         known == Double.NEGATIVE_INFINITY ? -1 : now - known,
@@ -187,11 +187,12 @@
   }
 
   /** Takes a peer's knowledge, in answer to a request that we sent at {@code sentAt}. */
-  public void onPeerKnowledge(String peer, double sentAt, CancellationKnowledge knowledge) {
+  public void onPeerKnowledge(String peer, double sentAt, KnownCancellations knowledge) {
     adopt(sentAt, knowledge);
     // What an earlier process of that peer has told is known only if it ended before our time.
-    double peerStartedAt = loop.now() - knowledge.processS() * (1 - LeaseTiming.DRIFT);
-    if (knowledge.complete() || (knowledge.processS() > 0 && knownUntil() >= peerStartedAt)) {
+    double peerStartedAt =
+        loop.now() - knowledge.processUptimeS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    if (knowledge.complete() || (knowledge.processUptimeS() > 0 && knownUntil() >= peerStartedAt)) {
       completeAnswerAskedAt.merge(peer, sentAt, Math::max);
     }
     knownFromPeersUntil = Math.max(knownFromPeersUntil, oldestCompleteAnswer());
@@ -211,10 +212,11 @@
   }
 
   /** Takes another controller's knowledge, which is ours from now on. */
-  public void adopt(double sentAt, CancellationKnowledge knowledge) {
+  public void adopt(double sentAt, KnownCancellations knowledge) {
     knowledge.jobs().forEach(this::learn);
-    if (knowledge.knownS() >= 0) {
-      double peerKnewUntil = sentAt - knowledge.knownS() * (1 + LeaseTiming.DRIFT);
+    if (knowledge.knownUntilAgeS() >= 0) {
+      double peerKnewUntil =
+          sentAt - knowledge.knownUntilAgeS() * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
       knownFromPeersUntil = Math.max(knownFromPeersUntil, peerKnewUntil);
     }
   }
--- a/src/main/java/graderelay/state/CollectedPledges.java
+++ b/src/main/java/graderelay/state/CollectedPledges.java
@@ -28,7 +28,11 @@
 
   /** A peer granted a pledge for some seconds; they count from when it was asked for. */
   void add(String member, double askedAt, double seconds) {
-    until.put(member, askedAt + seconds * (1 - LeaseTiming.DRIFT) - ElectionTiming.PLEDGE_MARGIN_S);
+    until.put(
+        member,
+        askedAt
+            + seconds * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+            - ElectionTiming.PLEDGE_MARGIN_S);
   }
 
   /** Forgets every pledge. */
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -32,8 +32,9 @@
     this.status = status;
     // An earlier process of this member may have made a pledge just before it ended.
     this.leaderlessPledgeUntil =
-        loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.DRIFT);
-    this.leaderPledgeUntil = loop.now() + ElectionTiming.PLEDGE_S * (1 + LeaseTiming.DRIFT);
+        loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    this.leaderPledgeUntil =
+        loop.now() + ElectionTiming.PLEDGE_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
   }
 
   /**
@@ -45,7 +46,8 @@
     if (!status.isActiveFollower() || cache.term() > term) {
       return false;
     }
-    leaderPledgeUntil = Math.max(leaderPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
+    leaderPledgeUntil =
+        Math.max(leaderPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO));
     pledgedTerm = Math.max(pledgedTerm, term);
     return true;
   }
@@ -60,7 +62,8 @@
       return false;
     }
     leaderlessPledgeUntil =
-        Math.max(leaderlessPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.DRIFT));
+        Math.max(
+            leaderlessPledgeUntil, loop.now() + seconds * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO));
     return true;
   }
 
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -55,7 +55,9 @@
       return 0;
     }
     leavingSince = Double.isNaN(leavingSince) ? loop.now() : leavingSince;
-    return leavingSince + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.DRIFT) - loop.now();
+    return leavingSince
+        + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+        - loop.now();
   }
 
   /** Makes a transaction depend on the suspension as it is known, and remove it. */
--- a/src/main/java/graderelay/state/PeerSupervisor.java
+++ b/src/main/java/graderelay/state/PeerSupervisor.java
@@ -112,7 +112,7 @@
             && cache.linearizableAt() >= wonAt;
     return suspended
         ? cache.linearizableAt()
-            + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
+            + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
             - ElectionTiming.PLEDGE_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -91,7 +91,10 @@
   }
 
   private void extendTo(double sentAt) {
-    leaseEndsAt = Math.max(leaseEndsAt, sentAt + leaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
+    leaseEndsAt =
+        Math.max(
+            leaseEndsAt,
+            sentAt + leaseS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO) - LEASE_MARGIN_S);
   }
 
   private void renewLater() {
--- a/src/main/java/graderelay/wire/PeerAnswer.java
+++ b/src/main/java/graderelay/wire/PeerAnswer.java
@@ -1,6 +1,6 @@
 package graderelay.wire;
 
-import graderelay.core.CancellationKnowledge;
+import graderelay.core.KnownCancellations;
 import graderelay.net.Exchange.Answer;
 
 /** What a controller answers another. {@link PeerCodec} has its form on the wire. */
@@ -10,7 +10,7 @@
    *
    * @param reachesState the peer is served by the key-value store at the moment
    */
-  record Pledged(boolean granted, boolean reachesState, CancellationKnowledge cancellations)
+  record Pledged(boolean granted, boolean reachesState, KnownCancellations cancellations)
       implements PeerAnswer {}
 
   /**
@@ -29,7 +29,7 @@
    * @param grant null if the peer grants nothing
    * @param cancellations null if the peer says nothing of them
    */
-  record Delegated(Grant grant, CancellationKnowledge cancellations) implements PeerAnswer {}
+  record Delegated(Grant grant, KnownCancellations cancellations) implements PeerAnswer {}
 
   /** Makes the asker a lease delegate under a term, from the leader's time {@code at}. */
   record Grant(long term, long grantedBy, double at) {}
--- a/src/main/java/graderelay/wire/PeerAnswerCodec.java
+++ b/src/main/java/graderelay/wire/PeerAnswerCodec.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import graderelay.core.CancellationKnowledge;
+import graderelay.core.KnownCancellations;
 import graderelay.net.Exchange.Answer;
 import java.util.ArrayList;
 import java.util.List;
@@ -79,11 +79,11 @@
     throw new IllegalArgumentException("no form for " + answer);
   }
 
-  private static ObjectNode withCancellations(ObjectNode answer, CancellationKnowledge knowledge) {
+  private static ObjectNode withCancellations(ObjectNode answer, KnownCancellations knowledge) {
     if (knowledge != null) {
       ObjectNode n = answer.putObject(CANCELLATIONS);
-      n.put(COMPLETE, knowledge.complete()).put(PROCESS_S, knowledge.processS());
-      n.put(KNOWN_S, knowledge.knownS());
+      n.put(COMPLETE, knowledge.complete()).put(PROCESS_S, knowledge.processUptimeS());
+      n.put(KNOWN_S, knowledge.knownUntilAgeS());
       knowledge.jobs().forEach(n.putArray(JOBS)::add);
     }
     return answer;
@@ -129,14 +129,14 @@
   }
 
   /** What an answer says of cancellations; nothing if its sender says nothing of them. */
-  private static CancellationKnowledge decodeCancellations(JsonNode answer) {
+  private static KnownCancellations decodeCancellations(JsonNode answer) {
     JsonNode n = answer.path(CANCELLATIONS);
     if (!n.isObject()) {
-      return CancellationKnowledge.NONE;
+      return KnownCancellations.NONE;
     }
     List<String> jobs = new ArrayList<>();
     n.path(JOBS).forEach(job -> jobs.add(job.asText()));
-    return new CancellationKnowledge(
+    return new KnownCancellations(
         n.path(COMPLETE).asBoolean(),
         n.path(PROCESS_S).asDouble(),
         n.path(KNOWN_S).asDouble(KNOWN_OF_NO_TIME),
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -117,7 +117,7 @@
     if (!wellFormed(n)) {
       return null;
     }
-    List<Heartbeat.Entry> tasks = new ArrayList<>();
+    List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (JsonNode task : n.path(TASKS)) {
       tasks.add(decodeTask(task));
     }
@@ -135,8 +135,8 @@
         tasks);
   }
 
-  private static Heartbeat.Entry decodeTask(JsonNode task) {
-    return new Heartbeat.Entry(
+  private static Heartbeat.TaskStatus decodeTask(JsonNode task) {
+    return new Heartbeat.TaskStatus(
         task.path(TASK).asText(),
         task.path(ATTEMPT).asInt(),
         decodeStage(task.path(STAGE).asText()),
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -47,7 +47,7 @@
     this.state = state;
     this.cancellations = cancellations;
     this.zone = settings.zone();
-    double lengthS = settings.grantS() * (1 - LeaseTiming.DRIFT);
+    double lengthS = settings.grantS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
     this.needed = !settings.delegates().isEmpty() && lengthS > 0;
     this.grant = new DelegationGrant(loop, lengthS);
     this.requests =
@@ -91,7 +91,8 @@
   /** True if neither the leader nor the store has answered for some seconds. */
   private boolean isCutOff(double now) {
     double aloneAfter =
-        grant.lastLeaderContact() + LeaseTiming.DELEGATE_ALONE_S * (1 + LeaseTiming.DRIFT);
+        grant.lastLeaderContact()
+            + LeaseTiming.DELEGATE_AUTONOMY_DELAY_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
     return now > aloneAfter && state.health().failingForS() > ElectionTiming.STORE_AWAY_AFTER_S;
   }
 
--- a/src/main/java/graderelay/worker/RedirectedWorkers.java
+++ b/src/main/java/graderelay/worker/RedirectedWorkers.java
@@ -49,7 +49,7 @@
   boolean shouldRelay(
       Heartbeat heartbeat, StateCodec.LeaderRecord leader, boolean reachable, double now) {
     LastHeartbeat last = byMachine.remove(heartbeat.machine());
-    if (last != null && !heartbeat.newerThan(last.session(), last.seq())) {
+    if (last != null && !heartbeat.isNewerThan(last.session(), last.seq())) {
       // A copy of the past is no sign that its worker can't reach the leader.
       remember(heartbeat.machine(), last);
       return false;
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -1,7 +1,7 @@
 package graderelay.worker;
 
 import graderelay.core.Action;
-import graderelay.core.CommandDelivery;
+import graderelay.core.CommandDeliveryOutcome;
 import graderelay.core.Heartbeat;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
@@ -29,7 +29,7 @@
      * @param how what became of the commands
      * @param heartbeat the worker's status in its answer, or null if there was none
      */
-    void done(CommandDelivery how, Heartbeat heartbeat);
+    void done(CommandDeliveryOutcome how, Heartbeat heartbeat);
   }
 
   private final Transport transport;
@@ -53,12 +53,13 @@
         reply -> done.done(outcome(reply), heartbeat(reply)));
   }
 
-  private static CommandDelivery outcome(Reply reply) {
+  private static CommandDeliveryOutcome outcome(Reply reply) {
     return switch (reply.status()) {
-      case OK -> CommandDelivery.EXECUTED;
-      case CONFLICT, BAD_REQUEST -> CommandDelivery.REFUSED;
-      case Reply.NO_ANSWER -> reply.sent() ? CommandDelivery.UNKNOWN : CommandDelivery.NEVER_LEFT;
-      default -> CommandDelivery.UNKNOWN;
+      case OK -> CommandDeliveryOutcome.EXECUTED;
+      case CONFLICT, BAD_REQUEST -> CommandDeliveryOutcome.REFUSED;
+      case Reply.NO_ANSWER ->
+          reply.sent() ? CommandDeliveryOutcome.UNKNOWN : CommandDeliveryOutcome.NEVER_LEFT;
+      default -> CommandDeliveryOutcome.UNKNOWN;
     };
   }
 
--- a/src/test/java/graderelay/core/DependencyGuardsTest.java
+++ b/src/test/java/graderelay/core/DependencyGuardsTest.java
@@ -31,12 +31,12 @@
   @Test
   void dependentsOfCancelledJobEndWhileItsOwnTasksCannotBeProvenGone() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 1);
     scheduler.onJob(dependent.needing(List.of(CANCELLED)), false, 6, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     scheduler.onJob(
         SchedulerFixture.array(CANCELLED, 1), true, 11, 0, 1); // The machine says nothing.
     scheduler.step(1.2);
@@ -49,9 +49,9 @@
    */
   @Test
   void endsOfWideFanDoNotDelayTheClaimsOfOthers() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 12);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of(), 12);
     scheduler.loaded(0);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array(CANCELLED, 1), false, 5, 0, 0);
     for (int i = 0; i < 500; i++) {
       JobSpec dependent = SchedulerFixture.array(String.format("j-%06d", 100 + i), 1);
@@ -62,18 +62,18 @@
     assertThat(ends(scheduler)).hasSizeBetween(1, 4);
     scheduler.onJob(SchedulerFixture.array(OTHER, 1), false, 601, 1.2, 1.2);
     scheduler.step(1.3);
-    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     Set<String> ended = new HashSet<>();
     for (int i = 0; i < 600; i++) {
       ended.addAll(ends(scheduler));
-      SchedulerFixture.answerWrites(scheduler, TransactionOutcome.COMMITTED, 2 + i * 0.1);
+      SchedulerFixture.completeWrites(scheduler, TransactionOutcome.COMMITTED, 2 + i * 0.1);
       scheduler.step(2.05 + i * 0.1);
     }
     assertThat(ended).hasSize(501); // In their own time, all of them.
   }
 
   private static List<String> ends(Scheduler scheduler) {
-    return SchedulerFixture.taken(scheduler).stream()
+    return SchedulerFixture.pendingActions(scheduler).stream()
         .filter(action -> action instanceof Action.Write)
         .flatMap(action -> ((Action.Write) action).ends().stream())
         .map(Action.JobEnd::job)
@@ -89,9 +89,9 @@
   @CsvSource({"false, 290, false", "false, 100, true", "true, 290, false", "true, 100, true"})
   void timesOfDependentCountFromWhenItCouldBegin(
       boolean failover, double readyAt, boolean passesOthers) {
-    Scheduler scheduler = SchedulerFixture.takingOver(1);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1);
     JobSpec dependent = SchedulerFixture.array(DEPENDENT, 4).needing(List.of(CANCELLED));
-    JobSpec other = SchedulerFixture.ranked(OTHER, Priority.NORMAL, 4, null);
+    JobSpec other = SchedulerFixture.arrayWithPriority(OTHER, Priority.NORMAL, 4, null);
     if (failover) {
       scheduler.onJob(dependent, false, 6, 0, 300);
       scheduler.onJob(other, false, 7, 250, 300);
@@ -105,7 +105,7 @@
       scheduler.onJobGone(CANCELLED, readyAt);
       scheduler.onJob(other, false, 7, 250, 300);
     }
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 300); // Room for four.
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 300); // Room for four.
     SchedulerFixture.commitAll(scheduler, 10, 300.1);
     assertThat(SchedulerFixture.tasksStarted(scheduler, DEPENDENT)).isEqualTo(passesOthers ? 4 : 0);
     assertThat(SchedulerFixture.tasksStarted(scheduler, OTHER)).isEqualTo(passesOthers ? 0 : 4);
--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -13,172 +13,199 @@
 import java.util.function.UnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that fail on every machine, and machines that fail every job. */
+/**
+ * Failures are attributed to the right side: a job that fails on every machine must not take
+ * machines out of use, and a machine that fails every job must not discredit the jobs.
+ */
 class FailingJobsTest {
-  /** What machines were told to start since the last look, by machine. */
-  private static Map<String, List<WorkerCommand.Launch>> launched(Scheduler s) {
-    Map<String, List<WorkerCommand.Launch>> by = new TreeMap<>();
-    for (Action a : new ArrayList<>(SchedulerFixture.taken(s))) {
-      if (a instanceof Action.SendCommands c) {
-        SchedulerFixture.taken(s).remove(a);
-        for (WorkerCommand o : c.commands()) {
-          if (o instanceof WorkerCommand.Launch l) {
-            by.computeIfAbsent(c.machine(), k -> new ArrayList<>()).add(l);
+  /** Removes the pending direct commands and returns their launches by machine. */
+  private static Map<String, List<WorkerCommand.Launch>> takeLaunches(Scheduler scheduler) {
+    Map<String, List<WorkerCommand.Launch>> launchesByMachine = new TreeMap<>();
+    for (Action action : new ArrayList<>(SchedulerFixture.pendingActions(scheduler))) {
+      if (action instanceof Action.SendCommands sentCommands) {
+        SchedulerFixture.pendingActions(scheduler).remove(action);
+        for (WorkerCommand command : sentCommands.commands()) {
+          if (command instanceof WorkerCommand.Launch launch) {
+            launchesByMachine
+                .computeIfAbsent(sentCommands.machine(), machine -> new ArrayList<>())
+                .add(launch);
           }
         }
       }
     }
-    return by;
+    return launchesByMachine;
   }
 
-  /** The heartbeats of all machines say that all they were told to start has ended in this way. */
-  private static int end(Scheduler s, String why, long seq, double now) {
-    return end(s, machine -> why, seq, now);
+  /** Sends heartbeats in which all launched attempts have exited with the given reason. */
+  private static int exitLaunchedAttempts(
+      Scheduler scheduler, String exitReason, long seq, double now) {
+    return exitLaunchedAttempts(scheduler, machine -> exitReason, seq, now);
   }
 
-  /** The same where it depends on the machine how it has ended. */
-  private static int end(Scheduler s, UnaryOperator<String> whyOn, long seq, double now) {
-    int n = 0;
-    for (var e : launched(s).entrySet()) {
-      String why = whyOn.apply(e.getKey());
-      List<Heartbeat.Entry> shown = new ArrayList<>();
-      for (WorkerCommand.Launch l : e.getValue()) {
-        shown.add(new Heartbeat.Entry(l.task(), l.attempt(), Heartbeat.Stage.EXITED, why, false));
-        n++;
+  /** Sends heartbeats in which all launched attempts have exited, with a reason by machine. */
+  private static int exitLaunchedAttempts(
+      Scheduler scheduler, UnaryOperator<String> exitReasonByMachine, long seq, double now) {
+    int exitedCount = 0;
+    for (var machineLaunches : takeLaunches(scheduler).entrySet()) {
+      String exitReason = exitReasonByMachine.apply(machineLaunches.getKey());
+      List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
+      for (WorkerCommand.Launch launch : machineLaunches.getValue()) {
+        statuses.add(
+            new Heartbeat.TaskStatus(
+                launch.task(), launch.attempt(), Heartbeat.Stage.EXITED, exitReason, false));
+        exitedCount++;
       }
-      Heartbeat r =
+      Heartbeat heartbeat =
           SchedulerFixture.heartbeat(
-              e.getKey(), 1, seq, s.term(), shown.toArray(new Heartbeat.Entry[0]));
-      s.onHeartbeat(r, now);
-      s.onHeartbeatAnswered(e.getKey(), now);
+              machineLaunches.getKey(),
+              1,
+              seq,
+              scheduler.term(),
+              statuses.toArray(new Heartbeat.TaskStatus[0]));
+      scheduler.onHeartbeat(heartbeat, now);
+      scheduler.onHeartbeatAnswered(machineLaunches.getKey(), now);
     }
-    return n;
+    return exitedCount;
   }
 
-  private static long quarantined(Scheduler s, double now) {
-    return s.machines(now).stream()
-        .filter(m -> m.state().equals("quarantined") || m.state().equals("draining"))
+  private static long countUnavailableMachines(Scheduler scheduler, double now) {
+    return scheduler.machines(now).stream()
+        .filter(
+            machine -> machine.state().equals("quarantined") || machine.state().equals("draining"))
         .count();
   }
 
-  private static Scheduler fleet(int machines) {
-    Scheduler s = SchedulerFixture.scheduler(1);
+  private static Scheduler schedulerWithMachines(int machines) {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.machine(s, "n-" + i, 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(scheduler, "n-" + i, 1, 1, 0);
     }
-    return s;
+    return scheduler;
   }
 
-  private static void heard(Scheduler s, int machines, long seq, double now) {
+  private static void exchangeHeartbeats(Scheduler scheduler, int machines, long seq, double now) {
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.machine(s, "n-" + i, 1, seq, now);
+      SchedulerFixture.exchangeHeartbeat(scheduler, "n-" + i, 1, seq, now);
     }
   }
 
   @Test
-  void failingArrayCostsNoMachineAndIsTriedOneTaskAfterTheOther() {
-    Scheduler s = fleet(6);
-    s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    assertThat(end(s, "error", 2, 0.5)).isEqualTo(24);
-    assertThat(quarantined(s, 0.5)).isZero();
-    SchedulerFixture.commitAll(s, 11, 0.6);
-    assertThat(launched(s)).isEmpty();
-    List<Double> tries = new ArrayList<>();
+  void failingArrayQuarantinesNoMachineAndIsRetriedOneTaskAtATime() {
+    Scheduler scheduler = schedulerWithMachines(6);
+    scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    assertThat(exitLaunchedAttempts(scheduler, "error", 2, 0.5)).isEqualTo(24);
+    assertThat(countUnavailableMachines(scheduler, 0.5)).isZero();
+    SchedulerFixture.commitAll(scheduler, 11, 0.6);
+    assertThat(takeLaunches(scheduler)).isEmpty();
+    List<Double> retryTimes = new ArrayList<>();
     long seq = 3;
     for (double now = 1; now < 120; now += 1) {
-      heard(s, 6, seq++, now);
-      s.tick(now);
-      SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
-      int n = end(s, "error", seq++, now + 0.4);
-      assertThat(n).isLessThanOrEqualTo(1);
-      if (n > 0) {
-        tries.add(now);
+      exchangeHeartbeats(scheduler, 6, seq++, now);
+      scheduler.tick(now);
+      SchedulerFixture.commitAll(scheduler, (long) (100 + now), now + 0.1);
+      int exitedCount = exitLaunchedAttempts(scheduler, "error", seq++, now + 0.4);
+      assertThat(exitedCount).isLessThanOrEqualTo(1);
+      if (exitedCount > 0) {
+        retryTimes.add(now);
       }
     }
-    assertThat(tries).hasSizeBetween(4, 9); // Two seconds, then twice as long each time.
-    assertThat(quarantined(s, 120)).isZero();
-    assertThat(SchedulerFixture.logLines(s))
-        .noneMatch(x -> x.contains("fails tasks of several jobs"));
+    assertThat(retryTimes).hasSizeBetween(4, 9); // A pause of two seconds, doubled each time.
+    assertThat(countUnavailableMachines(scheduler, 120)).isZero();
+    assertThat(SchedulerFixture.logLines(scheduler))
+        .noneMatch(line -> line.contains("fails tasks of several jobs"));
   }
 
   @Test
-  void machineThatFailsEverythingIsFoundAmongFailingJobs() {
-    Scheduler s = fleet(6);
-    s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    end(s, "error", 2, 0.5);
-    // Two sound jobs, of which only what runs on n-0 fails.
-    for (int k = 2; k <= 4; k++) {
-      s.onJob(SchedulerFixture.array("j-" + k, 8), false, 5, 1.0 + k, 1.0 + k);
-      SchedulerFixture.commitAll(s, 10 + k, 1.1 + k);
-      end(s, machine -> machine.equals("n-0") ? "error" : "done", 10 + k, 1.5 + k);
-      SchedulerFixture.commitAll(s, 20 + k, 1.6 + k);
+  void faultyMachineIsDetectedDespiteFailingJob() {
+    Scheduler scheduler = schedulerWithMachines(6);
+    scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    exitLaunchedAttempts(scheduler, "error", 2, 0.5);
+    // Three healthy jobs, of which only the attempts on n-0 fail.
+    for (int jobNumber = 2; jobNumber <= 4; jobNumber++) {
+      scheduler.onJob(
+          SchedulerFixture.array("j-" + jobNumber, 8), false, 5, 1.0 + jobNumber, 1.0 + jobNumber);
+      SchedulerFixture.commitAll(scheduler, 10 + jobNumber, 1.1 + jobNumber);
+      exitLaunchedAttempts(
+          scheduler,
+          machine -> machine.equals("n-0") ? "error" : "done",
+          10 + jobNumber,
+          1.5 + jobNumber);
+      SchedulerFixture.commitAll(scheduler, 20 + jobNumber, 1.6 + jobNumber);
     }
-    assertThat(s.machines(6).stream().filter(m -> !m.state().equals("up")).map(m -> m.name()))
+    assertThat(
+            scheduler.machines(6).stream()
+                .filter(machine -> !machine.state().equals("up"))
+                .map(machine -> machine.name()))
         .containsExactly("n-0");
   }
 
   @Test
-  void jobWhoseFirstTriesMetOnlySickMachinesIsSoonTriedInFull() {
-    Scheduler s = fleet(3);
-    s.onJob(SchedulerFixture.array("j-1", 12), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    assertThat(end(s, "error", 2, 0.5)).isEqualTo(12);
-    // The machines are well again, or others have come.
+  void jobThatFailedOnlyOnFaultyMachinesIsSoonPlacedInFull() {
+    Scheduler scheduler = schedulerWithMachines(3);
+    scheduler.onJob(SchedulerFixture.array("j-1", 12), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    assertThat(exitLaunchedAttempts(scheduler, "error", 2, 0.5)).isEqualTo(12);
+    // From now on the machines work, as after a recovery or a replacement.
     long seq = 3;
-    int most = 0;
-    for (double now = 1; now < 14 && most < 2; now += 0.5) {
-      heard(s, 3, seq++, now);
-      s.tick(now);
-      SchedulerFixture.commitAll(s, (long) (100 + now * 2), now + 0.1);
-      most = Math.max(most, end(s, "done", seq++, now + 0.3));
+    int maxStarted = 0;
+    for (double now = 1; now < 14 && maxStarted < 2; now += 0.5) {
+      exchangeHeartbeats(scheduler, 3, seq++, now);
+      scheduler.tick(now);
+      SchedulerFixture.commitAll(scheduler, (long) (100 + now * 2), now + 0.1);
+      maxStarted = Math.max(maxStarted, exitLaunchedAttempts(scheduler, "done", seq++, now + 0.3));
     }
-    assertThat(most).isEqualTo(11); // One task showed that it can run.
+    assertThat(maxStarted).isEqualTo(11); // All tasks but the one whose retry succeeded.
   }
 
   @Test
-  void failingJobScalesNothingOutAndTakesNoRoomFromOthers() {
-    Scheduler s = fleet(6);
-    s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
-    SchedulerFixture.commitAll(s, 10, 0.2);
-    end(s, "error", 2, 0.5);
-    s.tick(1);
-    // Sound work takes all the room, so that the broken job would have to scale out or to preempt.
-    s.onJob(SchedulerFixture.array("j-2", 24), false, 6, 1.1, 1.1);
-    SchedulerFixture.commitAll(s, 11, 1.2);
-    SchedulerFixture.taken(s).clear();
+  void failingJobNeitherScalesOutNorPreempts() {
+    Scheduler scheduler = schedulerWithMachines(6);
+    scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
+    SchedulerFixture.commitAll(scheduler, 10, 0.2);
+    exitLaunchedAttempts(scheduler, "error", 2, 0.5);
+    scheduler.tick(1);
+    // A healthy job uses all resources, so the failing job would need a scale-out or a preemption.
+    scheduler.onJob(SchedulerFixture.array("j-2", 24), false, 6, 1.1, 1.1);
+    SchedulerFixture.commitAll(scheduler, 11, 1.2);
+    SchedulerFixture.pendingActions(scheduler).clear();
     long seq = 3;
     for (double now = 2; now < 40; now += 1) {
-      heard(s, 6, seq++, now);
-      s.tick(now);
-      SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
+      exchangeHeartbeats(scheduler, 6, seq++, now);
+      scheduler.tick(now);
+      SchedulerFixture.commitAll(scheduler, (long) (100 + now), now + 0.1);
     }
-    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
-    assertThat(SchedulerFixture.logLines(s)).noneMatch(x -> x.startsWith("preempt"));
+    assertThat(SchedulerFixture.pendingActions(scheduler))
+        .noneMatch(action -> action instanceof Action.ScaleOut);
+    assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(line -> line.startsWith("preempt"));
   }
 
   @Test
-  void failingJobIsFoundByTheToolsAndItsCancellationFreesItsRoom() {
-    SimWorld w = world(61, 3);
-    SimJob broken = w.users.job("j-000061", 12, 1, 20, false);
-    broken.failing = true;
-    final SimJob sound = w.users.job("j-000062", 8, 1, 10, false);
-    w.users.submit(0, broken);
-    w.loop.run(25);
+  void failingJobIsReportedByAdminApiAndStopsStartingAfterCancellation() {
+    SimWorld world = world(61, 3);
+    SimJob failingJob = world.users.job("j-000061", 12, 1, 20, false);
+    failingJob.failing = true;
+    final SimJob healthyJob = world.users.job("j-000062", 8, 1, 10, false);
+    world.users.submit(0, failingJob);
+    world.loop.run(25);
     assertThat(
-            w.users.answer(1, "GET", "/admin/jobs/j-000061", null).path("waits_because").asText())
+            world
+                .users
+                .answer(1, "GET", "/admin/jobs/j-000061", null)
+                .path("waits_because")
+                .asText())
         .contains("fails on every machine");
-    w.users.submit(1, sound);
-    w.loop.run(30);
-    assertThat(w.users.stage(2, sound.id)).isEqualTo("done");
-    assertThat(w.users.stage(2, broken.id)).isIn("pending", "running");
-    w.users.cancel(0, broken);
-    w.loop.run(3);
-    assertThat(w.users.stage(1, broken.id)).isEqualTo("cancelled");
-    int starts = w.invariants.starts;
-    w.loop.run(60);
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    fine(w);
+    world.users.submit(1, healthyJob);
+    world.loop.run(30);
+    assertThat(world.users.stage(2, healthyJob.id)).isEqualTo("done");
+    assertThat(world.users.stage(2, failingJob.id)).isIn("pending", "running");
+    world.users.cancel(0, failingJob);
+    world.loop.run(3);
+    assertThat(world.users.stage(1, failingJob.id)).isEqualTo("cancelled");
+    int startsBefore = world.invariants.starts;
+    world.loop.run(60);
+    assertThat(world.invariants.starts).isEqualTo(startsBefore);
+    fine(world);
   }
 }
--- a/src/test/java/graderelay/core/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
@@ -17,9 +17,9 @@
 
   @Test
   void largeArrayBeginsAlthoughSmallerOnesKeepComing() {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(5.0, 20.0)));
+    Scheduler s = SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(5.0, 20.0)));
     s.loaded(0);
-    hearing(s, "n-1", 0);
+    registerMachine(s, "n-1", 0);
     s.onJob(SchedulerFixture.array("j-8", 4), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1); // The machine is full before the large one comes.
     s.onJob(SchedulerFixture.array("j-9", 200), false, 5, 0.2, 0.2);
@@ -29,7 +29,7 @@
       now += 2;
       s.onJob(SchedulerFixture.array("j-s" + i, 1), false, 5, now, now);
       // One task ends, so there is room for one more of somebody.
-      SchedulerFixture.work(s, "n-1", 2 + 2 * i, 1, now);
+      SchedulerFixture.runTasks(s, "n-1", 2 + 2 * i, 1, now);
       SchedulerFixture.commitAll(s, revision += 2, now + 0.6);
       SchedulerFixture.commitAll(s, revision += 2, now + 0.7);
     }
--- a/src/test/java/graderelay/core/LateMachinesTest.java
+++ b/src/test/java/graderelay/core/LateMachinesTest.java
@@ -10,7 +10,7 @@
 class LateMachinesTest {
   private static List<String> scaledIn(Scheduler s) {
     List<String> names = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
+    for (Action a : SchedulerFixture.pendingActions(s)) {
       if (a instanceof Action.ScaleIn g) {
         names.addAll(g.machines());
       }
@@ -23,19 +23,19 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
+    List<String> first = SchedulerFixture.completeScaleOuts(s, 1.2);
     assertThat(first).hasSizeGreaterThanOrEqualTo(6);
     // All but one are up in the usual five seconds, and one never comes.
     long seq = 1;
     int more = 0;
     for (double now = 6; now < 24; now += 1) {
       for (String m : first.subList(1, first.size())) {
-        SchedulerFixture.machine(s, m, 1, seq, now);
+        SchedulerFixture.exchangeHeartbeat(s, m, 1, seq, now);
       }
       seq++;
       s.tick(now);
       SchedulerFixture.commitAll(s, (long) (100 + now), now + 0.1);
-      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
+      more += SchedulerFixture.completeScaleOuts(s, now + 0.2).size();
     }
     assertThat(more).isEqualTo(1);
     assertThat(scaledIn(s)).isEmpty(); // It may still come.
@@ -48,22 +48,22 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     s.tick(1);
-    List<String> first = SchedulerFixture.scaledOut(s, 1.2);
+    List<String> first = SchedulerFixture.completeScaleOuts(s, 1.2);
     int more = 0;
     for (double now = 2; now < 100; now += 1) {
       s.tick(now); // Twenty times the nominal five seconds.
-      more += SchedulerFixture.scaledOut(s, now + 0.2).size();
+      more += SchedulerFixture.completeScaleOuts(s, now + 0.2).size();
     }
     assertThat(scaledIn(s)).isEmpty();
     assertThat(more).isLessThan(first.size());
     for (String m : first) {
-      SchedulerFixture.machine(s, m, 1, 1, 100);
+      SchedulerFixture.exchangeHeartbeat(s, m, 1, 1, 100);
     }
     for (String m : first) {
-      SchedulerFixture.machine(s, m, 1, 2, 101);
+      SchedulerFixture.exchangeHeartbeat(s, m, 1, 2, 101);
     }
     SchedulerFixture.commitAll(s, 200, 101.1);
-    assertThat(SchedulerFixture.launches(s)).isEqualTo(24);
+    assertThat(SchedulerFixture.pendingLaunches(s)).isEqualTo(24);
   }
 
   @Test
@@ -71,10 +71,11 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     s.onJob(SchedulerFixture.array("j-1", 4), false, 5, 0.1, 0.1);
     s.tick(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 1.3);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 1.3);
     SchedulerFixture.commitAll(s, 10, 1.4);
-    assertThat(SchedulerFixture.launches(s)).isEqualTo(4);
-    SchedulerFixture.scaledOut(s, 2); // And what the answer names beside it is known as well.
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(4);
+    assertThat(SchedulerFixture.pendingLaunches(s)).isEqualTo(4);
+    SchedulerFixture.completeScaleOuts(
+        s, 2); // And what the answer names beside it is known as well.
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(4);
   }
 }
--- a/src/test/java/graderelay/core/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/core/ManyMachineFailuresTest.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.name;
+import static graderelay.core.SchedulerFixture.machineName;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -16,21 +16,21 @@
   void whenHundredsFallSilentThoseWithServicesAreAskedFirst() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 300; i++) {
-      SchedulerFixture.machine(s, name(i), 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(s, machineName(i), 1, 1, 0);
     }
     s.onJob(SchedulerFixture.service("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
     Set<String> hosts = new HashSet<>();
     for (int i = 0; i < 300; i++) {
-      if (SchedulerFixture.claimsOf(s, name(i)) > 0) {
-        hosts.add(name(i));
+      if (SchedulerFixture.claimCount(s, machineName(i)) > 0) {
+        hosts.add(machineName(i));
       }
     }
     assertThat(hosts).hasSizeGreaterThan(5);
-    SchedulerFixture.taken(s).clear();
+    SchedulerFixture.pendingActions(s).clear();
     s.tick(8); // Nobody has sent a heartbeat for four intervals.
     Set<String> asked = new HashSet<>();
-    for (Action a : SchedulerFixture.taken(s)) {
+    for (Action a : SchedulerFixture.pendingActions(s)) {
       if (a instanceof Action.SendCommands c) {
         asked.add(c.machine());
       }
@@ -42,10 +42,11 @@
 
   @Test
   void whenMachinesDieTheEndsOfReplicasAreWrittenBeforeThoseOfArrays() {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of(), 10); // Four changes may be under way.
+    Scheduler s =
+        SchedulerFixture.loadingScheduler(1, Map.of(), 10); // Four changes may be under way.
     s.loaded(0);
     for (int i = 0; i < 6; i++) {
-      SchedulerFixture.machine(s, name(i), 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(s, machineName(i), 1, 1, 0);
     }
     for (int k = 0; k < 9; k++) {
       // The services come last.
@@ -57,10 +58,10 @@
           0);
       SchedulerFixture.commitAll(s, 10 + k, 0.1 + k * 0.1);
     }
-    SchedulerFixture.taken(s).clear();
+    SchedulerFixture.pendingActions(s).clear();
     s.tick(60); // Every lease is over.
     List<String> ended = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
+    for (Action a : SchedulerFixture.pendingActions(s)) {
       if (a instanceof Action.Write w) {
         w.taskBatches().forEach(p -> ended.add(p.key().job()));
       }
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -24,11 +24,12 @@
   @CsvSource({"50, 4, true", "2, 100, false"})
   void whatGivesMoreJobsInTimeForItsTasksGoesFirst(
       int waitingTasks, int dueTasks, boolean dueFirst) {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(25.0, 120.0)));
+    Scheduler scheduler =
+        SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(25.0, 120.0)));
     scheduler.loaded(0);
     scheduler.onJob(SchedulerFixture.array(WAITING, waitingTasks), false, 5, 0, 0);
-    scheduler.onJob(SchedulerFixture.due(DUE, dueTasks, 100), false, 6, 1, 1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four.
+    scheduler.onJob(SchedulerFixture.arrayWithDeadline(DUE, dueTasks, 100), false, 6, 1, 1);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 2); // Room for four.
     SchedulerFixture.commitAll(scheduler, 10, 2.1);
     long due = SchedulerFixture.tasksStarted(scheduler, DUE);
     long waiting = SchedulerFixture.tasksStarted(scheduler, WAITING);
@@ -42,21 +43,21 @@
    */
   @Test
   void jobWithDependentsPressesBeforeItsWantedWaitIsOver() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(40.0)));
     scheduler.loaded(0);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four.
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0); // Room for four.
     scheduler.onJob(SchedulerFixture.array(WAITING, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    scheduler.onJob(SchedulerFixture.ranked(DUE, Priority.LOW, 1, null), false, 6, 1, 1);
-    JobSpec last = SchedulerFixture.ranked("j-000003", Priority.URGENT, 1, 900.0);
+    scheduler.onJob(SchedulerFixture.arrayWithPriority(DUE, Priority.LOW, 1, null), false, 6, 1, 1);
+    JobSpec last = SchedulerFixture.arrayWithPriority("j-000003", Priority.URGENT, 1, 900.0);
     scheduler.onJob(last.needing(List.of(DUE)), false, 7, 1, 1);
     for (int i = 2; i < 16; i += 2) {
-      SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(n -> n.contains("preempt"));
     for (int i = 16; i < 30; i += 2) {
-      SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(scheduler)).anyMatch(n -> n.contains("preempt j-000001"));
--- a/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
@@ -31,9 +31,9 @@
   }
 
   private static int onDemand(double wait, double deadline, double submittedAt) {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of("batch", List.of(wait)));
+    Scheduler s = SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(wait)));
     s.loaded(0);
-    s.onJob(SchedulerFixture.due("j-1", 20, deadline), false, 5, submittedAt, 0);
+    s.onJob(SchedulerFixture.arrayWithDeadline("j-1", 20, deadline), false, 5, submittedAt, 0);
     int onDemand = 0;
     for (int i = 1; i < 4; i++) {
       s.tick(i);
