--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -8,36 +8,36 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** A scheduler without controller or network, and steps that drive it in tests of the core. */
+/** Creates schedulers without a controller or network, and drives them in tests of the core. */
 public final class SchedulerFixture {
   private SchedulerFixture() {}
 
-  private static final java.util.WeakHashMap<Scheduler, List<Action>> TAKEN =
+  private static final java.util.WeakHashMap<Scheduler, List<Action>> PENDING_ACTIONS =
       new java.util.WeakHashMap<>();
 
-  /** A leader that has taken its first look. */
+  /** Creates the scheduler of a leader that has loaded the stored records. */
   public static Scheduler scheduler(long term) {
-    Scheduler s = takingOver(term);
-    s.loaded(0);
-    return s;
+    Scheduler scheduler = loadingScheduler(term);
+    scheduler.loaded(0);
+    return scheduler;
   }
 
-  /** A leader that is still reading the records. */
-  public static Scheduler takingOver(long term) {
-    return takingOver(term, Map.of());
+  /** Creates the scheduler of a leader that is still loading the stored records. */
+  public static Scheduler loadingScheduler(long term) {
+    return loadingScheduler(term, Map.of());
   }
 
-  /** One whose classes of jobs have wanted waiting times. */
-  public static Scheduler takingOver(long term, Map<String, List<Double>> waits) {
-    return takingOver(term, waits, 300);
+  /** The same with target waiting times by job class. */
+  public static Scheduler loadingScheduler(long term, Map<String, List<Double>> targetWaits) {
+    return loadingScheduler(term, targetWaits, 300);
   }
 
-  /** One that may make only so many changes a second. */
-  public static Scheduler takingOver(
-      long term, Map<String, List<Double>> waits, double changesPerS) {
-    Map<String, Double> first = new HashMap<>();
-    waits.forEach((c, steps) -> first.put(c, steps.get(0)));
-    Policy p =
+  /** The same with a limit on the changes per second. */
+  public static Scheduler loadingScheduler(
+      long term, Map<String, List<Double>> targetWaits, double changesPerS) {
+    Map<String, Double> initialTargets = new HashMap<>();
+    targetWaits.forEach((jobClass, targets) -> initialTargets.put(jobClass, targets.get(0)));
+    Policy policy =
         new Policy(
             List.of(new Team("team", 8, 24, 0, 0)),
             Map.of(),
@@ -49,75 +49,76 @@
             16 * 1024,
             changesPerS,
             68,
-            first,
-            waits,
+            initialTargets,
+            targetWaits,
             Map.of(),
             new Policy.Tuning(500, 3, 3, 30, 1, true, false));
-    Scheduler s = new Scheduler(p, term, "process", new SplittableRandom(1), 0);
-    s.onTypes(List.of(new MachineType("small", 4, 0, 16, 1, 1, 0.4, 5, List.of("a", "b"))));
-    return s;
+    Scheduler scheduler = new Scheduler(policy, term, "process", new SplittableRandom(1), 0);
+    scheduler.onTypes(List.of(new MachineType("small", 4, 0, 16, 1, 1, 0.4, 5, List.of("a", "b"))));
+    return scheduler;
   }
 
-  /** The record of a job's only task, claimed as its first attempt. */
-  public static TaskBatchRecord claimed(String machine, long session) {
+  /** Creates the record of a job with one task, whose first attempt is claimed. */
+  public static TaskBatchRecord claimedRecord(String machine, long session) {
     return new TaskBatchRecord(
         new int[] {1}, new String[] {machine}, new long[] {session}, new boolean[1]);
   }
 
-  /** An array of tasks that share an image. */
+  /** Creates an array with the default image. */
   public static JobSpec array(String id, int tasks) {
     return array(id, tasks, "i");
   }
 
-  /** An array of tasks of this image. */
+  /** Creates an array with the given image. */
   public static JobSpec array(String id, int tasks, String image) {
-    return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, image, null, false);
+    return jobSpec(id, Kind.ARRAY, Priority.NORMAL, tasks, image, null, false);
   }
 
-  /** An array that should be done so long after its submission. */
-  public static JobSpec due(String id, int tasks, double deadlineS) {
-    return spec(id, Kind.ARRAY, Priority.NORMAL, tasks, "i", deadlineS, false);
+  /** Creates an array with a deadline, relative to its submission. */
+  public static JobSpec arrayWithDeadline(String id, int tasks, double deadlineS) {
+    return jobSpec(id, Kind.ARRAY, Priority.NORMAL, tasks, "i", deadlineS, false);
   }
 
-  /** An array of another priority, with a deadline or without. */
-  public static JobSpec ranked(String id, Priority priority, int tasks, Double deadlineS) {
-    return spec(id, Kind.ARRAY, priority, tasks, "i", deadlineS, false);
+  /** Creates an array with the given priority and optional deadline. */
+  public static JobSpec arrayWithPriority(
+      String id, Priority priority, int tasks, Double deadlineS) {
+    return jobSpec(id, Kind.ARRAY, priority, tasks, "i", deadlineS, false);
   }
 
-  /** An array of a team that the settings don't limit, of the lowest priority. */
-  public static JobSpec guests(String id, int tasks) {
-    return like(ranked(id, Priority.LOW, tasks, null), "study", "guest", 1);
+  /** Creates an array of the lowest priority, of a team without a limit in the settings. */
+  public static JobSpec unlimitedTeamArray(String id, int tasks) {
+    return copyWith(arrayWithPriority(id, Priority.LOW, tasks, null), "study", "guest", 1);
   }
 
-  /** An urgent array of a team that the settings don't limit, with tasks of so many CPUs. */
-  public static JobSpec urgentGuests(String id, int tasks, double cpus) {
-    return like(ranked(id, Priority.URGENT, tasks, null), "study", "guest", cpus);
+  /** Creates an urgent array of a team without a limit in the settings. */
+  public static JobSpec urgentUnlimitedTeamArray(String id, int tasks, double cpus) {
+    return copyWith(arrayWithPriority(id, Priority.URGENT, tasks, null), "study", "guest", cpus);
   }
 
-  /** An array of tasks of which thousands would fit on one machine. */
-  public static JobSpec tiny(String id, int tasks) {
-    return like(array(id, tasks), "batch", "team", 0.001);
+  /** Creates an array of such small tasks that thousands fit on one machine. */
+  public static JobSpec tinyTaskArray(String id, int tasks) {
+    return copyWith(array(id, tasks), "batch", "team", 0.001);
   }
 
-  /** An array of tasks each of which takes a whole machine. */
-  public static JobSpec wholeMachines(String id, int tasks) {
-    return like(array(id, tasks), "study", "guest", 4);
+  /** Creates an array of tasks that each need a whole machine. */
+  public static JobSpec wholeMachineArray(String id, int tasks) {
+    return copyWith(array(id, tasks), "study", "guest", 4);
   }
 
-  /** The same array in another class and team, with tasks that take so much. */
-  private static JobSpec like(JobSpec s, String jobClass, String team, double amount) {
+  /** Copies an array with another class, team, and amount of CPUs and memory per task. */
+  private static JobSpec copyWith(JobSpec spec, String jobClass, String team, double taskSize) {
     return new JobSpec(
-        s.id(),
+        spec.id(),
         jobClass,
         team,
-        s.kind(),
-        s.priority(),
-        s.tasks(),
-        amount,
+        spec.kind(),
+        spec.priority(),
+        spec.tasks(),
+        taskSize,
         0,
-        amount,
-        s.image(),
-        s.imageGb(),
+        taskSize,
+        spec.image(),
+        spec.imageGb(),
         null,
         null,
         false,
@@ -132,17 +133,17 @@
         List.of());
   }
 
-  /** A service of so many replicas. */
+  /** Creates a service with the given number of replicas. */
   public static JobSpec service(String id, int tasks) {
-    return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, false);
+    return jobSpec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, false);
   }
 
-  /** A service of which at most half may be in one zone. */
-  public static JobSpec spread(String id, int tasks) {
-    return spec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, true);
+  /** Creates a service with at most half of its replicas in one zone. */
+  public static JobSpec spreadService(String id, int tasks) {
+    return jobSpec(id, Kind.SERVICE, Priority.PROD, tasks, "i", null, true);
   }
 
-  private static JobSpec spec(
+  private static JobSpec jobSpec(
       String id,
       Kind kind,
       Priority priority,
@@ -177,188 +178,194 @@
         List.of());
   }
 
-  /** A heartbeat of a machine that shows these tasks. */
+  /** Creates a heartbeat that lists the given tasks. */
   public static Heartbeat heartbeat(
-      String machine, long session, long seq, long term, Heartbeat.Entry... tasks) {
+      String machine, long session, long seq, long term, Heartbeat.TaskStatus... tasks) {
     return new Heartbeat(
         machine, machine + ":9000", "small", "a", false, session, seq, term, null, List.of(tasks));
   }
 
-  /** A heartbeat that is answered. */
-  public static void machine(Scheduler s, String name, long session, long seq, double now) {
-    s.onHeartbeat(heartbeat(name, session, seq, s.term()), now);
-    s.onHeartbeatAnswered(name, now);
+  /** Sends a heartbeat without tasks and records its response. */
+  public static void exchangeHeartbeat(
+      Scheduler scheduler, String name, long session, long seq, double now) {
+    scheduler.onHeartbeat(heartbeat(name, session, seq, scheduler.term()), now);
+    scheduler.onHeartbeatAnswered(name, now);
   }
 
-  /** The name of the i-th machine. */
-  public static String name(int i) {
+  /** Returns the name of machine {@code i}. */
+  public static String machineName(int i) {
     return String.format("n-%06d", i);
   }
 
-  /** A machine that has sent a heartbeat, hears the leader and has shown it. */
-  public static void hearing(Scheduler s, String name, double now) {
-    machine(s, name, 1, 1, now);
+  /** Adds a machine by a first heartbeat with the leader's term, which makes it available. */
+  public static void registerMachine(Scheduler scheduler, String name, double now) {
+    exchangeHeartbeat(scheduler, name, 1, 1, now);
   }
 
-  /** Returns all actions that the scheduler has given and no step has answered. */
-  public static List<Action> taken(Scheduler s) {
-    List<Action> all = TAKEN.computeIfAbsent(s, k -> new ArrayList<>());
-    all.addAll(s.take());
-    return all;
+  /** Returns all actions of the scheduler that no test step has completed yet. */
+  public static List<Action> pendingActions(Scheduler scheduler) {
+    List<Action> actions = PENDING_ACTIONS.computeIfAbsent(scheduler, k -> new ArrayList<>());
+    actions.addAll(scheduler.take());
+    return actions;
   }
 
-  /** Answers all scale outs of one plan with new machine names and returns these. */
-  public static List<String> scaledOut(Scheduler s, double now) {
+  /** Completes all pending scale-outs with new machines and returns their names. */
+  public static List<String> completeScaleOuts(Scheduler scheduler, double now) {
     List<String> names = new ArrayList<>();
-    for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.ScaleOut h) {
-        taken(s).remove(a);
-        List<String> some = new ArrayList<>();
-        for (int i = 0; i < h.count(); i++) {
-          some.add("h-" + (int) (now * 10) + "-" + h.id() + "-" + i);
+    for (Action action : new ArrayList<>(pendingActions(scheduler))) {
+      if (action instanceof Action.ScaleOut scaleOut) {
+        pendingActions(scheduler).remove(action);
+        List<String> createdNames = new ArrayList<>();
+        for (int i = 0; i < scaleOut.count(); i++) {
+          createdNames.add("h-" + (int) (now * 10) + "-" + scaleOut.id() + "-" + i);
         }
-        s.onScaleOutAnswered(h.id(), some, false, now);
-        names.addAll(some);
+        scheduler.onScaleOutAnswered(scaleOut.id(), createdNames, false, now);
+        names.addAll(createdNames);
       }
     }
     return names;
   }
 
   /** Returns the texts of all log lines so far. */
-  public static List<String> logLines(Scheduler s) {
+  public static List<String> logLines(Scheduler scheduler) {
     List<String> lines = new ArrayList<>();
-    for (Action a : taken(s)) {
-      if (a instanceof Action.LogLine n) {
-        lines.add(n.text());
+    for (Action action : pendingActions(scheduler)) {
+      if (action instanceof Action.LogLine logLine) {
+        lines.add(logLine.text());
       }
     }
     return lines;
   }
 
-  private static final java.util.WeakHashMap<Scheduler, int[]> WRITES =
+  private static final java.util.WeakHashMap<Scheduler, int[]> COMMITTED_WRITES =
       new java.util.WeakHashMap<>();
 
-  /** Transactions answered so far by {@link #commitAll}. */
-  public static int writes(Scheduler s) {
-    return WRITES.computeIfAbsent(s, k -> new int[1])[0];
+  /** Returns the number of transactions committed so far by {@link #commitAll}. */
+  public static int committedWrites(Scheduler scheduler) {
+    return COMMITTED_WRITES.computeIfAbsent(scheduler, k -> new int[1])[0];
   }
 
-  /** Returns how many launches the direct commands ask for. */
-  public static long launches(Scheduler s) {
-    return taken(s).stream()
-        .filter(a -> a instanceof Action.SendCommands)
-        .flatMap(a -> ((Action.SendCommands) a).commands().stream())
-        .filter(o -> o instanceof WorkerCommand.Launch)
+  /** Returns the number of launches in the pending direct commands. */
+  public static long pendingLaunches(Scheduler scheduler) {
+    return pendingActions(scheduler).stream()
+        .filter(action -> action instanceof Action.SendCommands)
+        .flatMap(action -> ((Action.SendCommands) action).commands().stream())
+        .filter(command -> command instanceof WorkerCommand.Launch)
         .count();
   }
 
-  /** Answers the transactions that were sent, without a round before. */
-  public static void answerWrites(Scheduler s, TransactionOutcome how, double now) {
-    for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.Write w) {
-        TAKEN.get(s).remove(a);
-        s.onWrite(w.id(), how, 0, now);
+  /** Completes the pending transactions with the given outcome, without running a round first. */
+  public static void completeWrites(Scheduler scheduler, TransactionOutcome outcome, double now) {
+    for (Action action : new ArrayList<>(pendingActions(scheduler))) {
+      if (action instanceof Action.Write write) {
+        PENDING_ACTIONS.get(scheduler).remove(action);
+        scheduler.onWrite(write.id(), outcome, 0, now);
       }
     }
   }
 
-  /** Runs a round and commits what it writes, at the revision given. */
-  public static void commitAll(Scheduler s, long revision, double now) {
-    s.step(now);
-    List<Action> all = taken(s);
-    for (Action a : new ArrayList<>(all)) {
-      if (a instanceof Action.Write w) {
-        all.remove(a);
-        writes(s);
-        WRITES.get(s)[0]++;
-        s.onWrite(w.id(), TransactionOutcome.COMMITTED, revision, now);
+  /** Runs a round and commits its transactions at the given revision. */
+  public static void commitAll(Scheduler scheduler, long revision, double now) {
+    scheduler.step(now);
+    List<Action> actions = pendingActions(scheduler);
+    for (Action action : new ArrayList<>(actions)) {
+      if (action instanceof Action.Write write) {
+        actions.remove(action);
+        committedWrites(scheduler);
+        COMMITTED_WRITES.get(scheduler)[0]++;
+        scheduler.onWrite(write.id(), TransactionOutcome.COMMITTED, revision, now);
       }
     }
-    s.step(now + 0.05);
+    scheduler.step(now + 0.05);
   }
 
-  /** Answers the latest direct commands with a heartbeat that refuses them. */
-  public static void answerDirect(Scheduler s, Heartbeat r, double now) {
-    for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.SendCommands c) {
-        TAKEN.get(s).remove(a);
-        s.onCommandDelivery(c, CommandDelivery.REFUSED, r, now);
+  /** Completes the pending direct commands as refused, with the given status of the worker. */
+  public static void refuseDirectCommands(Scheduler scheduler, Heartbeat status, double now) {
+    for (Action action : new ArrayList<>(pendingActions(scheduler))) {
+      if (action instanceof Action.SendCommands sentCommands) {
+        PENDING_ACTIONS.get(scheduler).remove(action);
+        scheduler.onCommandDelivery(sentCommands, CommandDeliveryOutcome.REFUSED, status, now);
       }
     }
   }
 
-  private static final java.util.WeakHashMap<Scheduler, Map<String, Map<String, Integer>>> RUNNING =
-      new java.util.WeakHashMap<>();
+  private static final java.util.WeakHashMap<Scheduler, Map<String, Map<String, Integer>>>
+      RUNNING_ATTEMPTS = new java.util.WeakHashMap<>();
 
   /**
-   * The machine takes what it was told to start, in two heartbeats of which the second shows it; up
-   * to so many of its tasks are done by then.
+   * Simulates a machine that executes its launches and sends two heartbeats. The second one lists
+   * the new attempts, and up to {@code doneCount} of the machine's tasks as done.
    */
-  public static void work(Scheduler s, String machine, long seq, int done, double now) {
+  public static void runTasks(
+      Scheduler scheduler, String machine, long seq, int doneCount, double now) {
     Map<String, Integer> running =
-        RUNNING
-            .computeIfAbsent(s, k -> new HashMap<>())
+        RUNNING_ATTEMPTS
+            .computeIfAbsent(scheduler, k -> new HashMap<>())
             .computeIfAbsent(machine, k -> new LinkedHashMap<>());
-    for (Action a : new ArrayList<>(taken(s))) {
-      if (a instanceof Action.SendCommands c && c.machine().equals(machine)) {
-        TAKEN.get(s).remove(a);
-        start(c.commands(), running);
+    for (Action action : new ArrayList<>(pendingActions(scheduler))) {
+      if (action instanceof Action.SendCommands sentCommands
+          && sentCommands.machine().equals(machine)) {
+        PENDING_ACTIONS.get(scheduler).remove(action);
+        addLaunched(sentCommands.commands(), running);
       }
     }
-    Heartbeat first = heartbeat(machine, 1, seq, s.term(), shown(running, 0));
-    s.onHeartbeat(first, now);
-    s.onHeartbeatAnswered(machine, now);
-    start(s.commandsFor(first, now), running);
-    Heartbeat second = heartbeat(machine, 1, seq + 1, s.term(), shown(running, done));
-    s.onHeartbeat(second, now + 0.5);
-    s.onHeartbeatAnswered(machine, now + 0.5);
-    var it = running.keySet().iterator();
-    for (int i = 0; i < done && it.hasNext(); i++) {
-      it.next();
-      it.remove();
+    Heartbeat first = heartbeat(machine, 1, seq, scheduler.term(), taskStatuses(running, 0));
+    scheduler.onHeartbeat(first, now);
+    scheduler.onHeartbeatAnswered(machine, now);
+    addLaunched(scheduler.commandsFor(first, now), running);
+    Heartbeat second =
+        heartbeat(machine, 1, seq + 1, scheduler.term(), taskStatuses(running, doneCount));
+    scheduler.onHeartbeat(second, now + 0.5);
+    scheduler.onHeartbeatAnswered(machine, now + 0.5);
+    var iterator = running.keySet().iterator();
+    for (int i = 0; i < doneCount && iterator.hasNext(); i++) {
+      iterator.next();
+      iterator.remove();
     }
   }
 
-  private static void start(List<WorkerCommand> commands, Map<String, Integer> running) {
-    for (WorkerCommand o : commands) {
-      if (o instanceof WorkerCommand.Launch l) {
-        running.put(l.task(), l.attempt());
+  private static void addLaunched(List<WorkerCommand> commands, Map<String, Integer> running) {
+    for (WorkerCommand command : commands) {
+      if (command instanceof WorkerCommand.Launch launch) {
+        running.put(launch.task(), launch.attempt());
       }
     }
   }
 
-  private static Heartbeat.Entry[] shown(Map<String, Integer> running, int done) {
-    List<Heartbeat.Entry> tasks = new ArrayList<>();
+  private static Heartbeat.TaskStatus[] taskStatuses(Map<String, Integer> running, int doneCount) {
+    List<Heartbeat.TaskStatus> statuses = new ArrayList<>();
     running.forEach(
-        (t, attempt) -> {
-          boolean over = tasks.size() < done;
-          tasks.add(
-              new Heartbeat.Entry(
-                  t,
+        (task, attempt) -> {
+          boolean isDone = statuses.size() < doneCount;
+          statuses.add(
+              new Heartbeat.TaskStatus(
+                  task,
                   attempt,
-                  over ? Heartbeat.Stage.EXITED : Heartbeat.Stage.RUNNING,
-                  over ? "done" : "",
+                  isDone ? Heartbeat.Stage.EXITED : Heartbeat.Stage.RUNNING,
+                  isDone ? "done" : "",
                   false));
         });
-    return tasks.toArray(new Heartbeat.Entry[0]);
+    return statuses.toArray(new Heartbeat.TaskStatus[0]);
   }
 
-  /** Changes of task batches in transactions that nobody has answered. */
-  public static int changesOut(Scheduler s) {
-    return taken(s).stream()
-        .mapToInt(a -> a instanceof Action.Write w ? w.taskBatches().size() : 0)
+  /** Returns the number of task batch changes in the pending transactions. */
+  public static int changesInFlight(Scheduler scheduler) {
+    return pendingActions(scheduler).stream()
+        .mapToInt(action -> action instanceof Action.Write write ? write.taskBatches().size() : 0)
         .sum();
   }
 
-  /** Starts of a job's tasks that the log lines tell of. */
-  public static long tasksStarted(Scheduler s, String job) {
-    return logLines(s).stream().filter(n -> n.startsWith("start " + job + "/")).count();
+  /** Returns the number of starts of the job's tasks in the log. */
+  public static long tasksStarted(Scheduler scheduler, String job) {
+    return logLines(scheduler).stream()
+        .filter(logLine -> logLine.startsWith("start " + job + "/"))
+        .count();
   }
 
-  /** Returns how many claims a machine holds. */
-  public static int claimsOf(Scheduler s, String machine) {
-    return s.machines(0).stream()
-        .filter(m -> m.name().equals(machine))
+  /** Returns the number of claims on a machine. */
+  public static int claimCount(Scheduler scheduler, String machine) {
+    return scheduler.machines(0).stream()
+        .filter(view -> view.name().equals(machine))
         .findFirst()
         .orElseThrow()
         .claims();
--- a/src/test/java/graderelay/core/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -1,7 +1,7 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.hearing;
-import static graderelay.core.SchedulerFixture.name;
+import static graderelay.core.SchedulerFixture.machineName;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -24,7 +24,7 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     for (int k = 0; k < 40; k++) {
       s.onJob(
@@ -38,7 +38,7 @@
     s.step(0.2);
     long before = s.examinedCount();
     for (int i = 0; i < machines; i++) {
-      s.onHeartbeat(SchedulerFixture.heartbeat(name(i), 1, 2, 1), 0.3);
+      s.onHeartbeat(SchedulerFixture.heartbeat(machineName(i), 1, 2, 1), 0.3);
       s.step(0.3 + i * 1e-5);
     }
     assertThat(s.examinedCount() - before).isZero();
@@ -48,7 +48,7 @@
   void jobsThatFoundNoRoomAreNotConsideredAgainWhileNoneWasReleased() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 5; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     for (int k = 0; k < 40; k++) {
       s.onJob(SchedulerFixture.array("j-" + k, 10), false, 5, 0, 0);
@@ -69,7 +69,7 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     s.step(0.1);
     long before = s.examinedCount();
@@ -84,27 +84,28 @@
     Scheduler s = SchedulerFixture.scheduler(1);
     int machines = 60;
     for (int i = 0; i < machines; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     int tasks = 24; // As many as the team's limit allows at once.
     s.onJob(SchedulerFixture.array("j-1", tasks), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
-    final int before = SchedulerFixture.writes(s);
+    final int before = SchedulerFixture.committedWrites(s);
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.work(s, name(i), 2, 4, 1);
+      SchedulerFixture.runTasks(s, machineName(i), 2, 4, 1);
     }
     SchedulerFixture.commitAll(s, 20, 1.7);
     SchedulerFixture.commitAll(s, 30, 1.9);
-    assertThat(SchedulerFixture.writes(s) - before).isEqualTo(1); // With the job's own end.
+    assertThat(SchedulerFixture.committedWrites(s) - before)
+        .isEqualTo(1); // With the job's own end.
     assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("j-1 is done"));
   }
 
   @Test
   void endsWaitForTheirShareOfTheChangesSoThatClaimsDoNotQueueBehindThem() {
-    Scheduler s = SchedulerFixture.takingOver(1, Map.of(), 10);
+    Scheduler s = SchedulerFixture.loadingScheduler(1, Map.of(), 10);
     s.loaded(0);
     for (int i = 0; i < 6; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     for (int k = 0; k < 12; k++) {
       s.onJob(SchedulerFixture.array("j-" + k, 2), false, 5, 0, 0);
@@ -114,11 +115,11 @@
       SchedulerFixture.commitAll(s, revision++, 0.1 + i * 0.1);
     }
     for (int i = 0; i < 6; i++) {
-      SchedulerFixture.work(s, name(i), 2, 2, 3);
+      SchedulerFixture.runTasks(s, machineName(i), 2, 2, 3);
     }
     s.step(4);
     // Twelve tasks have ended, of many jobs; 0.4 s of ten a second are under way.
-    assertThat(SchedulerFixture.changesOut(s)).isBetween(1, 4);
+    assertThat(SchedulerFixture.changesInFlight(s)).isBetween(1, 4);
     for (int i = 0; i < 40; i++) {
       SchedulerFixture.commitAll(s, revision++, 5 + i * 0.1);
     }
--- a/src/test/java/graderelay/core/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/core/SpreadPlacementTest.java
@@ -30,13 +30,13 @@
   @Test
   void replicasThatOneZoneMayNotTakeScaleOutInAnother() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0); // In zone a, with room for all of them.
-    s.onJob(SchedulerFixture.spread("j-1", 2), false, 5, 0.1, 0.1);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0); // In zone a, with room for all of them.
+    s.onJob(SchedulerFixture.spreadService("j-1", 2), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
     s.tick(1);
     List<String> zones = new ArrayList<>();
-    for (Action a : SchedulerFixture.taken(s)) {
+    for (Action a : SchedulerFixture.pendingActions(s)) {
       if (a instanceof Action.ScaleOut h) {
         zones.add(h.zone());
       }
--- a/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -1,10 +1,10 @@
 package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.array;
-import static graderelay.core.SchedulerFixture.claimed;
-import static graderelay.core.SchedulerFixture.machine;
+import static graderelay.core.SchedulerFixture.claimedRecord;
+import static graderelay.core.SchedulerFixture.exchangeHeartbeat;
+import static graderelay.core.SchedulerFixture.pendingActions;
 import static graderelay.core.SchedulerFixture.scheduler;
-import static graderelay.core.SchedulerFixture.taken;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.quota.Account;
@@ -30,20 +30,20 @@
 
   private static List<Action.Write> writes(Scheduler s) {
     List<Action.Write> writes = new ArrayList<>();
-    for (Action a : new ArrayList<>(taken(s))) {
+    for (Action a : new ArrayList<>(pendingActions(s))) {
       if (a instanceof Action.Write w) {
         writes.add(w);
       }
     }
-    taken(s).clear();
+    pendingActions(s).clear();
     return writes;
   }
 
   /** A leader that has fenced the account at revision 20, with jobs of one task and a machine. */
   private static Scheduler fenced(int jobs) {
     Scheduler s = scheduler(1);
-    machine(s, "n-000001", 1, 1, 0);
-    machine(s, "n-000001", 1, 2, 0.1);
+    exchangeHeartbeat(s, "n-000001", 1, 1, 0);
+    exchangeHeartbeat(s, "n-000001", 1, 2, 0.1);
     for (int i = 0; i < jobs; i++) {
       s.onJob(array("j-00000" + i, 1), false, 10 + i, 0, 0);
     }
@@ -75,15 +75,15 @@
     Scheduler s = fenced(1);
     s.step(2);
     assertThat(writes(s).get(0).taskBatches()).hasSize(1);
-    s.onTaskBatch(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
+    s.onTaskBatch(new TaskBatchKey("j-000000", 0), claimedRecord("n-000009", 1), 30, 2);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
   }
 
   @Test
   void claimsThatStandWhenLimitsComeToBeStoredCountFromThenOn() {
     Scheduler s = scheduler(1);
-    machine(s, "n-000001", 1, 1, 0);
-    machine(s, "n-000001", 1, 2, 0.1);
+    exchangeHeartbeat(s, "n-000001", 1, 1, 0);
+    exchangeHeartbeat(s, "n-000001", 1, 2, 0.1);
     s.onJob(array("j-000000", 2), false, 10, 0, 0);
     SchedulerFixture.commitAll(s, 12, 1);
     assertThat(s.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
--- a/src/test/java/graderelay/scenario/DependenciesTest.java
+++ b/src/test/java/graderelay/scenario/DependenciesTest.java
@@ -105,14 +105,14 @@
   @Test
   void heartbeatOfTheLastTaskAloneStartsNothing() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     s.onJob(SchedulerFixture.array("j-2", 1).needing(List.of("j-1")), false, 6, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    SchedulerFixture.work(s, "n-1", 2, 1, 5);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
+    SchedulerFixture.runTasks(s, "n-1", 2, 1, 5);
     s.step(5.7); // The end is on its way to the store, no more.
-    SchedulerFixture.work(s, "n-1", 4, 0, 6);
+    SchedulerFixture.runTasks(s, "n-1", 4, 0, 6);
     s.step(6.7);
     assertThat(s.whyWaiting("j-2")).contains("j-1");
     SchedulerFixture.commitAll(s, 11, 7);
@@ -141,30 +141,30 @@
   @Test
   void waitingJobIsNoDemandAndPreemptsNobody() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
-    s.onJob(SchedulerFixture.ranked("j-1", Priority.LOW, 4, null), false, 5, 0, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
+    s.onJob(SchedulerFixture.arrayWithPriority("j-1", Priority.LOW, 4, null), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
-    JobSpec urgent = SchedulerFixture.ranked("j-2", Priority.URGENT, 40, 300.0);
+    JobSpec urgent = SchedulerFixture.arrayWithPriority("j-2", Priority.URGENT, 40, 300.0);
     s.onJob(urgent.needing(List.of("j-1")), false, 6, 0.2, 0.2);
     for (int i = 1; i < 400; i += 10) {
-      SchedulerFixture.machine(s, "n-1", 1, 1 + i, i);
+      SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1 + i, i);
       s.tick(i);
     }
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("preempt"));
-    assertThat(SchedulerFixture.taken(s)).noneMatch(a -> a instanceof Action.ScaleOut);
+    assertThat(SchedulerFixture.pendingActions(s)).noneMatch(a -> a instanceof Action.ScaleOut);
     assertThat(s.whyWaiting("j-2")).contains("j-1");
   }
 
   @Test
   void whatIsNeededByAnUrgentJobGoesBeforeOthersAndByItsDeadline() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    s.onJob(SchedulerFixture.ranked("j-1", Priority.NORMAL, 4, null), false, 5, 0, 0);
-    s.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 4, null), false, 6, 0, 0);
-    JobSpec middle = SchedulerFixture.ranked("j-3", Priority.LOW, 1, null);
+    s.onJob(SchedulerFixture.arrayWithPriority("j-1", Priority.NORMAL, 4, null), false, 5, 0, 0);
+    s.onJob(SchedulerFixture.arrayWithPriority("j-2", Priority.LOW, 4, null), false, 6, 0, 0);
+    JobSpec middle = SchedulerFixture.arrayWithPriority("j-3", Priority.LOW, 1, null);
     s.onJob(middle.needing(List.of("j-2")), false, 7, 0, 0);
-    JobSpec last = SchedulerFixture.ranked("j-4", Priority.URGENT, 1, 50.0);
+    JobSpec last = SchedulerFixture.arrayWithPriority("j-4", Priority.URGENT, 1, 50.0);
     s.onJob(last.needing(List.of("j-3")), false, 8, 0, 0);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0); // Room for four.
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0); // Room for four.
     SchedulerFixture.commitAll(s, 10, 0.1);
     assertThat(SchedulerFixture.tasksStarted(s, "j-2")).isEqualTo(4);
     assertThat(SchedulerFixture.tasksStarted(s, "j-1")).isZero();
@@ -173,19 +173,19 @@
   @Test
   void whatIsNeededUrgentlyButNotYetStopsNoOrdinaryWork() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0); // Room for four.
-    s.onJob(SchedulerFixture.ranked("j-1", Priority.NORMAL, 4, null), false, 5, 0, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0); // Room for four.
+    s.onJob(SchedulerFixture.arrayWithPriority("j-1", Priority.NORMAL, 4, null), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
-    s.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 1, null), false, 6, 1, 1);
-    JobSpec last = SchedulerFixture.ranked("j-3", Priority.URGENT, 1, 400.0);
+    s.onJob(SchedulerFixture.arrayWithPriority("j-2", Priority.LOW, 1, null), false, 6, 1, 1);
+    JobSpec last = SchedulerFixture.arrayWithPriority("j-3", Priority.URGENT, 1, 400.0);
     s.onJob(last.needing(List.of("j-2")), false, 7, 1, 1);
     for (int i = 2; i < 304; i += 2) {
-      SchedulerFixture.work(s, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(s, "n-1", 2L * i, 0, i);
       s.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("preempt"));
     for (int i = 304; i < 340; i += 2) {
-      SchedulerFixture.work(s, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(s, "n-1", 2L * i, 0, i);
       s.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("preempt j-1"));
--- a/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
+++ b/src/test/java/graderelay/scenario/FleetOfThousandsTest.java
@@ -1,7 +1,7 @@
 package graderelay.scenario;
 
-import static graderelay.core.SchedulerFixture.hearing;
-import static graderelay.core.SchedulerFixture.name;
+import static graderelay.core.SchedulerFixture.machineName;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -82,10 +82,11 @@
   private static Scheduler full() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < MACHINES; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     for (int i = 0; i < MACHINES / REPLICAS; i++) {
-      s.onJob(SchedulerFixture.wholeMachines(String.format("j-%d", i), REPLICAS), false, 5, 0, 0);
+      s.onJob(
+          SchedulerFixture.wholeMachineArray(String.format("j-%d", i), REPLICAS), false, 5, 0, 0);
       SchedulerFixture.commitAll(s, 10 + i, 0.1 + 0.06 * i);
     }
     assertThat(s.machines(3).stream().filter(m -> m.claims() == 1).count()).isEqualTo(MACHINES);
@@ -96,7 +97,7 @@
   void jobsThatWaitDoNotLookAtMachinesThatAreFull() {
     Scheduler s = full();
     for (int i = 0; i < 40; i++) {
-      s.onJob(SchedulerFixture.wholeMachines(String.format("j-9%d", i), 10), false, 5, 3, 3);
+      s.onJob(SchedulerFixture.wholeMachineArray(String.format("j-9%d", i), 10), false, 5, 3, 3);
     }
     long before = s.examinedCount();
     s.step(3.1);
@@ -109,7 +110,12 @@
     Scheduler s = full();
     for (int i = 0; i < 40; i++) {
       // More than any machine has, so that no stop makes room.
-      s.onJob(SchedulerFixture.urgentGuests(String.format("j-9%d", i), 10, 8), false, 5, 3, 3);
+      s.onJob(
+          SchedulerFixture.urgentUnlimitedTeamArray(String.format("j-9%d", i), 10, 8),
+          false,
+          5,
+          3,
+          3);
     }
     long before = s.examinedCount();
     s.step(3.1);
@@ -120,20 +126,22 @@
   void planRecordsTheImagesOfAllMachinesInSmallGroups() {
     Scheduler s = SchedulerFixture.scheduler(1);
     for (int i = 0; i < MACHINES; i++) {
-      hearing(s, name(i), 0);
+      registerMachine(s, machineName(i), 0);
     }
     s.loaded(0);
     for (int i = 0; i < MACHINES / REPLICAS; i++) {
-      s.onJob(SchedulerFixture.wholeMachines(String.format("j-%d", i), REPLICAS), false, 5, 0, 0);
+      s.onJob(
+          SchedulerFixture.wholeMachineArray(String.format("j-%d", i), REPLICAS), false, 5, 0, 0);
       SchedulerFixture.commitAll(s, 10 + i, 0.1 + 0.1 * i);
     }
     Set<String> recorded = new HashSet<>();
     for (int second = 6; second < 76; second += 2) {
       for (int i = 0; i < MACHINES; i++) {
-        SchedulerFixture.work(s, name(i), second, 0, second); // What runs there is running still.
+        SchedulerFixture.runTasks(
+            s, machineName(i), second, 0, second); // What runs there is running still.
       }
       s.tick(second + 1);
-      List<Action> actions = SchedulerFixture.taken(s);
+      List<Action> actions = SchedulerFixture.pendingActions(s);
       int records = 0;
       for (Action a : actions) {
         if (a instanceof Action.KeepImages images) {
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -1,6 +1,6 @@
 package graderelay.state;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -144,37 +144,37 @@
   @Test
   void nextLeaderKnowsWhichMachinesHaveAnImage() {
     Scheduler first = SchedulerFixture.scheduler(1);
-    hearing(first, "n-1", 0);
-    hearing(first, "n-2", 0);
+    registerMachine(first, "n-1", 0);
+    registerMachine(first, "n-2", 0);
     first.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(first, 10, 0.1);
-    String warm = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
-    SchedulerFixture.work(first, warm, 2, 1, 1);
+    String warm = SchedulerFixture.claimCount(first, "n-1") == 1 ? "n-1" : "n-2";
+    SchedulerFixture.runTasks(first, warm, 2, 1, 1);
     first.tick(20);
     Action.KeepImages kept =
         (Action.KeepImages)
-            SchedulerFixture.taken(first).stream()
+            SchedulerFixture.pendingActions(first).stream()
                 .filter(a -> a instanceof Action.KeepImages)
                 .findFirst()
                 .orElseThrow();
-    Scheduler next = SchedulerFixture.takingOver(2);
+    Scheduler next = SchedulerFixture.loadingScheduler(2);
     next.onImages(StateCodec.decodeImages(StateCodec.encodeImages(kept.machines(), 60)));
     next.loaded(20);
     for (int i = 1; i <= 6; i++) {
-      SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
+      SchedulerFixture.exchangeHeartbeat(next, "n-" + i, 1, 9, 20);
     }
     next.onJob(SchedulerFixture.array("j-2", 3), false, 6, 20, 20);
     SchedulerFixture.commitAll(next, 11, 20.1);
-    assertThat(SchedulerFixture.claimsOf(next, warm)).isEqualTo(3);
+    assertThat(SchedulerFixture.claimCount(next, warm)).isEqualTo(3);
   }
 
   @Test
   void onFullFleetTheFreeSlotGoesToTheArrayWhoseImageIsPresent() {
-    Scheduler s = SchedulerFixture.takingOver(1);
+    Scheduler s = SchedulerFixture.loadingScheduler(1);
     s.onImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
     s.loaded(0);
-    hearing(s, "n-1", 0);
-    hearing(s, "n-2", 0);
+    registerMachine(s, "n-1", 0);
+    registerMachine(s, "n-2", 0);
     s.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
     s.onJob(SchedulerFixture.array("j-2", 8, "x"), false, 6, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -69,13 +69,13 @@
     // A worker that reaches no controller but is reached by the leader: the leader sees a new
     // session in its answers and launches there, and must wait for that session's own lease.
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0.0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0.0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(s, 10, 0.1);
-    SchedulerFixture.answerDirect(s, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
+    SchedulerFixture.refuseDirectCommands(s, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
     SchedulerFixture.commitAll(s, 11, 11.1); // The first attempt ends with its session.
     SchedulerFixture.commitAll(s, 12, 11.2); // The second is claimed on the new one.
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
     s.tick(14); // A lease counted from the last answer would be over.
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("lease of n-1 is over"));
     s.tick(11 + SimWorld.LEASE_S + 1);
@@ -103,19 +103,19 @@
 
   @Test
   void heartbeatUnderAnOlderTermProvesNothingAboutAnEarlierLeadersClaim() {
-    Scheduler s = SchedulerFixture.takingOver(2);
+    Scheduler s = SchedulerFixture.loadingScheduler(2);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
-    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
+    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimedRecord("n-1", 1), 4, 0);
     s.loaded(0);
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 5, 1),
         1); // The earlier leader's launch may be under way.
     SchedulerFixture.commitAll(s, 10, 1.1);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
-    assertThat(SchedulerFixture.writes(s)).isZero();
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.committedWrites(s)).isZero();
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 6, 2), 2); // Now that launch would be refused.
     SchedulerFixture.commitAll(s, 11, 2.1);
-    assertThat(SchedulerFixture.writes(s)).isPositive();
+    assertThat(SchedulerFixture.committedWrites(s)).isPositive();
   }
 }
--- a/src/test/java/graderelay/wire/DeploymentProtocolTest.java
+++ b/src/test/java/graderelay/wire/DeploymentProtocolTest.java
@@ -150,10 +150,10 @@
                 41,
                 30.5,
                 List.of(
-                    new Heartbeat.Entry("j-000412/3", 2, Heartbeat.Stage.RUNNING, "", false),
-                    new Heartbeat.Entry("j-000412/4", 1, Heartbeat.Stage.FETCHING, "", false),
-                    new Heartbeat.Entry("j-000412/5", 1, Heartbeat.Stage.SAVING, "", false),
-                    new Heartbeat.Entry(
+                    new Heartbeat.TaskStatus("j-000412/3", 2, Heartbeat.Stage.RUNNING, "", false),
+                    new Heartbeat.TaskStatus("j-000412/4", 1, Heartbeat.Stage.FETCHING, "", false),
+                    new Heartbeat.TaskStatus("j-000412/5", 1, Heartbeat.Stage.SAVING, "", false),
+                    new Heartbeat.TaskStatus(
                         "j-000398/0", 1, Heartbeat.Stage.EXITED, "stopped", true))));
   }
 
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.config.OperatorSettings;
 import graderelay.core.Action;
-import graderelay.core.CancellationKnowledge;
 import graderelay.core.JobSpec;
 import graderelay.core.Kind;
+import graderelay.core.KnownCancellations;
 import graderelay.core.Priority;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
@@ -28,8 +28,8 @@
   private static final long NOW_MS = 1_700_000_000_000L;
   private static final int LARGE = 16 * 1024;
   private static final byte[] BODY = "{\"saw\":\"n-000100\"}".getBytes(StandardCharsets.UTF_8);
-  private static final CancellationKnowledge KNOWLEDGE =
-      new CancellationKnowledge(true, 512.5, 1.25, List.of("j-000003", "j-000005"));
+  private static final KnownCancellations KNOWLEDGE =
+      new KnownCancellations(true, 512.5, 1.25, List.of("j-000003", "j-000005"));
 
   /** Every request between controllers, by the name of its bytes. */
   private static final Map<String, PeerRequest> REQUESTS =
@@ -265,11 +265,11 @@
   void anAnswerThatLacksWhatCameLaterGrantsAndVouchesForNothing() {
     byte[] empty = Json.writeCbor(Json.object());
     assertThat(PeerCodec.decodePledged(empty))
-        .isEqualTo(new PeerAnswer.Pledged(false, false, CancellationKnowledge.NONE));
+        .isEqualTo(new PeerAnswer.Pledged(false, false, KnownCancellations.NONE));
     assertThat(PeerCodec.decodeDelegated(empty))
-        .isEqualTo(new PeerAnswer.Delegated(null, CancellationKnowledge.NONE));
+        .isEqualTo(new PeerAnswer.Delegated(null, KnownCancellations.NONE));
     assertThat(PeerCodec.decodePledged(Json.writeCbor(Json.object().put("granted", true))))
-        .isEqualTo(new PeerAnswer.Pledged(true, false, CancellationKnowledge.NONE));
+        .isEqualTo(new PeerAnswer.Pledged(true, false, KnownCancellations.NONE));
     assertThat(PeerCodec.decodeRelayed(empty)).isNull();
   }
 
--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -165,16 +165,16 @@
   @Test
   void claimThatTurnsUpLateIsEndedAndNeverLaunched() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     s.step(0.1);
-    SchedulerFixture.answerWrites(s, TransactionOutcome.UNKNOWN, 0.2);
-    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 6, 0.21);
+    SchedulerFixture.completeWrites(s, TransactionOutcome.UNKNOWN, 0.2);
+    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimedRecord("n-1", 1), 6, 0.21);
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25);
     assertThat(s.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25)).isEmpty();
-    assertThat(SchedulerFixture.launches(s)).isZero();
+    assertThat(SchedulerFixture.pendingLaunches(s)).isZero();
     SchedulerFixture.commitAll(s, 7, 0.3);
-    assertThat(SchedulerFixture.writes(s)).isPositive(); // It goes back to the queue.
+    assertThat(SchedulerFixture.committedWrites(s)).isPositive(); // It goes back to the queue.
   }
 
   @Test
--- a/src/test/java/graderelay/worker/DeafMachinesTest.java
+++ b/src/test/java/graderelay/worker/DeafMachinesTest.java
@@ -1,12 +1,12 @@
 package graderelay.worker;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static graderelay.sim.WorldAssertions.runner;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
-import graderelay.core.CommandDelivery;
+import graderelay.core.CommandDeliveryOutcome;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
 import graderelay.sim.SimJob;
@@ -33,28 +33,28 @@
   @Test
   void deafMachineGetsNoNewTasksUntilItHasShownThatItHears() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    hearing(s, "n-1", 0);
+    registerMachine(s, "n-1", 0);
     // A worker that took our answer would have stayed with us.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), "m-1", 5.1);
     s.onHeartbeatAnswered("n-1", 5.1);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(s, 10, 5.3);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isZero();
     // It stays there: the answer that went back that way has arrived.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-1", 7.1);
     s.onHeartbeatAnswered("n-1", 7.1);
     SchedulerFixture.commitAll(s, 11, 7.2);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
   }
 
   @Test
   void machineWhoseLeaseEndsAlthoughItWasAnsweredIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    hearing(s, "n-1", 0);
-    SchedulerFixture.machine(s, "n-1", 2, 9, 4);
+    registerMachine(s, "n-1", 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 2, 9, 4);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 4.1, 4.1);
     SchedulerFixture.commitAll(s, 10, 4.2);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isZero();
   }
 
   @Test
@@ -76,11 +76,12 @@
   @Test
   void heartbeatAsLateAsItsIntervalAllowsIsNoSignOfDeafness() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
-    SchedulerFixture.machine(s, "n-1", 1, 2, 4.4); // Its worker stays with us: it took our answer.
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(
+        s, "n-1", 1, 2, 4.4); // Its worker stays with us: it took our answer.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 4.5, 4.5);
     SchedulerFixture.commitAll(s, 10, 4.6);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("does not hear us"));
   }
 
@@ -108,18 +109,18 @@
   @Test
   void machineThatDoesNotShowWhatOurAnswerStartedIsDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(s, 10, 0.2);
     // The direct command never left, so the answer to the next heartbeat carries the start.
-    for (Action a : SchedulerFixture.taken(s)) {
+    for (Action a : SchedulerFixture.pendingActions(s)) {
       if (a instanceof Action.SendCommands c) {
-        s.onCommandDelivery(c, CommandDelivery.NEVER_LEFT, null, 0.3);
+        s.onCommandDelivery(c, CommandDeliveryOutcome.NEVER_LEFT, null, 0.3);
       }
     }
-    SchedulerFixture.machine(s, "n-1", 1, 2, 4);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 2, 4);
     assertThat(s.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4)).hasSize(1);
-    SchedulerFixture.machine(s, "n-1", 1, 3, 8);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 3, 8);
     assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("does not hear us"));
   }
 
@@ -136,7 +137,7 @@
   @Test
   void workerWhoseHeartbeatWasLostIsNotTakenForDeaf() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(s, "n-1", 1, 1, 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
     // Its second heartbeat found nobody, so it went on to another controller with the third.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-2", 9);
     s.onHeartbeatAnswered("n-1", 9);
--- a/src/test/java/graderelay/worker/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -1,6 +1,6 @@
 package graderelay.worker;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.ScenarioSteps.allOver;
 import static graderelay.sim.ScenarioSteps.arrays;
 import static graderelay.sim.ScenarioSteps.checkin;
@@ -13,7 +13,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.core.Action;
-import graderelay.core.CommandDelivery;
+import graderelay.core.CommandDeliveryOutcome;
 import graderelay.core.Scheduler;
 import graderelay.core.SchedulerFixture;
 import graderelay.sim.SimJob;
@@ -39,8 +39,8 @@
   @Test
   void oldHeartbeatCopyExtendsNoLease() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    hearing(s, "n-1", 0);
-    SchedulerFixture.machine(s, "n-1", 1, 2, 2);
+    registerMachine(s, "n-1", 0);
+    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 2, 2);
     for (double t = 3; t < 2 + SimWorld.LEASE_S; t += 1) {
       assertThat(s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 1, 1), t)).isFalse();
     }
@@ -51,11 +51,11 @@
   @Test
   void answerToHeartbeatOvertakenByDirectCommandStillCountsForTheLease() {
     Scheduler s = SchedulerFixture.scheduler(1);
-    hearing(s, "n-1", 0);
+    registerMachine(s, "n-1", 0);
     // The worker's answer to a direct command, sent after its heartbeat, comes first.
     var probe = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
     s.onCommandDelivery(
-        probe, CommandDelivery.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
+        probe, CommandDeliveryOutcome.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
     s.tick(SimWorld.LEASE_S + 3);
@@ -71,11 +71,11 @@
         SchedulerFixture.heartbeat("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
     SchedulerFixture.commitAll(s, 10, 1.1);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isZero();
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isZero();
     s.onHeartbeat(
         SchedulerFixture.heartbeat("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
     SchedulerFixture.commitAll(s, 11, 1.6);
-    assertThat(SchedulerFixture.claimsOf(s, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
   }
 
   @Test
