--- a/src/main/java/graderelay/core/ClaimReconciler.java
+++ b/src/main/java/graderelay/core/ClaimReconciler.java
@@ -91,8 +91,7 @@
       Machine machine, Claim claim, Heartbeat heartbeat, boolean workerInitiated, double now) {
     switch (claim.launchState) {
       case NONE -> {
-        // An earlier leader may have launched it, but the worker refuses that leader's commands
-        // now.
+        // An earlier leader may have launched it, but the worker now refuses its commands.
         if (claim.fromEarlierLeader && heartbeat.term() >= cluster.term) {
           records.endClaim(claim, false, now);
         }
@@ -106,8 +105,8 @@
       }
       case UNACKNOWLEDGED -> {
         if (heartbeat.term() > claim.launchTerm) {
-          claim.launchState =
-              Claim.LaunchState.NONE; // Fenced: the worker refuses a delayed command.
+          // Fenced: the worker refuses a delayed command.
+          claim.launchState = Claim.LaunchState.NONE;
         }
       }
       case CONFIRMED -> {
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -16,7 +16,7 @@
  * the final records of jobs.
  */
 final class CompareAndSwapWriter {
-  /** Pause before tasks of a batch are claimed again after its record exceeded the value size. */
+  /** Pause before tasks of a batch are claimed again when its record exceeds the value size. */
   private static final double FULL_BATCH_PAUSE_S = 1;
 
   private final ClusterState cluster;
@@ -62,7 +62,8 @@
   }
 
   /**
-   * Selects the ended claims to write now: those of claimed batches, then others as room allows.
+   * Selects the ended claims to write now: those in the claimed batches, and others as far as the
+   * remaining changes allow.
    */
   private Map<Job.TaskBatch, List<Claim>> selectEndedClaims(
       Set<Job.TaskBatch> claimedBatches, double now) {
@@ -177,7 +178,7 @@
         ended);
   }
 
-  /** Number of records that a round may change in addition to the changes in flight. */
+  /** Returns how many more records a round may change. */
   int remainingChanges() {
     return inFlight.remainingChanges();
   }
--- a/src/main/java/graderelay/core/HeartbeatHandler.java
+++ b/src/main/java/graderelay/core/HeartbeatHandler.java
@@ -76,7 +76,7 @@
     return true;
   }
 
-  /** Counts a heartbeat that is not newer than the last one: it proves nothing, renews no lease. */
+  /** Handles a heartbeat that is not newer than the last one; its status is ignored. */
   private void onStaleHeartbeat(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
     staleCount++;
     if (origin.workerInitiated() && heartbeat.session() == machine.session) {
--- a/src/main/java/graderelay/core/ResponseLossDetector.java
+++ b/src/main/java/graderelay/core/ResponseLossDetector.java
@@ -7,8 +7,8 @@
  * does not prove that responses reach its worker: they may be lost, and the heartbeat may be a
  * delayed duplicate. The time between two heartbeats does not prove it either, because the
  * deployment chooses it and it may be as long as a worker's response timeout. The behavior of the
- * worker does: after a response it stays with that controller, and without one it switches to the
- * next controller.
+ * worker does: it stays with a controller whose response it received, and switches to the next
+ * controller if it received none.
  */
 final class ResponseLossDetector {
   private final ClusterState cluster;
@@ -37,22 +37,22 @@
     }
   }
 
-  /** Describes for the log why the last heartbeat's response must have been lost, or null. */
+  /** Returns the evidence that the last response was lost, as text for the log, or null. */
   private String findLossEvidence(
       Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
     boolean sameSession = heartbeat.session() == machine.session;
     if (isNextInSequence(machine, heartbeat) && !origin.controller().equals(machine.heartbeatVia)) {
-      return "it switched to another controller after our response";
+      return "it switched to another controller after the response";
     }
     if (sameSession && heartbeat.term() < cluster.firstTerm) {
-      return "its term is lower than that of our response";
+      return "its term is lower than the term of the response";
     }
     if (sameSession && lacksLaunchedAttempt(machine, heartbeat)) {
-      return "it doesn't list an attempt that our response launched";
+      return "it does not list an attempt that a response launched";
     }
     if (heartbeat.session() > machine.session
         && leaseExpiredDespiteResponse(machine, heartbeat, now)) {
-      return "its lease expired shortly after our response";
+      return "its lease expired shortly after the response";
     }
     return null;
   }
--- a/src/main/java/graderelay/core/TransactionOutcomeHandler.java
+++ b/src/main/java/graderelay/core/TransactionOutcomeHandler.java
@@ -81,7 +81,7 @@
     onJobEnded.accept(end, now);
   }
 
-  /** Updates the team accounts; the transaction's task batches have been handled before. */
+  /** Updates the team accounts; must run after the transaction's task batches are handled. */
   private void onAccountsOutcome(
       List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     if (outcome == TransactionOutcome.COMMITTED) {
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -15,7 +15,7 @@
  * to wait until that transaction has committed.
  */
 final class TransactionPacker {
-  /** Task batch records in one transaction; the protocol allows 64 KiB for all of it. */
+  /** Limit on the task batch records in one transaction; the protocol allows 64 KiB in total. */
   private static final int MAX_RECORD_BYTES = 40 * 1024;
 
   /**
--- a/src/main/java/graderelay/core/TransactionsInFlight.java
+++ b/src/main/java/graderelay/core/TransactionsInFlight.java
@@ -10,10 +10,10 @@
  * their changes, which is bounded by the write rate of the consensus-backed store.
  */
 final class TransactionsInFlight {
-  /** The changes in flight may take the key-value store this long at its write rate. */
+  /** Upper bound on the changes in flight, in seconds of the key-value store's write rate. */
   private static final double MAX_IN_FLIGHT_S = 0.4;
 
-  /** Allowed at any rate, so that the store does not idle during a round trip. */
+  /** Changes allowed in flight at any rate, so that the store is not idle during a round trip. */
   private static final int MIN_CHANGES_IN_FLIGHT = 4;
 
   private final ClusterState cluster;
