--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void failingArrayQuarantinesNoMachineAndIsRetriedOneTaskAtATime() {
+  void failingArrayQuarantinesNoMachineAndIsRetriedTaskByTask() {
     Scheduler scheduler = schedulerWithMachines(6);
     scheduler.onJob(SchedulerFixture.array("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
