--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -15,8 +15,8 @@
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final DeletedMachines deletedMachines;
-  private final TerminationProofs proofs;
-  private final TaskStops stops;
+  private final LostMachineHandler proofs;
+  private final TaskStopper stops;
 
   /** Deleted machines to remove from the state once the ends of their claims have committed. */
   private final Set<String> pendingRemoval = new LinkedHashSet<>();
@@ -25,8 +25,8 @@
       ClusterState cluster,
       FleetPlanner planner,
       DeletedMachines deletedMachines,
-      TerminationProofs proofs,
-      TaskStops stops) {
+      LostMachineHandler proofs,
+      TaskStopper stops) {
     this.cluster = cluster;
     this.planner = planner;
     this.deletedMachines = deletedMachines;
@@ -73,7 +73,7 @@
     }
     if (listed.state().equals("failed") && !machine.failed) {
       machine.failed = true;
-      proofs.machineGone(machine, "the cloud lists it as failed", now);
+      proofs.onMachineGone(machine, "the cloud lists it as failed", now);
     }
   }
 
@@ -92,7 +92,7 @@
       if (machine == null || !machine.scalingIn) {
         continue;
       }
-      proofs.machineGone(machine, "it was scaled in", now);
+      proofs.onMachineGone(machine, "it was scaled in", now);
       deletedMachines.add(name);
       pendingRemoval.add(name);
     }
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -156,7 +156,8 @@
         boolean silent =
             other.consecutiveProbeFailures > 0
                 || now - Math.max(other.lastHeartbeatAt, startedAt)
-                    > cluster.policy.heartbeatIntervalS() * SilentWorkerProbes.SILENT_INTERVALS;
+                    > cluster.policy.heartbeatIntervalS()
+                        * SilentWorkerProber.PROBE_AFTER_INTERVALS;
         counts.add(other.zone, silent);
       }
     }
--- a/src/main/java/graderelay/core/ScaleOutPacking.java
+++ b/src/main/java/graderelay/core/ScaleOutPacking.java
@@ -131,7 +131,10 @@
     }
     double cpusLeft = cpusLeftByTeam.computeIfAbsent(spec.team(), cluster.quotas::cpusLeft);
     int tasks =
-        (int) Math.max(0, Math.min(openTaskCount, (cpusLeft + Resources.ROUNDING_TOLERANCE) / spec.cpus()));
+        (int)
+            Math.max(
+                0,
+                Math.min(openTaskCount, (cpusLeft + Resources.ROUNDING_TOLERANCE) / spec.cpus()));
     cpusLeftByTeam.put(spec.team(), cpusLeft - tasks * spec.cpus());
     return tasks;
   }
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -15,20 +15,20 @@
  * time and may produce {@link Action}s; the core does not block, read a clock or use sockets. All
  * times are in seconds on the leader's monotonic clock. The components share one {@link
  * ClusterState}: {@link StoredRecords} holds the records, {@link CompareAndSwapWriter} and {@link
- * CompareAndSwapAnswers} handle the transactions that change them, {@link HeartbeatIntake} and
- * {@link ClaimReconciliation} process heartbeats, {@link TerminationProofs} ends claims that are
- * proven gone without a heartbeat, and {@link WorkerTasks} controls the tasks on workers.
+ * TransactionOutcomeHandler} handle the transactions that change them, {@link HeartbeatHandler} and
+ * {@link ClaimReconciler} process heartbeats, {@link LostMachineHandler} ends claims that are
+ * proven gone without a heartbeat, and {@link WorkerControl} controls the tasks on workers.
  */
 public final class Scheduler {
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final CompareAndSwapAnswers transactionAnswers;
-  private final WorkerTasks workerTasks;
-  private final HeartbeatIntake heartbeatIntake;
-  private final HeartbeatResponses heartbeatResponses;
-  private final CommandDeliveryEvents commandDeliveries;
-  private final JobRecordEvents jobEvents;
+  private final TransactionOutcomeHandler transactionAnswers;
+  private final WorkerControl workerTasks;
+  private final HeartbeatHandler heartbeatIntake;
+  private final HeartbeatCommandSelector heartbeatResponses;
+  private final CommandDeliveryHandler commandDeliveries;
+  private final JobRecordHandler jobEvents;
   private final QuotaUpdates quotaUpdates;
   private final MachineEvents machineEvents;
   private final AdminViews adminViews;
@@ -49,25 +49,26 @@
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new DependencyGraph(cluster, planner::estimateRunTimeS);
     this.records = new StoredRecords(cluster);
-    this.workerTasks = WorkerTasks.create(cluster, records);
+    this.workerTasks = WorkerControl.create(cluster, records);
     DeletedMachines deletedMachines = new DeletedMachines();
-    ClaimReconciliation reconciliation = new ClaimReconciliation(cluster, records, planner);
+    ClaimReconciler reconciliation = new ClaimReconciler(cluster, records, planner);
     this.heartbeatIntake =
-        new HeartbeatIntake(cluster, deletedMachines, reconciliation, workerTasks.stops(), planner);
-    this.heartbeatResponses = new HeartbeatResponses(cluster);
-    this.commandDeliveries = new CommandDeliveryEvents(cluster, records, heartbeatIntake);
-    this.jobEvents = new JobRecordEvents(cluster, planner, records, workerTasks.stops());
+        new HeartbeatHandler(
+            cluster, deletedMachines, reconciliation, workerTasks.stopper(), planner);
+    this.heartbeatResponses = new HeartbeatCommandSelector(cluster);
+    this.commandDeliveries = new CommandDeliveryHandler(cluster, records, heartbeatIntake);
+    this.jobEvents = new JobRecordHandler(cluster, planner, records, workerTasks.stopper());
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
     this.transactionAnswers =
-        new CompareAndSwapAnswers(
+        new TransactionOutcomeHandler(
             cluster,
             records,
             inFlight,
-            (end, at) -> jobEvents.onEnd(end.job(), end.cancelled(), at, at));
+            (end, at) -> jobEvents.onFinalRecord(end.job(), end.cancelled(), at, at));
     this.quotaUpdates = new QuotaUpdates(cluster, records, policy.teams());
-    TerminationProofs proofs = new TerminationProofs(cluster, records);
+    LostMachineHandler proofs = new LostMachineHandler(cluster, records);
     this.machineEvents =
-        new MachineEvents(cluster, planner, deletedMachines, proofs, workerTasks.stops());
+        new MachineEvents(cluster, planner, deletedMachines, proofs, workerTasks.stopper());
     this.adminViews = new AdminViews(cluster);
     PlacementRound placement = new PlacementRound(cluster, random);
     CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
@@ -117,12 +118,12 @@
    * on the record revision known here can no longer commit, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
-    jobEvents.onCancelled(job, now);
+    jobEvents.onPeerCancellation(job, now);
   }
 
   /** Handles the committed final record of a job, which other jobs may depend on. */
   public void onJobEnd(String job, boolean cancelled, double committedAt, double now) {
-    jobEvents.onEnd(job, cancelled, committedAt, now);
+    jobEvents.onFinalRecord(job, cancelled, committedAt, now);
   }
 
   /** Lowers the limits on the size of a value and on changes per second in the key-value store. */
@@ -166,7 +167,7 @@
 
   /** Handles the deletion of a job's record from the store. */
   public void onJobDeleted(String id, double now) {
-    jobEvents.onJobGone(id, now);
+    jobEvents.onJobRemoved(id, now);
   }
 
   // ---------------------------------------------------------------- workers
@@ -187,7 +188,7 @@
    * it is "".
    */
   public boolean onHeartbeat(Heartbeat heartbeat, String controller, double now) {
-    return heartbeatIntake.onHeartbeat(heartbeat, HeartbeatOrigin.checkIn(controller), now);
+    return heartbeatIntake.onHeartbeat(heartbeat, HeartbeatOrigin.workerInitiated(controller), now);
   }
 
   /** Records that a heartbeat was responded to; the worker's lease cannot start later than that. */
@@ -206,8 +207,8 @@
    * @param status the worker's response, or null if there is none
    */
   public void onCommandDelivery(
-      Action.SendCommands sent, CommandDelivery delivery, Heartbeat status, double now) {
-    commandDeliveries.onDelivery(sent, delivery, status, now);
+      Action.SendCommands sent, CommandDeliveryOutcome delivery, Heartbeat status, double now) {
+    commandDeliveries.onCommandDelivery(sent, delivery, status, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
@@ -294,7 +295,7 @@
 
   /** Handles the deletion of a task batch record from the store. */
   public void onTaskBatchDeleted(TaskBatchKey key) {
-    records.onTaskBatchGone(key);
+    records.onTaskBatchRemoved(key);
   }
 
   /**
@@ -302,7 +303,7 @@
    * revision if it committed.
    */
   public void onTransactionOutcome(long id, TransactionOutcome outcome, long revision, double now) {
-    transactionAnswers.onWrite(id, outcome, revision, now);
+    transactionAnswers.onOutcome(id, outcome, revision, now);
   }
 
   // ---------------------------------------------------------------- time
@@ -312,7 +313,7 @@
    * term if it succeeded.
    */
   public void onTerm(long newTerm, double now) {
-    workerTasks.fencing().onTerm(newTerm, now);
+    workerTasks.fencing().onRaiseOutcome(newTerm, now);
   }
 
   /** Performs all time-based work, such as lease expiry, probes and the fleet plan. */
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -21,8 +21,8 @@
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
   private final JobEndWriter jobEnds;
-  private final WorkerTasks workers;
-  private final TerminationProofs proofs;
+  private final WorkerControl workers;
+  private final LostMachineHandler proofs;
   private final MachineEvents machineEvents;
   private final QuotaUpdates quota;
 
@@ -36,8 +36,8 @@
       FleetPlanner planner,
       CompareAndSwapWriter writer,
       JobEndWriter jobEnds,
-      WorkerTasks workers,
-      TerminationProofs proofs,
+      WorkerControl workers,
+      LostMachineHandler proofs,
       MachineEvents machineEvents,
       QuotaUpdates quota) {
     this.cluster = cluster;
@@ -54,9 +54,9 @@
   /** Runs everything that depends on time, then a scheduling round if one is due. */
   void tick(double now) {
     proofs.expireLeases(now);
-    workers.probes().probe(now);
+    workers.prober().probeDueMachines(now);
     workers.fencing().raiseTermIfBlocked(now);
-    workers.stops().repeatCancellations(now);
+    workers.stopper().repeatCancellationKills(now);
     requestFinalRecords(now);
     planIfDue(now);
     if (now - lastAccountCheckAt >= ACCOUNT_CHECK_INTERVAL_S) {
@@ -96,7 +96,7 @@
    * called again.
    */
   double step(double now) {
-    workers.launches().launchCommitted(now);
+    workers.launcher().launchCommitted(now);
     if (!cluster.roundNeeded || cluster.loading) {
       return MAX_ROUND_INTERVAL_S;
     }
@@ -107,12 +107,14 @@
     cluster.roundNeeded = false;
     lastRoundAt = now;
     machineEvents.removeDeletedMachines();
-    boolean claimsPaused = cluster.policy.tuning().claimsPaused() || workers.fencing().isRaising();
-    List<Claim> claims = claimsPaused ? List.of() : placement.placeTasks(writer.changesLeft(), now);
-    workers.stops().stopRequestedClaims(now);
+    boolean claimsPaused =
+        cluster.policy.tuning().claimsPaused() || workers.fencing().isRaiseInFlight();
+    List<Claim> claims =
+        claimsPaused ? List.of() : placement.placeTasks(writer.remainingChanges(), now);
+    workers.stopper().stopRequestedClaims(now);
     writer.write(claims, now);
     jobEnds.endJobs();
-    workers.launches().launchCommitted(now);
+    workers.launcher().launchCommitted(now);
     return MAX_ROUND_INTERVAL_S;
   }
 }
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -1,8 +1,8 @@
 package graderelay.state;
 
 import graderelay.config.Settings;
-import graderelay.core.CancellationKnowledge;
 import graderelay.core.Heartbeat;
+import graderelay.core.KnownCancellations;
 import graderelay.core.LeaseTiming;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Loop;
@@ -138,7 +138,7 @@
    */
   public List<WorkerCommand> killCommands(Heartbeat heartbeat) {
     List<WorkerCommand> kills = new ArrayList<>();
-    for (Heartbeat.Entry entry : heartbeat.tasks()) {
+    for (Heartbeat.TaskStatus entry : heartbeat.tasks()) {
       if (entry.stage() != Heartbeat.Stage.EXITED && isCancelled(jobOf(entry.task()))) {
         kills.add(new WorkerCommand.Kill(entry.task(), entry.attempt(), 0));
       }
@@ -174,16 +174,16 @@
   // ---------------------------------------------------------------- exchange with peers
 
   /** Our knowledge of cancellations, to be sent to peers. */
-  public CancellationKnowledge ownKnowledge() {
+  public KnownCancellations ownKnowledge() {
     removeRecorded();
     Collection<String> jobs = new TreeSet<>(cache.cancelledJobs());
     jobs.addAll(learnedAt.keySet());
     if (jobs.size() > MAX_CANCELLATIONS_PER_MESSAGE) {
-      return CancellationKnowledge.NONE;
+      return KnownCancellations.NONE;
     }
     double now = loop.now();
     double completeAsOf = completeAsOf();
-    return new CancellationKnowledge(
+    return new KnownCancellations(
         coversEarlierProcesses(),
         now - startedAt,
         completeAsOf == Double.NEGATIVE_INFINITY ? -1 : now - completeAsOf,
@@ -196,12 +196,14 @@
   }
 
   /** Handles a peer's knowledge, received in answer to a request sent at {@code sentAt}. */
-  public void onPeerKnowledge(String peer, double sentAt, CancellationKnowledge knowledge) {
+  public void onPeerKnowledge(String peer, double sentAt, KnownCancellations knowledge) {
     merge(sentAt, knowledge);
     // An earlier process of the peer may have confirmed cancellations that the peer has lost. We
     // have them if our knowledge extends to the start of the peer's present process.
-    double peerStartedAt = loop.now() - knowledge.processS() * (1 - LeaseTiming.DRIFT);
-    if (knowledge.complete() || (knowledge.processS() > 0 && completeAsOf() >= peerStartedAt)) {
+    double peerStartedAt =
+        loop.now() - knowledge.processUptimeS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    if (knowledge.complete()
+        || (knowledge.processUptimeS() > 0 && completeAsOf() >= peerStartedAt)) {
       completeAnswerRequestedAt.merge(peer, sentAt, Math::max);
     }
     completeAsOfFromPeers = Math.max(completeAsOfFromPeers, oldestCompleteAnswerRequestedAt());
@@ -221,10 +223,11 @@
   }
 
   /** Adds another controller's knowledge, received in answer to a request, to our own. */
-  public void merge(double sentAt, CancellationKnowledge knowledge) {
+  public void merge(double sentAt, KnownCancellations knowledge) {
     knowledge.jobs().forEach(this::add);
-    if (knowledge.knownS() >= 0) {
-      double peerCompleteAsOf = sentAt - knowledge.knownS() * (1 + LeaseTiming.DRIFT);
+    if (knowledge.knownUntilAgeS() >= 0) {
+      double peerCompleteAsOf =
+          sentAt - knowledge.knownUntilAgeS() * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
       completeAsOfFromPeers = Math.max(completeAsOfFromPeers, peerCompleteAsOf);
     }
   }
--- a/src/main/java/graderelay/state/CollectedPledges.java
+++ b/src/main/java/graderelay/state/CollectedPledges.java
@@ -29,7 +29,10 @@
   /** Adds a pledge that a peer has granted; its duration counts from when it was requested. */
   void add(String member, double requestedAt, double durationS) {
     expiryTimes.put(
-        member, requestedAt + durationS * (1 - LeaseTiming.DRIFT) - ElectionTiming.EXPIRY_MARGIN_S);
+        member,
+        requestedAt
+            + durationS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+            - ElectionTiming.EXPIRY_MARGIN_S);
   }
 
   /** Discards all pledges. */
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -32,8 +32,9 @@
     this.status = status;
     // An earlier process of this controller may have given a pledge just before it ended.
     this.leaderlessPledgeEndsAt =
-        loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.DRIFT);
-    this.leaderPledgeEndsAt = loop.now() + ElectionTiming.LEADER_PLEDGE_S * (1 + LeaseTiming.DRIFT);
+        loop.now() + ElectionTiming.LEADERLESS_PLEDGE_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    this.leaderPledgeEndsAt =
+        loop.now() + ElectionTiming.LEADER_PLEDGE_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
   }
 
   /**
@@ -46,7 +47,8 @@
       return false;
     }
     leaderPledgeEndsAt =
-        Math.max(leaderPledgeEndsAt, loop.now() + durationS * (1 + LeaseTiming.DRIFT));
+        Math.max(
+            leaderPledgeEndsAt, loop.now() + durationS * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO));
     highestPledgedTerm = Math.max(highestPledgedTerm, term);
     return true;
   }
@@ -61,7 +63,9 @@
       return false;
     }
     leaderlessPledgeEndsAt =
-        Math.max(leaderlessPledgeEndsAt, loop.now() + durationS * (1 + LeaseTiming.DRIFT));
+        Math.max(
+            leaderlessPledgeEndsAt,
+            loop.now() + durationS * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO));
     return true;
   }
 
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -56,7 +56,9 @@
       return 0;
     }
     leavingSince = Double.isNaN(leavingSince) ? loop.now() : leavingSince;
-    return leavingSince + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.DRIFT) - loop.now();
+    return leavingSince
+        + ElectionTiming.SUSPENSION_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+        - loop.now();
   }
 
   /** Conditions a transaction on the known suspension, and deletes the suspension in it. */
--- a/src/main/java/graderelay/state/PeerMonitor.java
+++ b/src/main/java/graderelay/state/PeerMonitor.java
@@ -113,7 +113,7 @@
             && cache.linearizableAsOf() >= electedAt;
     return suspended
         ? cache.linearizableAsOf()
-            + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.DRIFT)
+            + ElectionTiming.SUSPENSION_S * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
             - ElectionTiming.EXPIRY_MARGIN_S
         : Double.NEGATIVE_INFINITY;
   }
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -92,7 +92,9 @@
 
   private void extendLease(double sentAt) {
     leaseExpiresAt =
-        Math.max(leaseExpiresAt, sentAt + sessionLeaseS * (1 - LeaseTiming.DRIFT) - LEASE_MARGIN_S);
+        Math.max(
+            leaseExpiresAt,
+            sentAt + sessionLeaseS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO) - LEASE_MARGIN_S);
   }
 
   private void scheduleRenewal() {
--- a/src/test/java/graderelay/core/LargeJobsTest.java
+++ b/src/test/java/graderelay/core/LargeJobsTest.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.sim.SimWorld;
@@ -17,9 +17,9 @@
 
   @Test
   void largeArrayStartsUnderConstantArrivalOfSmallArrays() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(5.0, 20.0)));
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(5.0, 20.0)));
     scheduler.onRecordsLoaded(0);
-    hearing(scheduler, "n-1", 0);
+    registerMachine(scheduler, "n-1", 0);
     scheduler.onJob(SchedulerFixture.array("j-8", 4), false, 5, 0, 0);
     SchedulerFixture.commitAll(
         scheduler, 10, 0.1); // The machine is full before the large array is submitted.
@@ -30,7 +30,7 @@
       now += 2;
       scheduler.onJob(SchedulerFixture.array("j-s" + i, 1), false, 5, now, now);
       // One task ends, so there is room for one task of either array.
-      SchedulerFixture.work(scheduler, "n-1", 2 + 2 * i, 1, now);
+      SchedulerFixture.runTasks(scheduler, "n-1", 2 + 2 * i, 1, now);
       SchedulerFixture.commitAll(scheduler, revision += 2, now + 0.6);
       SchedulerFixture.commitAll(scheduler, revision += 2, now + 0.7);
     }
--- a/src/test/java/graderelay/core/ManyMachineFailuresTest.java
+++ b/src/test/java/graderelay/core/ManyMachineFailuresTest.java
@@ -1,6 +1,6 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.name;
+import static graderelay.core.SchedulerFixture.machineName;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
@@ -16,21 +16,21 @@
   void probesMachinesWithServicesFirstWhenHundredsAreSilent() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 300; i++) {
-      SchedulerFixture.machine(scheduler, name(i), 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(scheduler, machineName(i), 1, 1, 0);
     }
     scheduler.onJob(SchedulerFixture.service("j-1", 24), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
     Set<String> machinesWithServices = new HashSet<>();
     for (int i = 0; i < 300; i++) {
-      if (SchedulerFixture.claimsOf(scheduler, name(i)) > 0) {
-        machinesWithServices.add(name(i));
+      if (SchedulerFixture.claimCount(scheduler, machineName(i)) > 0) {
+        machinesWithServices.add(machineName(i));
       }
     }
     assertThat(machinesWithServices).hasSizeGreaterThan(5);
-    SchedulerFixture.taken(scheduler).clear();
+    SchedulerFixture.pendingActions(scheduler).clear();
     scheduler.tick(8); // No machine has sent a heartbeat for four intervals.
     Set<String> probed = new HashSet<>();
-    for (Action action : SchedulerFixture.taken(scheduler)) {
+    for (Action action : SchedulerFixture.pendingActions(scheduler)) {
       if (action instanceof Action.SendCommands sent) {
         probed.add(sent.machine());
       }
@@ -43,10 +43,10 @@
   @Test
   void writesEndsOfServiceTasksBeforeArrayTasksWhenMachinesFail() {
     // A rate of ten changes per second allows four changes in flight.
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 10);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of(), 10);
     scheduler.onRecordsLoaded(0);
     for (int i = 0; i < 6; i++) {
-      SchedulerFixture.machine(scheduler, name(i), 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(scheduler, machineName(i), 1, 1, 0);
     }
     for (int index = 0; index < 9; index++) {
       // The services are submitted last.
@@ -60,10 +60,10 @@
           0);
       SchedulerFixture.commitAll(scheduler, 10 + index, 0.1 + index * 0.1);
     }
-    SchedulerFixture.taken(scheduler).clear();
+    SchedulerFixture.pendingActions(scheduler).clear();
     scheduler.tick(60); // All leases have expired.
     List<String> ended = new ArrayList<>();
-    for (Action action : SchedulerFixture.taken(scheduler)) {
+    for (Action action : SchedulerFixture.pendingActions(scheduler)) {
       if (action instanceof Action.Write write) {
         write.taskBatches().forEach(put -> ended.add(put.key().job()));
       }
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -9,14 +9,14 @@
   private static Scheduler schedulerWithMachines(int machines) {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.machine(scheduler, "n-" + i, 1, 1, 0);
+      SchedulerFixture.exchangeHeartbeat(scheduler, "n-" + i, 1, 1, 0);
     }
     return scheduler;
   }
 
   private static void sendHeartbeats(Scheduler scheduler, int machines, long seq, double now) {
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.machine(scheduler, "n-" + i, 1, seq, now);
+      SchedulerFixture.exchangeHeartbeat(scheduler, "n-" + i, 1, seq, now);
     }
   }
 
@@ -27,7 +27,11 @@
   private static Scheduler schedulerWithFullFleet(int lowPriorityTasks) {
     Scheduler scheduler = schedulerWithMachines(5);
     scheduler.onJob(
-        SchedulerFixture.ranked("j-1", Priority.LOW, lowPriorityTasks, null), false, 5, 0.1, 0.1);
+        SchedulerFixture.arrayWithPriority("j-1", Priority.LOW, lowPriorityTasks, null),
+        false,
+        5,
+        0.1,
+        0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
     scheduler.onJob(SchedulerFixture.array("j-2", 20 - lowPriorityTasks), false, 6, 0.3, 0.3);
     SchedulerFixture.commitAll(scheduler, 11, 0.4);
@@ -43,7 +47,8 @@
   @Test
   void littleLowerPriorityWorkIsPreemptedForServicesButNotForArrays() {
     Scheduler scheduler = schedulerWithFullFleet(2);
-    scheduler.onJob(SchedulerFixture.ranked("j-3", Priority.URGENT, 4, null), false, 7, 0.5, 0.5);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-3", Priority.URGENT, 4, null), false, 7, 0.5, 0.5);
     SchedulerFixture.commitAll(scheduler, 12, 0.6);
     // Normal and low work together are far more than a tenth of the fleet, so they are preempted,
     // the low work first.
@@ -68,10 +73,12 @@
   @Test
   void jobPreemptsBeyondItsGuaranteeOnlyWhenItsDeadlineIsNear() {
     Scheduler scheduler = schedulerWithMachines(5);
-    scheduler.onJob(SchedulerFixture.ranked("j-1", Priority.LOW, 20, null), false, 5, 0.1, 0.1);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-1", Priority.LOW, 20, null), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
     // The team's guarantee of 8 is used up; the estimate is ten seconds.
-    scheduler.onJob(SchedulerFixture.ranked("j-2", Priority.NORMAL, 4, 60.0), false, 6, 0.3, 0.3);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-2", Priority.NORMAL, 4, 60.0), false, 6, 0.3, 0.3);
     scheduler.tick(1);
     SchedulerFixture.commitAll(scheduler, 11, 1.1);
     assertThat(preemptionCount(scheduler)).isZero();
@@ -84,17 +91,17 @@
   @Test
   void machineGetsNoMoreTasksThanItsHeartbeatCanList() {
     Scheduler scheduler = schedulerWithMachines(2);
-    scheduler.onJob(SchedulerFixture.tiny("j-1", 3000), false, 5, 0.1, 0.1);
+    scheduler.onJob(SchedulerFixture.tinyTaskArray("j-1", 3000), false, 5, 0.1, 0.1);
     for (int i = 0; i < 20; i++) {
       SchedulerFixture.commitAll(scheduler, 10 + i, 0.2 + i * 0.1);
     }
     for (int i = 0; i < 2; i++) {
-      assertThat(SchedulerFixture.claimsOf(scheduler, "n-" + i))
+      assertThat(SchedulerFixture.claimCount(scheduler, "n-" + i))
           .isEqualTo(SchedulerLimits.MAX_TASKS_PER_MACHINE);
     }
     scheduler.tick(3);
     // The fleet plan applies the same limit and scales out enough machines for the other tasks.
-    assertThat(SchedulerFixture.scaledOut(scheduler, 3.1)).hasSizeGreaterThanOrEqualTo(6);
+    assertThat(SchedulerFixture.completeScaleOuts(scheduler, 3.1)).hasSizeGreaterThanOrEqualTo(6);
   }
 
   @Test
@@ -117,16 +124,22 @@
   @Test
   void lowPriorityJobStartsWithinFourMinutesOnFleetFullOfUrgentWork() {
     Scheduler scheduler = schedulerWithMachines(1);
-    scheduler.onJob(SchedulerFixture.ranked("j-1", Priority.URGENT, 24, null), false, 5, 0.1, 0.1);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-1", Priority.URGENT, 24, null), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
-    scheduler.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 50, null), false, 6, 0.3, 0.3);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-2", Priority.LOW, 50, null), false, 6, 0.3, 0.3);
     long seq = 2;
     for (double now = 1; now < 240; now += 2) {
       // One task ends every few seconds, and another urgent one is always waiting.
-      SchedulerFixture.work(scheduler, "n-0", seq, now % 11 < 2 ? 1 : 0, now);
+      SchedulerFixture.runTasks(scheduler, "n-0", seq, now % 11 < 2 ? 1 : 0, now);
       seq += 2;
       scheduler.onJob(
-          SchedulerFixture.ranked("j-9" + (int) now, Priority.URGENT, 1, null), false, 7, now, now);
+          SchedulerFixture.arrayWithPriority("j-9" + (int) now, Priority.URGENT, 1, null),
+          false,
+          7,
+          now,
+          now);
       SchedulerFixture.commitAll(scheduler, 20 + (long) now, now + 0.7);
     }
     assertThat(SchedulerFixture.tasksStarted(scheduler, "j-2")).isEqualTo(1);
@@ -137,18 +150,21 @@
     Scheduler scheduler = schedulerWithMachines(5);
     // Only one task of the urgent array fits at first, so its record is being written while the
     // others still wait.
-    scheduler.onJob(SchedulerFixture.ranked("j-0", Priority.URGENT, 19, null), false, 5, 0.1, 0.1);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-0", Priority.URGENT, 19, null), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
-    scheduler.onJob(SchedulerFixture.ranked("j-1", Priority.URGENT, 4, null), false, 6, 0.3, 0.3);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-1", Priority.URGENT, 4, null), false, 6, 0.3, 0.3);
     scheduler.step(0.4); // Its first claim is sent and not answered yet.
-    scheduler.onJob(SchedulerFixture.ranked("j-2", Priority.LOW, 100, null), false, 7, 0.5, 0.5);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-2", Priority.LOW, 100, null), false, 7, 0.5, 0.5);
     scheduler.step(0.6);
-    int before = SchedulerFixture.changesOut(scheduler);
+    int before = SchedulerFixture.changesInFlight(scheduler);
     // Of the four slots of a new machine, three are reserved for the tasks that wait for the
     // answer.
-    SchedulerFixture.machine(scheduler, "n-5", 1, 1, 0.7);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-5", 1, 1, 0.7);
     scheduler.step(0.8);
-    assertThat(SchedulerFixture.changesOut(scheduler) - before).isEqualTo(1);
+    assertThat(SchedulerFixture.changesInFlight(scheduler) - before).isEqualTo(1);
     SchedulerFixture.commitAll(scheduler, 11, 0.9);
     SchedulerFixture.commitAll(scheduler, 12, 1.0);
     assertThat(SchedulerFixture.tasksStarted(scheduler, "j-1")).isEqualTo(4);
@@ -160,12 +176,13 @@
   void noRoomIsReservedForTasksBeyondTheirTeamsLimit() {
     Scheduler scheduler = schedulerWithMachines(7);
     // The team's limit is 24 of the 28 slots.
-    scheduler.onJob(SchedulerFixture.ranked("j-0", Priority.URGENT, 60, null), false, 5, 0.1, 0.1);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority("j-0", Priority.URGENT, 60, null), false, 5, 0.1, 0.1);
     scheduler.step(0.2); // Its record is being written, with 36 tasks still open.
-    int before = SchedulerFixture.changesOut(scheduler);
-    scheduler.onJob(SchedulerFixture.guests("j-1", 4), false, 6, 0.3, 0.3);
+    int before = SchedulerFixture.changesInFlight(scheduler);
+    scheduler.onJob(SchedulerFixture.unlimitedTeamArray("j-1", 4), false, 6, 0.3, 0.3);
     scheduler.step(0.4);
-    assertThat(SchedulerFixture.changesOut(scheduler) - before).isEqualTo(1);
+    assertThat(SchedulerFixture.changesInFlight(scheduler) - before).isEqualTo(1);
     SchedulerFixture.commitAll(scheduler, 11, 0.5);
     assertThat(SchedulerFixture.tasksStarted(scheduler, "j-1")).isEqualTo(4);
   }
--- a/src/test/java/graderelay/core/QueueOrderTest.java
+++ b/src/test/java/graderelay/core/QueueOrderTest.java
@@ -24,11 +24,12 @@
   @ParameterizedTest
   @CsvSource({"50, 4, true", "2, 100, false"})
   void jobsThatMeetMoreObjectivesPerTaskGoFirst(int waitingTasks, int dueTasks, boolean dueFirst) {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(25.0, 120.0)));
+    Scheduler scheduler =
+        SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(25.0, 120.0)));
     scheduler.onRecordsLoaded(0);
     scheduler.onJob(SchedulerFixture.array(FIRST_JOB, waitingTasks), false, 5, 0, 0);
-    scheduler.onJob(SchedulerFixture.due(SECOND_JOB, dueTasks, 100), false, 6, 1, 1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 2); // Room for four tasks.
+    scheduler.onJob(SchedulerFixture.arrayWithDeadline(SECOND_JOB, dueTasks, 100), false, 6, 1, 1);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 2); // Room for four tasks.
     SchedulerFixture.commitAll(scheduler, 10, 2.1);
     long due = SchedulerFixture.tasksStarted(scheduler, SECOND_JOB);
     long waiting = SchedulerFixture.tasksStarted(scheduler, FIRST_JOB);
@@ -43,21 +44,22 @@
    */
   @Test
   void jobTakesDependentsPriorityBeforeItsStartObjectivePasses() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(40.0)));
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(40.0)));
     scheduler.onRecordsLoaded(0);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // Room for four tasks.
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0); // Room for four tasks.
     scheduler.onJob(SchedulerFixture.array(FIRST_JOB, 40), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    scheduler.onJob(SchedulerFixture.ranked(SECOND_JOB, Priority.LOW, 1, null), false, 6, 1, 1);
-    JobSpec dependent = SchedulerFixture.ranked("j-000003", Priority.URGENT, 1, 900.0);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithPriority(SECOND_JOB, Priority.LOW, 1, null), false, 6, 1, 1);
+    JobSpec dependent = SchedulerFixture.arrayWithPriority("j-000003", Priority.URGENT, 1, 900.0);
     scheduler.onJob(dependent.withDependencies(List.of(SECOND_JOB)), false, 7, 1, 1);
     for (int i = 2; i < 16; i += 2) {
-      SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(scheduler)).noneMatch(line -> line.contains("preempt"));
     for (int i = 16; i < 30; i += 2) {
-      SchedulerFixture.work(scheduler, "n-1", 2L * i, 0, i);
+      SchedulerFixture.runTasks(scheduler, "n-1", 2L * i, 0, i);
       scheduler.tick(i + 0.9);
     }
     assertThat(SchedulerFixture.logLines(scheduler))
--- a/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
+++ b/src/test/java/graderelay/core/ScaleOutForDeadlinesTest.java
@@ -33,9 +33,11 @@
 
   private static int onDemandMachines(
       double startObjectiveS, double deadlineS, double submittedAt) {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of("batch", List.of(startObjectiveS)));
+    Scheduler scheduler =
+        SchedulerFixture.loadingScheduler(1, Map.of("batch", List.of(startObjectiveS)));
     scheduler.onRecordsLoaded(0);
-    scheduler.onJob(SchedulerFixture.due("j-1", 20, deadlineS), false, 5, submittedAt, 0);
+    scheduler.onJob(
+        SchedulerFixture.arrayWithDeadline("j-1", 20, deadlineS), false, 5, submittedAt, 0);
     int machines = 0;
     for (int i = 1; i < 4; i++) {
       scheduler.tick(i);
--- a/src/test/java/graderelay/core/SchedulingCostTest.java
+++ b/src/test/java/graderelay/core/SchedulingCostTest.java
@@ -1,7 +1,7 @@
 package graderelay.core;
 
-import static graderelay.core.SchedulerFixture.hearing;
-import static graderelay.core.SchedulerFixture.name;
+import static graderelay.core.SchedulerFixture.machineName;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -26,7 +26,7 @@
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
-      hearing(scheduler, name(i), 0);
+      registerMachine(scheduler, machineName(i), 0);
     }
     for (int k = 0; k < 40; k++) {
       scheduler.onJob(
@@ -40,7 +40,7 @@
     scheduler.step(0.2);
     long before = scheduler.examinedCount();
     for (int i = 0; i < machines; i++) {
-      scheduler.onHeartbeat(SchedulerFixture.heartbeat(name(i), 1, 2, 1), 0.3);
+      scheduler.onHeartbeat(SchedulerFixture.heartbeat(machineName(i), 1, 2, 1), 0.3);
       scheduler.step(0.3 + i * 1e-5);
     }
     assertThat(scheduler.examinedCount() - before).isZero();
@@ -50,7 +50,7 @@
   void jobsWithoutRoomAreNotExaminedAgainUntilRoomIsFreed() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     for (int i = 0; i < 5; i++) {
-      hearing(scheduler, name(i), 0);
+      registerMachine(scheduler, machineName(i), 0);
     }
     for (int k = 0; k < 40; k++) {
       scheduler.onJob(SchedulerFixture.array("j-" + k, 10), false, 5, 0, 0);
@@ -71,7 +71,7 @@
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     int machines = 1600;
     for (int i = 0; i < machines; i++) {
-      hearing(scheduler, name(i), 0);
+      registerMachine(scheduler, machineName(i), 0);
     }
     scheduler.step(0.1);
     long before = scheduler.examinedCount();
@@ -86,28 +86,28 @@
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     int machines = 60;
     for (int i = 0; i < machines; i++) {
-      hearing(scheduler, name(i), 0);
+      registerMachine(scheduler, machineName(i), 0);
     }
     int tasks = 24; // As many as the team's limit allows at once.
     scheduler.onJob(SchedulerFixture.array("j-1", tasks), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
-    final int before = SchedulerFixture.writes(scheduler);
+    final int before = SchedulerFixture.committedWrites(scheduler);
     for (int i = 0; i < machines; i++) {
-      SchedulerFixture.work(scheduler, name(i), 2, 4, 1);
+      SchedulerFixture.runTasks(scheduler, machineName(i), 2, 4, 1);
     }
     SchedulerFixture.commitAll(scheduler, 20, 1.7);
     SchedulerFixture.commitAll(scheduler, 30, 1.9);
-    assertThat(SchedulerFixture.writes(scheduler) - before)
+    assertThat(SchedulerFixture.committedWrites(scheduler) - before)
         .isEqualTo(1); // Includes the end of the job itself.
     assertThat(SchedulerFixture.logLines(scheduler)).anyMatch(line -> line.contains("j-1 is done"));
   }
 
   @Test
   void endsUseOnlyTheirShareOfChangesSoThatClaimsAreNotDelayed() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1, Map.of(), 10);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1, Map.of(), 10);
     scheduler.onRecordsLoaded(0);
     for (int i = 0; i < 6; i++) {
-      hearing(scheduler, name(i), 0);
+      registerMachine(scheduler, machineName(i), 0);
     }
     for (int k = 0; k < 12; k++) {
       scheduler.onJob(SchedulerFixture.array("j-" + k, 2), false, 5, 0, 0);
@@ -117,11 +117,11 @@
       SchedulerFixture.commitAll(scheduler, revision++, 0.1 + i * 0.1);
     }
     for (int i = 0; i < 6; i++) {
-      SchedulerFixture.work(scheduler, name(i), 2, 2, 3);
+      SchedulerFixture.runTasks(scheduler, machineName(i), 2, 2, 3);
     }
     scheduler.step(4);
     // Twelve tasks of many jobs have ended. Ends may use 0.4 s worth of ten changes a second.
-    assertThat(SchedulerFixture.changesOut(scheduler)).isBetween(1, 4);
+    assertThat(SchedulerFixture.changesInFlight(scheduler)).isBetween(1, 4);
     for (int i = 0; i < 40; i++) {
       SchedulerFixture.commitAll(scheduler, revision++, 5 + i * 0.1);
     }
--- a/src/test/java/graderelay/core/SpreadPlacementTest.java
+++ b/src/test/java/graderelay/core/SpreadPlacementTest.java
@@ -30,13 +30,14 @@
   @Test
   void replicasBeyondTheZoneLimitScaleOutAnotherZone() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0); // In zone a, with room for all of them.
-    scheduler.onJob(SchedulerFixture.spread("j-1", 2), false, 5, 0.1, 0.1);
+    SchedulerFixture.exchangeHeartbeat(
+        scheduler, "n-1", 1, 1, 0); // In zone a, with room for all of them.
+    scheduler.onJob(SchedulerFixture.spreadService("j-1", 2), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
-    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     scheduler.tick(1);
     List<String> zones = new ArrayList<>();
-    for (Action action : SchedulerFixture.taken(scheduler)) {
+    for (Action action : SchedulerFixture.pendingActions(scheduler)) {
       if (action instanceof Action.ScaleOut scaleOut) {
         zones.add(scaleOut.zone());
       }
--- a/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -1,10 +1,10 @@
 package graderelay.core;
 
 import static graderelay.core.SchedulerFixture.array;
-import static graderelay.core.SchedulerFixture.claimed;
-import static graderelay.core.SchedulerFixture.machine;
+import static graderelay.core.SchedulerFixture.claimedRecord;
+import static graderelay.core.SchedulerFixture.exchangeHeartbeat;
+import static graderelay.core.SchedulerFixture.pendingActions;
 import static graderelay.core.SchedulerFixture.scheduler;
-import static graderelay.core.SchedulerFixture.taken;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import graderelay.quota.Account;
@@ -30,12 +30,12 @@
 
   private static List<Action.Write> takeWrites(Scheduler scheduler) {
     List<Action.Write> writes = new ArrayList<>();
-    for (Action action : new ArrayList<>(taken(scheduler))) {
+    for (Action action : new ArrayList<>(pendingActions(scheduler))) {
       if (action instanceof Action.Write write) {
         writes.add(write);
       }
     }
-    taken(scheduler).clear();
+    pendingActions(scheduler).clear();
     return writes;
   }
 
@@ -45,8 +45,8 @@
    */
   private static Scheduler schedulerWithFencedAccount(int jobs) {
     Scheduler scheduler = scheduler(1);
-    machine(scheduler, "n-000001", 1, 1, 0);
-    machine(scheduler, "n-000001", 1, 2, 0.1);
+    exchangeHeartbeat(scheduler, "n-000001", 1, 1, 0);
+    exchangeHeartbeat(scheduler, "n-000001", 1, 2, 0.1);
     for (int i = 0; i < jobs; i++) {
       scheduler.onJob(array("j-00000" + i, 1), false, 10 + i, 0, 0);
     }
@@ -78,15 +78,15 @@
     Scheduler scheduler = schedulerWithFencedAccount(1);
     scheduler.step(2);
     assertThat(takeWrites(scheduler).get(0).taskBatches()).hasSize(1);
-    scheduler.onTaskBatch(new TaskBatchKey("j-000000", 0), claimed("n-000009", 1), 30, 2);
+    scheduler.onTaskBatch(new TaskBatchKey("j-000000", 0), claimedRecord("n-000009", 1), 30, 2);
     assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
   }
 
   @Test
   void existingClaimsCountFromWhenLimitsAreFirstStored() {
     Scheduler scheduler = scheduler(1);
-    machine(scheduler, "n-000001", 1, 1, 0);
-    machine(scheduler, "n-000001", 1, 2, 0.1);
+    exchangeHeartbeat(scheduler, "n-000001", 1, 1, 0);
+    exchangeHeartbeat(scheduler, "n-000001", 1, 2, 0.1);
     scheduler.onJob(array("j-000000", 2), false, 10, 0, 0);
     SchedulerFixture.commitAll(scheduler, 12, 1);
     assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
@@ -100,7 +100,8 @@
   void endOfJobReleasesItsClaimsOnlyOnceItHasCommitted() {
     Scheduler scheduler = schedulerWithFencedAccount(1);
     scheduler.step(2);
-    scheduler.onTransactionOutcome(takeWrites(scheduler).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
+    scheduler.onTransactionOutcome(
+        takeWrites(scheduler).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
     assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
     scheduler.onCancelled("j-000000", 3); // It was never launched.
     scheduler.step(3.1);
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -1,6 +1,6 @@
 package graderelay.state;
 
-import static graderelay.core.SchedulerFixture.hearing;
+import static graderelay.core.SchedulerFixture.registerMachine;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -145,38 +145,38 @@
   @Test
   void newLeaderKnowsFromHintsWhichMachinesHaveAnImage() {
     Scheduler first = SchedulerFixture.scheduler(1);
-    hearing(first, "n-1", 0);
-    hearing(first, "n-2", 0);
+    registerMachine(first, "n-1", 0);
+    registerMachine(first, "n-2", 0);
     first.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(first, 10, 0.1);
-    String machineWithImage = SchedulerFixture.claimsOf(first, "n-1") == 1 ? "n-1" : "n-2";
-    SchedulerFixture.work(first, machineWithImage, 2, 1, 1);
+    String machineWithImage = SchedulerFixture.claimCount(first, "n-1") == 1 ? "n-1" : "n-2";
+    SchedulerFixture.runTasks(first, machineWithImage, 2, 1, 1);
     first.tick(20);
     Action.StoreImages keepImages =
         (Action.StoreImages)
-            SchedulerFixture.taken(first).stream()
+            SchedulerFixture.pendingActions(first).stream()
                 .filter(action -> action instanceof Action.StoreImages)
                 .findFirst()
                 .orElseThrow();
-    Scheduler next = SchedulerFixture.takingOver(2);
+    Scheduler next = SchedulerFixture.loadingScheduler(2);
     next.onStoredImages(
         StateCodec.decodeImages(StateCodec.encodeImages(keepImages.imagesByMachine(), 60)));
     next.onRecordsLoaded(20);
     for (int i = 1; i <= 6; i++) {
-      SchedulerFixture.machine(next, "n-" + i, 1, 9, 20);
+      SchedulerFixture.exchangeHeartbeat(next, "n-" + i, 1, 9, 20);
     }
     next.onJob(SchedulerFixture.array("j-2", 3), false, 6, 20, 20);
     SchedulerFixture.commitAll(next, 11, 20.1);
-    assertThat(SchedulerFixture.claimsOf(next, machineWithImage)).isEqualTo(3);
+    assertThat(SchedulerFixture.claimCount(next, machineWithImage)).isEqualTo(3);
   }
 
   @Test
   void freeSlotsOfFullFleetGoToArrayWhoseImageIsPresent() {
-    Scheduler scheduler = SchedulerFixture.takingOver(1);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(1);
     scheduler.onStoredImages(Map.of("n-1", List.of("x"), "n-2", List.of("y")));
     scheduler.onRecordsLoaded(0);
-    hearing(scheduler, "n-1", 0);
-    hearing(scheduler, "n-2", 0);
+    registerMachine(scheduler, "n-1", 0);
+    registerMachine(scheduler, "n-2", 0);
     scheduler.onJob(SchedulerFixture.array("j-1", 8, "y"), false, 5, 0, 0);
     scheduler.onJob(SchedulerFixture.array("j-2", 8, "x"), false, 6, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -71,14 +71,15 @@
     // worker session only from answers to direct commands and launches a task in it, so it has to
     // wait for a full lease of that session before it considers the lease over.
     Scheduler scheduler = SchedulerFixture.scheduler(1);
-    SchedulerFixture.machine(scheduler, "n-1", 1, 1, 0.0);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0.0);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
     SchedulerFixture.commitAll(scheduler, 10, 0.1);
-    SchedulerFixture.answerDirect(scheduler, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
+    SchedulerFixture.refuseDirectCommands(
+        scheduler, SchedulerFixture.heartbeat("n-1", 2, 9, 1), 11);
     SchedulerFixture.commitAll(scheduler, 11, 11.1); // The first attempt ends with the old session.
     SchedulerFixture.commitAll(
         scheduler, 12, 11.2); // The second attempt is claimed in the new session.
-    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     scheduler.tick(14); // A lease counted from the last answered heartbeat would be over.
     assertThat(SchedulerFixture.logLines(scheduler))
         .noneMatch(line -> line.contains("lease of n-1 is over"));
@@ -108,18 +109,19 @@
 
   @Test
   void heartbeatOfOlderTermDoesNotReleaseClaimOfEarlierLeader() {
-    Scheduler scheduler = SchedulerFixture.takingOver(2);
+    Scheduler scheduler = SchedulerFixture.loadingScheduler(2);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 3, 0, 0);
-    scheduler.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimed("n-1", 1), 4, 0);
+    scheduler.onTaskBatch(
+        new TaskBatchKey("j-1", 0), SchedulerFixture.claimedRecord("n-1", 1), 4, 0);
     scheduler.onRecordsLoaded(0);
     // The launch command of the earlier leader may still arrive.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 5, 1), 1);
     SchedulerFixture.commitAll(scheduler, 10, 1.1);
-    assertThat(SchedulerFixture.claimsOf(scheduler, "n-1")).isEqualTo(1);
-    assertThat(SchedulerFixture.writes(scheduler)).isZero();
+    assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
+    assertThat(SchedulerFixture.committedWrites(scheduler)).isZero();
     // From now on the worker refuses that launch command.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 6, 2), 2);
     SchedulerFixture.commitAll(scheduler, 11, 2.1);
-    assertThat(SchedulerFixture.writes(scheduler)).isPositive();
+    assertThat(SchedulerFixture.committedWrites(scheduler)).isPositive();
   }
 }
