--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -142,15 +142,15 @@
   private void relay(Exchange exchange, String leaderName, String address) {
     peerClient.send(
         address,
-        new PeerRequest.AdminRequest(
+        new PeerRequest.RelayedAdminRequest(
             exchange.method(), exchange.path(), exchange.query(), exchange.body()),
-        PeerCodec::decodeRelayed,
+        PeerCodec::decodeRelayedResponse,
         peerClient.timeoutS(),
         relayed -> {
           if (relayed == null) {
             ApiError.unavailable("the owner " + leaderName + " did not answer").sendTo(exchange);
           } else {
-            exchange.to().accept(relayed.answer());
+            exchange.to().accept(relayed.response());
           }
         });
   }
--- a/src/main/java/graderelay/api/ApiError.java
+++ b/src/main/java/graderelay/api/ApiError.java
@@ -56,7 +56,7 @@
 
   /** The answer that tells of this error. */
   Answer toAnswer() {
-    byte[] body = Json.error(message);
+    byte[] body = Json.errorBody(message);
     return retryable ? Answer.later(status, body) : Answer.json(status, body);
   }
 
--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -6,7 +6,7 @@
 import graderelay.features.UpgradeCoordinator;
 import graderelay.net.Exchange;
 import graderelay.state.Cache;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.Json;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -83,16 +83,16 @@
         default ->
             ApiError.notFound("there are finalize, downgrade, hold and release").sendTo(exchange);
       }
-    } catch (BadRequest malformed) {
+    } catch (BadRequestException malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
     }
   }
 
-  private static int requestedLevel(Exchange exchange) throws BadRequest {
+  private static int requestedLevel(Exchange exchange) throws BadRequestException {
     JsonNode body = Json.read(exchange.body());
     JsonNode level = body == null ? Json.object().path("level") : body.path("level");
     if (!level.isInt() || level.intValue() < 0 || level.intValue() > Feature.LATEST_LEVEL) {
-      throw new BadRequest("level must be an integer from 0 to " + Feature.LATEST_LEVEL);
+      throw new BadRequestException("level must be an integer from 0 to " + Feature.LATEST_LEVEL);
     }
     return level.intValue();
   }
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -49,7 +49,7 @@
    * or the store can't be reached and the job's final state is not known here. Empty if neither.
    */
   Optional<ApiError> refusal(String id) {
-    if (!UserCodec.isId(id)) {
+    if (!UserCodec.isJobId(id)) {
       return Optional.of(ApiError.NO_SUCH_JOB);
     }
     if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -10,7 +10,7 @@
 import graderelay.state.CancellationResolver;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.FinalState;
 import graderelay.wire.Json;
 import graderelay.wire.UserCodec;
@@ -91,7 +91,7 @@
       spec =
           UserCodec.decodeSubmission(
               Json.read(exchange.body()), loop.wallMs(), batchCapacity.getAsInt());
-    } catch (BadRequest malformed) {
+    } catch (BadRequestException malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
       return;
     }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -8,9 +8,9 @@
 import graderelay.state.FeatureRecords;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.function.Consumer;
 import java.util.function.Function;
 
@@ -39,7 +39,7 @@
   private final StateClient state;
   private final Cancellations cancellations;
   private final RelayedHeartbeats heartbeats;
-  private final Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations;
+  private final Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegations;
   private final Exchange.Handler requests;
 
   /**
@@ -59,7 +59,7 @@
       StateClient state,
       Cancellations cancellations,
       RelayedHeartbeats heartbeats,
-      Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations,
+      Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegations,
       Exchange.Handler requests) {
     this.leadership = leadership;
     this.features = features;
@@ -99,7 +99,7 @@
   private static boolean actsForTheLeader(PeerRequest request) {
     return request instanceof PeerRequest.Handover
         || request instanceof PeerRequest.Delegation
-        || request instanceof PeerRequest.RelayedReport;
+        || request instanceof PeerRequest.RelayedHeartbeat;
   }
 
   /**
@@ -115,16 +115,16 @@
     if (request instanceof PeerRequest.Pledge pledge) {
       boolean granted = !behind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
       answer(exchange, pledged(granted));
-    } else if (request instanceof PeerRequest.KeepPledge pledge) {
+    } else if (request instanceof PeerRequest.LeaderlessPledge pledge) {
       answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
-      answer(exchange, new PeerAnswer.Identified(incarnation));
+      answer(exchange, new PeerResponse.IdentifyResponse(incarnation));
     } else if (request instanceof PeerRequest.Share share) {
       leadership.borrowWriteCapacity(share.term(), share.changesPerS());
-      answer(exchange, new PeerAnswer.Wanted(state.budget().drainChangeDemand()));
+      answer(exchange, new PeerResponse.ShareResponse(state.budget().drainChangeDemand()));
     } else if (request instanceof PeerRequest.Handover handover) {
       leadership.acceptHandover(handover.member(), handover.term(), handover.sessionLease());
-      answer(exchange, new PeerAnswer.Received());
+      answer(exchange, new PeerResponse.HandoverResponse());
     } else if (request instanceof PeerRequest.Delegation delegation) {
       answer(exchange, delegations.apply(delegation));
     } else {
@@ -135,12 +135,12 @@
 
   /** Answers what a controller passes on for others; false if the request is none of that. */
   private boolean answerRelayed(Exchange exchange, PeerRequest request) {
-    if (request instanceof PeerRequest.RelayedReport heartbeat) {
+    if (request instanceof PeerRequest.RelayedHeartbeat heartbeat) {
       heartbeats.accept(heartbeat.member(), heartbeat.body(), relayedTo(exchange));
-    } else if (request instanceof PeerRequest.UserRequest user) {
+    } else if (request instanceof PeerRequest.RelayedUserRequest user) {
       requests.handle(
           new Exchange(user.method(), user.path(), "", user.body(), true, relayedTo(exchange)));
-    } else if (request instanceof PeerRequest.AdminRequest admin) {
+    } else if (request instanceof PeerRequest.RelayedAdminRequest admin) {
       requests.handle(
           new Exchange(
               admin.method(),
@@ -156,19 +156,19 @@
   }
 
   /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
-  private PeerAnswer.Pledged pledged(boolean granted) {
-    return new PeerAnswer.Pledged(
+  private PeerResponse.PledgeResponse pledged(boolean granted) {
+    return new PeerResponse.PledgeResponse(
         granted, state.health().isReachable(), cancellations.ownKnowledge());
   }
 
   /** Sends an answer back to the controller that has passed the request on. */
   private static Consumer<Answer> relayedTo(Exchange exchange) {
-    return answer -> answer(exchange, new PeerAnswer.Relayed(answer));
+    return answer -> answer(exchange, new PeerResponse.RelayedResponse(answer));
   }
 
-  private static void answer(Exchange exchange, PeerAnswer answer) {
+  private static void answer(Exchange exchange, PeerResponse answer) {
     exchange
         .to()
-        .accept(new Answer(200, PeerCodec.encodeAnswer(answer), "application/cbor", 0, false));
+        .accept(new Answer(200, PeerCodec.encodeResponse(answer), "application/cbor", 0, false));
   }
 }
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -6,7 +6,7 @@
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
 import graderelay.state.TeamLimits;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import java.net.URLDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Predicate;
@@ -26,7 +26,7 @@
 
   /** A request on the stored limits as they are now. */
   private interface StoredLimitsRequest {
-    void run() throws BadRequest;
+    void run() throws BadRequestException;
   }
 
   private final Cache cache;
@@ -110,7 +110,7 @@
   private static void runOrRefuse(Exchange exchange, StoredLimitsRequest request) {
     try {
       request.run();
-    } catch (BadRequest malformed) {
+    } catch (BadRequestException malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
     }
   }
--- a/src/main/java/graderelay/api/QuotaWrites.java
+++ b/src/main/java/graderelay/api/QuotaWrites.java
@@ -12,10 +12,10 @@
 import graderelay.state.QuotaRecords;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.Json;
 import graderelay.wire.QuotaCodec;
-import graderelay.wire.QuotaRequests;
+import graderelay.wire.QuotaRequestCodec;
 import java.util.Optional;
 
 /**
@@ -51,32 +51,32 @@
   }
 
   /** Changes the limits of a team that exists. */
-  void change(Exchange exchange, String team) throws BadRequest {
-    QuotaRequests.Change asked = decode(exchange);
+  void change(Exchange exchange, String team) throws BadRequestException {
+    QuotaRequestCodec.LimitChangeRequest asked = decode(exchange);
     LimitRecord before = records().limits(team);
     if (before == null) {
       unknownTeam(team).sendTo(exchange);
-    } else if (asked.onVersion() >= 0 && asked.onVersion() != before.revision()) {
+    } else if (asked.expectedVersion() >= 0 && asked.expectedVersion() != before.revision()) {
       conflict(exchange, team, "the limits of team " + team + " have changed since");
-    } else if (!before.isReadable() && !asked.limits().isComplete()) {
+    } else if (!before.isReadable() && !asked.change().isComplete()) {
       String why = "the stored limits of team " + team + " are malformed: " + before.malformed();
       ApiError.conflict(why + "; give cpus, cpus_max, gpus and gpus_max").sendTo(exchange);
     } else {
       TeamQuota base = before.isReadable() ? before.quota() : TeamQuota.UNLIMITED;
-      put(exchange, team, asked.limits().applyTo(base), before.revision(), asked.by());
+      put(exchange, team, asked.change().applyTo(base), before.revision(), asked.changedBy());
     }
   }
 
   /** Adds a team with its limits; {@code prefix} is what the path has before the team's name. */
-  void add(Exchange exchange, String team, PathPrefix prefix) throws BadRequest {
-    QuotaRequests.Change asked = decode(exchange);
+  void add(Exchange exchange, String team, PathPrefix prefix) throws BadRequestException {
+    QuotaRequestCodec.LimitChangeRequest asked = decode(exchange);
     if (team.isEmpty()) {
       ApiError.badRequest("the path must name the team: " + prefix.root() + "/TEAM")
           .sendTo(exchange);
     } else if (records().limits(team) != null) {
       conflict(exchange, team, "team " + team + " is there already");
     } else {
-      put(exchange, team, asked.limits().applyTo(TeamQuota.UNLIMITED), ABSENT, asked.by());
+      put(exchange, team, asked.change().applyTo(TeamQuota.UNLIMITED), ABSENT, asked.changedBy());
     }
   }
 
@@ -101,8 +101,9 @@
     return cache.quota();
   }
 
-  private QuotaRequests.Change decode(Exchange exchange) throws BadRequest {
-    return QuotaRequests.decodeChange(Json.read(exchange.body()), member);
+  private QuotaRequestCodec.LimitChangeRequest decode(Exchange exchange)
+      throws BadRequestException {
+    return QuotaRequestCodec.decodeLimitChange(Json.read(exchange.body()), member);
   }
 
   private void put(
--- a/src/main/java/graderelay/api/SettingsChange.java
+++ b/src/main/java/graderelay/api/SettingsChange.java
@@ -1,7 +1,7 @@
 package graderelay.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import java.util.OptionalLong;
 
 /**
@@ -17,13 +17,13 @@
   }
 
   /** Reads {@code {"values": {...}, "mark": N}}, where the mark (the revision) is optional. */
-  static SettingsChange decode(JsonNode body) throws BadRequest {
+  static SettingsChange decode(JsonNode body) throws BadRequestException {
     if (body == null || !body.isObject() || !body.path("values").isObject()) {
-      throw new BadRequest("values must be an object with the settings to change");
+      throw new BadRequestException("values must be an object with the settings to change");
     }
     JsonNode revision = body.path("mark");
     if (!revision.isMissingNode() && !revision.isIntegralNumber()) {
-      throw new BadRequest("mark must be the integer that reading the settings gave");
+      throw new BadRequestException("mark must be the integer that reading the settings gave");
     }
     // A negative revision asks for none, as it always has.
     boolean any = revision.isMissingNode() || revision.longValue() < 0;
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -9,7 +9,7 @@
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
@@ -65,7 +65,7 @@
   void change(Exchange exchange) {
     try {
       write(exchange, SettingsChange.decode(Json.read(exchange.body())));
-    } catch (BadRequest malformed) {
+    } catch (BadRequestException malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
     }
   }
@@ -124,7 +124,7 @@
     OperatorSettings next;
     try {
       next = current().with(change.values(), defaults, mostBatchTasks);
-    } catch (BadRequest invalid) {
+    } catch (BadRequestException invalid) {
       ApiError.badRequest(invalid.getMessage()).sendTo(exchange);
       return;
     }
--- a/src/main/java/graderelay/cli/SubmitTool.java
+++ b/src/main/java/graderelay/cli/SubmitTool.java
@@ -45,7 +45,7 @@
         "POST",
         "/v1/jobs",
         job instanceof ObjectNode o && !needs.isEmpty()
-            ? UserCodec.withDependencies(o, needs)
+            ? UserCodec.addDependencies(o, needs)
             : job);
   }
 
--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.Policy;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.Json;
 import java.util.Iterator;
 import java.util.Set;
@@ -73,12 +73,13 @@
   /**
    * The settings with some fields changed; null takes a field back to its default.
    *
-   * @throws BadRequest naming the first field that is not known or whose value is not allowed
+   * @throws BadRequestException naming the first field that is not known or whose value is not
+   *     allowed
    */
   public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int mostBatchTasks)
-      throws BadRequest {
+      throws BadRequestException {
     if (changes == null || !changes.isObject()) {
-      throw new BadRequest("values must be an object");
+      throw new BadRequestException("values must be an object");
     }
     OperatorSettingsEditor editor = new OperatorSettingsEditor(this, mostBatchTasks);
     for (Iterator<String> names = changes.fieldNames(); names.hasNext(); ) {
@@ -116,7 +117,7 @@
       String name = names.next();
       try {
         editor.set(name, record.get(name));
-      } catch (BadRequest e) {
+      } catch (BadRequestException e) {
         // Written by another version: its default serves.
       }
     }
--- a/src/main/java/graderelay/config/OperatorSettingsEditor.java
+++ b/src/main/java/graderelay/config/OperatorSettingsEditor.java
@@ -1,7 +1,7 @@
 package graderelay.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashSet;
@@ -82,7 +82,7 @@
    *
    * @param value the new value, or null if the field is not known
    */
-  void set(String name, JsonNode value) throws BadRequest {
+  void set(String name, JsonNode value) throws BadRequestException {
     if (value == null) {
       throw unknown(name);
     }
@@ -101,51 +101,53 @@
     }
   }
 
-  private BadRequest unknown(String name) {
+  private BadRequestException unknown(String name) {
     List<String> known = new ArrayList<>();
     settings().json().fieldNames().forEachRemaining(known::add);
-    return new BadRequest(name + " is not a setting; there are " + String.join(", ", known));
+    return new BadRequestException(
+        name + " is not a setting; there are " + String.join(", ", known));
   }
 
-  private static int count(String name, JsonNode value, int most) throws BadRequest {
+  private static int count(String name, JsonNode value, int most) throws BadRequestException {
     if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > most) {
-      throw new BadRequest(name + " must be an integer from 1 to " + most);
+      throw new BadRequestException(name + " must be an integer from 1 to " + most);
     }
     return value.intValue();
   }
 
-  private static double number(String name, JsonNode value, double most) throws BadRequest {
+  private static double number(String name, JsonNode value, double most)
+      throws BadRequestException {
     double least = 0;
     if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-      throw new BadRequest(name + " must be a number from " + least + " to " + most);
+      throw new BadRequestException(name + " must be a number from " + least + " to " + most);
     }
     return value.doubleValue();
   }
 
-  private static boolean flag(String name, JsonNode value) throws BadRequest {
+  private static boolean flag(String name, JsonNode value) throws BadRequestException {
     if (!value.isBoolean()) {
-      throw new BadRequest(name + " must be true or false");
+      throw new BadRequestException(name + " must be true or false");
     }
     return value.booleanValue();
   }
 
-  private static String level(JsonNode value) throws BadRequest {
+  private static String level(JsonNode value) throws BadRequestException {
     if (!value.isTextual() || !Logs.known(value.textValue())) {
-      throw new BadRequest("log_level must be error, info or debug");
+      throw new BadRequestException("log_level must be error, info or debug");
     }
     return value.textValue();
   }
 
   /** The names in their order, each once. */
-  private static Set<String> machineNames(String name, JsonNode value) throws BadRequest {
+  private static Set<String> machineNames(String name, JsonNode value) throws BadRequestException {
     if (!value.isArray() || value.size() > MOST_MACHINE_NAMES) {
-      throw new BadRequest(
+      throw new BadRequestException(
           name + " must be a list of at most " + MOST_MACHINE_NAMES + " machine names");
     }
     Set<String> machines = new LinkedHashSet<>();
     for (JsonNode machine : value) {
       if (!isMachineName(machine)) {
-        throw new BadRequest(name + " must hold machine names like n-000231");
+        throw new BadRequestException(name + " must hold machine names like n-000231");
       }
       machines.add(machine.textValue());
     }
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -136,7 +136,7 @@
 
   private void giveUp() {
     if (!answered) {
-      Answer nobody = Answer.later(RequestHedger.REFUSED, Json.error("nobody answered"));
+      Answer nobody = Answer.later(RequestHedger.REFUSED, Json.errorBody("nobody answered"));
       finish(refusal == null ? nobody : refusal);
     }
   }
--- a/src/main/java/graderelay/peer/PeerForwarder.java
+++ b/src/main/java/graderelay/peer/PeerForwarder.java
@@ -98,11 +98,11 @@
   void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
     peerClient.send(
         peer.address(),
-        new PeerRequest.UserRequest(exchange.method(), exchange.path(), exchange.body()),
-        PeerCodec::decodeRelayed,
+        new PeerRequest.RelayedUserRequest(exchange.method(), exchange.path(), exchange.body()),
+        PeerCodec::decodeRelayedResponse,
         timeoutS,
         relayed -> {
-          Answer answer = relayed == null ? null : relayed.answer();
+          Answer answer = relayed == null ? null : relayed.response();
           if (answer == null) {
             passedOverUntil.put(peer.address(), loop.now() + PASS_OVER_S);
           }
--- a/src/main/java/graderelay/service/CloudScaler.java
+++ b/src/main/java/graderelay/service/CloudScaler.java
@@ -73,8 +73,10 @@
         result ->
             term.takeOutcome(
                 now -> {
-                  LOG.info("{}: {}", name, result.noCapacity() ? "no capacity" : result.names());
-                  core.onScaleOutResponse(request.id(), result.names(), result.noCapacity(), now);
+                  LOG.info(
+                      "{}: {}", name, result.noCapacity() ? "no capacity" : result.machineNames());
+                  core.onScaleOutResponse(
+                      request.id(), result.machineNames(), result.noCapacity(), now);
                 }));
   }
 
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -69,7 +69,7 @@
   private void startMetrics() {
     parts.metrics.bucket("state requests", parts.state.budget().requestTokens());
     parts.metrics.bucket("state changes", parts.state.budget().changeTokens());
-    parts.metrics.bucket("cloud", parts.cloud.tokens());
+    parts.metrics.bucket("cloud", parts.cloud.tokenBucket());
     parts.metrics.readings(parts.quotaMonitor::readings);
     parts.metrics.start();
     parts.metrics.gauge(
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerParts.java
@@ -276,7 +276,8 @@
   }
 
   private String metricsText() {
-    return metrics.scrape(Map.of("state", state.callCounts(), "cloud", cloud.outcomes()), core());
+    return metrics.scrape(
+        Map.of("state", state.callCounts(), "cloud", cloud.responseCounts()), core());
   }
 
   /** A leader knows which peers answer; a follower finds out by asking. */
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -10,10 +10,10 @@
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
-import graderelay.wire.CompactHints;
+import graderelay.wire.CompactHintCodec;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
-import graderelay.wire.MalformedRecord;
+import graderelay.wire.MalformedRecordException;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -103,8 +103,8 @@
 
   private static JsonNode unpacked(String key, JsonNode compact) {
     try {
-      return CompactHints.unpack(compact);
-    } catch (MalformedRecord e) {
+      return CompactHintCodec.decode(compact);
+    } catch (MalformedRecordException e) {
       LOG.warn("{} is left out: {}", key, e.getMessage());
       return null;
     }
@@ -144,10 +144,10 @@
    */
   private ObjectNode packed(IntFunction<ObjectNode> within) {
     int plainBytes = mostBytes * HINT_RATIO;
-    ObjectNode packed = CompactHints.pack(within.apply(plainBytes));
+    ObjectNode packed = CompactHintCodec.encode(within.apply(plainBytes));
     while (Json.write(packed).length > mostBytes) {
       plainBytes = (int) (plainBytes * HINT_KEPT);
-      packed = CompactHints.pack(within.apply(plainBytes));
+      packed = CompactHintCodec.encode(within.apply(plainBytes));
     }
     return packed;
   }
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -102,7 +102,7 @@
         peerClient.send(
             peerClient.addressOf(member),
             new PeerRequest.Identify(self),
-            PeerCodec::decodeIdentified,
+            PeerCodec::decodeIdentifyResponse,
             peerClient.timeoutS(),
             answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -110,7 +110,7 @@
     commit(
         asLeader()
             .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
-            .put(FeatureCodec.HOLD, Json.object()),
+            .put(FeatureCodec.PAUSE, Json.object()),
         done);
   }
 
@@ -120,8 +120,8 @@
       done.accept(Outcome.DONE);
       return;
     }
-    Transaction txn = new Transaction().when(FeatureCodec.HOLD, records().holdRevision());
-    commit(on ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.delete(FeatureCodec.HOLD), done);
+    Transaction txn = new Transaction().when(FeatureCodec.PAUSE, records().holdRevision());
+    commit(on ? txn.put(FeatureCodec.PAUSE, Json.object()) : txn.delete(FeatureCodec.PAUSE), done);
   }
 
   private static String prefixOf(Feature feature) {
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -9,8 +9,8 @@
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -100,11 +100,11 @@
    * A peer asks to be our lease delegate in its zone: granted only while our session lease lasts
    * and if the core knows the peer. The answer carries the cancellations that we have heard of.
    */
-  PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
+  PeerResponse.DelegationResponse onDelegationRequest(PeerRequest.Delegation request) {
     return current != null && entitled.getAsBoolean()
-        ? new PeerAnswer.Delegated(
+        ? new PeerResponse.DelegationResponse(
             current.grantLeaseDelegation(request), cancellations.ownKnowledge())
-        : new PeerAnswer.Delegated(null, null);
+        : new PeerResponse.DelegationResponse(null, null);
   }
 
   /**
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -14,8 +14,8 @@
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
 import graderelay.state.Leadership;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.List;
 import java.util.function.DoubleConsumer;
 import java.util.random.RandomGenerator;
@@ -198,18 +198,18 @@
    * A peer asks to be our lease delegate; the caller has checked our session lease. Null if the
    * core does not know the peer's incarnation.
    */
-  PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
+  PeerResponse.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
     boolean known =
         core.onDelegateGrantRequest(
             request.member(),
-            request.process(),
-            request.number(),
-            request.grantedBy(),
-            request.echo(),
-            request.aloneS(),
+            request.incarnation(),
+            request.sequenceNumber(),
+            request.grantorTerm(),
+            request.leaderTime(),
+            request.sinceAutonomousResponseS(),
             now);
-    return known ? new PeerAnswer.Grant(leadership.term(), firstToken, now) : null;
+    return known ? new PeerResponse.Grant(leadership.term(), firstToken, now) : null;
   }
 
   // ---------------------------------------------------------------- time
@@ -248,7 +248,7 @@
     if (closed) {
       return;
     }
-    cloud.list(
+    cloud.listMachines(
         machines -> {
           if (closed) {
             return;
@@ -260,7 +260,7 @@
             stepSoon();
           }
           int listed = machines == null ? 0 : machines.size();
-          listTimer = loop.after(cloud.listEveryS(listed), this::listMachines);
+          listTimer = loop.after(cloud.listIntervalS(listed), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -57,7 +57,7 @@
     if (closed) {
       return;
     }
-    cloud.types(
+    cloud.listMachineTypes(
         list -> {
           if (list != null && !list.isEmpty()) {
             types = list;
@@ -65,7 +65,7 @@
           }
           double wait =
               types == null
-                  ? CloudClient.TYPES_RETRY_S
+                  ? CloudClient.RETRY_DELAY_S
                   : TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
           timer = loop.after(wait, this::read);
         });
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/TermRecords.java
@@ -126,8 +126,8 @@
         member,
         release.incarnation(),
         release.releasedUpTo(),
-        release.grantedBy(),
-        release.aloneS(),
+        release.grantorTerm(),
+        release.sinceAutonomousResponseS(),
         loop.now());
   }
 }
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -6,7 +6,7 @@
 import graderelay.features.FeatureGate;
 import graderelay.features.Member;
 import graderelay.wire.FeatureCodec;
-import graderelay.wire.MalformedRecord;
+import graderelay.wire.MalformedRecordException;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -74,7 +74,7 @@
   boolean put(String key, JsonNode value, long revision) {
     if (key.equals(FeatureCodec.LEVEL)) {
       putLevel(value, revision);
-    } else if (key.equals(FeatureCodec.HOLD)) {
+    } else if (key.equals(FeatureCodec.PAUSE)) {
       holdRevision = Math.max(holdRevision, revision);
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       putMember(key.substring(FeatureCodec.MEMBERS.length()), value, revision);
@@ -91,7 +91,7 @@
     levelRevision = revision;
     try {
       gate.onLevel(FeatureCodec.decodeLevel(value));
-    } catch (MalformedRecord e) {
+    } catch (MalformedRecordException e) {
       gate.onMalformed(e.getMessage());
     }
   }
@@ -103,7 +103,7 @@
     memberRevisions.put(name, revision);
     try {
       members.put(name, FeatureCodec.decodeMember(name, value, revision));
-    } catch (MalformedRecord e) {
+    } catch (MalformedRecordException e) {
       members.remove(name); // Treated as a version without feature levels.
       LOG.warn("ignoring the malformed feature record of member {}: {}", name, e.getMessage());
     }
@@ -111,7 +111,7 @@
 
   /** Applies the deletion of a record; returns false if it does not concern feature levels. */
   boolean delete(String key, long revision) {
-    if (key.equals(FeatureCodec.HOLD)) {
+    if (key.equals(FeatureCodec.PAUSE)) {
       holdRevision = revision > holdRevision ? 0 : holdRevision;
     } else if (key.startsWith(FeatureCodec.MEMBERS)) {
       String name = key.substring(FeatureCodec.MEMBERS.length());
--- a/src/main/java/graderelay/state/LeaderHandover.java
+++ b/src/main/java/graderelay/state/LeaderHandover.java
@@ -55,7 +55,7 @@
     peerClient.send(
         peer.address(),
         new PeerRequest.Handover(member, term, sessionLease),
-        PeerCodec::decodeReceived,
+        PeerCodec::decodeHandoverResponse,
         peerClient.timeoutS(),
         answer -> {});
   }
--- a/src/main/java/graderelay/state/LeaderPledges.java
+++ b/src/main/java/graderelay/state/LeaderPledges.java
@@ -87,7 +87,7 @@
           if (answer.granted()) {
             pledges.add(peer.member(), sentAt, ElectionTiming.LEADER_PLEDGE_S);
           }
-          if (answer.reachesState()) {
+          if (answer.reachesStore()) {
             handOverIfFailing(peer);
           }
         });
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -70,7 +70,7 @@
       return;
     }
     pledgeRequests.sendToAll(
-        new PeerRequest.KeepPledge(member, ElectionTiming.LEADERLESS_PLEDGE_S),
+        new PeerRequest.LeaderlessPledge(member, ElectionTiming.LEADERLESS_PLEDGE_S),
         (peer, sentAt, answer) -> {
           if (answer.granted()) {
             pledges.add(peer.member(), sentAt, ElectionTiming.LEADERLESS_PLEDGE_S);
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -31,7 +31,7 @@
   /** True if there is a suspension that this process has not started to leave. */
   boolean mustStartLeaving() {
     StateCodec.Suspension suspension = cache.suspension(self.member());
-    return suspension != null && !suspension.leaving().equals(self.incarnation());
+    return suspension != null && !suspension.leavingIncarnation().equals(self.incarnation());
   }
 
   /** Records that this process is leaving its suspension; calls back on success and on failure. */
--- a/src/main/java/graderelay/state/PagedRead.java
+++ b/src/main/java/graderelay/state/PagedRead.java
@@ -43,7 +43,7 @@
     }
     RangeResponse page = StoreCodec.decodeRange(result.body());
     records.addAll(page.entries());
-    String nextAfter = page.nextAfter();
+    String nextAfter = page.nextPageAfter();
     if (nextAfter == null) {
       done.accept(new Listing(revision, records));
     } else {
--- a/src/main/java/graderelay/state/PeerMonitor.java
+++ b/src/main/java/graderelay/state/PeerMonitor.java
@@ -5,9 +5,9 @@
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket.Use;
 import graderelay.peer.PeerClient;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import graderelay.wire.StateCodec;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -119,7 +119,9 @@
   }
 
   private boolean isInForce(StateCodec.Suspension suspension, String peer) {
-    return suspension != null && suspension.leaving().isEmpty() && !beingLifted.contains(peer);
+    return suspension != null
+        && suspension.leavingIncarnation().isEmpty()
+        && !beingLifted.contains(peer);
   }
 
   private void requestStatuses() {
@@ -132,7 +134,7 @@
       peerClient.send(
           peer.address(),
           new PeerRequest.Share(member, term, lending.changeRateOf(peer.member())),
-          PeerCodec::decodeWanted,
+          PeerCodec::decodeShareResponse,
           peerClient.timeoutS(),
           answer -> onAnswer(peer.member(), term, answer));
       suspendOrLift(peer.member());
@@ -141,12 +143,12 @@
   }
 
   /** Handles the answer to a status request of a term; {@code answer} is null if there is none. */
-  private void onAnswer(String peer, long term, PeerAnswer.Wanted answer) {
+  private void onAnswer(String peer, long term, PeerResponse.ShareResponse answer) {
     if (answer != null) {
       lastAnswerAt.put(peer, loop.now());
     }
     if (status.isActiveLeader() && status.term() == term) {
-      lending.updateDemand(peer, answer == null ? 0 : answer.changes());
+      lending.updateDemand(peer, answer == null ? 0 : answer.changeDemand());
     }
   }
 
--- a/src/main/java/graderelay/state/PledgeRequests.java
+++ b/src/main/java/graderelay/state/PledgeRequests.java
@@ -3,9 +3,9 @@
 import graderelay.config.Settings;
 import graderelay.net.Loop;
 import graderelay.peer.PeerClient;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.List;
 
 /**
@@ -16,7 +16,7 @@
   /** Handles the answers to one round of requests. */
   interface AnswerHandler {
     /** Handles the answer to a request that was sent at {@code sentAt} on the loop's clock. */
-    void onAnswer(Settings.Peer peer, double sentAt, PeerAnswer.Pledged answer);
+    void onAnswer(Settings.Peer peer, double sentAt, PeerResponse.PledgeResponse answer);
   }
 
   private final Loop loop;
@@ -47,11 +47,11 @@
       peerClient.send(
           peer.address(),
           request,
-          PeerCodec::decodePledged,
+          PeerCodec::decodePledgeResponse,
           peerClient.timeoutS(),
           answer -> {
             if (answer != null) {
-              storeAvailability.onPeerReport(answer.reachesState());
+              storeAvailability.onPeerReport(answer.reachesStore());
               cancellations.onPeerKnowledge(peer.member(), sentAt, answer.cancellations());
               handler.onAnswer(peer, sentAt, answer);
             }
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -70,12 +70,12 @@
   /** Applies a record; returns false if it is no quota record. */
   boolean put(String key, JsonNode value, long revision) {
     if (key.startsWith(QuotaCodec.ACCOUNTS)) {
-      String team = QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS);
+      String team = QuotaCodec.parseTeam(key, QuotaCodec.ACCOUNTS);
       if (revision > account(team).revision()) {
         accounts.put(team, QuotaCodec.decodeAccount(value, revision));
       }
     } else if (key.startsWith(QuotaCodec.LIMITS)) {
-      putLimits(QuotaCodec.teamOf(key, QuotaCodec.LIMITS), value, revision);
+      putLimits(QuotaCodec.parseTeam(key, QuotaCodec.LIMITS), value, revision);
     } else if (key.equals(QuotaCodec.SEEDED)) {
       seededRevision = Math.max(seededRevision, revision);
     } else {
@@ -106,12 +106,12 @@
   /** Applies the deletion of a record; returns false if it is no quota record. */
   boolean delete(String key, long revision) {
     if (key.startsWith(QuotaCodec.ACCOUNTS)) {
-      String team = QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS);
+      String team = QuotaCodec.parseTeam(key, QuotaCodec.ACCOUNTS);
       if (revision > account(team).revision()) {
         accounts.remove(team);
       }
     } else if (key.startsWith(QuotaCodec.LIMITS)) {
-      String team = QuotaCodec.teamOf(key, QuotaCodec.LIMITS);
+      String team = QuotaCodec.parseTeam(key, QuotaCodec.LIMITS);
       LimitRecord existing = limits.get(team);
       if (existing != null && revision > existing.revision()) {
         limits.remove(team);
--- a/src/main/java/graderelay/state/RecordTables.java
+++ b/src/main/java/graderelay/state/RecordTables.java
@@ -157,7 +157,8 @@
       putJob(key.substring(StateCodec.JOBS.length()), value, revision);
     } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
       jobs.putTaskBatch(
-          StateCodec.batchOf(key), new TaskBatchEntry(StateCodec.decodeTaskBatch(value), revision));
+          StateCodec.parseTaskBatchKey(key),
+          new TaskBatchEntry(StateCodec.decodeTaskBatch(value), revision));
     } else if (key.startsWith(StateCodec.FINAL_STATES)) {
       putFinalState(
           key.substring(StateCodec.FINAL_STATES.length()), StateCodec.decodeFinalState(value));
@@ -165,9 +166,9 @@
       quotaChanged = true;
     } else if (features.put(key, value, revision) || election.put(key, value, revision)) {
       electionChanged = true;
-    } else if (key.startsWith(StateCodec.LEASE_DELEGATES)) {
+    } else if (key.startsWith(StateCodec.DELEGATE_RELEASES)) {
       listener.onDelegateReleased(
-          key.substring(StateCodec.LEASE_DELEGATES.length()),
+          key.substring(StateCodec.DELEGATE_RELEASES.length()),
           StateCodec.decodeDelegateRelease(value));
     } else if (key.equals(StateCodec.SETTINGS)) {
       putSettings(value, revision);
@@ -203,7 +204,7 @@
     if (key.startsWith(StateCodec.JOBS)) {
       jobs.deleteJob(key.substring(StateCodec.JOBS.length()), revision);
     } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
-      jobs.deleteTaskBatch(StateCodec.batchOf(key), revision);
+      jobs.deleteTaskBatch(StateCodec.parseTaskBatchKey(key), revision);
     } else if (quota.delete(key, revision)) {
       quotaChanged = true;
     } else if (features.delete(key, revision) || election.delete(key, revision)) {
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -34,7 +34,7 @@
   private static final String SPOT_PRICE = "market_price";
 
   /** Wire name "ready_s": the nominal boot time in seconds. */
-  private static final String BOOT_S = "ready_s";
+  private static final String BOOT_TIME_S = "ready_s";
 
   /** Wire name "yards": the zones that offer a machine type. */
   private static final String ZONES = "yards";
@@ -56,7 +56,7 @@
   /** Wire name "borrowed": true for a spot instance. */
   private static final String SPOT = "borrowed";
 
-  private static final String STAGE = "stage";
+  private static final String STATE = "stage";
 
   /** Wire name "age_s": seconds since the scale-out request that started the machine. */
   private static final String AGE_S = "age_s";
@@ -68,7 +68,7 @@
   private static final String SCALE_OUT_NAME = "hire";
 
   /** Wire name "how_many": how many machines a scale-out request asks for. */
-  private static final String COUNT = "how_many";
+  private static final String MACHINE_COUNT = "how_many";
 
   private static final String ERROR = "error";
 
@@ -92,7 +92,7 @@
               t.path(IMAGE_FETCH_GB_PER_S).asDouble(),
               t.path(ON_DEMAND_PRICE).asDouble(),
               t.path(SPOT_PRICE).asDouble(),
-              t.path(BOOT_S).asDouble(),
+              t.path(BOOT_TIME_S).asDouble(),
               List.copyOf(zones)));
     }
     return types;
@@ -109,7 +109,7 @@
               m.path(MACHINE_TYPE).asText(),
               m.path(ZONE).asText(),
               m.path(SPOT).asBoolean(),
-              m.path(STAGE).asText(),
+              m.path(STATE).asText(),
               m.path(AGE_S).asDouble()));
     }
     return list;
@@ -131,7 +131,7 @@
         .put(MACHINE_TYPE, type)
         .put(ZONE, zone)
         .put(SPOT, spot)
-        .put(COUNT, count);
+        .put(MACHINE_COUNT, count);
   }
 
   /** The machines that a scale-out request has started. */
@@ -150,7 +150,7 @@
   }
 
   /** True if a refusal of a scale-out request says that no such machine is left; null is none. */
-  public static boolean decodeNoCapacity(JsonNode refusal) {
-    return refusal != null && refusal.path(ERROR).asText().equals(NO_CAPACITY);
+  public static boolean decodeNoCapacity(JsonNode errorResponse) {
+    return errorResponse != null && errorResponse.path(ERROR).asText().equals(NO_CAPACITY);
   }
 }
--- a/src/main/java/graderelay/wire/ElectionRecordCodec.java
+++ b/src/main/java/graderelay/wire/ElectionRecordCodec.java
@@ -29,10 +29,10 @@
   static final String RELEASED_UP_TO = "n";
 
   /** Wire name "of": the term whose grants were released. */
-  static final String GRANTED_BY = "of";
+  static final String GRANTOR_TERM = "of";
 
   /** Wire name "alone": seconds since the lease delegate last answered workers by itself. */
-  static final String ALONE_S = "alone";
+  static final String SINCE_AUTONOMOUS_RESPONSE_S = "alone";
 
   private ElectionRecordCodec() {}
 
@@ -40,7 +40,7 @@
     return Json.object()
         .put(MEMBER, leader.member())
         .put(TERM, leader.term())
-        .put(PEER_ADDRESS, leader.address());
+        .put(PEER_ADDRESS, leader.peerAddress());
   }
 
   static LeaderRecord decodeLeader(JsonNode n) {
@@ -56,8 +56,8 @@
     return new TermRecord(n.path(TERM).asLong(), n.path(MEMBER).asText());
   }
 
-  static ObjectNode encodeSuspension(String leaving) {
-    return Json.object().put(LEAVING_INCARNATION, leaving);
+  static ObjectNode encodeSuspension(String leavingIncarnation) {
+    return Json.object().put(LEAVING_INCARNATION, leavingIncarnation);
   }
 
   static Suspension decodeSuspension(JsonNode n, long revision) {
@@ -65,19 +65,19 @@
   }
 
   static ObjectNode encodeDelegateRelease(
-      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
+      String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {
     return Json.object()
         .put(DELEGATE_INCARNATION, incarnation)
         .put(RELEASED_UP_TO, releasedUpTo)
-        .put(GRANTED_BY, grantedBy)
-        .put(ALONE_S, aloneS);
+        .put(GRANTOR_TERM, grantorTerm)
+        .put(SINCE_AUTONOMOUS_RESPONSE_S, sinceAutonomousResponseS);
   }
 
   static DelegateRelease decodeDelegateRelease(JsonNode n) {
     return new DelegateRelease(
         n.path(DELEGATE_INCARNATION).asText(),
         n.path(RELEASED_UP_TO).asLong(),
-        n.path(GRANTED_BY).asLong(),
-        n.path(ALONE_S).asDouble());
+        n.path(GRANTOR_TERM).asLong(),
+        n.path(SINCE_AUTONOMOUS_RESPONSE_S).asDouble());
   }
 }
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -20,7 +20,7 @@
   public static final String LEVEL = "g/term/feature/level";
 
   /** Present while operators want the cluster to stay at its level. */
-  public static final String HOLD = "g/term/feature/hold";
+  public static final String PAUSE = "g/term/feature/hold";
 
   /** What each controller has published of itself. */
   public static final String MEMBERS = "g/term/feature/member/";
@@ -56,10 +56,10 @@
   private static final String INCARNATION = "incarnation";
 
   /** Stored name "began": the time of day in milliseconds at which the process began. */
-  private static final String BEGAN_MS = "began";
+  private static final String STARTED_MS = "began";
 
   /** Characters of a text in a member's record; more is a mistake. */
-  private static final int LONGEST_TEXT = 128;
+  private static final int MAX_TEXT_LENGTH = 128;
 
   private FeatureCodec() {}
 
@@ -70,11 +70,11 @@
   }
 
   /** Reads the record; a level that this program does not know is no mistake of the record. */
-  public static ClusterLevel decodeLevel(JsonNode n) throws MalformedRecord {
-    int level = count(n, LEVEL_NUMBER);
-    int target = n.has(TARGET_LEVEL) ? count(n, TARGET_LEVEL) : level;
+  public static ClusterLevel decodeLevel(JsonNode n) throws MalformedRecordException {
+    int level = decodeFeatureLevel(n, LEVEL_NUMBER);
+    int target = n.has(TARGET_LEVEL) ? decodeFeatureLevel(n, TARGET_LEVEL) : level;
     if (target > level) {
-      throw new MalformedRecord(TARGET_LEVEL, "is " + target + ", above level " + level);
+      throw new MalformedRecordException(TARGET_LEVEL, "is " + target + ", above level " + level);
     }
     return new ClusterLevel(level, target);
   }
@@ -91,41 +91,43 @@
         .put(MIN_LEVEL, member.range().min())
         .put(MAX_LEVEL, member.range().max())
         .put(INCARNATION, member.incarnation())
-        .put(BEGAN_MS, member.beganMs());
+        .put(STARTED_MS, member.beganMs());
   }
 
   /** Controller {@code name} from its record and the record's revision. */
-  public static Member decodeMember(String name, JsonNode n, long revision) throws MalformedRecord {
-    int min = count(n, MIN_LEVEL);
-    int max = count(n, MAX_LEVEL);
+  public static Member decodeMember(String name, JsonNode n, long revision)
+      throws MalformedRecordException {
+    int min = decodeFeatureLevel(n, MIN_LEVEL);
+    int max = decodeFeatureLevel(n, MAX_LEVEL);
     if (min > max) {
-      throw new MalformedRecord(MIN_LEVEL, "is " + min + ", above max " + max);
+      throw new MalformedRecordException(MIN_LEVEL, "is " + min + ", above max " + max);
     }
-    JsonNode began = n.path(BEGAN_MS);
-    if (!began.isIntegralNumber()) {
-      throw new MalformedRecord(BEGAN_MS, "must be a time of day in milliseconds");
+    JsonNode startedMs = n.path(STARTED_MS);
+    if (!startedMs.isIntegralNumber()) {
+      throw new MalformedRecordException(STARTED_MS, "must be a time of day in milliseconds");
     }
     return new Member(
         name,
-        text(n, VERSION),
+        decodeText(n, VERSION),
         new FeatureRange(min, max),
-        text(n, INCARNATION),
-        began.longValue(),
+        decodeText(n, INCARNATION),
+        startedMs.longValue(),
         revision);
   }
 
-  private static int count(JsonNode n, String field) throws MalformedRecord {
+  private static int decodeFeatureLevel(JsonNode n, String field) throws MalformedRecordException {
     JsonNode v = n.path(field);
     if (!v.isInt() || v.intValue() < Feature.BASE_LEVEL) {
-      throw new MalformedRecord(field, "must be a feature level of at least 0");
+      throw new MalformedRecordException(field, "must be a feature level of at least 0");
     }
     return v.intValue();
   }
 
-  private static String text(JsonNode n, String field) throws MalformedRecord {
+  private static String decodeText(JsonNode n, String field) throws MalformedRecordException {
     JsonNode v = n.path(field);
-    if (!v.isTextual() || v.textValue().isEmpty() || v.textValue().length() > LONGEST_TEXT) {
-      throw new MalformedRecord(field, "must be a text of 1 to " + LONGEST_TEXT + " characters");
+    if (!v.isTextual() || v.textValue().isEmpty() || v.textValue().length() > MAX_TEXT_LENGTH) {
+      throw new MalformedRecordException(
+          field, "must be a text of 1 to " + MAX_TEXT_LENGTH + " characters");
     }
     return v.textValue();
   }
--- a/src/main/java/graderelay/wire/FinalStateCodec.java
+++ b/src/main/java/graderelay/wire/FinalStateCodec.java
@@ -17,11 +17,11 @@
 
   private FinalStateCodec() {}
 
-  static ObjectNode encode(boolean cancelled, int tasks, long nowMs) {
+  static ObjectNode encode(boolean cancelled, int tasks, long writtenAtMs) {
     return Json.object()
         .put(OUTCOME, cancelled ? CANCELLED : DONE)
         .put(TASKS, tasks)
-        .put(WRITTEN_AT_MS, nowMs);
+        .put(WRITTEN_AT_MS, writtenAtMs);
   }
 
   static FinalState decode(JsonNode n) {
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -31,10 +31,10 @@
   static final String SPREAD = "spread";
   static final String SPOT = "spot";
   static final String ESTIMATE_S = "estimate";
-  static final String CHECKPOINT_S = "checkpoint";
-  static final String CHECKPOINT_SAVE_S = "save";
+  static final String CHECKPOINT_INTERVAL_S = "checkpoint";
+  static final String CHECKPOINT_WRITE_S = "save";
   static final String DEADLINE_S = "deadline";
-  static final String SUBMITTED_MS = "at";
+  static final String SUBMITTED_AT_MS = "at";
   static final String BATCH_CAPACITY = "cap";
   static final String DEPENDENCIES = "needs";
   static final String STOP_REQUESTED = "stop";
@@ -57,11 +57,11 @@
     }
     n.put(ONE_ZONE, spec.oneZone()).put(SPREAD, spec.spread()).put(SPOT, spec.spot());
     n.put(ESTIMATE_S, spec.estimateS());
-    n.put(CHECKPOINT_S, spec.checkpointS()).put(CHECKPOINT_SAVE_S, spec.saveS());
+    n.put(CHECKPOINT_INTERVAL_S, spec.checkpointS()).put(CHECKPOINT_WRITE_S, spec.saveS());
     if (spec.deadlineS() != null) {
       n.put(DEADLINE_S, spec.deadlineS());
     }
-    n.put(SUBMITTED_MS, spec.submittedMs()).put(BATCH_CAPACITY, spec.batchCapacity());
+    n.put(SUBMITTED_AT_MS, spec.submittedMs()).put(BATCH_CAPACITY, spec.batchCapacity());
     if (!spec.dependencies().isEmpty()) {
       spec.dependencies().forEach(n.putArray(DEPENDENCIES)::add);
     }
@@ -103,15 +103,15 @@
         n.path(SPREAD).asBoolean(),
         n.path(SPOT).asBoolean(),
         n.path(ESTIMATE_S).asDouble(),
-        n.path(CHECKPOINT_S).asDouble(),
-        n.path(CHECKPOINT_SAVE_S).asDouble(),
+        n.path(CHECKPOINT_INTERVAL_S).asDouble(),
+        n.path(CHECKPOINT_WRITE_S).asDouble(),
         n.has(DEADLINE_S) ? n.get(DEADLINE_S).asDouble() : null,
-        n.path(SUBMITTED_MS).asLong(),
+        n.path(SUBMITTED_AT_MS).asLong(),
         Math.max(1, n.path(BATCH_CAPACITY).asInt(1)),
-        dependencies(n.path(DEPENDENCIES)));
+        decodeDependencies(n.path(DEPENDENCIES)));
   }
 
-  private static List<String> dependencies(JsonNode n) {
+  private static List<String> decodeDependencies(JsonNode n) {
     if (n.isEmpty()) {
       return List.of();
     }
--- a/src/main/java/graderelay/wire/Json.java
+++ b/src/main/java/graderelay/wire/Json.java
@@ -71,7 +71,7 @@
   }
 
   /** The body of an answer that says what went wrong. */
-  public static byte[] error(String text) {
-    return write(object().put(ERROR, text));
+  public static byte[] errorBody(String message) {
+    return write(object().put(ERROR, message));
   }
 }
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -21,10 +21,10 @@
   static final String LATEST_JOB = "latest";
   static final String ARRIVALS = "arrivals";
   static final String IMAGE_NAMES = "images";
-  static final String IMAGES_BY_MACHINE = "machines";
+  static final String IMAGE_MASKS = "machines";
 
   /** The id under which the latest job of a class is read; it is never a job's own. */
-  private static final String NO_JOB = "j-0";
+  private static final String PLACEHOLDER_JOB_ID = "j-0";
 
   private LeaderHintCodec() {}
 
@@ -46,18 +46,18 @@
   }
 
   /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
-  static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int mostBytes) {
-    int most = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
+  static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
+    int maxArrivals = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
     ObjectNode n = encodeDemand(classes, nowMs);
-    while (Json.write(n).length > mostBytes) {
+    while (Json.write(n).length > maxBytes) {
       ArrayNode list = (ArrayNode) n.get(CLASSES);
-      most /= 2;
-      if (most == 0 && list.size() > 0) {
+      maxArrivals /= 2;
+      if (maxArrivals == 0 && list.size() > 0) {
         list.remove(list.size() - 1);
       }
       for (JsonNode jobClass : list) {
         ArrayNode arrivals = (ArrayNode) jobClass.get(ARRIVALS);
-        while (arrivals.size() > Math.max(1, most)) {
+        while (arrivals.size() > Math.max(1, maxArrivals)) {
           arrivals.remove(arrivals.size() - 1);
         }
       }
@@ -74,62 +74,65 @@
         double ageS = (nowMs - arrival.path(0).asLong()) / 1000.0;
         arrivals.add(new double[] {Math.max(0, ageS), arrival.path(1).asInt()});
       }
-      JobSpec latest = JobRecordCodec.decode(NO_JOB, jobClass.path(LATEST_JOB));
+      JobSpec latest = JobRecordCodec.decode(PLACEHOLDER_JOB_ID, jobClass.path(LATEST_JOB));
       classes.add(new Action.Demand(latest, arrivals));
     }
     return classes;
   }
 
   /** Each image's name once, at most {@code most} of them, and for each machine a bit mask. */
-  static ObjectNode encodeImages(Map<String, List<String>> machines, int most) {
+  static ObjectNode encodeImages(Map<String, List<String>> imagesByMachine, int maxImages) {
     ObjectNode n = Json.object();
     ArrayNode names = n.putArray(IMAGE_NAMES);
-    ObjectNode bits = n.putObject(IMAGES_BY_MACHINE);
-    Map<String, Integer> index = new HashMap<>();
-    machines.forEach(
+    ObjectNode masks = n.putObject(IMAGE_MASKS);
+    Map<String, Integer> indexByImage = new HashMap<>();
+    imagesByMachine.forEach(
         (machine, images) -> {
           long mask = 0;
           for (String image : images) {
-            Integer i = index.get(image);
-            if (i == null && index.size() < most) {
-              i = index.size();
-              index.put(image, i);
+            Integer i = indexByImage.get(image);
+            if (i == null && indexByImage.size() < maxImages) {
+              i = indexByImage.size();
+              indexByImage.put(image, i);
               names.add(image);
             }
             mask |= i == null ? 0 : 1L << i;
           }
-          bits.put(machine, mask);
+          masks.put(machine, mask);
         });
     return n;
   }
 
   /** The same within so many bytes; it is a hint, so some machines may be left out. */
-  static ObjectNode encodeImages(Map<String, List<String>> machines, int most, int mostBytes) {
-    Map<String, List<String>> some = new LinkedHashMap<>(machines);
-    ObjectNode n = encodeImages(some, most);
-    while (Json.write(n).length > mostBytes && !some.isEmpty()) {
-      some.keySet().removeAll(some.keySet().stream().limit(1 + some.size() / 8).toList());
-      n = encodeImages(some, most);
+  static ObjectNode encodeImages(
+      Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
+    Map<String, List<String>> included = new LinkedHashMap<>(imagesByMachine);
+    ObjectNode n = encodeImages(included, maxImages);
+    while (Json.write(n).length > maxBytes && !included.isEmpty()) {
+      included
+          .keySet()
+          .removeAll(included.keySet().stream().limit(1 + included.size() / 8).toList());
+      n = encodeImages(included, maxImages);
     }
     return n;
   }
 
   /** The images of each machine, from the names and the bit masks. */
   static Map<String, List<String>> decodeImages(JsonNode n) {
-    Map<String, List<String>> machines = new HashMap<>();
+    Map<String, List<String>> imagesByMachine = new HashMap<>();
     JsonNode names = n.path(IMAGE_NAMES);
-    n.path(IMAGES_BY_MACHINE)
+    n.path(IMAGE_MASKS)
         .fields()
         .forEachRemaining(
-            e -> {
+            machineMask -> {
               List<String> images = new ArrayList<>();
               for (int i = 0; i < names.size(); i++) {
-                if ((e.getValue().asLong() >> i & 1) != 0) {
+                if ((machineMask.getValue().asLong() >> i & 1) != 0) {
                   images.add(names.get(i).asText().intern());
                 }
               }
-              machines.put(e.getKey(), images);
+              imagesByMachine.put(machineMask.getKey(), images);
             });
-    return machines;
+    return imagesByMachine;
   }
 }
--- a/src/main/java/graderelay/wire/MalformedRecord.java
+++ b/src/main/java/graderelay/wire/MalformedRecordException.java
@@ -1,19 +1,19 @@
 package graderelay.wire;
 
 /** A stored record has not the form that it should have; the message says what is wrong. */
-public final class MalformedRecord extends Exception {
+public final class MalformedRecordException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final String field;
 
   /** A mistake that is not about one field. */
-  MalformedRecord(String message) {
+  MalformedRecordException(String message) {
     super(message);
     this.field = null;
   }
 
   /** A mistake in one field: the message is the field's stored name and the problem. */
-  MalformedRecord(String field, String problem) {
+  MalformedRecordException(String field, String problem) {
     super(field + " " + problem);
     this.field = field;
   }
--- a/src/main/java/graderelay/wire/PeerCodec.java
+++ b/src/main/java/graderelay/wire/PeerCodec.java
@@ -8,7 +8,7 @@
 
 /**
  * The form of what passes between controllers: CBOR maps, whose fields {@link PeerRequestCodec} and
- * {@link PeerAnswerCodec} know. The version in production reads and writes the same, see {@code
+ * {@link PeerResponseCodec} know. The version in production reads and writes the same, see {@code
  * ProductionFormatsTest}, so no name may change; whoever adds a field must take its absence for
  * "not granted".
  */
@@ -17,7 +17,7 @@
   static final String BODY = "body";
 
   /** Wire name of the feature level that the sender takes for the cluster's. */
-  private static final String LEVEL = "level";
+  private static final String FEATURE_LEVEL = "level";
 
   private PeerCodec() {}
 
@@ -35,7 +35,7 @@
   public static byte[] encodeRequest(PeerRequest request, int featureLevel) {
     ObjectNode n = PeerRequestCodec.encode(request);
     if (featureLevel > Feature.BASE_LEVEL) {
-      n.put(LEVEL, featureLevel);
+      n.put(FEATURE_LEVEL, featureLevel);
     }
     return Json.writeCbor(n);
   }
@@ -53,7 +53,7 @@
     JsonNode n = Json.readCbor(bytes);
     return n == null
         ? new Envelope(null, Feature.BASE_LEVEL)
-        : new Envelope(PeerRequestCodec.decode(n), n.path(LEVEL).asInt(Feature.BASE_LEVEL));
+        : new Envelope(PeerRequestCodec.decode(n), n.path(FEATURE_LEVEL).asInt(Feature.BASE_LEVEL));
   }
 
   /** The request, or null if these bytes are none that this version knows. */
@@ -64,43 +64,43 @@
   // ---------------------------------------------------------------- answers
 
   /** The bytes of an answer. */
-  public static byte[] encodeAnswer(PeerAnswer answer) {
-    return Json.writeCbor(PeerAnswerCodec.encode(answer));
+  public static byte[] encodeResponse(PeerResponse response) {
+    return Json.writeCbor(PeerResponseCodec.encode(response));
   }
 
   /** The answer to a request for a pledge, or null if these bytes are none. */
-  public static PeerAnswer.Pledged decodePledged(byte[] bytes) {
-    return decode(bytes, PeerAnswerCodec::decodePledged);
+  public static PeerResponse.PledgeResponse decodePledgeResponse(byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodePledgeResponse);
   }
 
   /** The answer to the offer of a share, or null if these bytes are none. */
-  public static PeerAnswer.Wanted decodeWanted(byte[] bytes) {
-    return decode(bytes, PeerAnswerCodec::decodeWanted);
+  public static PeerResponse.ShareResponse decodeShareResponse(byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodeShareResponse);
   }
 
   /** The answer to the request for the identity of a process, or null if these bytes are none. */
-  public static PeerAnswer.Identified decodeIdentified(byte[] bytes) {
-    return decode(bytes, PeerAnswerCodec::decodeIdentified);
+  public static PeerResponse.IdentifyResponse decodeIdentifyResponse(byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodeIdentifyResponse);
   }
 
   /** The answer to a handover, or null if these bytes are none. */
-  public static PeerAnswer.Received decodeReceived(byte[] bytes) {
-    return decode(bytes, n -> new PeerAnswer.Received());
+  public static PeerResponse.HandoverResponse decodeHandoverResponse(byte[] bytes) {
+    return decode(bytes, n -> new PeerResponse.HandoverResponse());
   }
 
   /** The answer to a request for a delegation, or null if these bytes are none. */
-  public static PeerAnswer.Delegated decodeDelegated(byte[] bytes) {
-    return decode(bytes, PeerAnswerCodec::decodeDelegated);
+  public static PeerResponse.DelegationResponse decodeDelegationResponse(byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodeDelegationResponse);
   }
 
   /** What the sender of a request that was passed on is to be told, or null if that is not here. */
-  public static PeerAnswer.Relayed decodeRelayed(byte[] bytes) {
-    return decode(bytes, PeerAnswerCodec::decodeRelayed);
+  public static PeerResponse.RelayedResponse decodeRelayedResponse(byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodeRelayedResponse);
   }
 
-  private static <T> T decode(byte[] bytes, Function<JsonNode, T> fields) {
+  private static <T> T decode(byte[] bytes, Function<JsonNode, T> decoder) {
     JsonNode n = Json.readCbor(bytes);
-    return n == null ? null : fields.apply(n);
+    return n == null ? null : decoder.apply(n);
   }
 
   /** The bytes that a message passes on; none if the field is absent or has no bytes. */
--- a/src/main/java/graderelay/wire/PeerRequest.java
+++ b/src/main/java/graderelay/wire/PeerRequest.java
@@ -6,7 +6,7 @@
   record Pledge(String member, long term, double seconds) implements PeerRequest {}
 
   /** A controller that keeps workers' leases without a leader asks the same of a peer. */
-  record KeepPledge(String member, double seconds) implements PeerRequest {}
+  record LeaderlessPledge(String member, double seconds) implements PeerRequest {}
 
   /** The leader asks how a peer is and lends it changes a second for the moment. */
   record Share(String member, long term, double changesPerS) implements PeerRequest {}
@@ -19,26 +19,32 @@
   /**
    * A controller asks the leader to be its lease delegate in its own zone.
    *
-   * @param process tells this process from earlier ones of the same member
-   * @param number the sequence number of the request
-   * @param grantedBy the term whose grant it has, 0 for none
-   * @param echo the leader's time of the last grant that it has heard of
-   * @param aloneS seconds since it last answered workers by itself, or since its process began
+   * @param incarnation tells this process from earlier ones of the same member
+   * @param sequenceNumber the sequence number of the request
+   * @param grantorTerm the term whose grant it has, 0 for none
+   * @param leaderTime the leader's time of the last grant that it has heard of
+   * @param sinceAutonomousResponseS seconds since it last answered workers by itself, or since its
+   *     process began
    */
   record Delegation(
-      String member, String process, long number, long grantedBy, double echo, double aloneS)
+      String member,
+      String incarnation,
+      long sequenceNumber,
+      long grantorTerm,
+      double leaderTime,
+      double sinceAutonomousResponseS)
       implements PeerRequest {}
 
   /** The leader asks which process a controller is. */
   record Identify(String member) implements PeerRequest {}
 
   /** Passes on a worker's heartbeat that came to this member. */
-  record RelayedReport(String member, byte[] body) implements PeerRequest {}
+  record RelayedHeartbeat(String member, byte[] body) implements PeerRequest {}
 
   /** Passes on a user's request. */
-  record UserRequest(String method, String path, byte[] body) implements PeerRequest {}
+  record RelayedUserRequest(String method, String path, byte[] body) implements PeerRequest {}
 
   /** Passes on an operator's request. */
-  record AdminRequest(String method, String path, String query, byte[] body)
+  record RelayedAdminRequest(String method, String path, String query, byte[] body)
       implements PeerRequest {}
 }
--- a/src/main/java/graderelay/wire/PeerRequestCodec.java
+++ b/src/main/java/graderelay/wire/PeerRequestCodec.java
@@ -11,7 +11,7 @@
   private static final String PLEDGE = "promise";
 
   /** Wire name "keep": a request for an election pledge while there is no leader. */
-  private static final String KEEP_PLEDGE = "keep";
+  private static final String LEADERLESS_PLEDGE = "keep";
 
   private static final String SHARE = "share";
   private static final String HANDOVER = "handover";
@@ -36,16 +36,16 @@
   private static final String SESSION_LEASE = "hold";
 
   /** Wire name "self": tells the asking process from earlier ones of the same member. */
-  private static final String PROCESS = "self";
+  private static final String INCARNATION = "self";
 
   /** Wire name "n": the sequence number of the request. */
-  private static final String REQUEST_NUMBER = "n";
+  private static final String SEQUENCE_NUMBER = "n";
 
   /** Wire name "of": the term whose grant the asker has. */
-  private static final String GRANTED_BY = "of";
+  private static final String GRANTOR_TERM = "of";
 
-  private static final String ECHO = "echo";
-  private static final String ALONE_S = "alone";
+  private static final String LEADER_TIME = "echo";
+  private static final String SINCE_AUTONOMOUS_RESPONSE_S = "alone";
   private static final String METHOD = "method";
   private static final String PATH = "path";
   private static final String QUERY = "query";
@@ -55,48 +55,49 @@
   /** The tree of a request. */
   static ObjectNode encode(PeerRequest request) {
     if (request instanceof PeerRequest.Pledge pledge) {
-      return ofMember(PLEDGE, pledge.member())
+      return encodeMember(PLEDGE, pledge.member())
           .put(TERM, pledge.term())
           .put(SECONDS, pledge.seconds());
-    } else if (request instanceof PeerRequest.KeepPledge keepPledge) {
-      return ofMember(KEEP_PLEDGE, keepPledge.member()).put(SECONDS, keepPledge.seconds());
+    } else if (request instanceof PeerRequest.LeaderlessPledge leaderlessPledge) {
+      return encodeMember(LEADERLESS_PLEDGE, leaderlessPledge.member())
+          .put(SECONDS, leaderlessPledge.seconds());
     } else if (request instanceof PeerRequest.Share share) {
-      return ofMember(SHARE, share.member())
+      return encodeMember(SHARE, share.member())
           .put(TERM, share.term())
           .put(CHANGES_PER_S, share.changesPerS());
     } else if (request instanceof PeerRequest.Handover handover) {
-      return ofMember(HANDOVER, handover.member())
+      return encodeMember(HANDOVER, handover.member())
           .put(TERM, handover.term())
           .put(SESSION_LEASE, handover.sessionLease());
     } else if (request instanceof PeerRequest.Delegation delegation) {
       return encodeDelegation(delegation);
-    } else if (request instanceof PeerRequest.RelayedReport heartbeat) {
-      return ofMember(HEARTBEAT, heartbeat.member()).put(PeerCodec.BODY, heartbeat.body());
-    } else if (request instanceof PeerRequest.UserRequest userRequest) {
-      return relayed(USER, userRequest.method(), userRequest.path(), userRequest.body());
+    } else if (request instanceof PeerRequest.RelayedHeartbeat heartbeat) {
+      return encodeMember(HEARTBEAT, heartbeat.member()).put(PeerCodec.BODY, heartbeat.body());
+    } else if (request instanceof PeerRequest.RelayedUserRequest userRequest) {
+      return encodeRelayed(USER, userRequest.method(), userRequest.path(), userRequest.body());
     } else if (request instanceof PeerRequest.Identify identify) {
-      return ofMember(IDENTIFY, identify.member());
-    } else if (request instanceof PeerRequest.AdminRequest adminRequest) {
-      return relayed(ADMIN, adminRequest.method(), adminRequest.path(), adminRequest.body())
+      return encodeMember(IDENTIFY, identify.member());
+    } else if (request instanceof PeerRequest.RelayedAdminRequest adminRequest) {
+      return encodeRelayed(ADMIN, adminRequest.method(), adminRequest.path(), adminRequest.body())
           .put(QUERY, adminRequest.query());
     }
     throw new IllegalArgumentException("no form for " + request);
   }
 
-  private static ObjectNode ofMember(String kind, String member) {
+  private static ObjectNode encodeMember(String kind, String member) {
     return Json.object().put(KIND, kind).put(MEMBER, member);
   }
 
   private static ObjectNode encodeDelegation(PeerRequest.Delegation delegation) {
-    return ofMember(DELEGATION, delegation.member())
-        .put(PROCESS, delegation.process())
-        .put(REQUEST_NUMBER, delegation.number())
-        .put(GRANTED_BY, delegation.grantedBy())
-        .put(ECHO, delegation.echo())
-        .put(ALONE_S, delegation.aloneS());
+    return encodeMember(DELEGATION, delegation.member())
+        .put(INCARNATION, delegation.incarnation())
+        .put(SEQUENCE_NUMBER, delegation.sequenceNumber())
+        .put(GRANTOR_TERM, delegation.grantorTerm())
+        .put(LEADER_TIME, delegation.leaderTime())
+        .put(SINCE_AUTONOMOUS_RESPONSE_S, delegation.sinceAutonomousResponseS());
   }
 
-  private static ObjectNode relayed(String kind, String method, String path, byte[] body) {
+  private static ObjectNode encodeRelayed(String kind, String method, String path, byte[] body) {
     return Json.object()
         .put(KIND, kind)
         .put(METHOD, method)
@@ -113,15 +114,15 @@
     String path = n.path(PATH).asText();
     return switch (n.path(KIND).asText()) {
       case PLEDGE -> new PeerRequest.Pledge(member, term, seconds);
-      case KEEP_PLEDGE -> new PeerRequest.KeepPledge(member, seconds);
+      case LEADERLESS_PLEDGE -> new PeerRequest.LeaderlessPledge(member, seconds);
       case SHARE -> new PeerRequest.Share(member, term, n.path(CHANGES_PER_S).asDouble());
       case HANDOVER -> new PeerRequest.Handover(member, term, n.path(SESSION_LEASE).asLong());
       case DELEGATION -> decodeDelegation(member, n);
       case IDENTIFY -> new PeerRequest.Identify(member);
-      case HEARTBEAT -> new PeerRequest.RelayedReport(member, PeerCodec.decodeBody(n));
-      case USER -> new PeerRequest.UserRequest(method, path, PeerCodec.decodeBody(n));
+      case HEARTBEAT -> new PeerRequest.RelayedHeartbeat(member, PeerCodec.decodeBody(n));
+      case USER -> new PeerRequest.RelayedUserRequest(method, path, PeerCodec.decodeBody(n));
       case ADMIN ->
-          new PeerRequest.AdminRequest(
+          new PeerRequest.RelayedAdminRequest(
               method, path, n.path(QUERY).asText(), PeerCodec.decodeBody(n));
       default -> null;
     };
@@ -130,10 +131,10 @@
   private static PeerRequest.Delegation decodeDelegation(String member, JsonNode n) {
     return new PeerRequest.Delegation(
         member,
-        n.path(PROCESS).asText(),
-        n.path(REQUEST_NUMBER).asLong(),
-        n.path(GRANTED_BY).asLong(),
-        n.path(ECHO).asDouble(),
-        n.path(ALONE_S).asDouble());
+        n.path(INCARNATION).asText(),
+        n.path(SEQUENCE_NUMBER).asLong(),
+        n.path(GRANTOR_TERM).asLong(),
+        n.path(LEADER_TIME).asDouble(),
+        n.path(SINCE_AUTONOMOUS_RESPONSE_S).asDouble());
   }
 }
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -48,27 +48,27 @@
   private static final String WRITER = "writer";
 
   /** Thousandths; a sum of some billions of them is still exact. */
-  private static final long MOST_MILLIS = 1_000_000_000_000L;
+  private static final long MAX_MILLIS = 1_000_000_000_000L;
 
   private QuotaCodec() {}
 
   /** The key of a team's guarantee and limit. */
   public static String limitKey(String team) {
-    return LIMITS + encoded(team);
+    return LIMITS + urlEncode(team);
   }
 
   /** The key of a team's account. */
   public static String accountKey(String team) {
-    return ACCOUNTS + encoded(team);
+    return ACCOUNTS + urlEncode(team);
   }
 
   /** Keys have no spaces, names of teams may. */
-  private static String encoded(String team) {
+  private static String urlEncode(String team) {
     return URLEncoder.encode(team, StandardCharsets.UTF_8);
   }
 
   /** The team that a key below a prefix is about. */
-  public static String teamOf(String key, String prefix) {
+  public static String parseTeam(String key, String prefix) {
     return URLDecoder.decode(key.substring(prefix.length()), StandardCharsets.UTF_8);
   }
 
@@ -88,14 +88,14 @@
     try {
       TeamQuota quota =
           new TeamQuota(
-              new Amount(millis(n, CPU_MILLIS), millis(n, GPU_MILLIS)),
-              new Amount(millis(n, CPU_LIMIT_MILLIS), millis(n, GPU_LIMIT_MILLIS)));
+              new Amount(decodeMillis(n, CPU_MILLIS), decodeMillis(n, GPU_MILLIS)),
+              new Amount(decodeMillis(n, CPU_LIMIT_MILLIS), decodeMillis(n, GPU_LIMIT_MILLIS)));
       if (!quota.isConsistent()) {
-        throw new MalformedRecord("the guarantee is above the limit");
+        throw new MalformedRecordException("the guarantee is above the limit");
       }
       return LimitRecord.of(
           quota, revision, n.path(CHANGED_BY).asText(), n.path(CHANGED_AT_MS).asLong());
-    } catch (MalformedRecord e) {
+    } catch (MalformedRecordException e) {
       return LimitRecord.malformed(e.getMessage(), revision);
     }
   }
@@ -111,18 +111,18 @@
   /** Reads the record; one that can't be read stops its team and nobody else. */
   public static Account decodeAccount(JsonNode n, long revision) {
     try {
-      Amount use = new Amount(millis(n, CPU_MILLIS), millis(n, GPU_MILLIS));
+      Amount use = new Amount(decodeMillis(n, CPU_MILLIS), decodeMillis(n, GPU_MILLIS));
       return Account.of(use, n.path(WRITER).asText(), revision);
-    } catch (MalformedRecord e) {
+    } catch (MalformedRecordException e) {
       return Account.malformed(e.getMessage(), revision);
     }
   }
 
-  private static long millis(JsonNode n, String field) throws MalformedRecord {
+  private static long decodeMillis(JsonNode n, String field) throws MalformedRecordException {
     JsonNode v = n.path(field);
     boolean whole = v.isIntegralNumber() && v.canConvertToLong();
-    if (!whole || v.longValue() < 0 || v.longValue() > MOST_MILLIS) {
-      throw new MalformedRecord(field, "must be a number of thousandths of at least 0");
+    if (!whole || v.longValue() < 0 || v.longValue() > MAX_MILLIS) {
+      throw new MalformedRecordException(field, "must be a number of thousandths of at least 0");
     }
     return v.longValue();
   }
--- a/src/main/java/graderelay/wire/QuotaRequests.java
+++ b/src/main/java/graderelay/wire/QuotaRequestCodec.java
@@ -14,8 +14,8 @@
 /**
  * What operators send to change limits, checked against a schema; all mistakes are told at once.
  */
-public final class QuotaRequests {
-  private static final String SCHEMA = "/graderelay/limit-change.schema.json";
+public final class QuotaRequestCodec {
+  private static final String SCHEMA_RESOURCE = "/graderelay/limit-change.schema.json";
 
   /** Says that no version was given. */
   public static final long ANY_VERSION = -1;
@@ -23,43 +23,44 @@
   /**
    * A change of one team's limits.
    *
-   * @param onVersion the version that the operator has seen, or {@link #ANY_VERSION}
-   * @param by who asks for it
+   * @param expectedVersion the version that the operator has seen, or {@link #ANY_VERSION}
+   * @param changedBy who asks for it
    */
-  public record Change(LimitChange limits, long onVersion, String by) {}
+  public record LimitChangeRequest(LimitChange change, long expectedVersion, String changedBy) {}
 
-  private QuotaRequests() {}
+  private QuotaRequestCodec() {}
 
   /** Loaded when an operator first changes a limit, so that a start does not pay for it. */
   private static final class Schema {
-    static final JsonSchema CHANGE = load();
+    static final JsonSchema LIMIT_CHANGE = load();
 
     private static JsonSchema load() {
-      InputStream text = QuotaRequests.class.getResourceAsStream(SCHEMA);
-      return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(text);
+      InputStream resource = QuotaRequestCodec.class.getResourceAsStream(SCHEMA_RESOURCE);
+      return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(resource);
     }
   }
 
   /** Reads a change, as {@code otherwise} if the request does not say who asks for it. */
-  public static Change decodeChange(JsonNode body, String otherwise) throws BadRequest {
+  public static LimitChangeRequest decodeLimitChange(JsonNode body, String defaultChangedBy)
+      throws BadRequestException {
     if (body == null || !body.isObject()) {
-      throw new BadRequest("the body must be a JSON object");
+      throw new BadRequestException("the body must be a JSON object");
     }
-    Set<String> mistakes = new TreeSet<>();
-    for (ValidationMessage m : Schema.CHANGE.validate(body)) {
-      mistakes.add(m.getMessage().replace("$.", "").replace("$: ", ""));
+    Set<String> errors = new TreeSet<>();
+    for (ValidationMessage message : Schema.LIMIT_CHANGE.validate(body)) {
+      errors.add(message.getMessage().replace("$.", "").replace("$: ", ""));
     }
-    if (!mistakes.isEmpty()) {
-      throw new BadRequest(String.join("; ", mistakes));
+    if (!errors.isEmpty()) {
+      throw new BadRequestException(String.join("; ", errors));
     }
-    LimitChange limits =
+    LimitChange change =
         new LimitChange(
             number(body, "cpus"),
             number(body, "cpus_max"),
             number(body, "gpus"),
             number(body, "gpus_max"));
-    return new Change(
-        limits, body.path("version").asLong(ANY_VERSION), body.path("by").asText(otherwise));
+    return new LimitChangeRequest(
+        change, body.path("version").asLong(ANY_VERSION), body.path("by").asText(defaultChangedBy));
   }
 
   private static BigDecimal number(JsonNode body, String field) {
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -42,7 +42,7 @@
   public static final String IMAGES = "g/images/";
 
   /** Grants that lease delegates ("deputies") have released. */
-  public static final String LEASE_DELEGATES = "g/deputy/";
+  public static final String DELEGATE_RELEASES = "g/deputy/";
 
   /**
    * Controllers that the leader has suspended ("bars"): they can't win an election for the time.
@@ -70,7 +70,7 @@
   }
 
   /** The task batch that a key below {@link #TASK_BATCHES} names. */
-  public static TaskBatchKey batchOf(String key) {
+  public static TaskBatchKey parseTaskBatchKey(String key) {
     int slash = key.lastIndexOf('/');
     return new TaskBatchKey(
         key.substring(TASK_BATCHES.length(), slash), Integer.parseInt(key.substring(slash + 1)));
@@ -83,9 +83,9 @@
    *
    * @param member the leader's name
    * @param term the fencing token of its commands
-   * @param address the address at which its peers reach it ("mesh")
+   * @param peerAddress the address at which its peers reach it ("mesh")
    */
-  public record LeaderRecord(String member, long term, String address) {}
+  public record LeaderRecord(String member, long term, String peerAddress) {}
 
   /**
    * The last term that was won.
@@ -97,22 +97,23 @@
   /**
    * A suspension ("bar") of a silent controller from election.
    *
-   * @param leaving the incarnation of it that is about to leave the suspension, or empty while it
-   *     stands
+   * @param leavingIncarnation the incarnation of it that is about to leave the suspension, or empty
+   *     while it stands
    * @param revision the revision of the record
    */
-  public record Suspension(String leaving, long revision) {}
+  public record Suspension(String leavingIncarnation, long revision) {}
 
   /**
    * A lease delegate ("deputy") has released grants.
    *
    * @param incarnation tells the delegate's process from earlier ones of the same member
    * @param releasedUpTo the sequence number of its last request whose grant it has released
-   * @param grantedBy the term whose grants they were
-   * @param aloneS seconds since it last answered workers by itself, or since its process began
+   * @param grantorTerm the term whose grants they were
+   * @param sinceAutonomousResponseS seconds since it last answered workers by itself, or since its
+   *     process began
    */
   public record DelegateRelease(
-      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {}
+      String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {}
 
   /** The leader's record. */
   public static ObjectNode encodeLeader(LeaderRecord leader) {
@@ -140,8 +141,8 @@
   }
 
   /** A suspension; {@code leaving} is the incarnation about to leave it, or empty. */
-  public static ObjectNode encodeSuspension(String leaving) {
-    return ElectionRecordCodec.encodeSuspension(leaving);
+  public static ObjectNode encodeSuspension(String leavingIncarnation) {
+    return ElectionRecordCodec.encodeSuspension(leavingIncarnation);
   }
 
   /** A suspension from its record and the record's revision. */
@@ -154,8 +155,9 @@
    * term {@code grantedBy}; {@code aloneS} is how long ago it last acted alone, in seconds.
    */
   public static ObjectNode encodeDelegateRelease(
-      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
-    return ElectionRecordCodec.encodeDelegateRelease(incarnation, releasedUpTo, grantedBy, aloneS);
+      String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {
+    return ElectionRecordCodec.encodeDelegateRelease(
+        incarnation, releasedUpTo, grantorTerm, sinceAutonomousResponseS);
   }
 
   /** What a lease delegate has released, from its record. */
@@ -166,8 +168,8 @@
   // ---------------------------------------------------------------- final states
 
   /** The final state of a job, and the time of day at which it was written. */
-  public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long nowMs) {
-    return FinalStateCodec.encode(cancelled, tasks, nowMs);
+  public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long writtenAtMs) {
+    return FinalStateCodec.encode(cancelled, tasks, writtenAtMs);
   }
 
   /** The final state of a job from its record. */
@@ -216,8 +218,8 @@
   }
 
   /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
-  public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int mostBytes) {
-    return LeaderHintCodec.encodeDemand(classes, nowMs, mostBytes);
+  public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
+    return LeaderHintCodec.encodeDemand(classes, nowMs, maxBytes);
   }
 
   /** The recent demand, with the arrivals' ages in seconds at {@code nowMs}. */
@@ -226,14 +228,14 @@
   }
 
   /** Which images machines have: each image's name once, and for each machine its bits. */
-  public static ObjectNode encodeImages(Map<String, List<String>> machines, int most) {
-    return LeaderHintCodec.encodeImages(machines, most);
+  public static ObjectNode encodeImages(Map<String, List<String>> imagesByMachine, int maxImages) {
+    return LeaderHintCodec.encodeImages(imagesByMachine, maxImages);
   }
 
   /** The same within so many bytes; it is a hint, so some machines may be left out. */
   public static ObjectNode encodeImages(
-      Map<String, List<String>> machines, int most, int mostBytes) {
-    return LeaderHintCodec.encodeImages(machines, most, mostBytes);
+      Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
+    return LeaderHintCodec.encodeImages(imagesByMachine, maxImages, maxBytes);
   }
 
   /** The images of each machine. */
--- a/src/main/java/graderelay/wire/StoreCodec.java
+++ b/src/main/java/graderelay/wire/StoreCodec.java
@@ -54,7 +54,7 @@
   private static final String WATCHED_CHANGES = "news";
 
   /** Wire name "life_ms": the time to live of a session lease, in milliseconds. */
-  private static final String TIME_TO_LIVE_MS = "life_ms";
+  private static final String LEASE_TTL_MS = "life_ms";
 
   /** Wire name of the text that says what was wrong with a request. */
   private static final String ERROR = "error";
@@ -83,7 +83,7 @@
    */
   public record RangeResponse(List<StoreEntry> entries, boolean truncated, long storeRevision) {
     /** The key after which the next page begins, or null if this page is the last one. */
-    public String nextAfter() {
+    public String nextPageAfter() {
       return truncated && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
     }
   }
@@ -112,8 +112,8 @@
   public record WatchResponse(long storeRevision, List<StoreChange> changes) {}
 
   /** The store's revision from any of its answers; 0 if the answer has none or is null. */
-  public static long decodeStoreRevision(JsonNode answer) {
-    return answer == null ? 0 : answer.path(STORE_REVISION).asLong();
+  public static long decodeStoreRevision(JsonNode response) {
+    return response == null ? 0 : response.path(STORE_REVISION).asLong();
   }
 
   /** One key's value, from the answer to a read of that key or from an item of a page. */
@@ -149,29 +149,29 @@
   }
 
   /** The keys whose conditions did not hold, from the answer to a transaction that failed. */
-  public static List<String> decodeFailedConditions(JsonNode answer) {
+  public static List<String> decodeFailedConditions(JsonNode response) {
     List<String> keys = new ArrayList<>();
-    for (JsonNode key : answer.path(FAILED_CONDITIONS)) {
+    for (JsonNode key : response.path(FAILED_CONDITIONS)) {
       keys.add(key.asText());
     }
     return keys;
   }
 
   /** A request for a session lease that lives for so many milliseconds unless it is renewed. */
-  public static ObjectNode encodeLeaseRequest(long timeToLiveMs) {
-    return Json.object().put(TIME_TO_LIVE_MS, timeToLiveMs);
+  public static ObjectNode encodeLeaseRequest(long ttlMs) {
+    return Json.object().put(LEASE_TTL_MS, ttlMs);
   }
 
   /** The id of the session lease that the store has created; 0 if the answer has none. */
-  public static long decodeSessionLease(JsonNode answer) {
-    return answer.path(SESSION_LEASE).asLong();
+  public static long decodeSessionLease(JsonNode response) {
+    return response.path(SESSION_LEASE).asLong();
   }
 
   /**
    * True if the store refused a transaction because the session lease of a put is unknown or has
    * expired. The body is that of a refusal, and null if it was no JSON.
    */
-  public static boolean decodeLeaseExpired(JsonNode refusal) {
-    return refusal != null && refusal.path(ERROR).asText().contains(LEASE_ERROR);
+  public static boolean decodeLeaseExpired(JsonNode errorResponse) {
+    return errorResponse != null && errorResponse.path(ERROR).asText().contains(LEASE_ERROR);
   }
 }
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -19,9 +19,9 @@
   static final String ALL_DONE = "done";
   static final String ATTEMPTS = "a";
   static final String CLAIM_HOLDERS = "m";
-  static final String PLACES = "p";
+  static final String STATES = "p";
   static final String PACKED_ATTEMPTS = "as";
-  static final String PACKED_PLACES = "ps";
+  static final String PACKED_STATES = "ps";
 
   private static final int QUEUED = -1;
   private static final int DONE = -2;
@@ -36,7 +36,7 @@
     if (batch.doneCount() == batch.size()) {
       return Json.object().put(ALL_DONE, batch.size());
     }
-    return batch.packed() ? packed(batch) : plain(batch);
+    return batch.packed() ? encodePacked(batch) : encodePlain(batch);
   }
 
   /**
@@ -46,7 +46,7 @@
     final ArrayNode list = Json.array();
     private final Map<String, Integer> index = new HashMap<>();
 
-    int placeOf(String machine, long incarnation) {
+    int indexOf(String machine, long incarnation) {
       return index.computeIfAbsent(
           machine + "#" + incarnation,
           k -> {
@@ -56,23 +56,23 @@
     }
   }
 
-  private static int placeOf(TaskBatchRecord batch, int i, ClaimHolders holders) {
+  private static int stateOf(TaskBatchRecord batch, int i, ClaimHolders holders) {
     if (batch.done(i)) {
       return DONE;
     }
     String machine = batch.machine(i);
-    return machine == null ? QUEUED : holders.placeOf(machine, batch.session(i));
+    return machine == null ? QUEUED : holders.indexOf(machine, batch.session(i));
   }
 
-  private static ObjectNode plain(TaskBatchRecord batch) {
+  private static ObjectNode encodePlain(TaskBatchRecord batch) {
     ObjectNode n = Json.object();
     ClaimHolders holders = new ClaimHolders();
     ArrayNode attempts = n.putArray(ATTEMPTS);
     n.set(CLAIM_HOLDERS, holders.list);
-    ArrayNode places = n.putArray(PLACES);
+    ArrayNode states = n.putArray(STATES);
     for (int i = 0; i < batch.size(); i++) {
       attempts.add(batch.attempt(i));
-      places.add(placeOf(batch, i, holders));
+      states.add(stateOf(batch, i, holders));
     }
     return n;
   }
@@ -82,16 +82,16 @@
    * that an earlier version made too large for the store's present limits; that version can't read
    * it.
    */
-  private static ObjectNode packed(TaskBatchRecord batch) {
+  private static ObjectNode encodePacked(TaskBatchRecord batch) {
     ClaimHolders holders = new ClaimHolders();
     StringBuilder attempts = new StringBuilder();
-    StringBuilder places = new StringBuilder();
+    StringBuilder states = new StringBuilder();
     for (int i = 0; i < batch.size(); i++) {
       attempts.append((char) (FIRST_CHAR + batch.attempt(i)));
-      places.append((char) (FIRST_CHAR - DONE + placeOf(batch, i, holders)));
+      states.append((char) (FIRST_CHAR - DONE + stateOf(batch, i, holders)));
     }
     ObjectNode n = Json.object();
-    n.put(PACKED_ATTEMPTS, attempts.toString()).put(PACKED_PLACES, places.toString());
+    n.put(PACKED_ATTEMPTS, attempts.toString()).put(PACKED_STATES, states.toString());
     n.set(CLAIM_HOLDERS, holders.list);
     return n;
   }
@@ -107,32 +107,32 @@
     JsonNode holders = n.path(CLAIM_HOLDERS);
     if (n.has(PACKED_ATTEMPTS)) {
       String attempts = n.path(PACKED_ATTEMPTS).asText();
-      String places = n.path(PACKED_PLACES).asText();
+      String states = n.path(PACKED_STATES).asText();
       return decode(
           attempts.length(),
           i -> attempts.charAt(i) - FIRST_CHAR,
-          i -> places.charAt(i) - FIRST_CHAR + DONE,
+          i -> states.charAt(i) - FIRST_CHAR + DONE,
           holders);
     }
     JsonNode attempts = n.path(ATTEMPTS);
-    JsonNode places = n.path(PLACES);
+    JsonNode states = n.path(STATES);
     return decode(
-        attempts.size(), i -> attempts.get(i).asInt(), i -> places.path(i).asInt(QUEUED), holders);
+        attempts.size(), i -> attempts.get(i).asInt(), i -> states.path(i).asInt(QUEUED), holders);
   }
 
   private static TaskBatchRecord decode(
-      int size, IntUnaryOperator attemptOf, IntUnaryOperator placeOf, JsonNode holders) {
+      int size, IntUnaryOperator attemptOf, IntUnaryOperator stateOf, JsonNode holders) {
     int[] attempts = new int[size];
     String[] machines = new String[size];
     long[] incarnations = new long[size];
     boolean[] done = new boolean[size];
     for (int i = 0; i < size; i++) {
       attempts[i] = attemptOf.applyAsInt(i);
-      int place = placeOf.applyAsInt(i);
-      done[i] = place == DONE;
-      if (place >= 0) {
-        machines[i] = holders.path(place).path(0).asText().intern();
-        incarnations[i] = holders.path(place).path(1).asLong();
+      int state = stateOf.applyAsInt(i);
+      done[i] = state == DONE;
+      if (state >= 0) {
+        machines[i] = holders.path(state).path(0).asText().intern();
+        incarnations[i] = holders.path(state).path(1).asLong();
       }
     }
     return new TaskBatchRecord(attempts, machines, incarnations, done);
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -15,13 +15,13 @@
 /** What passes between users and controllers: submissions and the state of jobs. */
 public final class UserCodec {
   /** Jobs that a submission may name; a request has at most 64 KiB. */
-  public static final int MOST_DEPENDENCIES = 2000;
+  public static final int MAX_DEPENDENCIES = 2000;
 
   /** Tasks of one job; a limit of the protocol. */
-  private static final int MOST_TASKS = 100_000;
+  private static final int MAX_TASKS = 100_000;
 
   /** Machine types that a submission may name, for the same reason. */
-  private static final int MOST_TYPES = 32;
+  private static final int MAX_MACHINE_TYPES = 32;
 
   /** Wire name "awaits": the jobs that a submitted job waits for (DAG dependencies). */
   public static final String DEPENDENCIES = "awaits";
@@ -80,10 +80,10 @@
   private static final String ESTIMATE_S = "expected_s";
 
   /** Wire name "stack_s": the interval between checkpoints in seconds. */
-  private static final String CHECKPOINT_S = "stack_s";
+  private static final String CHECKPOINT_INTERVAL_S = "stack_s";
 
   /** Wire name "stack_write_s": seconds that a task needs to write a checkpoint. */
-  private static final String CHECKPOINT_SAVE_S = "stack_write_s";
+  private static final String CHECKPOINT_WRITE_S = "stack_write_s";
 
   /** Wire name "ship_s": the deadline in seconds after the submission. */
   private static final String DEADLINE_S = "ship_s";
@@ -92,77 +92,77 @@
   private static final String DONE_TASKS = "done";
   private static final String RUNNING_TASKS = "running";
 
-  private static final Pattern ID = Pattern.compile("j-[0-9]{1,20}");
+  private static final Pattern JOB_ID_PATTERN = Pattern.compile("j-[0-9]{1,20}");
 
   private UserCodec() {}
 
   /** True if a text has the form of a job id, like j-000412. */
-  public static boolean isId(String text) {
-    return ID.matcher(text).matches();
+  public static boolean isJobId(String text) {
+    return JOB_ID_PATTERN.matcher(text).matches();
   }
 
   /** Reads a submission, checking every field by the protocol's table. */
   public static JobSpec decodeSubmission(JsonNode body, long nowMs, int batchCapacity)
-      throws BadRequest {
-    Fields fields = new Fields(body);
+      throws BadRequestException {
+    RequestFields fields = new RequestFields(body);
     String id = fields.text(JOB_ID);
-    if (!isId(id)) {
-      throw new BadRequest(JOB_ID, "must look like j-000412");
+    if (!isJobId(id)) {
+      throw new BadRequestException(JOB_ID, "must look like j-000412");
     }
     // Before the other fields: of several mistakes, this one is told.
-    JobKind kind = kind(fields.text(KIND));
+    JobKind kind = parseKind(fields.text(KIND));
     return new JobSpec(
         id,
         fields.text(JOB_CLASS),
         fields.text(TEAM),
         kind,
-        priority(fields.text(PRIORITY)),
-        fields.count(TASKS, 1, MOST_TASKS),
+        parsePriority(fields.text(PRIORITY)),
+        fields.count(TASKS, 1, MAX_TASKS),
         fields.amount(CPUS, false),
         fields.amount(GPUS, true),
         fields.amount(MEMORY_GB, true),
         fields.text(IMAGE),
         fields.amount(IMAGE_GB, true),
-        types(fields.raw(MACHINE_TYPES)),
+        decodeMachineTypes(fields.raw(MACHINE_TYPES)),
         fields.textOrNull(ZONE),
         fields.flag(ONE_ZONE),
         fields.flag(SPREAD),
         fields.flag(SPOT),
         fields.amount(ESTIMATE_S, true),
-        fields.amount(CHECKPOINT_S, true),
-        fields.amount(CHECKPOINT_SAVE_S, true),
+        fields.amount(CHECKPOINT_INTERVAL_S, true),
+        fields.amount(CHECKPOINT_WRITE_S, true),
         fields.amountOrNull(DEADLINE_S),
         nowMs,
         batchCapacity,
-        dependencies(fields.raw(DEPENDENCIES), id));
+        decodeDependencies(fields.raw(DEPENDENCIES), id));
   }
 
-  private static JobKind kind(String text) throws BadRequest {
+  private static JobKind parseKind(String text) throws BadRequestException {
     return switch (text) {
       case ARRAY -> JobKind.ARRAY;
       case SERVICE -> JobKind.SERVICE;
-      default -> throw new BadRequest(KIND, "must be array or standing");
+      default -> throw new BadRequestException(KIND, "must be array or standing");
     };
   }
 
   /** The jobs that this one waits for, each once. */
-  private static List<String> dependencies(JsonNode n, String id) throws BadRequest {
+  private static List<String> decodeDependencies(JsonNode n, String id) throws BadRequestException {
     if (n == null) {
       return List.of();
     }
     if (!n.isArray()) {
-      throw new BadRequest(DEPENDENCIES, "must be null or a list of job ids");
+      throw new BadRequestException(DEPENDENCIES, "must be null or a list of job ids");
     }
-    if (n.size() > MOST_DEPENDENCIES) {
-      throw new BadRequest(DEPENDENCIES, "has more than " + MOST_DEPENDENCIES + " entries");
+    if (n.size() > MAX_DEPENDENCIES) {
+      throw new BadRequestException(DEPENDENCIES, "has more than " + MAX_DEPENDENCIES + " entries");
     }
     Set<String> ids = new LinkedHashSet<>();
     for (JsonNode dependency : n) {
-      if (!dependency.isTextual() || !isId(dependency.textValue())) {
-        throw new BadRequest(DEPENDENCIES, "must hold ids like j-000412");
+      if (!dependency.isTextual() || !isJobId(dependency.textValue())) {
+        throw new BadRequestException(DEPENDENCIES, "must hold ids like j-000412");
       }
       if (dependency.textValue().equals(id)) {
-        throw new BadRequest(DEPENDENCIES, "must not name the job itself");
+        throw new BadRequestException(DEPENDENCIES, "must not name the job itself");
       }
       ids.add(dependency.textValue());
     }
@@ -173,41 +173,43 @@
    * A submission as its user wrote it, with more jobs that it has to wait for. One whose list is no
    * list stays as it is: the controller says what is wrong with it.
    */
-  public static ObjectNode withDependencies(ObjectNode submission, List<String> ids) {
-    JsonNode named = submission.get(DEPENDENCIES);
-    if (named == null || named.isNull()) {
-      named = submission.putArray(DEPENDENCIES);
+  public static ObjectNode addDependencies(ObjectNode submission, List<String> ids) {
+    JsonNode dependencies = submission.get(DEPENDENCIES);
+    if (dependencies == null || dependencies.isNull()) {
+      dependencies = submission.putArray(DEPENDENCIES);
     }
-    if (named instanceof ArrayNode all) {
-      ids.forEach(all::add);
+    if (dependencies instanceof ArrayNode list) {
+      ids.forEach(list::add);
     }
     return submission;
   }
 
-  private static Priority priority(String text) throws BadRequest {
+  private static Priority parsePriority(String text) throws BadRequestException {
     return switch (text) {
       case "prod" -> Priority.PROD;
       case "urgent" -> Priority.URGENT;
       case "normal" -> Priority.NORMAL;
       case "low" -> Priority.LOW;
-      default -> throw new BadRequest(PRIORITY, "must be prod, urgent, normal or low");
+      default -> throw new BadRequestException(PRIORITY, "must be prod, urgent, normal or low");
     };
   }
 
-  private static List<String> types(JsonNode n) throws BadRequest {
+  private static List<String> decodeMachineTypes(JsonNode n) throws BadRequestException {
     if (n == null) {
       return null;
     }
     if (!n.isArray()) {
-      throw new BadRequest(MACHINE_TYPES, "must be null or a list of machine types");
+      throw new BadRequestException(MACHINE_TYPES, "must be null or a list of machine types");
     }
-    if (n.size() > MOST_TYPES) {
-      throw new BadRequest(MACHINE_TYPES, "has more than " + MOST_TYPES + " entries");
+    if (n.size() > MAX_MACHINE_TYPES) {
+      throw new BadRequestException(
+          MACHINE_TYPES, "has more than " + MAX_MACHINE_TYPES + " entries");
     }
     List<String> types = new ArrayList<>();
     for (JsonNode type : n) {
-      if (!type.isTextual() || type.textValue().length() > Fields.MOST_NAME) {
-        throw new BadRequest(MACHINE_TYPES, "must hold strings of at most " + Fields.MOST_NAME);
+      if (!type.isTextual() || type.textValue().length() > RequestFields.MAX_NAME_LENGTH) {
+        throw new BadRequestException(
+            MACHINE_TYPES, "must hold strings of at most " + RequestFields.MAX_NAME_LENGTH);
       }
       types.add(type.textValue());
     }
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -34,10 +34,10 @@
   private static final String TERM = "foreman";
 
   /** Wire name "foreman_at": the controller that the worker should report to. */
-  private static final String LEADER = "foreman_at";
+  private static final String CONTROLLER = "foreman_at";
 
   /** Wire name "recall_s": seconds until the cloud preempts the spot instance. */
-  private static final String PREEMPTION_NOTICE_S = "recall_s";
+  private static final String INTERRUPTION_NOTICE_S = "recall_s";
 
   /** Wire name "boards": the tasks on a machine. */
   private static final String TASKS = "boards";
@@ -54,7 +54,7 @@
   private static final String EXITED = "exited";
 
   /** Wire name "cause": why a task exited. */
-  private static final String EXIT_CAUSE = "cause";
+  private static final String EXIT_REASON = "cause";
 
   /** Wire name "saved": true if a task that was stopped has written its checkpoint. */
   private static final String CHECKPOINT_SAVED = "saved";
@@ -63,20 +63,20 @@
   private static final String COMMANDS = "orders";
 
   /** Wire name "order": the kind of a worker command. */
-  private static final String COMMAND = "order";
+  private static final String COMMAND_KIND = "order";
 
   private static final String LAUNCH = "launch";
   private static final String KILL = "kill";
 
   /** Wire name "reap": removes an exited task from the worker's heartbeats. */
-  private static final String REMOVE = "reap";
+  private static final String REAP = "reap";
 
   /** Wire name "wind_down_s": the grace period of a kill in seconds. */
-  private static final String GRACE_S = "wind_down_s";
+  private static final String GRACE_PERIOD_S = "wind_down_s";
 
   private WorkerCodec() {}
 
-  private static boolean haveTexts(JsonNode n, String... names) {
+  private static boolean hasNonEmptyTexts(JsonNode n, String... names) {
     for (String name : names) {
       if (!n.path(name).isTextual() || n.path(name).textValue().isEmpty()) {
         return false;
@@ -85,7 +85,7 @@
     return true;
   }
 
-  private static boolean haveCounts(JsonNode n, String... names) {
+  private static boolean hasNonNegativeIntegers(JsonNode n, String... names) {
     for (String name : names) {
       JsonNode v = n.path(name);
       if (!v.isIntegralNumber() || v.bigIntegerValue().signum() < 0) {
@@ -96,16 +96,16 @@
   }
 
   /** True if a heartbeat has what every heartbeat has; a list that is empty may be left out. */
-  private static boolean wellFormed(JsonNode n) {
+  private static boolean isWellFormed(JsonNode n) {
     JsonNode tasks = n == null ? null : n.path(TASKS);
     if (n == null
-        || !haveTexts(n, MACHINE, ADDRESS, MACHINE_TYPE, ZONE)
-        || !haveCounts(n, INCARNATION, SEQUENCE_NUMBER, TERM)
+        || !hasNonEmptyTexts(n, MACHINE, ADDRESS, MACHINE_TYPE, ZONE)
+        || !hasNonNegativeIntegers(n, INCARNATION, SEQUENCE_NUMBER, TERM)
         || !(tasks.isArray() || tasks.isMissingNode() || tasks.isNull())) {
       return false;
     }
     for (JsonNode t : tasks) {
-      if (!haveTexts(t, TASK, STAGE) || !haveCounts(t, ATTEMPT)) {
+      if (!hasNonEmptyTexts(t, TASK, STAGE) || !hasNonNegativeIntegers(t, ATTEMPT)) {
         return false;
       }
     }
@@ -114,14 +114,14 @@
 
   /** Reads a heartbeat; null if the body is none. */
   public static Heartbeat decodeHeartbeat(JsonNode n) {
-    if (!wellFormed(n)) {
+    if (!isWellFormed(n)) {
       return null;
     }
     List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
     for (JsonNode task : n.path(TASKS)) {
       tasks.add(decodeTask(task));
     }
-    JsonNode notice = n.path(PREEMPTION_NOTICE_S);
+    JsonNode interruptionNotice = n.path(INTERRUPTION_NOTICE_S);
     return new Heartbeat(
         n.path(MACHINE).asText(),
         n.path(ADDRESS).asText(),
@@ -131,7 +131,7 @@
         n.path(INCARNATION).asLong(),
         n.path(SEQUENCE_NUMBER).asLong(),
         n.path(TERM).asLong(),
-        notice.isNumber() ? notice.asDouble() : null,
+        interruptionNotice.isNumber() ? interruptionNotice.asDouble() : null,
         tasks);
   }
 
@@ -140,7 +140,7 @@
         task.path(TASK).asText(),
         task.path(ATTEMPT).asInt(),
         decodeStage(task.path(STAGE).asText()),
-        task.path(EXIT_CAUSE).asText(""),
+        task.path(EXIT_REASON).asText(""),
         task.path(CHECKPOINT_SAVED).asBoolean(false));
   }
 
@@ -154,16 +154,16 @@
     };
   }
 
-  private static ArrayNode encodeList(List<WorkerCommand> commands, int most) {
+  private static ArrayNode encodeCommandList(List<WorkerCommand> commands, int maxCommands) {
     ArrayNode list = Json.array();
     for (WorkerCommand command : commands) {
-      if (list.size() >= most) {
+      if (list.size() >= maxCommands) {
         break; // The rest follows with the next heartbeat.
       }
-      ObjectNode n = list.addObject().put(COMMAND, kindOf(command));
+      ObjectNode n = list.addObject().put(COMMAND_KIND, kindOf(command));
       n.put(TASK, command.task()).put(ATTEMPT, command.attempt());
       if (command instanceof WorkerCommand.Kill kill) {
-        n.put(GRACE_S, kill.graceS());
+        n.put(GRACE_PERIOD_S, kill.graceS());
       }
     }
     return list;
@@ -173,7 +173,7 @@
     if (command instanceof WorkerCommand.Kill) {
       return KILL;
     }
-    return command instanceof WorkerCommand.Launch ? LAUNCH : REMOVE;
+    return command instanceof WorkerCommand.Launch ? LAUNCH : REAP;
   }
 
   /**
@@ -181,24 +181,25 @@
    * answer whose term is lower than one that it has seen.
    */
   public static ObjectNode encodeHeartbeatResponse(
-      long term, List<WorkerCommand> commands, int most) {
+      long term, List<WorkerCommand> commands, int maxCommands) {
     ObjectNode n = Json.object().put(TERM, term);
-    n.set(COMMANDS, encodeList(commands, most));
+    n.set(COMMANDS, encodeCommandList(commands, maxCommands));
     return n;
   }
 
   /**
    * Commands that are sent straight to a worker, for the incarnation {@code session} of it only.
    */
-  public static ObjectNode encodeCommands(long term, long session, List<WorkerCommand> commands) {
-    ObjectNode n = Json.object().put(TERM, term).put(INCARNATION, session);
-    n.set(COMMANDS, encodeList(commands, Integer.MAX_VALUE));
+  public static ObjectNode encodeCommands(
+      long term, long incarnation, List<WorkerCommand> commands) {
+    ObjectNode n = Json.object().put(TERM, term).put(INCARNATION, incarnation);
+    n.set(COMMANDS, encodeCommandList(commands, Integer.MAX_VALUE));
     return n;
   }
 
   /** Sends a worker to another controller, or to any other if {@code member} is null. */
   public static ObjectNode encodeRedirect(String member) {
     ObjectNode n = Json.object();
-    return member == null ? n : n.put(LEADER, member);
+    return member == null ? n : n.put(CONTROLLER, member);
   }
 }
--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -1,7 +1,7 @@
 package graderelay.worker;
 
 import graderelay.net.Loop;
-import graderelay.wire.PeerAnswer;
+import graderelay.wire.PeerResponse;
 
 /**
  * What the leader has granted this controller as a lease delegate, and until when it counts. Times
@@ -90,11 +90,11 @@
   }
 
   /** Takes a leader's grant, which counts from when it was asked for at {@code askedAt}. */
-  void accept(PeerAnswer.Grant grant, double askedAt) {
-    boolean same = grantedBy == grant.grantedBy();
+  void accept(PeerResponse.Grant grant, double askedAt) {
+    boolean same = grantedBy == grant.grantorTerm();
     term = grant.term();
-    grantedBy = grant.grantedBy();
-    leaderTime = same ? Math.max(leaderTime, grant.at()) : grant.at();
+    grantedBy = grant.grantorTerm();
+    leaderTime = same ? Math.max(leaderTime, grant.leaderTime()) : grant.leaderTime();
     validUntil = same ? Math.max(validUntil, askedAt + lengthS) : askedAt + lengthS;
     lastLeaderContact = loop.now();
   }
--- a/src/main/java/graderelay/worker/DelegationRequests.java
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -9,9 +9,9 @@
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import graderelay.wire.StateCodec;
 
 /**
@@ -133,7 +133,7 @@
             grant.grantedBy(),
             grant.leaderTime(),
             grant.sinceAnsweredAlone(sentAt)),
-        PeerCodec::decodeDelegated,
+        PeerCodec::decodeDelegationResponse,
         peerClient.timeoutS(),
         answer -> {
           if (answer != null) {
@@ -145,7 +145,7 @@
         });
   }
 
-  private void onGranted(PeerAnswer.Grant granted, double sentAt) {
+  private void onGranted(PeerResponse.Grant granted, double sentAt) {
     if (closed || leadership.isLeader() || granted.term() < grant.term()) {
       return;
     }
@@ -172,7 +172,7 @@
     state.commit(
         new Transaction()
             .put(
-                StateCodec.LEASE_DELEGATES + member,
+                StateCodec.DELEGATE_RELEASES + member,
                 StateCodec.encodeDelegateRelease(
                     processId, upTo, grant.grantedBy(), grant.sinceAnsweredAlone(now))),
         Use.CLAIM,
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -135,12 +135,12 @@
   private void relay(Exchange exchange, String address, String leaderName) {
     peerClient.send(
         address,
-        new PeerRequest.RelayedReport(member, exchange.body()),
-        PeerCodec::decodeRelayed,
+        new PeerRequest.RelayedHeartbeat(member, exchange.body()),
+        PeerCodec::decodeRelayedResponse,
         peerClient.timeoutS(),
         relayed -> {
-          if (relayed != null && relayed.answer().status() == OK) {
-            exchange.to().accept(relayed.answer());
+          if (relayed != null && relayed.response().status() == OK) {
+            exchange.to().accept(relayed.response());
           } else {
             redirect(exchange.to(), leaderName);
           }
@@ -166,6 +166,6 @@
   }
 
   private static void refuseMalformed(Consumer<Answer> to) {
-    to.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
+    to.accept(Answer.json(BAD_REQUEST, Json.errorBody("not a report")));
   }
 }
--- a/src/test/java/graderelay/api/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -177,10 +177,10 @@
   void moreDependenciesThanAllowedAreRefusedWithTheLimit() {
     Jobs jobs = new Jobs();
     ObjectNode body = jobs.submission("[]");
-    for (int i = 0; i <= UserCodec.MOST_DEPENDENCIES; i++) {
+    for (int i = 0; i <= UserCodec.MAX_DEPENDENCIES; i++) {
       body.withArray("awaits").add(jobs.over.id);
     }
-    assertRefused(jobs.submit(1, body), 400, String.valueOf(UserCodec.MOST_DEPENDENCIES));
+    assertRefused(jobs.submit(1, body), 400, String.valueOf(UserCodec.MAX_DEPENDENCIES));
     fine(jobs.world);
   }
 
--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -95,7 +95,7 @@
           default -> e.method().equals("GET") ? list() : scaleOut(Json.read(e.body()));
         };
     if (answer == null) {
-      e.to().accept(Answer.json(503, Json.error("no capacity")));
+      e.to().accept(Answer.json(503, Json.errorBody("no capacity")));
     } else {
       e.to().accept(Answer.json(200, Json.write(answer)));
     }
--- a/src/test/java/graderelay/cloud/CloudClientTest.java
+++ b/src/test/java/graderelay/cloud/CloudClientTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import graderelay.cloud.CloudClient.ScaledOut;
+import graderelay.cloud.CloudClient.ScaleOutResult;
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
@@ -19,45 +19,46 @@
   private int calls;
 
   @Test
-  void anEmptyPoolEndsTheScaleOutAtOnce() {
-    ScaledOut result = scaleOut(503, "{\"error\":\"no capacity\"}");
-    assertThat(result).isEqualTo(new ScaledOut(null, true));
+  void noCapacityEndsScaleOutWithoutRetry() {
+    ScaleOutResult result = scaleOut(503, "{\"error\":\"no capacity\"}");
+    assertThat(result).isEqualTo(new ScaleOutResult(null, true));
     assertThat(calls).isEqualTo(1);
   }
 
   @Test
-  void anyOtherRefusalIsRepeatedAndThenUnknown() {
+  void otherErrorsAreRetriedAndThenLeaveOutcomeUnknown() {
     for (String body : List.of("", "null", "[]", "not JSON", "{}", "{\"error\":\"busy\"}")) {
       calls = 0;
-      assertThat(scaleOut(503, body)).as(body).isEqualTo(new ScaledOut(null, false));
+      assertThat(scaleOut(503, body)).as(body).isEqualTo(new ScaleOutResult(null, false));
       assertThat(calls).as(body).isEqualTo(SCALE_OUT_ATTEMPTS);
     }
   }
 
   @Test
-  void noCapacityCountsOnlyInAnUnavailableAnswer() {
-    ScaledOut result = scaleOut(500, "{\"error\":\"no capacity\"}");
-    assertThat(result).isEqualTo(new ScaledOut(null, false));
+  void noCapacityErrorIsRecognizedOnlyWithStatus503() {
+    ScaleOutResult result = scaleOut(500, "{\"error\":\"no capacity\"}");
+    assertThat(result).isEqualTo(new ScaleOutResult(null, false));
     assertThat(calls).isEqualTo(SCALE_OUT_ATTEMPTS);
   }
 
   @Test
-  void theNewMachinesAreNamed() {
-    ScaledOut result = scaleOut(200, "{\"saws\":[\"n-1\",\"n-2\"]}");
-    assertThat(result).isEqualTo(new ScaledOut(List.of("n-1", "n-2"), false));
+  void successfulScaleOutReturnsMachineNames() {
+    ScaleOutResult result = scaleOut(200, "{\"saws\":[\"n-1\",\"n-2\"]}");
+    assertThat(result).isEqualTo(new ScaleOutResult(List.of("n-1", "n-2"), false));
     assertThat(calls).isEqualTo(1);
   }
 
-  private ScaledOut scaleOut(int status, String body) {
+  private ScaleOutResult scaleOut(int status, String body) {
     Reply reply = new Reply(status, body.getBytes(StandardCharsets.UTF_8), true);
-    CloudClient client = new CloudClient(new ImmediateLoop(), answering(reply), "cloud:1", 100);
-    List<ScaledOut> results = new ArrayList<>();
+    CloudClient client =
+        new CloudClient(new ImmediateLoop(), respondingTransport(reply), "cloud:1", 100);
+    List<ScaleOutResult> results = new ArrayList<>();
     client.scaleOut("scale-out-1", "small", "zone-1", false, 2, results::add);
     assertThat(results).hasSize(1);
     return results.get(0);
   }
 
-  private Transport answering(Reply reply) {
+  private Transport respondingTransport(Reply reply) {
     return (String address,
         String method,
         String path,
--- a/src/test/java/graderelay/sim/ProductionVersion.java
+++ b/src/test/java/graderelay/sim/ProductionVersion.java
@@ -50,7 +50,7 @@
   /** A controller's request as this version understands it. */
   static void peer(Exchange e, Exchange.Handler handler) {
     if (PeerCodec.decodeRequest(e.body()) instanceof PeerRequest.Identify) {
-      e.to().accept(Answer.json(404, Json.error("no such message")));
+      e.to().accept(Answer.json(404, Json.errorBody("no such message")));
     } else {
       handler.handle(e);
     }
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -76,7 +76,7 @@
       } else if (key.startsWith(StateCodec.TASK_BATCHES)) {
         touched.add(taskBatch(key, change.get("data")));
       } else if (key.startsWith(QuotaCodec.ACCOUNTS) && change.has("put")) {
-        touched.add(QuotaCodec.teamOf(key, QuotaCodec.ACCOUNTS));
+        touched.add(QuotaCodec.parseTeam(key, QuotaCodec.ACCOUNTS));
       }
     }
     touched.remove(null);
@@ -90,7 +90,7 @@
     }
     jobs.remove(id); // Its end has committed, and with it that of all its claims.
     taskBatches.keySet().stream()
-        .filter(key -> StateCodec.batchOf(key).job().equals(id))
+        .filter(key -> StateCodec.parseTaskBatchKey(key).job().equals(id))
         .toList()
         .forEach(this::forget);
   }
@@ -105,7 +105,7 @@
   /** Takes a task batch's new record and returns its team, or null. */
   private String taskBatch(String key, JsonNode value) {
     forget(key);
-    TaskBatchKey taskBatch = StateCodec.batchOf(key);
+    TaskBatchKey taskBatch = StateCodec.parseTaskBatchKey(key);
     JobSpec job = jobs.get(taskBatch.job());
     if (value == null || job == null) {
       return null;
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -72,7 +72,7 @@
     switch (e.path()) {
       case "/machine_types" -> {
         if (noTypes) {
-          e.to().accept(Answer.json(503, Json.error("trouble")));
+          e.to().accept(Answer.json(503, Json.errorBody("trouble")));
           return;
         }
         ArrayNode a = out.putArray("rigs");
@@ -133,7 +133,7 @@
             add(n.path("rig").asText(), n.path("yard").asText(), n.path("borrowed").asBoolean()));
       }
       if (names.isEmpty()) {
-        e.to().accept(Answer.json(503, Json.error("no capacity")));
+        e.to().accept(Answer.json(503, Json.errorBody("no capacity")));
         return;
       }
       scaleOuts.put(name, names);
--- a/src/test/java/graderelay/sim/SimStore.java
+++ b/src/test/java/graderelay/sim/SimStore.java
@@ -137,7 +137,7 @@
         requests++;
         watches.open(e, refused); // Its open watches wait, as in an outage.
       } else if (refused[0]) {
-        e.to().accept(Answer.json(503, Json.error("not now")));
+        e.to().accept(Answer.json(503, Json.errorBody("not now")));
       } else if (slowS > 0) {
         loop.after(slowS, () -> handle(e));
       } else {
@@ -151,7 +151,7 @@
     requests++;
     String p = e.path();
     if (outage) {
-      e.to().accept(Answer.json(503, Json.error("outage")));
+      e.to().accept(Answer.json(503, Json.errorBody("outage")));
     } else if (p.equals("/store")) {
       list(e);
     } else if (p.startsWith("/store/")) {
@@ -222,7 +222,7 @@
     Map<String, String> p = StoreQuery.parameters(e);
     String under = p.getOrDefault("under", "");
     if (under.equals(refusedList)) {
-      e.to().accept(Answer.json(503, Json.error("not now")));
+      e.to().accept(Answer.json(503, Json.errorBody("not now")));
       return;
     }
     String after = p.getOrDefault("after", "");
--- a/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -12,7 +12,7 @@
 import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldShape;
-import graderelay.wire.BadRequest;
+import graderelay.wire.BadRequestException;
 import graderelay.wire.FinalState;
 import graderelay.wire.Json;
 import graderelay.wire.StateCodec;
@@ -39,7 +39,7 @@
       spec =
           UserCodec.decodeSubmission(
               world.users.body(job), (long) (world.loop.now() * 1000) + 1_700_000_000_000L, 500);
-    } catch (BadRequest e) {
+    } catch (BadRequestException e) {
       throw new AssertionError(e);
     }
     ObjectNode transaction = Json.object();
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -69,7 +69,8 @@
       AnswerVariant variant, Exchange.Handler peerHandler, Exchange exchange) {
     switch (variant) {
       case UNCHANGED -> peerHandler.handle(exchange);
-      case UNKNOWN_MESSAGE -> exchange.to().accept(Answer.json(404, Json.error("no such message")));
+      case UNKNOWN_MESSAGE ->
+          exchange.to().accept(Answer.json(404, Json.errorBody("no such message")));
       case EMPTY_ANSWER -> exchange.to().accept(cbor(Json.object()));
       case NOT_CBOR -> exchange.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
       case WITHOUT_CANCELLATIONS -> peerHandler.handle(withoutField(exchange, "cancellations"));
--- a/src/test/java/graderelay/wire/DeploymentProtocolTest.java
+++ b/src/test/java/graderelay/wire/DeploymentProtocolTest.java
@@ -34,7 +34,7 @@
           new WorkerCommand.Kill("j-000377/1", 1, 10),
           new WorkerCommand.Reap("j-000398/0", 1));
 
-  private static final String COMMANDS_SENT =
+  private static final String COMMANDS_JSON =
       "[{\"order\":\"launch\",\"board\":\"j-000412/4\",\"pass\":2},"
           + "{\"order\":\"kill\",\"board\":\"j-000377/1\",\"pass\":1,\"wind_down_s\":10.0},"
           + "{\"order\":\"reap\",\"board\":\"j-000398/0\",\"pass\":1}]";
@@ -50,7 +50,7 @@
   // ---------------------------------------------------------------- users
 
   @Test
-  void submissionIsReadWithEveryField() throws BadRequest {
+  void submissionIsDecodedWithEveryField() throws BadRequestException {
     assertThat(UserCodec.decodeSubmission(json(SUBMISSION), 1234, 500))
         .isEqualTo(
             new JobSpec(
@@ -99,16 +99,16 @@
         "awaits|'[\"x\"]'|awaits must hold ids like j-000412",
         "awaits|'[\"j-000412\"]'|awaits must not name the job itself"
       })
-  void mistakeInSubmissionIsNamedByItsField(String field, String value, String message) {
+  void invalidSubmissionFieldIsReportedByName(String field, String value, String message) {
     ObjectNode body = (ObjectNode) json(SUBMISSION);
     body.set(field, json(value));
     assertThatThrownBy(() -> UserCodec.decodeSubmission(body, 1234, 500))
-        .isInstanceOf(BadRequest.class)
+        .isInstanceOf(BadRequestException.class)
         .hasMessage(message);
   }
 
   @Test
-  void ofSeveralMistakesTheKindIsToldBeforeTheClass() {
+  void invalidKindIsReportedBeforeOtherInvalidFields() {
     ObjectNode body = (ObjectNode) json(SUBMISSION);
     body.put("cut", "board").put("lot", "");
     assertThatThrownBy(() -> UserCodec.decodeSubmission(body, 1234, 500))
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void usersAreAnsweredInTheProtocolsWords() {
+  void userResponsesUseWireNames() {
     assertThat(text(UserCodec.encodeStage("j-000412", "pending")))
         .isEqualTo("{\"ref\":\"j-000412\",\"stage\":\"pending\"}");
     assertThat(text(UserCodec.encodeStatus("j-000412", "running", 3, 13)))
@@ -126,7 +126,7 @@
   // ---------------------------------------------------------------- workers
 
   @Test
-  void heartbeatIsReadWithEveryField() {
+  void heartbeatIsDecodedWithEveryField() {
     JsonNode body =
         json(
             "{\"saw\":\"n-000231\",\"address\":\"10.1.0.232:9000\",\"rig\":\"g8\","
@@ -159,7 +159,7 @@
 
   @ParameterizedTest
   @CsvSource({"saw", "address", "rig", "yard", "shift", "tally", "foreman"})
-  void heartbeatThatLacksOneFieldIsRefused(String field) {
+  void heartbeatWithoutRequiredFieldIsRejected(String field) {
     ObjectNode body =
         (ObjectNode)
             json(
@@ -172,16 +172,16 @@
   }
 
   @Test
-  void commandsAreSentInTheProtocolsWords() {
+  void workerCommandsUseWireNames() {
     assertThat(text(WorkerCodec.encodeHeartbeatResponse(41, COMMANDS, 10)))
-        .isEqualTo("{\"foreman\":41,\"orders\":" + COMMANDS_SENT + "}");
+        .isEqualTo("{\"foreman\":41,\"orders\":" + COMMANDS_JSON + "}");
     assertThat(text(WorkerCodec.encodeCommands(41, 3, COMMANDS)))
-        .isEqualTo("{\"foreman\":41,\"shift\":3,\"orders\":" + COMMANDS_SENT + "}");
+        .isEqualTo("{\"foreman\":41,\"shift\":3,\"orders\":" + COMMANDS_JSON + "}");
     assertThat(WorkerCodec.encodeHeartbeatResponse(41, COMMANDS, 2).path("orders")).hasSize(2);
   }
 
   @Test
-  void workerIsSentElsewhere() {
+  void redirectNamesControllerIfOneIsGiven() {
     assertThat(text(WorkerCodec.encodeRedirect("mill-2"))).isEqualTo("{\"foreman_at\":\"mill-2\"}");
     assertThat(text(WorkerCodec.encodeRedirect(null))).isEqualTo("{}");
   }
@@ -189,32 +189,32 @@
   // ---------------------------------------------------------------- the cloud
 
   @Test
-  void machineTypesAreReadWithTheirPrices() {
-    JsonNode answer =
+  void machineTypesAreDecodedWithPrices() {
+    JsonNode response =
         json(
             "{\"rigs\":[{\"sku\":\"g8\",\"cpus\":96,\"cards\":8,\"mem_gb\":768,"
                 + "\"cache_gb\":200,\"pull_gb_per_s\":1.5,\"price\":12.0,"
                 + "\"market_price\":4.5,\"ready_s\":45,\"yards\":[\"a\",\"b\"]}]}");
-    assertThat(CloudCodec.decodeMachineTypes(answer))
+    assertThat(CloudCodec.decodeMachineTypes(response))
         .containsExactly(new MachineType("g8", 96, 8, 768, 1.5, 12, 4.5, 45, List.of("a", "b")));
   }
 
   @Test
-  void pageOfMachinesIsRead() {
-    JsonNode answer =
+  void pageOfMachinesIsDecoded() {
+    JsonNode response =
         json(
             "{\"saws\":[{\"ref\":\"n-000231\",\"address\":\"10.1.0.232:9000\",\"rig\":\"g8\","
                 + "\"yard\":\"a\",\"borrowed\":true,\"stage\":\"running\",\"age_s\":61.5}],"
                 + "\"truncated\":true}");
-    assertThat(CloudCodec.decodeMachines(answer))
+    assertThat(CloudCodec.decodeMachines(response))
         .containsExactly(
             new ListedMachine("n-000231", "10.1.0.232:9000", "g8", "a", true, "running", 61.5));
-    assertThat(CloudCodec.decodeTruncated(answer)).isTrue();
+    assertThat(CloudCodec.decodeTruncated(response)).isTrue();
     assertThat(CloudCodec.decodeTruncated(json("{}"))).isFalse();
   }
 
   @Test
-  void scalingOutAndInIsAskedInTheProtocolsWords() {
+  void scaleOutAndScaleInRequestsUseWireNames() {
     assertThat(text(CloudCodec.encodeScaleOut("r-17", "g8", "a", true, 12)))
         .isEqualTo(
             "{\"hire\":\"r-17\",\"rig\":\"g8\",\"yard\":\"a\",\"borrowed\":true,"
@@ -225,7 +225,7 @@
   }
 
   @Test
-  void onlyNoCapacityIsTakenForIt() {
+  void onlyNoCapacityErrorIsDecodedAsNoCapacity() {
     assertThat(CloudCodec.decodeNoCapacity(json("{\"error\":\"no capacity\"}"))).isTrue();
     assertThat(CloudCodec.decodeNoCapacity(json("{\"error\":\"trouble\"}"))).isFalse();
     assertThat(CloudCodec.decodeNoCapacity(json("{}"))).isFalse();
--- a/src/test/java/graderelay/wire/FeatureCodecTest.java
+++ b/src/test/java/graderelay/wire/FeatureCodecTest.java
@@ -26,17 +26,18 @@
   }
 
   @Property(seed = "7", tries = 200)
-  void levelIsReadAsItWasWritten(
-      @ForAll @IntRange(max = 9) int level, @ForAll @IntRange(max = 9) int target)
-      throws MalformedRecord {
-    ClusterLevel l = new ClusterLevel(level, Math.min(level, target));
-    assertThat(FeatureCodec.decodeLevel(FeatureCodec.encodeLevel(l))).isEqualTo(l);
+  void levelRoundTrips(@ForAll @IntRange(max = 9) int level, @ForAll @IntRange(max = 9) int target)
+      throws MalformedRecordException {
+    ClusterLevel clusterLevel = new ClusterLevel(level, Math.min(level, target));
+    assertThat(FeatureCodec.decodeLevel(FeatureCodec.encodeLevel(clusterLevel)))
+        .isEqualTo(clusterLevel);
   }
 
   @Test
-  void memberIsReadAsItWasWritten() throws MalformedRecord {
-    Member m = new Member("m-1", "0.1.0", new FeatureRange(0, 2), "abc", 1234, 5);
-    assertThat(FeatureCodec.decodeMember("m-1", FeatureCodec.encodeMember(m), 5)).isEqualTo(m);
+  void memberRoundTrips() throws MalformedRecordException {
+    Member member = new Member("m-1", "0.1.0", new FeatureRange(0, 2), "abc", 1234, 5);
+    assertThat(FeatureCodec.decodeMember("m-1", FeatureCodec.encodeMember(member), 5))
+        .isEqualTo(member);
   }
 
   @ParameterizedTest
@@ -50,9 +51,9 @@
         "{\"min\":0,\"max\":1,\"version\":\"1\",\"incarnation\":\"a\"}|began must be",
         "{}|min must be"
       })
-  void malformedMemberIsRefusedByItsField(String record, String message) {
+  void malformedMemberErrorNamesField(String record, String message) {
     assertThatThrownBy(() -> FeatureCodec.decodeMember("m-1", json(record), 1))
-        .isInstanceOf(MalformedRecord.class)
+        .isInstanceOf(MalformedRecordException.class)
         .hasMessageContaining(message);
   }
 
@@ -65,16 +66,16 @@
         "{\"level\":1,\"target\":2}|target",
         "[]|level"
       })
-  void malformedLevelIsRefusedByItsField(String record, String field) {
+  void malformedLevelErrorNamesField(String record, String field) {
     assertThatThrownBy(() -> FeatureCodec.decodeLevel(json(record)))
-        .isInstanceOf(MalformedRecord.class)
+        .isInstanceOf(MalformedRecordException.class)
         .hasMessageContaining(field);
   }
 
   /** Machines as a large fleet has them, each with some of a few images. */
-  private static Map<String, List<String>> machines(int from, int n) {
+  private static Map<String, List<String>> imagesByMachine(int first, int count) {
     Map<String, List<String>> machines = new TreeMap<>();
-    for (int i = from; i < from + n; i++) {
+    for (int i = first; i < first + count; i++) {
       List<String> images = new ArrayList<>();
       for (int k = 0; k < 12; k++) {
         if ((i * 2654435761L >> k & 3) == 0) {
@@ -87,23 +88,24 @@
   }
 
   @Property(seed = "7", tries = 100)
-  void compactHintHoldsWhatThePlainOneDoes(@ForAll @IntRange(max = 400) int n)
-      throws MalformedRecord {
-    ObjectNode plain = StateCodec.encodeImages(machines(n, n), 60);
-    assertThat(StateCodec.decodeImages(CompactHints.unpack(CompactHints.pack(plain))))
+  void compactHintDecodesToSameImagesAsPlainHint(@ForAll @IntRange(max = 400) int n)
+      throws MalformedRecordException {
+    ObjectNode plain = StateCodec.encodeImages(imagesByMachine(n, n), 60);
+    assertThat(StateCodec.decodeImages(CompactHintCodec.decode(CompactHintCodec.encode(plain))))
         .isEqualTo(StateCodec.decodeImages(plain));
   }
 
   @Test
-  void compactHintTakesLessThanHalfOfThePlainOneAlsoForRandomImages() {
-    ObjectNode plain = StateCodec.encodeImages(machines(0, 250), 60);
-    int compact = Json.write(CompactHints.pack(plain)).length;
+  void compactHintIsLessThanHalfTheSizeOfPlainHintForRandomImages() {
+    ObjectNode plain = StateCodec.encodeImages(imagesByMachine(0, 250), 60);
+    int compact = Json.write(CompactHintCodec.encode(plain)).length;
     assertThat(compact * 2).isLessThan(Json.write(plain).length);
   }
 
   @ParameterizedTest
   @CsvSource({"{}", "'{\"z\":\"!\"}'", "'{\"z\":\"AAAA\"}'", "'{\"z\":5}'"})
-  void invalidCompactHintIsRefused(String record) {
-    assertThatThrownBy(() -> CompactHints.unpack(json(record))).isInstanceOf(MalformedRecord.class);
+  void invalidCompactHintIsRejected(String record) {
+    assertThatThrownBy(() -> CompactHintCodec.decode(json(record)))
+        .isInstanceOf(MalformedRecordException.class);
   }
 }
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -26,9 +26,9 @@
  */
 class ProductionFormatsTest {
   private static final long NOW_MS = 1_700_000_000_000L;
-  private static final int LARGE = 16 * 1024;
+  private static final int LARGE_RECORD_BYTES = 16 * 1024;
   private static final byte[] BODY = "{\"saw\":\"n-000100\"}".getBytes(StandardCharsets.UTF_8);
-  private static final KnownCancellations KNOWLEDGE =
+  private static final KnownCancellations CANCELLATIONS =
       new KnownCancellations(true, 512.5, 1.25, List.of("j-000003", "j-000005"));
 
   /** Every request between controllers, by the name of its bytes. */
@@ -37,7 +37,7 @@
           "promise",
           new PeerRequest.Pledge("m-1", 41, 0.6),
           "keep",
-          new PeerRequest.KeepPledge("m-2", 0.6),
+          new PeerRequest.LeaderlessPledge("m-2", 0.6),
           "share",
           new PeerRequest.Share("m-1", 41, 2.25),
           "handover",
@@ -45,41 +45,41 @@
           "deputy",
           new PeerRequest.Delegation("m-0", "3fe0a1", 17, 40, 12.5, 2.5),
           "report",
-          new PeerRequest.RelayedReport("m-2", BODY),
+          new PeerRequest.RelayedHeartbeat("m-2", BODY),
           "user",
-          new PeerRequest.UserRequest("POST", "/v1/jobs", BODY),
+          new PeerRequest.RelayedUserRequest("POST", "/v1/jobs", BODY),
           "admin",
-          new PeerRequest.AdminRequest("GET", "/admin/jobs", "most=10", BODY));
+          new PeerRequest.RelayedAdminRequest("GET", "/admin/jobs", "most=10", BODY));
 
   /** Every answer between controllers, by the name of its bytes. */
-  private static final Map<String, PeerAnswer> ANSWERS =
+  private static final Map<String, PeerResponse> RESPONSES =
       Map.of(
           "promise answer",
-          new PeerAnswer.Pledged(true, false, KNOWLEDGE),
+          new PeerResponse.PledgeResponse(true, false, CANCELLATIONS),
           "promise refusal",
-          new PeerAnswer.Pledged(false, true, KNOWLEDGE),
+          new PeerResponse.PledgeResponse(false, true, CANCELLATIONS),
           "keep answer",
-          new PeerAnswer.Pledged(true, false, KNOWLEDGE),
+          new PeerResponse.PledgeResponse(true, false, CANCELLATIONS),
           "share answer",
-          new PeerAnswer.Wanted(3.5),
+          new PeerResponse.ShareResponse(3.5),
           "handover answer",
-          new PeerAnswer.Received(),
+          new PeerResponse.HandoverResponse(),
           "deputy answer",
-          new PeerAnswer.Delegated(new PeerAnswer.Grant(41, 40, 99.5), KNOWLEDGE),
+          new PeerResponse.DelegationResponse(new PeerResponse.Grant(41, 40, 99.5), CANCELLATIONS),
           "deputy refusal",
-          new PeerAnswer.Delegated(null, KNOWLEDGE),
+          new PeerResponse.DelegationResponse(null, CANCELLATIONS),
           "report answer",
-          new PeerAnswer.Relayed(Answer.json(200, BODY)),
+          new PeerResponse.RelayedResponse(Answer.json(200, BODY)),
           "user answer",
-          new PeerAnswer.Relayed(Answer.later(503, Json.error("try later"))),
+          new PeerResponse.RelayedResponse(Answer.later(503, Json.errorBody("try later"))),
           "admin answer",
-          new PeerAnswer.Relayed(Answer.json(200, BODY)));
+          new PeerResponse.RelayedResponse(Answer.json(200, BODY)));
 
   private static JobSpec storedJob(String id) {
     return StateCodec.decodeJob(id, ProductionFormats.record(StateCodec.jobKey(id)));
   }
 
-  private static TaskBatchRecord storedBatch(String job, int index) {
+  private static TaskBatchRecord storedTaskBatch(String job, int index) {
     return StateCodec.decodeTaskBatch(
         ProductionFormats.record(StateCodec.taskBatchKey(new TaskBatchKey(job, index))));
   }
@@ -90,7 +90,7 @@
     return names;
   }
 
-  private static void assertStoredAs(String key, JsonNode written) {
+  private static void assertSameBytesAsStored(String key, JsonNode written) {
     assertThat(new String(Json.write(written), StandardCharsets.UTF_8))
         .as(key)
         .isEqualTo(new String(ProductionFormats.records().get(key), StandardCharsets.UTF_8));
@@ -99,7 +99,7 @@
   // ---------------------------------------------------------------- stored records
 
   @Test
-  void storedJobsAreReadWithEveryField() {
+  void storedJobsAreDecodedWithEveryField() {
     JobSpec service = storedJob("j-000002");
     assertThat(service)
         .isEqualTo(
@@ -135,8 +135,8 @@
   }
 
   @Test
-  void storedTaskBatchesAreReadTaskByTask() {
-    TaskBatchRecord largest = storedBatch("j-000001", 0);
+  void storedTaskBatchesAreDecodedForEveryTask() {
+    TaskBatchRecord largest = storedTaskBatch("j-000001", 0);
     assertThat(largest.size()).isEqualTo(500);
     for (int i = 0; i < 500; i++) {
       boolean claimed = i % 5 < 3 && i % 13 > 0;
@@ -146,12 +146,12 @@
           .isEqualTo(claimed ? String.format("n-%06d", 100 + i / 4) : null);
       assertThat(largest.session(i)).isEqualTo(claimed ? 1 + i / 4 % 3 : 0);
     }
-    assertThat(storedBatch("j-000003", 0).claimedCount()).isEqualTo(4);
-    assertThat(storedBatch("j-000001", 1).doneCount()).isEqualTo(500);
+    assertThat(storedTaskBatch("j-000003", 0).claimedCount()).isEqualTo(4);
+    assertThat(storedTaskBatch("j-000001", 1).doneCount()).isEqualTo(500);
   }
 
   @Test
-  void storedFinalStatesLeadersSuspensionsAndHintsAreRead() {
+  void storedFinalStatesLeaderAndHintsAreDecoded() {
     assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000004")))
         .isEqualTo(new FinalState(false, 60, 0));
     assertThat(StateCodec.decodeFinalState(ProductionFormats.record("g/end/j-000005")))
@@ -175,22 +175,26 @@
   }
 
   @Test
-  void whatAnOldControllerMayReadIsWrittenByteForByteAsItWouldWriteIt() {
-    assertStoredAs(
+  void recordsReadableByProductionVersionAreWrittenWithIdenticalBytes() {
+    assertSameBytesAsStored(
         "g/owner",
         StateCodec.encodeLeader(new StateCodec.LeaderRecord("m-1", 41, "10.0.0.2:8081")));
-    assertStoredAs("g/term", StateCodec.encodeTerm(41, "m-1"));
-    assertStoredAs("g/bar/m-2", StateCodec.encodeSuspension(""));
-    assertStoredAs("g/bar/m-0", StateCodec.encodeSuspension("3fe0a1"));
-    assertStoredAs("g/deputy/m-0", StateCodec.encodeDelegateRelease("3fe0a1", 17, 40, 2.5));
-    assertStoredAs("g/job/j-000001", StateCodec.encodeJob(storedJob("j-000001"), false));
-    assertStoredAs("g/job/j-000002", StateCodec.encodeJob(storedJob("j-000002"), false));
-    assertStoredAs("g/job/j-000003", StateCodec.encodeJob(storedJob("j-000003"), true));
-    assertStoredAs("g/slice/j-000003/0", StateCodec.encodeTaskBatch(storedBatch("j-000003", 0)));
-    assertStoredAs("g/slice/j-000001/0", StateCodec.encodeTaskBatch(storedBatch("j-000001", 0)));
-    assertStoredAs("g/slice/j-000001/1", StateCodec.encodeTaskBatch(storedBatch("j-000001", 1)));
+    assertSameBytesAsStored("g/term", StateCodec.encodeTerm(41, "m-1"));
+    assertSameBytesAsStored("g/bar/m-2", StateCodec.encodeSuspension(""));
+    assertSameBytesAsStored("g/bar/m-0", StateCodec.encodeSuspension("3fe0a1"));
+    assertSameBytesAsStored(
+        "g/deputy/m-0", StateCodec.encodeDelegateRelease("3fe0a1", 17, 40, 2.5));
+    assertSameBytesAsStored("g/job/j-000001", StateCodec.encodeJob(storedJob("j-000001"), false));
+    assertSameBytesAsStored("g/job/j-000002", StateCodec.encodeJob(storedJob("j-000002"), false));
+    assertSameBytesAsStored("g/job/j-000003", StateCodec.encodeJob(storedJob("j-000003"), true));
+    assertSameBytesAsStored(
+        "g/slice/j-000003/0", StateCodec.encodeTaskBatch(storedTaskBatch("j-000003", 0)));
+    assertSameBytesAsStored(
+        "g/slice/j-000001/0", StateCodec.encodeTaskBatch(storedTaskBatch("j-000001", 0)));
+    assertSameBytesAsStored(
+        "g/slice/j-000001/1", StateCodec.encodeTaskBatch(storedTaskBatch("j-000001", 1)));
     OperatorSettings defaults = OperatorSettings.defaults(500, "info");
-    assertStoredAs(
+    assertSameBytesAsStored(
         "g/settings",
         OperatorSettings.stored(ProductionFormats.record("g/settings"), defaults, 500).json());
     List<Action.Demand> demand = new ArrayList<>();
@@ -200,11 +204,12 @@
                     "j-000001", ProductionFormats.record("g/demand").at("/classes/0/latest"))
                 .withDependencies(List.of("j-000009")),
             List.of(new double[] {4.5, 60}, new double[] {61.25, 12})));
-    assertStoredAs("g/demand", StateCodec.encodeDemand(demand, NOW_MS, LARGE));
+    assertSameBytesAsStored(
+        "g/demand", StateCodec.encodeDemand(demand, NOW_MS, LARGE_RECORD_BYTES));
     Map<String, List<String>> images =
         new java.util.TreeMap<>(StateCodec.decodeImages(ProductionFormats.record("g/images/0")));
-    assertStoredAs("g/images/0", StateCodec.encodeImages(images, 60));
-    StateCodec.decodeImages(StateCodec.encodeImages(images, 60, LARGE))
+    assertSameBytesAsStored("g/images/0", StateCodec.encodeImages(images, 60));
+    StateCodec.decodeImages(StateCodec.encodeImages(images, 60, LARGE_RECORD_BYTES))
         .forEach(
             (machine, names) ->
                 assertThat(names).containsExactlyInAnyOrderElementsOf(images.get(machine)));
@@ -212,7 +217,7 @@
 
   /** The time of an end is the one field that an old controller may see and does not know. */
   @Test
-  void anEndHasOneFieldMoreThanAnOldControllerKnowsAndItsOwnAreAsBefore() {
+  void finalStateHasOnlyWriteTimeInAdditionToProductionVersion() {
     JsonNode old = ProductionFormats.record("g/end/j-000004");
     JsonNode written = StateCodec.encodeFinalState(false, 60, NOW_MS);
     Set<String> added = fields(written);
@@ -224,66 +229,66 @@
   // ---------------------------------------------------------------- messages
 
   @Test
-  void messagesAreSentByteForByteAsBefore() {
+  void messagesAreEncodedWithIdenticalBytes() {
     REQUESTS.forEach(
         (name, request) ->
             assertThat(PeerCodec.encodeRequest(request))
                 .as(name)
                 .isEqualTo(ProductionFormats.messages().get(name)));
-    ANSWERS.forEach(
-        (name, answer) ->
-            assertThat(PeerCodec.encodeAnswer(answer))
+    RESPONSES.forEach(
+        (name, response) ->
+            assertThat(PeerCodec.encodeResponse(response))
                 .as(name)
                 .isEqualTo(ProductionFormats.messages().get(name)));
-    assertThat(REQUESTS.size() + ANSWERS.size()).isEqualTo(ProductionFormats.messages().size());
+    assertThat(REQUESTS.size() + RESPONSES.size()).isEqualTo(ProductionFormats.messages().size());
   }
 
   @Test
-  void messagesOfAnOldControllerAreRead() {
+  void messagesOfProductionVersionAreDecoded() {
     REQUESTS.forEach(
         (name, request) ->
             assertThat(PeerCodec.decodeRequest(ProductionFormats.messages().get(name)))
                 .as(name)
                 .usingRecursiveComparison()
                 .isEqualTo(request));
-    ANSWERS.forEach(
-        (name, answer) -> {
+    RESPONSES.forEach(
+        (name, response) -> {
           byte[] sent = ProductionFormats.messages().get(name);
-          PeerAnswer read =
+          PeerResponse decoded =
               switch (name.substring(0, name.indexOf(' '))) {
-                case "promise", "keep" -> PeerCodec.decodePledged(sent);
-                case "share" -> PeerCodec.decodeWanted(sent);
-                case "handover" -> PeerCodec.decodeReceived(sent);
-                case "deputy" -> PeerCodec.decodeDelegated(sent);
-                default -> PeerCodec.decodeRelayed(sent);
+                case "promise", "keep" -> PeerCodec.decodePledgeResponse(sent);
+                case "share" -> PeerCodec.decodeShareResponse(sent);
+                case "handover" -> PeerCodec.decodeHandoverResponse(sent);
+                case "deputy" -> PeerCodec.decodeDelegationResponse(sent);
+                default -> PeerCodec.decodeRelayedResponse(sent);
               };
-          assertThat(read).as(name).usingRecursiveComparison().isEqualTo(answer);
+          assertThat(decoded).as(name).usingRecursiveComparison().isEqualTo(response);
         });
   }
 
   @Test
-  void anAnswerThatLacksWhatCameLaterGrantsAndVouchesForNothing() {
+  void absentResponseFieldsMeanNotGrantedAndNoKnownCancellations() {
     byte[] empty = Json.writeCbor(Json.object());
-    assertThat(PeerCodec.decodePledged(empty))
-        .isEqualTo(new PeerAnswer.Pledged(false, false, KnownCancellations.NONE));
-    assertThat(PeerCodec.decodeDelegated(empty))
-        .isEqualTo(new PeerAnswer.Delegated(null, KnownCancellations.NONE));
-    assertThat(PeerCodec.decodePledged(Json.writeCbor(Json.object().put("granted", true))))
-        .isEqualTo(new PeerAnswer.Pledged(true, false, KnownCancellations.NONE));
-    assertThat(PeerCodec.decodeRelayed(empty)).isNull();
+    assertThat(PeerCodec.decodePledgeResponse(empty))
+        .isEqualTo(new PeerResponse.PledgeResponse(false, false, KnownCancellations.NONE));
+    assertThat(PeerCodec.decodeDelegationResponse(empty))
+        .isEqualTo(new PeerResponse.DelegationResponse(null, KnownCancellations.NONE));
+    assertThat(PeerCodec.decodePledgeResponse(Json.writeCbor(Json.object().put("granted", true))))
+        .isEqualTo(new PeerResponse.PledgeResponse(true, false, KnownCancellations.NONE));
+    assertThat(PeerCodec.decodeRelayedResponse(empty)).isNull();
   }
 
   @Test
-  void whatIsNoMessageOfThisVersionIsNone() {
+  void unknownMessagesAndInvalidCborDecodeToNull() {
     assertThat(PeerCodec.decodeRequest(Json.writeCbor(Json.object()))).isNull();
     assertThat(PeerCodec.decodeRequest(Json.writeCbor(Json.object().put("kind", "later"))))
         .isNull();
     byte[] notCbor = {(byte) 0xff, 0};
     assertThat(PeerCodec.decodeRequest(notCbor)).isNull();
-    assertThat(PeerCodec.decodePledged(notCbor)).isNull();
-    assertThat(PeerCodec.decodeWanted(notCbor)).isNull();
-    assertThat(PeerCodec.decodeReceived(notCbor)).isNull();
-    assertThat(PeerCodec.decodeDelegated(notCbor)).isNull();
-    assertThat(PeerCodec.decodeRelayed(notCbor)).isNull();
+    assertThat(PeerCodec.decodePledgeResponse(notCbor)).isNull();
+    assertThat(PeerCodec.decodeShareResponse(notCbor)).isNull();
+    assertThat(PeerCodec.decodeHandoverResponse(notCbor)).isNull();
+    assertThat(PeerCodec.decodeDelegationResponse(notCbor)).isNull();
+    assertThat(PeerCodec.decodeRelayedResponse(notCbor)).isNull();
   }
 }
--- a/src/test/java/graderelay/wire/StateCodecTest.java
+++ b/src/test/java/graderelay/wire/StateCodecTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void termIsReadAsItWasWritten() {
+  void termRoundTrips() {
     JsonNode written = StateCodec.encodeTerm(41, "m-1");
     assertThat(text(written)).isEqualTo("{\"term\":41,\"member\":\"m-1\"}");
     assertThat(StateCodec.decodeTerm(written)).isEqualTo(new TermRecord(41, "m-1"));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void suspensionIsReadAsItWasWritten() {
+  void suspensionRoundTrips() {
     JsonNode written = StateCodec.encodeSuspension("3fe0a1");
     assertThat(text(written)).isEqualTo("{\"leaving\":\"3fe0a1\"}");
     assertThat(StateCodec.decodeSuspension(written, 7)).isEqualTo(new Suspension("3fe0a1", 7));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void delegateReleaseIsReadAsItWasWritten() {
+  void delegateReleaseRoundTrips() {
     JsonNode written = StateCodec.encodeDelegateRelease("3fe0a1", 17, 40, 2.5);
     assertThat(text(written)).isEqualTo("{\"self\":\"3fe0a1\",\"n\":17,\"of\":40,\"alone\":2.5}");
     assertThat(StateCodec.decodeDelegateRelease(written))
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void finalStateIsReadAsItWasWritten() {
+  void finalStateRoundTrips() {
     JsonNode done = StateCodec.encodeFinalState(false, 60, 1234);
     assertThat(text(done)).isEqualTo("{\"end\":\"done\",\"tasks\":60,\"at\":1234}");
     assertThat(StateCodec.decodeFinalState(done)).isEqualTo(new FinalState(false, 60, 1234));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void finalStateOfAnOldVersionHasNoTime() {
+  void finalStateWithoutWriteTimeDecodesToTimeZero() {
     assertThat(StateCodec.decodeFinalState(json("{\"end\":\"done\",\"tasks\":60}")))
         .isEqualTo(new FinalState(false, 60, 0));
   }
--- a/src/test/java/graderelay/wire/StoreCodecTest.java
+++ b/src/test/java/graderelay/wire/StoreCodecTest.java
@@ -22,20 +22,20 @@
   }
 
   @Test
-  void entryIsReadWithItsRevisionAndSessionLease() {
-    JsonNode answer = json("{\"key\":\"a/b\",\"data\":{\"x\":1},\"mark\":412,\"permit\":7}");
-    assertThat(StoreCodec.decodeEntry(answer))
+  void entryIsDecodedWithRevisionAndSessionLease() {
+    JsonNode response = json("{\"key\":\"a/b\",\"data\":{\"x\":1},\"mark\":412,\"permit\":7}");
+    assertThat(StoreCodec.decodeEntry(response))
         .isEqualTo(new StoreEntry("a/b", json("{\"x\":1}"), 412, 7));
   }
 
   @Test
-  void entryOnNoSessionLeaseHasTheLeaseZero() {
+  void entryWithoutSessionLeaseHasLeaseZero() {
     assertThat(StoreCodec.decodeEntry(json("{\"key\":\"a\",\"data\":1,\"mark\":2}")).sessionLease())
         .isZero();
   }
 
   @Test
-  void rangePageIsReadInItsOrderAndSaysWhereTheNextBegins() {
+  void rangePageKeepsEntryOrderAndGivesNextPageKey() {
     RangeResponse page =
         StoreCodec.decodeRange(
             json(
@@ -46,26 +46,27 @@
         .containsExactly(
             new StoreEntry("c/8", json("1"), 3, 0), new StoreEntry("c/9", json("2"), 1, 0));
     assertThat(page.storeRevision()).isEqualTo(431);
-    assertThat(page.nextAfter()).isEqualTo("c/9");
+    assertThat(page.nextPageAfter()).isEqualTo("c/9");
   }
 
   @Test
-  void lastPageAndAnEmptyOneHaveNoNext() {
-    assertThat(StoreCodec.decodeRange(json("{\"items\":[{\"key\":\"c\"}]}")).nextAfter()).isNull();
-    assertThat(StoreCodec.decodeRange(json("{\"items\":[],\"truncated\":true}")).nextAfter())
+  void lastPageAndEmptyPageHaveNoNextPageKey() {
+    assertThat(StoreCodec.decodeRange(json("{\"items\":[{\"key\":\"c\"}]}")).nextPageAfter())
+        .isNull();
+    assertThat(StoreCodec.decodeRange(json("{\"items\":[],\"truncated\":true}")).nextPageAfter())
         .isNull();
     assertThat(StoreCodec.decodeRange(json("{}")))
         .isEqualTo(new RangeResponse(List.of(), false, 0));
   }
 
   @Test
-  void watchTellsPutsAndDeletesInTheirOrderAndPassesOverOtherChanges() {
-    WatchResponse answer =
+  void watchKeepsOrderOfPutsAndDeletesAndSkipsUnknownChanges() {
+    WatchResponse response =
         StoreCodec.decodeWatch(
             json(
                 "{\"ledger\":433,\"news\":[{\"put\":\"c/9\",\"data\":{\"x\":1},\"mark\":433},"
                     + "{\"later\":\"c/8\",\"mark\":432},{\"drop\":\"c/d\",\"mark\":432}]}"));
-    assertThat(answer)
+    assertThat(response)
         .isEqualTo(
             new WatchResponse(
                 433,
@@ -75,21 +76,21 @@
   }
 
   @Test
-  void failedConditionsAreReadInTheirOrder() {
+  void failedConditionsKeepTheirOrder() {
     assertThat(StoreCodec.decodeFailedConditions(json("{\"failed\":[\"b\",\"a\"],\"ledger\":431}")))
         .containsExactly("b", "a");
     assertThat(StoreCodec.decodeFailedConditions(json("{\"ledger\":431}"))).isEmpty();
   }
 
   @Test
-  void sessionLeasesAreAskedForAndRead() {
+  void leaseRequestIsEncodedAndLeaseIdDecoded() {
     assertThat(text(StoreCodec.encodeLeaseRequest(5000))).isEqualTo("{\"life_ms\":5000}");
     assertThat(StoreCodec.decodeSessionLease(json("{\"permit\":7}"))).isEqualTo(7);
     assertThat(StoreCodec.decodeSessionLease(json("{}"))).isZero();
   }
 
   @Test
-  void onlyRefusalsForTheLeaseAreTakenForOne() {
+  void onlyLeaseErrorIsDecodedAsLeaseExpired() {
     assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"no such lease\"}"))).isTrue();
     assertThat(StoreCodec.decodeLeaseExpired(json("{\"error\":\"too large\"}"))).isFalse();
     assertThat(StoreCodec.decodeLeaseExpired(json("{}"))).isFalse();
@@ -97,7 +98,7 @@
   }
 
   @Test
-  void storeRevisionIsZeroWhereNoneIsGiven() {
+  void absentStoreRevisionDecodesToZero() {
     assertThat(StoreCodec.decodeStoreRevision(json("{\"ledger\":432}"))).isEqualTo(432);
     assertThat(StoreCodec.decodeStoreRevision(json("{}"))).isZero();
     assertThat(StoreCodec.decodeStoreRevision(null)).isZero();
--- a/src/test/java/graderelay/wire/StoredRecordsOfA8224e6Test.java
+++ b/src/test/java/graderelay/wire/StoredRecordCompatibilityTest.java
@@ -32,8 +32,8 @@
  * batches, final states with their time, stored limits and accounts, feature levels, members and
  * compact hints.
  */
-class StoredRecordsOfA8224e6Test {
-  private static final String FOLDER = "/stored-records-a8224e6/";
+class StoredRecordCompatibilityTest {
+  private static final String RESOURCE_DIRECTORY = "/stored-records-a8224e6/";
   private static final long NOW_MS = 1_760_000_000_000L;
   private static final long REVISION = 77;
 
@@ -49,7 +49,8 @@
   };
 
   private static byte[] bytes(String file) {
-    try (InputStream in = StoredRecordsOfA8224e6Test.class.getResourceAsStream(FOLDER + file)) {
+    try (InputStream in =
+        StoredRecordCompatibilityTest.class.getResourceAsStream(RESOURCE_DIRECTORY + file)) {
       assertThat(in).as(file).isNotNull();
       return in.readAllBytes();
     } catch (IOException e) {
@@ -127,37 +128,37 @@
         List.of());
   }
 
-  private static void assertMixedBatch(TaskBatchRecord read, String name) {
-    assertThat(read.size()).as(name).isEqualTo(ATTEMPTS.length);
+  private static void assertMixedBatch(TaskBatchRecord decoded, String name) {
+    assertThat(decoded.size()).as(name).isEqualTo(ATTEMPTS.length);
     for (int i = 0; i < ATTEMPTS.length; i++) {
-      assertThat(read.attempt(i)).as(name + " attempt " + i).isEqualTo(ATTEMPTS[i]);
-      assertThat(read.machine(i)).as(name + " machine " + i).isEqualTo(MACHINES[i]);
-      assertThat(read.session(i)).as(name + " session " + i).isEqualTo(SESSIONS[i]);
-      assertThat(read.done(i)).as(name + " done " + i).isEqualTo(DONE[i]);
+      assertThat(decoded.attempt(i)).as(name + " attempt " + i).isEqualTo(ATTEMPTS[i]);
+      assertThat(decoded.machine(i)).as(name + " machine " + i).isEqualTo(MACHINES[i]);
+      assertThat(decoded.session(i)).as(name + " session " + i).isEqualTo(SESSIONS[i]);
+      assertThat(decoded.done(i)).as(name + " done " + i).isEqualTo(DONE[i]);
     }
   }
 
-  private static void assertImages(Map<String, List<String>> read) {
-    assertThat(read)
+  private static void assertImages(Map<String, List<String>> decoded) {
+    assertThat(decoded)
         .containsOnlyKeys("n-000100", "n-000101", "n-000102")
         .containsEntry("n-000100", List.of("img-07", "img-11"))
         .containsEntry("n-000101", List.of("img-11"))
         .containsEntry("n-000102", List.of());
   }
 
-  private static void assertDemand(List<Action.Demand> read) {
-    assertThat(read).hasSize(2);
-    assertThat(read.get(0).latest()).isEqualTo(plainJob("j-0"));
-    assertThat(read.get(0).arrivals()).hasSize(2);
-    assertThat(read.get(0).arrivals().get(0)).containsExactly(4.5, 60);
-    assertThat(read.get(0).arrivals().get(1)).containsExactly(61.25, 12);
-    assertThat(read.get(1).latest()).isEqualTo(fullJob("j-0").withDependencies(List.of()));
-    assertThat(read.get(1).arrivals()).hasSize(1);
-    assertThat(read.get(1).arrivals().get(0)).containsExactly(0, 3);
+  private static void assertDemand(List<Action.Demand> decoded) {
+    assertThat(decoded).hasSize(2);
+    assertThat(decoded.get(0).latest()).isEqualTo(plainJob("j-0"));
+    assertThat(decoded.get(0).arrivals()).hasSize(2);
+    assertThat(decoded.get(0).arrivals().get(0)).containsExactly(4.5, 60);
+    assertThat(decoded.get(0).arrivals().get(1)).containsExactly(61.25, 12);
+    assertThat(decoded.get(1).latest()).isEqualTo(fullJob("j-0").withDependencies(List.of()));
+    assertThat(decoded.get(1).arrivals()).hasSize(1);
+    assertThat(decoded.get(1).arrivals().get(0)).containsExactly(0, 3);
   }
 
   @Test
-  void electionRecordsAreReadWithEveryField() {
+  void electionRecordsAreDecodedWithEveryField() {
     assertThat(StateCodec.decodeLeader(record("owner")))
         .isEqualTo(new StateCodec.LeaderRecord("m-2", 57, "10.0.0.3:8081"));
     JsonNode term = record("term");
@@ -173,7 +174,7 @@
   }
 
   @Test
-  void jobsAreReadWithEveryFieldAndTheirStop() {
+  void jobsAreDecodedWithEveryFieldAndStopRequest() {
     assertThat(StateCodec.decodeJob("j-000007", record("job-full-stopped")))
         .isEqualTo(fullJob("j-000007"));
     assertThat(StateCodec.decodeStopRequested(record("job-full-stopped"))).isTrue();
@@ -183,7 +184,7 @@
   }
 
   @Test
-  void taskBatchesAreReadTaskByTaskInEachForm() {
+  void taskBatchesInEachFormAreDecodedForEveryTask() {
     assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-plain")), "plain");
     assertMixedBatch(StateCodec.decodeTaskBatch(record("slice-packed")), "packed");
     TaskBatchRecord done = StateCodec.decodeTaskBatch(record("slice-done"));
@@ -197,7 +198,7 @@
   }
 
   @Test
-  void finalStatesAreReadWithTheirTime() {
+  void finalStatesAreDecodedWithWriteTime() {
     assertThat(StateCodec.decodeFinalState(record("end-done")))
         .isEqualTo(new FinalState(false, 60, NOW_MS));
     assertThat(StateCodec.decodeFinalState(record("end-cancelled")))
@@ -205,15 +206,15 @@
   }
 
   @Test
-  void hintsForTheNextLeaderAreReadPlainAndCompact() throws MalformedRecord {
+  void leaderHintsAreDecodedInPlainAndCompactForm() throws MalformedRecordException {
     assertImages(StateCodec.decodeImages(record("images")));
-    assertImages(StateCodec.decodeImages(CompactHints.unpack(record("hints-images"))));
+    assertImages(StateCodec.decodeImages(CompactHintCodec.decode(record("hints-images"))));
     assertDemand(StateCodec.decodeDemand(record("demand"), NOW_MS));
-    assertDemand(StateCodec.decodeDemand(CompactHints.unpack(record("hints-demand")), NOW_MS));
+    assertDemand(StateCodec.decodeDemand(CompactHintCodec.decode(record("hints-demand")), NOW_MS));
   }
 
   @Test
-  void storedLimitsAndAccountsAreReadWithEveryField() {
+  void storedLimitsAndAccountsAreDecodedWithEveryField() {
     LimitRecord limits = QuotaCodec.decodeLimits(record("quota-limit"), REVISION);
     assertThat(limits.isReadable()).isTrue();
     assertThat(limits)
@@ -229,7 +230,7 @@
   }
 
   @Test
-  void featureLevelsAndMembersAreReadWithEveryField() throws MalformedRecord {
+  void featureLevelsAndMembersAreDecodedWithEveryField() throws MalformedRecordException {
     assertThat(FeatureCodec.decodeLevel(record("feature-level"))).isEqualTo(ClusterLevel.of(2));
     assertThat(FeatureCodec.decodeLevel(record("feature-level-lowering")))
         .isEqualTo(new ClusterLevel(2, 1));
@@ -239,15 +240,16 @@
   }
 
   @Test
-  void storedKeysAreFoundAgainByTheKeyFunctions() {
+  void keyFunctionsReproduceAndParseStoredKeys() {
     Map<String, String> keys = keys();
     assertThat(keys)
         .containsOnlyKeys(
             "job", "end", "slice", "suspension", "quota-limit", "quota-account", "feature-member");
-    assertThat(StateCodec.batchOf(keys.get("slice"))).isEqualTo(new TaskBatchKey("j-000007", 3));
-    assertThat(QuotaCodec.teamOf(keys.get("quota-limit"), QuotaCodec.LIMITS))
+    assertThat(StateCodec.parseTaskBatchKey(keys.get("slice")))
+        .isEqualTo(new TaskBatchKey("j-000007", 3));
+    assertThat(QuotaCodec.parseTeam(keys.get("quota-limit"), QuotaCodec.LIMITS))
         .isEqualTo("blue team/ä");
-    assertThat(QuotaCodec.teamOf(keys.get("quota-account"), QuotaCodec.ACCOUNTS))
+    assertThat(QuotaCodec.parseTeam(keys.get("quota-account"), QuotaCodec.ACCOUNTS))
         .isEqualTo("blue team/ä");
     assertThat(keys.get("job")).isEqualTo(StateCodec.jobKey("j-000007"));
     assertThat(keys.get("end")).isEqualTo(StateCodec.finalStateKey("j-000007"));
