--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -119,9 +119,10 @@
       answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(exchange, new PeerResponse.IdentifyResponse(incarnation));
-    } else if (request instanceof PeerRequest.Share share) {
+    } else if (request instanceof PeerRequest.LendWriteCapacity share) {
       leadership.borrowWriteCapacity(share.term(), share.changesPerS());
-      answer(exchange, new PeerResponse.ShareResponse(state.budget().drainChangeDemand()));
+      answer(
+          exchange, new PeerResponse.LendWriteCapacityResponse(state.budget().drainChangeDemand()));
     } else if (request instanceof PeerRequest.Handover handover) {
       leadership.acceptHandover(handover.member(), handover.term(), handover.sessionLease());
       answer(exchange, new PeerResponse.HandoverResponse());
--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -16,43 +16,48 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Calls the cloud's API, within its rate. Used on the event loop only. */
+/** Client of the cloud's API, which respects its rate limit. Used on the event loop only. */
 public final class CloudClient {
-  /** Seconds between lists of the machines at the least; the list itself lags by several. */
+  /**
+   * Minimum time between reads of the list of machines; the list itself lags by several seconds.
+   */
   private static final double MIN_LIST_INTERVAL_S = 4;
 
   /**
-   * Share of the cloud's rate that lists may take: the pages of a fleet of thousands would leave no
-   * calls for scale-out and scale-in, which need the rest.
+   * Maximum fraction of the request rate for reads of the list of machines. Without it, the pages
+   * of a fleet of thousands of machines would leave no requests for scale-out and scale-in.
    */
   private static final double LIST_RATE_FRACTION = 0.4;
 
   /**
-   * Seconds before a failed call is repeated: a read of the types, without which nothing is
+   * Delay before a failed request is retried: a read of the machine types, without which no job is
    * accepted, or a scale-out.
    */
   public static final double RETRY_DELAY_S = 1;
 
-  /** Seconds to wait for the cloud. */
+  /** Timeout of a request to the cloud. */
   private static final double CALL_TIMEOUT_S = 5.0;
 
-  /** Share of the cloud's rate that this controller uses; the others only read the types. */
+  /**
+   * Fraction of the cloud's rate limit that the leader uses; followers only read the machine types.
+   */
   private static final double RATE_FRACTION = 0.8;
 
-  /** Machines in one page of the list, a batch; a limit of the protocol. */
+  /** Maximum number of machines in one page of the list, a limit of the protocol. */
   private static final int MAX_MACHINES_PER_PAGE = 500;
 
-  /** Requests for one scale-out, all under the same name. */
+  /** Maximum number of requests for one scale-out, all under the same name. */
   private static final int MAX_SCALE_OUT_ATTEMPTS = 3;
 
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int SERVICE_UNAVAILABLE = 503;
 
   /**
-   * What a scale-out came to.
+   * Result of a scale-out.
    *
-   * @param machineNames the new machines, or null if there are none or nobody knows
-   * @param noCapacity true if the pool is empty
+   * @param machineNames names of the new machines, or null if none were created or the outcome is
+   *     unknown
+   * @param noCapacity true if the cloud has no such machine left
    */
   public record ScaleOutResult(List<String> machineNames, boolean noCapacity) {
     static ScaleOutResult created(List<String> machineNames) {
@@ -70,7 +75,7 @@
 
   private record ScaleOutRequest(String name, String type, String zone, boolean spot, int count) {}
 
-  /** The cloud's answer; {@code body} is null if none came or it is no JSON. */
+  /** A response of the cloud; {@code body} is null without a response or if it is not JSON. */
   private record Response(int status, JsonNode body) {
     static final Response NONE = new Response(Reply.NO_ANSWER, null);
 
@@ -94,30 +99,30 @@
   private final Map<String, Long> responseCounts = new HashMap<>();
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param address the cloud's, host:port
-   * @param rps requests a second that the cloud takes
+   * @param address host and port of the cloud's API
+   * @param requestsPerS rate limit of the cloud's API
    */
   public CloudClient(Loop loop, Transport transport, String address, double requestsPerS) {
     this.loop = loop;
     this.transport = transport;
     this.address = address;
-    // Bursts of two seconds' worth are allowed.
+    // The cloud allows bursts of two seconds' worth of requests.
     this.tokenBucket = new TokenBucket(loop, requestsPerS * RATE_FRACTION, requestsPerS);
   }
 
-  /** The number of answers by path and status, as metrics show them. */
+  /** Returns the number of responses by path and status, for metrics. */
   public Map<String, Long> responseCounts() {
     return responseCounts;
   }
 
-  /** The bucket that all calls take their tokens from. */
+  /** Returns the token bucket that limits all requests. */
   public TokenBucket tokenBucket() {
     return tokenBucket;
   }
 
-  /** Reads the machine types; calls back with null if there was no answer. */
+  /** Reads the machine types; passes null to the callback if the request fails. */
   public void listMachineTypes(Consumer<List<MachineType>> callback) {
     call(
         Use.READ,
@@ -129,13 +134,16 @@
                 response.hasResult() ? CloudCodec.decodeMachineTypes(response.body()) : null));
   }
 
-  /** Seconds that should lie between lists, so that most calls are left for other uses. */
+  /**
+   * Returns the time between reads of the list of machines, which leaves most requests for other
+   * uses.
+   */
   public double listIntervalS(int machineCount) {
     double pages = 1 + machineCount / (double) MAX_MACHINES_PER_PAGE;
     return Math.max(MIN_LIST_INTERVAL_S, pages / (tokenBucket.rate() * LIST_RATE_FRACTION));
   }
 
-  /** Reads the whole list of machines; calls back with null if a page of it did not come. */
+  /** Reads the entire list of machines; passes null to the callback if a page cannot be read. */
   public void listMachines(Consumer<List<ListedMachine>> callback) {
     listMachinesAfter("", new ArrayList<>(), callback);
   }
@@ -168,8 +176,8 @@
   }
 
   /**
-   * Scales out by {@code count} machines under a name that is used for this one request for ever. A
-   * request without an answer is repeated under the same name, so that it creates them once.
+   * Creates {@code count} machines. A failed request is retried under the same name, so that the
+   * machines are created only once; {@code name} must never be used for a different request.
    */
   public void scaleOut(
       String name,
@@ -202,7 +210,7 @@
         });
   }
 
-  /** Deletes machines; calls back with true once the cloud has said that they are gone. */
+  /** Deletes machines; passes true to the callback if the cloud confirms it. */
   public void scaleIn(List<String> names, Consumer<Boolean> callback) {
     call(
         Use.CLAIM,
@@ -212,7 +220,10 @@
         response -> callback.accept(response.isOk()));
   }
 
-  /** Makes a call once there is a token for it; calls back with no answer if it is refused. */
+  /**
+   * Sends a request once a token is available; passes {@link Response#NONE} to the callback if the
+   * token bucket refuses it.
+   */
   private void call(
       Use use, String method, String path, JsonNode body, Consumer<Response> callback) {
     tokenBucket.take(
--- a/src/main/java/graderelay/state/PeerMonitor.java
+++ b/src/main/java/graderelay/state/PeerMonitor.java
@@ -133,8 +133,8 @@
     for (Settings.Peer peer : peerClient.peers()) {
       peerClient.send(
           peer.address(),
-          new PeerRequest.Share(member, term, lending.changeRateOf(peer.member())),
-          PeerCodec::decodeShareResponse,
+          new PeerRequest.LendWriteCapacity(member, term, lending.changeRateOf(peer.member())),
+          PeerCodec::decodeLendWriteCapacityResponse,
           peerClient.timeoutS(),
           answer -> onAnswer(peer.member(), term, answer));
       suspendOrLift(peer.member());
@@ -143,7 +143,7 @@
   }
 
   /** Handles the answer to a status request of a term; {@code answer} is null if there is none. */
-  private void onAnswer(String peer, long term, PeerResponse.ShareResponse answer) {
+  private void onAnswer(String peer, long term, PeerResponse.LendWriteCapacityResponse answer) {
     if (answer != null) {
       lastAnswerAt.put(peer, loop.now());
     }
--- a/src/main/java/graderelay/wire/BadRequestException.java
+++ b/src/main/java/graderelay/wire/BadRequestException.java
@@ -1,24 +1,33 @@
 package graderelay.wire;
 
-/** A request whose sender has to change it; the message names the field and says what is wrong. */
+/**
+ * An invalid request, which fails again unless the sender changes it. The message is returned to
+ * the sender.
+ */
 public final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final String field;
 
-  /** A mistake that is not about one field: the message is told to the sender as it is. */
+  /** Creates an exception for an error that does not concern a single field. */
   public BadRequestException(String message) {
     super(message, null, false, false);
     this.field = null;
   }
 
-  /** A mistake in one field: the sender is told the field's wire name and the problem. */
+  /**
+   * Creates an exception for an invalid field; the message is the field's wire name and the
+   * problem.
+   */
   public BadRequestException(String field, String problem) {
     super(field + " " + problem, null, false, false);
     this.field = field;
   }
 
-  /** The wire name of the field that is wrong, or null if the mistake is not about one field. */
+  /**
+   * Returns the wire name of the invalid field, or null if the error does not concern a single
+   * field.
+   */
   public String field() {
     return field;
   }
--- a/src/main/java/graderelay/wire/CloudCodec.java
+++ b/src/main/java/graderelay/wire/CloudCodec.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * What passes between the cloud and controllers. The cloud's own words stand in the doc comments of
- * the keys below.
+ * Encodes requests to the cloud's API and decodes its responses. The names that the API uses are
+ * given in the comments on the keys below.
  */
 public final class CloudCodec {
   /** Wire name "rigs": the machine types. */
@@ -30,7 +30,7 @@
 
   private static final String ON_DEMAND_PRICE = "price";
 
-  /** Wire name "market_price": the present price of a spot instance. */
+  /** Wire name "market_price": the current price of a spot instance. */
   private static final String SPOT_PRICE = "market_price";
 
   /** Wire name "ready_s": the nominal boot time in seconds. */
@@ -61,23 +61,25 @@
   /** Wire name "age_s": seconds since the scale-out request that started the machine. */
   private static final String AGE_S = "age_s";
 
-  /** Wire name that tells whether machines follow after this page. */
+  /** Whether the list continues after this page. */
   private static final String TRUNCATED = "truncated";
 
-  /** Wire name "hire": the name of a scale-out request, which makes it idempotent. */
+  /** Wire name "hire": the unique name of a scale-out request, which makes it idempotent. */
   private static final String SCALE_OUT_NAME = "hire";
 
-  /** Wire name "how_many": how many machines a scale-out request asks for. */
+  /** Wire name "how_many": the number of machines to create. */
   private static final String MACHINE_COUNT = "how_many";
 
   private static final String ERROR = "error";
 
-  /** The error of a scale-out request for a type, zone and kind that has no machine left. */
+  /**
+   * The error text if the cloud has no machine left of the requested type and pricing in the zone.
+   */
   private static final String NO_CAPACITY = "no capacity";
 
   private CloudCodec() {}
 
-  /** The machine types that the cloud offers, with their present prices. */
+  /** Decodes the machine types that the cloud offers, with their current prices. */
   public static List<MachineType> decodeMachineTypes(JsonNode n) {
     List<MachineType> types = new ArrayList<>();
     for (JsonNode t : n.path(MACHINE_TYPES)) {
@@ -98,7 +100,7 @@
     return types;
   }
 
-  /** One page of the list of machines, in the order of their names. */
+  /** Decodes one page of the list of machines, in the order of their names. */
   public static List<ListedMachine> decodeMachines(JsonNode n) {
     List<ListedMachine> list = new ArrayList<>();
     for (JsonNode m : n.path(MACHINES)) {
@@ -115,14 +117,15 @@
     return list;
   }
 
-  /** True if machines follow after this page of the list. */
+  /** Whether the list continues after this page. */
   public static boolean decodeTruncated(JsonNode n) {
     return n.path(TRUNCATED).asBoolean(false);
   }
 
   /**
-   * A request to scale out by {@code count} machines. {@code name} must never be used for another
-   * request: repeating it starts no more machines.
+   * Encodes a request to create {@code count} machines. The cloud creates no more machines if a
+   * request is repeated under the same name, so {@code name} must not be reused for a different
+   * request.
    */
   public static ObjectNode encodeScaleOut(
       String name, String type, String zone, boolean spot, int count) {
@@ -134,14 +137,14 @@
         .put(MACHINE_COUNT, count);
   }
 
-  /** The machines that a scale-out request has started. */
+  /** Decodes the names of the machines that a scale-out request created. */
   public static List<String> decodeMachineNames(JsonNode n) {
     List<String> names = new ArrayList<>();
     n.path(MACHINES).forEach(m -> names.add(m.asText()));
     return names;
   }
 
-  /** A request to delete these machines. */
+  /** Encodes a request to delete machines. */
   public static ObjectNode encodeMachineNames(List<String> names) {
     ObjectNode n = Json.object();
     var a = n.putArray(MACHINES);
@@ -149,7 +152,10 @@
     return n;
   }
 
-  /** True if a refusal of a scale-out request says that no such machine is left; null is none. */
+  /**
+   * Whether the error response to a scale-out request reports that no such machine is left; false
+   * for null.
+   */
   public static boolean decodeNoCapacity(JsonNode errorResponse) {
     return errorResponse != null && errorResponse.path(ERROR).asText().equals(NO_CAPACITY);
   }
--- a/src/main/java/graderelay/wire/ElectionRecordCodec.java
+++ b/src/main/java/graderelay/wire/ElectionRecordCodec.java
@@ -8,8 +8,8 @@
 import graderelay.wire.StateCodec.TermRecord;
 
 /**
- * The stored records that decide who leads: the leader ("owner", {@code g/owner}), the counter of
- * terms ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
+ * Encodes the stored records of leader election: the leader ("owner", {@code g/owner}), the current
+ * term ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
  * that lease delegates have released ("deputies", {@code g/deputy/MEMBER}).
  */
 final class ElectionRecordCodec {
@@ -19,19 +19,22 @@
   /** Wire name "mesh": the address at which other controllers reach the leader. */
   static final String PEER_ADDRESS = "mesh";
 
-  /** Wire name "leaving": the incarnation that is about to leave its suspension, or empty. */
+  /** Wire name "leaving": the incarnation whose suspension is about to end, or empty. */
   static final String LEAVING_INCARNATION = "leaving";
 
   /** Wire name "self": the lease delegate's incarnation. */
   static final String DELEGATE_INCARNATION = "self";
 
-  /** Wire name "n": the last request whose grant was released. */
+  /** Wire name "n": the sequence number of the last request whose grant was released. */
   static final String RELEASED_UP_TO = "n";
 
-  /** Wire name "of": the term whose grants were released. */
+  /** Wire name "of": the first term of the leader process whose grants were released. */
   static final String GRANTOR_TERM = "of";
 
-  /** Wire name "alone": seconds since the lease delegate last answered workers by itself. */
+  /**
+   * Wire name "alone": seconds since the lease delegate last responded to a worker without the
+   * leader, or since its process started.
+   */
   static final String SINCE_AUTONOMOUS_RESPONSE_S = "alone";
 
   private ElectionRecordCodec() {}
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -8,46 +8,46 @@
 import graderelay.features.Member;
 
 /**
- * The records of feature levels and their keys. They stand below {@link StateCodec#TERM}, a prefix
- * that every version lists first, so that they cost no further request at a start. Versions before
- * feature levels pass over them there and in a watch, and never write them.
+ * Keys and records of feature levels. Most keys have the prefix {@link StateCodec#TERM}, which
+ * every version lists first at startup, so loading them needs no additional request. Versions that
+ * precede feature levels ignore these keys in lists and watches, and never write them.
  */
 public final class FeatureCodec {
-  /** Everything about feature levels. */
+  /** Prefix of all keys of feature levels except the compact hints. */
   public static final String ROOT = "g/term/feature/";
 
-  /** The cluster's finalized level; without it the level is {@link Feature#BASE_LEVEL}. */
+  /** The cluster's finalized level, {@link Feature#BASE_LEVEL} if the key does not exist. */
   public static final String LEVEL = "g/term/feature/level";
 
-  /** Present while operators want the cluster to stay at its level. */
+  /** Exists while operators have paused changes of the feature level. */
   public static final String PAUSE = "g/term/feature/hold";
 
-  /** What each controller has published of itself. */
+  /** Prefix of the records in which controllers publish their version and supported levels. */
   public static final String MEMBERS = "g/term/feature/member/";
 
-  /** Who leads, in place of {@link StateCodec#LEADER}, once elections are sealed. */
+  /** The leader, in place of {@link StateCodec#LEADER} once elections are sealed. */
   public static final String LEADER = "g/term/feature/leader";
 
   /**
-   * Suspended controllers, in place of {@link StateCodec#SUSPENSIONS}, once elections are sealed.
+   * Prefix of suspensions, in place of {@link StateCodec#SUSPENSIONS} once elections are sealed.
    */
   public static final String SUSPENSIONS = "g/term/feature/suspension/";
 
-  /** Hints for the next leader in their compact form. */
+  /** Prefix of the hints for the next leader in compact form. */
   public static final String HINTS = "g/hints/";
 
-  /** The images on machines, in their compact form. */
+  /** Prefix of the records of which images machines have, in compact form. */
   public static final String IMAGE_HINTS = "g/hints/images/";
 
-  /** The recent demand, in its compact form. */
+  /** The recent demand, in compact form. */
   public static final String DEMAND_HINT = "g/hints/demand";
 
-  /** Stands in {@link StateCodec#LEADER} once elections are sealed; no controller is called so. */
+  /** Value of {@link StateCodec#LEADER} once elections are sealed; not a valid controller name. */
   public static final String SEALED_LEADER = "sealed:feature-levels";
 
   private static final String LEVEL_NUMBER = "level";
 
-  /** The level that the cluster is being lowered to; absent unless it is being lowered. */
+  /** Target level of a downgrade; absent unless a downgrade is in progress. */
   private static final String TARGET_LEVEL = "target";
 
   private static final String VERSION = "version";
@@ -55,21 +55,23 @@
   private static final String MAX_LEVEL = "max";
   private static final String INCARNATION = "incarnation";
 
-  /** Stored name "began": the time of day in milliseconds at which the process began. */
+  /** Stored name "began": start time of the process in milliseconds since the epoch. */
   private static final String STARTED_MS = "began";
 
-  /** Characters of a text in a member's record; more is a mistake. */
+  /** Maximum number of characters of a text in a member's record; a longer one is malformed. */
   private static final int MAX_TEXT_LENGTH = 128;
 
   private FeatureCodec() {}
 
-  /** The cluster's level; the target is left out unless the level is being lowered. */
+  /** Encodes the cluster's level; the target is omitted unless a downgrade is in progress. */
   public static ObjectNode encodeLevel(ClusterLevel level) {
     ObjectNode n = Json.object().put(LEVEL_NUMBER, level.level());
     return level.lowering() ? n.put(TARGET_LEVEL, level.target()) : n;
   }
 
-  /** Reads the record; a level that this program does not know is no mistake of the record. */
+  /**
+   * Decodes the cluster's level. A level that this version does not support is not an error here.
+   */
   public static ClusterLevel decodeLevel(JsonNode n) throws MalformedRecordException {
     int level = decodeFeatureLevel(n, LEVEL_NUMBER);
     int target = n.has(TARGET_LEVEL) ? decodeFeatureLevel(n, TARGET_LEVEL) : level;
@@ -79,12 +81,12 @@
     return new ClusterLevel(level, target);
   }
 
-  /** The key of what controller {@code member} has published of itself. */
+  /** Returns the key of the record that controller {@code member} publishes. */
   public static String memberKey(String member) {
     return MEMBERS + member;
   }
 
-  /** What a controller publishes of itself. */
+  /** Encodes the record that a controller publishes. */
   public static ObjectNode encodeMember(Member member) {
     return Json.object()
         .put(VERSION, member.version())
@@ -94,7 +96,7 @@
         .put(STARTED_MS, member.beganMs());
   }
 
-  /** Controller {@code name} from its record and the record's revision. */
+  /** Decodes the record that controller {@code name} published, with the record's revision. */
   public static Member decodeMember(String name, JsonNode n, long revision)
       throws MalformedRecordException {
     int min = decodeFeatureLevel(n, MIN_LEVEL);
@@ -104,7 +106,8 @@
     }
     JsonNode startedMs = n.path(STARTED_MS);
     if (!startedMs.isIntegralNumber()) {
-      throw new MalformedRecordException(STARTED_MS, "must be a time of day in milliseconds");
+      throw new MalformedRecordException(
+          STARTED_MS, "must be a time in milliseconds since the epoch");
     }
     return new Member(
         name,
--- a/src/main/java/graderelay/wire/FinalStateCodec.java
+++ b/src/main/java/graderelay/wire/FinalStateCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The stored final state of a job ("end", {@code g/end/JOB}). */
+/** Encodes the stored final state of a job ("end", {@code g/end/JOB}). */
 final class FinalStateCodec {
   /** Wire name "end": how the job ended, {@link #DONE} or {@link #CANCELLED}. */
   static final String OUTCOME = "end";
@@ -12,7 +12,10 @@
   static final String CANCELLED = "cancelled";
   static final String TASKS = "tasks";
 
-  /** Wire name "at": the time of day of the write in milliseconds; old records don't have it. */
+  /**
+   * Wire name "at": time of the write in milliseconds since the epoch; absent in records of older
+   * versions.
+   */
   static final String WRITTEN_AT_MS = "at";
 
   private FinalStateCodec() {}
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * The stored record of a job ({@code g/job/ID}): its terms as the user gave them, and whether its
- * user asked to stop it. Optional fields are left out when absent, so that older versions read the
- * records of jobs that don't use them.
+ * Encodes the stored record of a job ({@code g/job/ID}): its specification and whether its user
+ * requested to stop it. Optional fields are omitted when not set, so that older versions can read
+ * the records of jobs that do not use them.
  */
 final class JobRecordCodec {
   static final String CLASS = "class";
@@ -41,7 +41,7 @@
 
   private JobRecordCodec() {}
 
-  /** A job's record. */
+  /** Encodes a job's record. */
   static ObjectNode encode(JobSpec spec, boolean stopRequested) {
     ObjectNode n = Json.object();
     n.put(CLASS, spec.jobClass()).put(TEAM, spec.team()).put(KIND, spec.kind().name());
@@ -71,12 +71,12 @@
     return n;
   }
 
-  /** True if the job's user asked to stop it. */
+  /** Whether the job's user requested to stop it. */
   static boolean decodeStopRequested(JsonNode n) {
     return n.path(STOP_REQUESTED).asBoolean(false);
   }
 
-  /** The terms of job {@code id} from its record. */
+  /** Decodes the specification of job {@code id} from its record. */
   static JobSpec decode(String id, JsonNode n) {
     List<String> types = null;
     if (n.has(MACHINE_TYPES)) {
--- a/src/main/java/graderelay/wire/Json.java
+++ b/src/main/java/graderelay/wire/Json.java
@@ -10,29 +10,30 @@
 import java.io.IOException;
 
 /**
- * JSON with the outside, CBOR between controllers. Trees and not bound classes: binding costs
- * start-up time that a third of a core feels at each restart.
+ * Reads and writes JSON, which external clients and services use, and CBOR, which controllers use
+ * among themselves. Both are processed as trees: data binding to classes would lengthen each start
+ * noticeably on the third of a CPU core that a controller has.
  */
 public final class Json {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final ObjectMapper CBOR = new CBORMapper();
 
-  /** Wire name of the text that says what went wrong. */
+  /** Wire name of the error message. */
   private static final String ERROR = "error";
 
   private Json() {}
 
-  /** A new, empty JSON object. */
+  /** Returns a new, empty JSON object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** A new, empty JSON list. */
+  /** Returns a new, empty JSON array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** The tree, or null if these bytes are not one JSON value. */
+  /** Parses a JSON value; returns null if the bytes are not exactly one JSON value. */
   public static JsonNode read(byte[] bytes) {
     try (var parser = JSON.getFactory().createParser(bytes)) {
       JsonNode n = JSON.readTree(parser);
@@ -42,7 +43,7 @@
     }
   }
 
-  /** The JSON text of a tree, as UTF-8. */
+  /** Serializes a tree as JSON text in UTF-8. */
   public static byte[] write(JsonNode n) {
     try {
       return JSON.writeValueAsBytes(n);
@@ -51,7 +52,7 @@
     }
   }
 
-  /** The tree, or null if these bytes are not CBOR. */
+  /** Parses a CBOR value; returns null if the bytes are not valid CBOR. */
   public static JsonNode readCbor(byte[] bytes) {
     try {
       JsonNode n = CBOR.readTree(bytes);
@@ -61,7 +62,7 @@
     }
   }
 
-  /** The CBOR bytes of a tree. */
+  /** Serializes a tree as CBOR. */
   public static byte[] writeCbor(JsonNode n) {
     try {
       return CBOR.writeValueAsBytes(n);
@@ -70,7 +71,7 @@
     }
   }
 
-  /** The body of an answer that says what went wrong. */
+  /** Returns the JSON body of an error response. */
   public static byte[] errorBody(String message) {
     return write(object().put(ERROR, message));
   }
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -12,9 +12,10 @@
 import java.util.Map;
 
 /**
- * Hints that a leader leaves for the next one after failover, in their plain form: the recent
- * demand by job class ({@code g/demand}) and which images machines have ({@code g/images/PART}).
- * They are hints, so a record that would be too large leaves some of its content out.
+ * Encodes the hints that a leader stores for its successor after failover, in plain form: the
+ * recent demand by job class ({@code g/demand}) and which images machines have ({@code
+ * g/images/PART}). Since they are only hints, content is omitted from a record that would be too
+ * large.
  */
 final class LeaderHintCodec {
   static final String CLASSES = "classes";
@@ -23,12 +24,17 @@
   static final String IMAGE_NAMES = "images";
   static final String IMAGE_MASKS = "machines";
 
-  /** The id under which the latest job of a class is read; it is never a job's own. */
+  /**
+   * Id of a decoded latest job of a class, since its own id is not stored; no real job has this id.
+   */
   private static final String PLACEHOLDER_JOB_ID = "j-0";
 
   private LeaderHintCodec() {}
 
-  /** Each arrival as [time of day in ms, jobs], from its age in seconds now. */
+  /**
+   * Encodes the recent demand. Each arrival, given as [age in seconds, number of jobs], is stored
+   * as [time in milliseconds since the epoch, number of jobs].
+   */
   static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs) {
     ObjectNode n = Json.object();
     ArrayNode list = n.putArray(CLASSES);
@@ -45,7 +51,10 @@
     return n;
   }
 
-  /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
+  /**
+   * Encodes the recent demand in at most {@code maxBytes}; omits the oldest arrivals first, then
+   * whole classes.
+   */
   static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
     int maxArrivals = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
     ObjectNode n = encodeDemand(classes, nowMs);
@@ -65,7 +74,9 @@
     return n;
   }
 
-  /** Each arrival as [age in seconds now, at least 0; jobs]. */
+  /**
+   * Decodes the recent demand, with each arrival as [age in seconds, at least 0; number of jobs].
+   */
   static List<Action.Demand> decodeDemand(JsonNode n, long nowMs) {
     List<Action.Demand> classes = new ArrayList<>();
     for (JsonNode jobClass : n.path(CLASSES)) {
@@ -80,7 +91,10 @@
     return classes;
   }
 
-  /** Each image's name once, at most {@code most} of them, and for each machine a bit mask. */
+  /**
+   * Encodes which images machines have, as a list of at most {@code maxImages} image names and a
+   * bit mask over that list for each machine.
+   */
   static ObjectNode encodeImages(Map<String, List<String>> imagesByMachine, int maxImages) {
     ObjectNode n = Json.object();
     ArrayNode names = n.putArray(IMAGE_NAMES);
@@ -103,7 +117,9 @@
     return n;
   }
 
-  /** The same within so many bytes; it is a hint, so some machines may be left out. */
+  /**
+   * Encodes which images machines have in at most {@code maxBytes}, omitting machines if necessary.
+   */
   static ObjectNode encodeImages(
       Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
     Map<String, List<String>> included = new LinkedHashMap<>(imagesByMachine);
@@ -117,7 +133,7 @@
     return n;
   }
 
-  /** The images of each machine, from the names and the bit masks. */
+  /** Decodes the images of each machine from the image names and the bit masks. */
   static Map<String, List<String>> decodeImages(JsonNode n) {
     Map<String, List<String>> imagesByMachine = new HashMap<>();
     JsonNode names = n.path(IMAGE_NAMES);
--- a/src/main/java/graderelay/wire/MalformedRecordException.java
+++ b/src/main/java/graderelay/wire/MalformedRecordException.java
@@ -1,24 +1,30 @@
 package graderelay.wire;
 
-/** A stored record has not the form that it should have; the message says what is wrong. */
+/** Thrown if a stored record does not have the expected form. */
 public final class MalformedRecordException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final String field;
 
-  /** A mistake that is not about one field. */
+  /** Creates an exception for an error that does not concern a single field. */
   MalformedRecordException(String message) {
     super(message);
     this.field = null;
   }
 
-  /** A mistake in one field: the message is the field's stored name and the problem. */
+  /**
+   * Creates an exception for an invalid field; the message is the field's stored name and the
+   * problem.
+   */
   MalformedRecordException(String field, String problem) {
     super(field + " " + problem);
     this.field = field;
   }
 
-  /** The stored name of the field that is wrong, or null if the mistake is not about one field. */
+  /**
+   * Returns the stored name of the invalid field, or null if the error does not concern a single
+   * field.
+   */
   public String field() {
     return field;
   }
--- a/src/main/java/graderelay/wire/PeerCodec.java
+++ b/src/main/java/graderelay/wire/PeerCodec.java
@@ -7,30 +7,30 @@
 import java.util.function.Function;
 
 /**
- * The form of what passes between controllers: CBOR maps, whose fields {@link PeerRequestCodec} and
- * {@link PeerResponseCodec} know. The version in production reads and writes the same, see {@code
- * ProductionFormatsTest}, so no name may change; whoever adds a field must take its absence for
- * "not granted".
+ * Encodes and decodes messages between controllers as CBOR maps. {@link PeerRequestCodec} and
+ * {@link PeerResponseCodec} define their fields. The format is compatible with the version in
+ * production, see {@code ProductionFormatsTest}: no name may change, and the absence of a new field
+ * must mean "not granted".
  */
 public final class PeerCodec {
-  /** Wire name of the bytes of a request or an answer that is passed on. */
+  /** Wire name of the body of a relayed request or response. */
   static final String BODY = "body";
 
-  /** Wire name of the feature level that the sender takes for the cluster's. */
+  /** Wire name of the feature level of the cluster as the sender has read it. */
   private static final String FEATURE_LEVEL = "level";
 
   private PeerCodec() {}
 
   // ---------------------------------------------------------------- requests
 
-  /** The bytes of a request in a cluster below the first feature level. */
+  /** Encodes a request in a cluster at the base feature level. */
   public static byte[] encodeRequest(PeerRequest request) {
     return encodeRequest(request, Feature.BASE_LEVEL);
   }
 
   /**
-   * The bytes of a request. A cluster below the first feature level sends just what versions before
-   * feature levels do.
+   * Encodes a request. In a cluster at the base feature level, the bytes are identical to those of
+   * versions without feature levels.
    */
   public static byte[] encodeRequest(PeerRequest request, int featureLevel) {
     ObjectNode n = PeerRequestCodec.encode(request);
@@ -41,14 +41,14 @@
   }
 
   /**
-   * A request with what its sender knows.
+   * A request with its sender's feature level.
    *
-   * @param request null if it is none that this version knows
-   * @param featureLevel the level that the sender takes for the cluster's
+   * @param request null if this version does not support the request
+   * @param featureLevel the feature level of the cluster as the sender has read it
    */
   public record Envelope(PeerRequest request, int featureLevel) {}
 
-  /** Reads a request and its sender's feature level in one pass. */
+  /** Decodes a request and its sender's feature level. */
   public static Envelope decodeEnvelope(byte[] bytes) {
     JsonNode n = Json.readCbor(bytes);
     return n == null
@@ -56,44 +56,49 @@
         : new Envelope(PeerRequestCodec.decode(n), n.path(FEATURE_LEVEL).asInt(Feature.BASE_LEVEL));
   }
 
-  /** The request, or null if these bytes are none that this version knows. */
+  /**
+   * Decodes a request; returns null if this version does not support it or the bytes are not CBOR.
+   */
   public static PeerRequest decodeRequest(byte[] bytes) {
     return decodeEnvelope(bytes).request();
   }
 
-  // ---------------------------------------------------------------- answers
+  // ---------------------------------------------------------------- responses
 
-  /** The bytes of an answer. */
+  /** Encodes a response. */
   public static byte[] encodeResponse(PeerResponse response) {
     return Json.writeCbor(PeerResponseCodec.encode(response));
   }
 
-  /** The answer to a request for a pledge, or null if these bytes are none. */
+  /** Decodes the response to a request for a pledge; returns null if the bytes are not CBOR. */
   public static PeerResponse.PledgeResponse decodePledgeResponse(byte[] bytes) {
     return decode(bytes, PeerResponseCodec::decodePledgeResponse);
   }
 
-  /** The answer to the offer of a share, or null if these bytes are none. */
-  public static PeerResponse.ShareResponse decodeShareResponse(byte[] bytes) {
-    return decode(bytes, PeerResponseCodec::decodeShareResponse);
+  /** Decodes the response to an offer of write capacity; returns null if the bytes are not CBOR. */
+  public static PeerResponse.LendWriteCapacityResponse decodeLendWriteCapacityResponse(
+      byte[] bytes) {
+    return decode(bytes, PeerResponseCodec::decodeLendWriteCapacityResponse);
   }
 
-  /** The answer to the request for the identity of a process, or null if these bytes are none. */
+  /**
+   * Decodes the response to a request for the identity of a process; returns null if it has none.
+   */
   public static PeerResponse.IdentifyResponse decodeIdentifyResponse(byte[] bytes) {
     return decode(bytes, PeerResponseCodec::decodeIdentifyResponse);
   }
 
-  /** The answer to a handover, or null if these bytes are none. */
+  /** Decodes the response to a handover; returns null if the bytes are not CBOR. */
   public static PeerResponse.HandoverResponse decodeHandoverResponse(byte[] bytes) {
     return decode(bytes, n -> new PeerResponse.HandoverResponse());
   }
 
-  /** The answer to a request for a delegation, or null if these bytes are none. */
+  /** Decodes the response to a delegation request; returns null if the bytes are not CBOR. */
   public static PeerResponse.DelegationResponse decodeDelegationResponse(byte[] bytes) {
     return decode(bytes, PeerResponseCodec::decodeDelegationResponse);
   }
 
-  /** What the sender of a request that was passed on is to be told, or null if that is not here. */
+  /** Decodes the response to a relayed request; returns null if it has no status. */
   public static PeerResponse.RelayedResponse decodeRelayedResponse(byte[] bytes) {
     return decode(bytes, PeerResponseCodec::decodeRelayedResponse);
   }
@@ -103,7 +108,7 @@
     return n == null ? null : decoder.apply(n);
   }
 
-  /** The bytes that a message passes on; none if the field is absent or has no bytes. */
+  /** Decodes the body of a relayed message, which is empty if the field is absent or not binary. */
   static byte[] decodeBody(JsonNode n) {
     try {
       byte[] body = n.path(BODY).binaryValue();
--- a/src/main/java/graderelay/wire/PeerRequest.java
+++ b/src/main/java/graderelay/wire/PeerRequest.java
@@ -1,30 +1,46 @@
 package graderelay.wire;
 
-/** What one controller asks of another. {@link PeerCodec} has its form on the wire. */
+/** A request of one controller to another; {@link PeerCodec} encodes and decodes it. */
 public sealed interface PeerRequest {
-  /** The leader can't renew its session lease and asks a peer not to stand for election. */
+  /**
+   * Requests a pledge not to stand for election, while the leader cannot renew its session lease.
+   *
+   * @param seconds duration of the pledge
+   */
   record Pledge(String member, long term, double seconds) implements PeerRequest {}
 
-  /** A controller that keeps workers' leases without a leader asks the same of a peer. */
+  /**
+   * Requests a pledge not to stand for election, while workers' leases are renewed without a
+   * leader.
+   *
+   * @param seconds duration of the pledge
+   */
   record LeaderlessPledge(String member, double seconds) implements PeerRequest {}
 
-  /** The leader asks how a peer is and lends it changes a second for the moment. */
-  record Share(String member, long term, double changesPerS) implements PeerRequest {}
+  /**
+   * Sent by the leader to check a peer's health and to lend it write capacity until the next
+   * request.
+   *
+   * @param changesPerS the peer's rate of changes to the key-value store, including the lent part
+   */
+  record LendWriteCapacity(String member, long term, double changesPerS) implements PeerRequest {}
 
   /**
-   * The leader has stopped and leaves the leadership to a peer, which may end this session lease.
+   * Hands leadership over to a peer after the leader has stopped.
+   *
+   * @param sessionLease the former leader's session lease, which the peer may revoke
    */
   record Handover(String member, long term, long sessionLease) implements PeerRequest {}
 
   /**
-   * A controller asks the leader to be its lease delegate in its own zone.
+   * Requests the leader's permission to act as lease delegate in the sender's zone.
    *
-   * @param incarnation tells this process from earlier ones of the same member
-   * @param sequenceNumber the sequence number of the request
-   * @param grantorTerm the term whose grant it has, 0 for none
-   * @param leaderTime the leader's time of the last grant that it has heard of
-   * @param sinceAutonomousResponseS seconds since it last answered workers by itself, or since its
-   *     process began
+   * @param incarnation identifies the process among all processes of the same member
+   * @param sequenceNumber sequence number of the request
+   * @param grantorTerm the first term of the leader process that made its current grant, 0 for none
+   * @param leaderTime the time of the last grant it received, in seconds on the leader's clock
+   * @param sinceAutonomousResponseS seconds since it last responded to a worker as a lease
+   *     delegate, or since its process started
    */
   record Delegation(
       String member,
@@ -35,16 +51,16 @@
       double sinceAutonomousResponseS)
       implements PeerRequest {}
 
-  /** The leader asks which process a controller is. */
+  /** Requests the identity of the process that currently runs as a controller. */
   record Identify(String member) implements PeerRequest {}
 
-  /** Passes on a worker's heartbeat that came to this member. */
+  /** Relays a heartbeat that a worker sent to this member. */
   record RelayedHeartbeat(String member, byte[] body) implements PeerRequest {}
 
-  /** Passes on a user's request. */
+  /** Relays a user's request. */
   record RelayedUserRequest(String method, String path, byte[] body) implements PeerRequest {}
 
-  /** Passes on an operator's request. */
+  /** Relays an operator's request. */
   record RelayedAdminRequest(String method, String path, String query, byte[] body)
       implements PeerRequest {}
 }
--- a/src/main/java/graderelay/wire/PeerRequestCodec.java
+++ b/src/main/java/graderelay/wire/PeerRequestCodec.java
@@ -3,29 +3,31 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The fields of each {@link PeerRequest}; {@link PeerCodec} has the envelope around them. */
+/**
+ * Encodes and decodes the fields of each {@link PeerRequest}; {@link PeerCodec} adds the envelope.
+ */
 final class PeerRequestCodec {
   static final String KIND = "kind";
 
-  /** Wire name "promise": a request for an election pledge by the leader. */
+  /** Wire name "promise": a request of the leader for an election pledge. */
   private static final String PLEDGE = "promise";
 
   /** Wire name "keep": a request for an election pledge while there is no leader. */
   private static final String LEADERLESS_PLEDGE = "keep";
 
-  private static final String SHARE = "share";
+  private static final String LEND_WRITE_CAPACITY = "share";
   private static final String HANDOVER = "handover";
 
-  /** Wire name "deputy": a request to be a lease delegate. */
+  /** Wire name "deputy": a request to become a lease delegate. */
   private static final String DELEGATION = "deputy";
 
   private static final String IDENTIFY = "identify";
 
-  /** Wire name "report": a worker's heartbeat that is passed on. */
-  private static final String HEARTBEAT = "report";
+  /** Wire name "report": a relayed heartbeat of a worker. */
+  private static final String RELAYED_HEARTBEAT = "report";
 
-  private static final String USER = "user";
-  private static final String ADMIN = "admin";
+  private static final String RELAYED_USER_REQUEST = "user";
+  private static final String RELAYED_ADMIN_REQUEST = "admin";
 
   private static final String MEMBER = "member";
   private static final String TERM = "term";
@@ -35,13 +37,13 @@
   /** Wire name "hold": the id of the leader's session lease. */
   private static final String SESSION_LEASE = "hold";
 
-  /** Wire name "self": tells the asking process from earlier ones of the same member. */
+  /** Wire name "self": identifies the sending process among all processes of the same member. */
   private static final String INCARNATION = "self";
 
   /** Wire name "n": the sequence number of the request. */
   private static final String SEQUENCE_NUMBER = "n";
 
-  /** Wire name "of": the term whose grant the asker has. */
+  /** Wire name "of": the first term of the leader process that made the current grant. */
   private static final String GRANTOR_TERM = "of";
 
   private static final String LEADER_TIME = "echo";
@@ -52,7 +54,7 @@
 
   private PeerRequestCodec() {}
 
-  /** The tree of a request. */
+  /** Encodes a request as a tree. */
   static ObjectNode encode(PeerRequest request) {
     if (request instanceof PeerRequest.Pledge pledge) {
       return encodeMember(PLEDGE, pledge.member())
@@ -61,10 +63,10 @@
     } else if (request instanceof PeerRequest.LeaderlessPledge leaderlessPledge) {
       return encodeMember(LEADERLESS_PLEDGE, leaderlessPledge.member())
           .put(SECONDS, leaderlessPledge.seconds());
-    } else if (request instanceof PeerRequest.Share share) {
-      return encodeMember(SHARE, share.member())
-          .put(TERM, share.term())
-          .put(CHANGES_PER_S, share.changesPerS());
+    } else if (request instanceof PeerRequest.LendWriteCapacity lend) {
+      return encodeMember(LEND_WRITE_CAPACITY, lend.member())
+          .put(TERM, lend.term())
+          .put(CHANGES_PER_S, lend.changesPerS());
     } else if (request instanceof PeerRequest.Handover handover) {
       return encodeMember(HANDOVER, handover.member())
           .put(TERM, handover.term())
@@ -72,16 +74,22 @@
     } else if (request instanceof PeerRequest.Delegation delegation) {
       return encodeDelegation(delegation);
     } else if (request instanceof PeerRequest.RelayedHeartbeat heartbeat) {
-      return encodeMember(HEARTBEAT, heartbeat.member()).put(PeerCodec.BODY, heartbeat.body());
+      return encodeMember(RELAYED_HEARTBEAT, heartbeat.member())
+          .put(PeerCodec.BODY, heartbeat.body());
     } else if (request instanceof PeerRequest.RelayedUserRequest userRequest) {
-      return encodeRelayed(USER, userRequest.method(), userRequest.path(), userRequest.body());
+      return encodeRelayed(
+          RELAYED_USER_REQUEST, userRequest.method(), userRequest.path(), userRequest.body());
     } else if (request instanceof PeerRequest.Identify identify) {
       return encodeMember(IDENTIFY, identify.member());
     } else if (request instanceof PeerRequest.RelayedAdminRequest adminRequest) {
-      return encodeRelayed(ADMIN, adminRequest.method(), adminRequest.path(), adminRequest.body())
+      return encodeRelayed(
+              RELAYED_ADMIN_REQUEST,
+              adminRequest.method(),
+              adminRequest.path(),
+              adminRequest.body())
           .put(QUERY, adminRequest.query());
     }
-    throw new IllegalArgumentException("no form for " + request);
+    throw new IllegalArgumentException("no encoding for " + request);
   }
 
   private static ObjectNode encodeMember(String kind, String member) {
@@ -105,7 +113,7 @@
         .put(PeerCodec.BODY, body);
   }
 
-  /** The request of a tree, or null if it is none that this version knows. */
+  /** Decodes a request; returns null if this version does not support it. */
   static PeerRequest decode(JsonNode n) {
     String member = n.path(MEMBER).asText();
     long term = n.path(TERM).asLong();
@@ -115,13 +123,15 @@
     return switch (n.path(KIND).asText()) {
       case PLEDGE -> new PeerRequest.Pledge(member, term, seconds);
       case LEADERLESS_PLEDGE -> new PeerRequest.LeaderlessPledge(member, seconds);
-      case SHARE -> new PeerRequest.Share(member, term, n.path(CHANGES_PER_S).asDouble());
+      case LEND_WRITE_CAPACITY ->
+          new PeerRequest.LendWriteCapacity(member, term, n.path(CHANGES_PER_S).asDouble());
       case HANDOVER -> new PeerRequest.Handover(member, term, n.path(SESSION_LEASE).asLong());
       case DELEGATION -> decodeDelegation(member, n);
       case IDENTIFY -> new PeerRequest.Identify(member);
-      case HEARTBEAT -> new PeerRequest.RelayedHeartbeat(member, PeerCodec.decodeBody(n));
-      case USER -> new PeerRequest.RelayedUserRequest(method, path, PeerCodec.decodeBody(n));
-      case ADMIN ->
+      case RELAYED_HEARTBEAT -> new PeerRequest.RelayedHeartbeat(member, PeerCodec.decodeBody(n));
+      case RELAYED_USER_REQUEST ->
+          new PeerRequest.RelayedUserRequest(method, path, PeerCodec.decodeBody(n));
+      case RELAYED_ADMIN_REQUEST ->
           new PeerRequest.RelayedAdminRequest(
               method, path, n.path(QUERY).asText(), PeerCodec.decodeBody(n));
       default -> null;
--- a/src/main/java/graderelay/wire/PeerResponse.java
+++ b/src/main/java/graderelay/wire/PeerResponse.java
@@ -3,45 +3,53 @@
 import graderelay.core.KnownCancellations;
 import graderelay.net.Exchange.Answer;
 
-/** What a controller answers another. {@link PeerCodec} has its form on the wire. */
+/** A response of one controller to another; {@link PeerCodec} encodes and decodes it. */
 public sealed interface PeerResponse {
   /**
-   * To {@link PeerRequest.Pledge} and {@link PeerRequest.LeaderlessPledge}.
+   * Response to {@link PeerRequest.Pledge} and {@link PeerRequest.LeaderlessPledge}.
    *
-   * @param reachesStore the peer is served by the key-value store at the moment
+   * @param granted true if the peer pledges not to stand for election
+   * @param reachesStore true if the peer currently gets responses from the key-value store
    */
   record PledgeResponse(boolean granted, boolean reachesStore, KnownCancellations cancellations)
       implements PeerResponse {}
 
   /**
-   * To {@link PeerRequest.Share}.
+   * Response to {@link PeerRequest.LendWriteCapacity}.
    *
-   * @param changeDemand that the peer made, or would have made, since it was last asked
+   * @param changeDemand number of changes that the peer made, or would have made with sufficient
+   *     write capacity, since the previous request
    */
-  record ShareResponse(double changeDemand) implements PeerResponse {}
+  record LendWriteCapacityResponse(double changeDemand) implements PeerResponse {}
 
-  /** To {@link PeerRequest.Handover}. */
+  /** Response to {@link PeerRequest.Handover}. */
   record HandoverResponse() implements PeerResponse {}
 
   /**
-   * To {@link PeerRequest.Delegation}.
+   * Response to {@link PeerRequest.Delegation}.
    *
-   * @param grant null if the peer grants nothing
-   * @param cancellations null if the peer says nothing of them
+   * @param grant null if the delegation is refused
+   * @param cancellations null if the response contains none
    */
   record DelegationResponse(Grant grant, KnownCancellations cancellations)
       implements PeerResponse {}
 
-  /** Makes the asker a lease delegate under a term, from the leader's time {@code at}. */
+  /**
+   * Makes the requesting controller a lease delegate.
+   *
+   * @param term the term under which it may renew leases
+   * @param grantorTerm the first term of the leader process that made the grant
+   * @param leaderTime the time of the grant in seconds on the leader's clock
+   */
   record Grant(long term, long grantorTerm, double leaderTime) {}
 
   /**
-   * To {@link PeerRequest.Identify}.
+   * Response to {@link PeerRequest.Identify}.
    *
-   * @param incarnation tells this process from others of the same member
+   * @param incarnation identifies the process among all processes of the same member
    */
   record IdentifyResponse(String incarnation) implements PeerResponse {}
 
-  /** To a request that was passed on: what its sender is to be told. */
+  /** Response to a relayed request, to be returned to the original sender. */
   record RelayedResponse(Answer response) implements PeerResponse {}
 }
--- a/src/main/java/graderelay/wire/PeerResponseCodec.java
+++ b/src/main/java/graderelay/wire/PeerResponseCodec.java
@@ -8,58 +8,61 @@
 import java.util.List;
 
 /**
- * The fields of each {@link PeerResponse}. The absence of a field always means "not granted" or
- * "not known": an older peer doesn't send it.
+ * Encodes and decodes the fields of each {@link PeerResponse}. An absent field always means "not
+ * granted" or "not known", since older versions do not send it.
  */
 final class PeerResponseCodec {
   private static final String GRANTED = "granted";
 
-  /** Wire name "reaches": the peer is served by the key-value store at the moment. */
+  /** Wire name "reaches": whether the peer currently gets responses from the key-value store. */
   private static final String REACHES_STORE = "reaches";
 
-  /** Wire name "wanted": the store changes that the peer made or would have made. */
+  /**
+   * Wire name "wanted": the number of store changes that the peer made, or would have made with
+   * sufficient write capacity.
+   */
   private static final String CHANGE_DEMAND = "wanted";
 
   private static final String TERM = "term";
 
-  /** Wire name "of": the first term of the leader's process, which made the grant. */
+  /** Wire name "of": the first term of the leader process that made the grant. */
   private static final String GRANTOR_TERM = "of";
 
-  /** Wire name "at": the leader's time of the grant in seconds. */
+  /** Wire name "at": time of the grant in seconds on the leader's clock. */
   private static final String LEADER_TIME = "at";
 
   private static final String INCARNATION = "incarnation";
   private static final String STATUS = "status";
 
-  /** Wire name "retry": seconds after which the sender may retry, 0 if nothing is said. */
+  /** Wire name "retry": seconds after which the sender may retry, 0 if not specified. */
   private static final String RETRY_AFTER_S = "retry";
 
   private static final String CANCELLATIONS = "cancellations";
   private static final String COMPLETE = "complete";
 
-  /** Wire name "process": seconds since the peer's process began. */
+  /** Wire name "process": seconds since the peer's process started. */
   private static final String PROCESS_UPTIME_S = "process";
 
-  /** Wire name "known": seconds since the time up to which the peer knows cancellations. */
+  /** Wire name "known": seconds since the time up to which the peer knows all cancellations. */
   private static final String KNOWN_UNTIL_AGE_S = "known";
 
   private static final String JOBS = "jobs";
 
-  /** What an absent {@link #KNOWN_UNTIL_AGE_S} reads as: the peer knows of no time. */
+  /** Default for an absent {@link #KNOWN_UNTIL_AGE_S}: there is no such time. */
   private static final double KNOWN_UNTIL_NO_TIME = -1;
 
   private static final String JSON_CONTENT_TYPE = "application/json";
 
   private PeerResponseCodec() {}
 
-  /** The tree of an answer. */
+  /** Encodes a response as a tree. */
   static ObjectNode encode(PeerResponse response) {
     ObjectNode n = Json.object();
     if (response instanceof PeerResponse.PledgeResponse pledge) {
       n.put(GRANTED, pledge.granted()).put(REACHES_STORE, pledge.reachesStore());
       return addCancellations(n, pledge.cancellations());
-    } else if (response instanceof PeerResponse.ShareResponse share) {
-      return n.put(CHANGE_DEMAND, share.changeDemand());
+    } else if (response instanceof PeerResponse.LendWriteCapacityResponse lend) {
+      return n.put(CHANGE_DEMAND, lend.changeDemand());
     } else if (response instanceof PeerResponse.HandoverResponse) {
       return n;
     } else if (response instanceof PeerResponse.DelegationResponse delegation) {
@@ -77,7 +80,7 @@
           .put(PeerCodec.BODY, relayedResponse.body())
           .put(RETRY_AFTER_S, relayedResponse.retryAfterS());
     }
-    throw new IllegalArgumentException("no form for " + response);
+    throw new IllegalArgumentException("no encoding for " + response);
   }
 
   private static ObjectNode addCancellations(
@@ -97,11 +100,11 @@
         n.path(GRANTED).asBoolean(), n.path(REACHES_STORE).asBoolean(), decodeCancellations(n));
   }
 
-  static PeerResponse.ShareResponse decodeShareResponse(JsonNode n) {
-    return new PeerResponse.ShareResponse(n.path(CHANGE_DEMAND).asDouble());
+  static PeerResponse.LendWriteCapacityResponse decodeLendWriteCapacityResponse(JsonNode n) {
+    return new PeerResponse.LendWriteCapacityResponse(n.path(CHANGE_DEMAND).asDouble());
   }
 
-  /** Null if the answer names no process. */
+  /** Decodes the identity of a process; returns null if the response has no incarnation. */
   static PeerResponse.IdentifyResponse decodeIdentifyResponse(JsonNode n) {
     return n.path(INCARNATION).isTextual()
         ? new PeerResponse.IdentifyResponse(n.get(INCARNATION).asText())
@@ -119,7 +122,7 @@
     return new PeerResponse.DelegationResponse(grant, decodeCancellations(n));
   }
 
-  /** Null if there is no status for the sender of the request that was passed on. */
+  /** Decodes the response to a relayed request; returns null if it has no status. */
   static PeerResponse.RelayedResponse decodeRelayedResponse(JsonNode n) {
     if (!n.path(STATUS).isInt()) {
       return null;
@@ -133,7 +136,9 @@
             false));
   }
 
-  /** What an answer says of cancellations; nothing if its sender says nothing of them. */
+  /**
+   * Decodes the cancellations in a response, {@link KnownCancellations#NONE} if it contains none.
+   */
   private static KnownCancellations decodeCancellations(JsonNode response) {
     JsonNode n = response.path(CANCELLATIONS);
     if (!n.isObject()) {
--- a/src/main/java/graderelay/wire/QuotaCodec.java
+++ b/src/main/java/graderelay/wire/QuotaCodec.java
@@ -11,21 +11,23 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The records of stored limits and accounts, and their keys. They stand below {@link
- * StateCodec#TERM}, which is listed before the task batches: an account that was read is never
- * newer than the task batches that were read with it.
+ * Keys and records of stored limits and accounts. The keys have the prefix {@link StateCodec#TERM},
+ * which is listed before the task batches, so that a loaded account is never newer than the task
+ * batches loaded with it.
  */
 public final class QuotaCodec {
-  /** Everything about stored limits. */
+  /** Prefix of all keys of stored limits and accounts. */
   public static final String ROOT = "g/term/quota/";
 
-  /** Guarantee and limit of each team. */
+  /** Prefix of the records of each team's guarantee and limit. */
   public static final String LIMITS = "g/term/quota/limit/";
 
-  /** What the committed claims of each team take. */
+  /**
+   * Prefix of the accounts, which hold the resources that the committed claims of each team use.
+   */
   public static final String ACCOUNTS = "g/term/quota/account/";
 
-  /** Present once the limits of the settings have been stored as a whole. */
+  /** Exists once all limits of the settings have been stored. */
   public static final String SEEDED = "g/term/quota/seeded";
 
   /** Stored name "cpus": thousandths of CPUs of a guarantee or of an account. */
@@ -38,52 +40,52 @@
 
   private static final String GPU_LIMIT_MILLIS = "gpus_max";
 
-  /** Stored name "by": who changed the limits. */
+  /** Stored name "by": author of the last change of the limits. */
   private static final String CHANGED_BY = "by";
 
-  /** Stored name "at": the time of day of the change in milliseconds. */
+  /** Stored name "at": time of the change in milliseconds since the epoch. */
   private static final String CHANGED_AT_MS = "at";
 
-  /** Tells which write of which process an account comes from. */
+  /** Identifies the process and the write that stored an account. */
   private static final String WRITER = "writer";
 
-  /** Thousandths; a sum of some billions of them is still exact. */
+  /** Maximum stored amount in thousandths; sums of millions of such amounts still fit in a long. */
   private static final long MAX_MILLIS = 1_000_000_000_000L;
 
   private QuotaCodec() {}
 
-  /** The key of a team's guarantee and limit. */
+  /** Returns the key of a team's guarantee and limit. */
   public static String limitKey(String team) {
     return LIMITS + urlEncode(team);
   }
 
-  /** The key of a team's account. */
+  /** Returns the key of a team's account. */
   public static String accountKey(String team) {
     return ACCOUNTS + urlEncode(team);
   }
 
-  /** Keys have no spaces, names of teams may. */
+  /** URL-encodes a team name, which may contain spaces while keys may not. */
   private static String urlEncode(String team) {
     return URLEncoder.encode(team, StandardCharsets.UTF_8);
   }
 
-  /** The team that a key below a prefix is about. */
+  /** Returns the team name in a key with the given prefix. */
   public static String parseTeam(String key, String prefix) {
     return URLDecoder.decode(key.substring(prefix.length()), StandardCharsets.UTF_8);
   }
 
-  /** A team's guarantee and limit, with who changed them and when. */
-  public static ObjectNode encodeLimits(TeamQuota quota, String changedBy, long nowMs) {
+  /** Encodes a team's guarantee and limit, with the author and time of the change. */
+  public static ObjectNode encodeLimits(TeamQuota quota, String changedBy, long changedAtMs) {
     return Json.object()
         .put(CPU_MILLIS, quota.guarantee().cpuMillis())
         .put(CPU_LIMIT_MILLIS, quota.limit().cpuMillis())
         .put(GPU_MILLIS, quota.guarantee().gpuMillis())
         .put(GPU_LIMIT_MILLIS, quota.limit().gpuMillis())
         .put(CHANGED_BY, changedBy)
-        .put(CHANGED_AT_MS, nowMs);
+        .put(CHANGED_AT_MS, changedAtMs);
   }
 
-  /** Reads the record; one that can't be read stops its team and nobody else. */
+  /** Decodes a team's limits. A malformed record blocks only its own team. */
   public static LimitRecord decodeLimits(JsonNode n, long revision) {
     try {
       TeamQuota quota =
@@ -100,7 +102,9 @@
     }
   }
 
-  /** What the committed claims of a team take, and which write this is. */
+  /**
+   * Encodes the resources that the committed claims of a team use, with the identity of the write.
+   */
   public static ObjectNode encodeAccount(Amount use, String writer) {
     return Json.object()
         .put(CPU_MILLIS, use.cpuMillis())
@@ -108,7 +112,7 @@
         .put(WRITER, writer);
   }
 
-  /** Reads the record; one that can't be read stops its team and nobody else. */
+  /** Decodes a team's account. A malformed record blocks only its own team. */
   public static Account decodeAccount(JsonNode n, long revision) {
     try {
       Amount use = new Amount(decodeMillis(n, CPU_MILLIS), decodeMillis(n, GPU_MILLIS));
@@ -120,8 +124,8 @@
 
   private static long decodeMillis(JsonNode n, String field) throws MalformedRecordException {
     JsonNode v = n.path(field);
-    boolean whole = v.isIntegralNumber() && v.canConvertToLong();
-    if (!whole || v.longValue() < 0 || v.longValue() > MAX_MILLIS) {
+    boolean isWholeNumber = v.isIntegralNumber() && v.canConvertToLong();
+    if (!isWholeNumber || v.longValue() < 0 || v.longValue() > MAX_MILLIS) {
       throw new MalformedRecordException(field, "must be a number of thousandths of at least 0");
     }
     return v.longValue();
--- a/src/main/java/graderelay/wire/QuotaRequestCodec.java
+++ b/src/main/java/graderelay/wire/QuotaRequestCodec.java
@@ -12,25 +12,29 @@
 import java.util.TreeSet;
 
 /**
- * What operators send to change limits, checked against a schema; all mistakes are told at once.
+ * Decodes operators' requests to change limits and validates them against a JSON schema. An error
+ * message lists all violations.
  */
 public final class QuotaRequestCodec {
   private static final String SCHEMA_RESOURCE = "/graderelay/limit-change.schema.json";
 
-  /** Says that no version was given. */
+  /** Expected version of a change that applies to any version. */
   public static final long ANY_VERSION = -1;
 
   /**
-   * A change of one team's limits.
+   * A request to change one team's limits.
    *
-   * @param expectedVersion the version that the operator has seen, or {@link #ANY_VERSION}
-   * @param changedBy who asks for it
+   * @param expectedVersion the version that the change is based on, or {@link #ANY_VERSION}
+   * @param changedBy author of the change
    */
   public record LimitChangeRequest(LimitChange change, long expectedVersion, String changedBy) {}
 
   private QuotaRequestCodec() {}
 
-  /** Loaded when an operator first changes a limit, so that a start does not pay for it. */
+  /**
+   * Holds the schema, which is loaded at the first change of a limit so that it does not lengthen
+   * startup.
+   */
   private static final class Schema {
     static final JsonSchema LIMIT_CHANGE = load();
 
@@ -40,7 +44,9 @@
     }
   }
 
-  /** Reads a change, as {@code otherwise} if the request does not say who asks for it. */
+  /**
+   * Decodes a change of limits. {@code defaultChangedBy} is its author if the request names none.
+   */
   public static LimitChangeRequest decodeLimitChange(JsonNode body, String defaultChangedBy)
       throws BadRequestException {
     if (body == null || !body.isObject()) {
--- a/src/main/java/graderelay/wire/RequestFields.java
+++ b/src/main/java/graderelay/wire/RequestFields.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Checked reads of a request's fields; errors name the field. */
+/** Reads and validates the fields of a request body. Errors name the field. */
 final class RequestFields {
-  /** Characters of a name in a submission, so that a job's record stays small. */
+  /** Maximum number of characters of a name in a submission; limits the size of a job's record. */
   static final int MAX_NAME_LENGTH = 128;
 
-  /** Largest amount of a resource or of seconds in a submission: more is a mistake. */
+  /** Maximum amount of a resource or number of seconds in a submission. */
   private static final double MAX_AMOUNT = 1e9;
 
   private final JsonNode body;
@@ -27,7 +27,7 @@
     return v;
   }
 
-  /** A string that is not empty and not too long. */
+  /** Returns a non-empty string of at most {@link #MAX_NAME_LENGTH} characters. */
   String text(String name) throws BadRequestException {
     JsonNode v = required(name);
     if (!v.isTextual() || v.textValue().isEmpty()) {
@@ -39,13 +39,13 @@
     return v.textValue();
   }
 
-  /** The same, or null if the field is absent or null. */
+  /** Returns a string as {@link #text} does, or null if the field is absent or null. */
   String textOrNull(String name) throws BadRequestException {
     JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : text(name);
   }
 
-  /** True or false. */
+  /** Returns a boolean. */
   boolean flag(String name) throws BadRequestException {
     JsonNode v = required(name);
     if (!v.isBoolean()) {
@@ -54,7 +54,7 @@
     return v.booleanValue();
   }
 
-  /** An integer from {@code least} to {@code most}. */
+  /** Returns an integer from {@code min} to {@code max}. */
   int count(String name, int min, int max) throws BadRequestException {
     JsonNode v = required(name);
     if (!v.isIntegralNumber() || !v.canConvertToLong()) {
@@ -67,7 +67,9 @@
     return (int) l;
   }
 
-  /** A decimal number up to a billion: of at least 0, or above 0 unless zero is allowed. */
+  /**
+   * Returns a number up to {@link #MAX_AMOUNT}, which is above 0, or at least 0 if zero is allowed.
+   */
   double amount(String name, boolean zeroAllowed) throws BadRequestException {
     JsonNode v = required(name);
     double d = v.isNumber() ? v.doubleValue() : Double.NaN;
@@ -78,13 +80,13 @@
     return d;
   }
 
-  /** A number of at least 0, or null if the field is absent or null. */
+  /** Returns a number of at least 0, or null if the field is absent or null. */
   Double amountOrNull(String name) throws BadRequestException {
     JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : amount(name, true);
   }
 
-  /** The field unchecked, or null if it is absent or null. */
+  /** Returns the field without validation, or null if it is absent or null. */
   JsonNode raw(String name) {
     JsonNode v = body.get(name);
     return v == null || v.isNull() ? null : v;
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -10,66 +10,64 @@
 import java.util.Map;
 
 /**
- * The records that controllers keep in the consensus-backed key-value store ("state service"), and
- * their keys. This class is the front of the codecs that know each record's fields: {@link
+ * Keys and records that controllers store in the consensus-backed key-value store ("state
+ * service"). This class is the facade of the codecs that define the fields of each record: {@link
  * ElectionRecordCodec}, {@link FinalStateCodec}, {@link JobRecordCodec}, {@link
- * TaskBatchRecordCodec} and {@link LeaderHintCodec}. Records of feature levels and of quotas are
- * below {@link #TERM} and have {@link FeatureCodec} and {@link QuotaCodec}.
+ * TaskBatchRecordCodec} and {@link LeaderHintCodec}. {@link FeatureCodec} and {@link QuotaCodec}
+ * define the records of feature levels and of quotas.
  */
 public final class StateCodec {
-  /** Everything that one watch should follow. */
+  /** Prefix of all keys; one watch covers it. */
   public static final String ROOT = "g/";
 
-  /** Who leads ("owner"), until elections are sealed: {@link LeaderRecord}. */
+  /** The leader ("owner") until elections are sealed: {@link LeaderRecord}. */
   public static final String LEADER = "g/owner";
 
-  /** The counter of terms and who won the last one. */
+  /** The last term and its leader: {@link TermRecord}. */
   public static final String TERM = "g/term";
 
-  /** The operators' settings, one record. */
+  /** The operators' settings, in one record. */
   public static final String SETTINGS = "g/settings";
 
-  /** The recent demand, a hint for the next leader. */
+  /** The recent demand; a hint for the next leader. */
   public static final String DEMAND = "g/demand";
 
-  /** The jobs' records, by id. */
+  /** Prefix of the records of jobs, by id. */
   public static final String JOBS = "g/job/";
 
-  /** The task batches ("slices") of jobs, by job and index. */
+  /** Prefix of the task batches ("slices"), by job and index. */
   public static final String TASK_BATCHES = "g/slice/";
 
-  /** Which images machines have, in parts; a hint for the next leader. */
+  /** Prefix of the records of which images machines have, in parts; a hint for the next leader. */
   public static final String IMAGES = "g/images/";
 
-  /** Grants that lease delegates ("deputies") have released. */
+  /** Prefix of the records of grants that lease delegates ("deputies") have released. */
   public static final String DELEGATE_RELEASES = "g/deputy/";
 
-  /**
-   * Controllers that the leader has suspended ("bars"): they can't win an election for the time.
-   */
+  /** Prefix of the suspensions ("bars"). A suspended controller cannot win an election. */
   public static final String SUSPENSIONS = "g/bar/";
 
-  /** Final states ("ends") of jobs; kept for good and never listed. */
+  /** Prefix of the final states ("ends") of jobs, which are never deleted and never listed. */
   public static final String FINAL_STATES = "g/end/";
 
   private StateCodec() {}
 
-  /** The key of job {@code id}'s record. */
+  /** Returns the key of job {@code id}'s record. */
   public static String jobKey(String id) {
     return JOBS + id;
   }
 
-  /** The key of job {@code id}'s final state. */
+  /** Returns the key of job {@code id}'s final state. */
   public static String finalStateKey(String id) {
     return FINAL_STATES + id;
   }
 
-  /** The key of a task batch's record. */
+  /** Returns the key of a task batch's record. */
   public static String taskBatchKey(TaskBatchKey batch) {
     return TASK_BATCHES + batch.job() + "/" + batch.index();
   }
 
-  /** The task batch that a key below {@link #TASK_BATCHES} names. */
+  /** Parses the key of a task batch, which has the prefix {@link #TASK_BATCHES}. */
   public static TaskBatchKey parseTaskBatchKey(String key) {
     int slash = key.lastIndexOf('/');
     return new TaskBatchKey(
@@ -79,73 +77,76 @@
   // ---------------------------------------------------------------- election records
 
   /**
-   * Who leads the cluster.
+   * The leader of the cluster.
    *
    * @param member the leader's name
    * @param term the fencing token of its commands
-   * @param peerAddress the address at which its peers reach it ("mesh")
+   * @param peerAddress the address at which other controllers reach it ("mesh")
    */
   public record LeaderRecord(String member, long term, String peerAddress) {}
 
   /**
-   * The last term that was won.
+   * The last term.
    *
-   * @param member who won it
+   * @param member the controller that won its election
    */
   public record TermRecord(long term, String member) {}
 
   /**
-   * A suspension ("bar") of a silent controller from election.
+   * A suspension ("bar"), which keeps an unresponsive controller from winning an election.
    *
-   * @param leavingIncarnation the incarnation of it that is about to leave the suspension, or empty
-   *     while it stands
+   * @param leavingIncarnation the incarnation whose suspension is about to end, or empty while the
+   *     suspension is in force
    * @param revision the revision of the record
    */
   public record Suspension(String leavingIncarnation, long revision) {}
 
   /**
-   * A lease delegate ("deputy") has released grants.
+   * The grants that a lease delegate ("deputy") has released.
    *
-   * @param incarnation tells the delegate's process from earlier ones of the same member
-   * @param releasedUpTo the sequence number of its last request whose grant it has released
-   * @param grantorTerm the term whose grants they were
-   * @param sinceAutonomousResponseS seconds since it last answered workers by itself, or since its
-   *     process began
+   * @param incarnation identifies the delegate's process among all processes of the same member
+   * @param releasedUpTo the sequence number of the last request whose grant is released
+   * @param grantorTerm the first term of the leader process that made the grants
+   * @param sinceAutonomousResponseS seconds since it last responded to a worker without the leader,
+   *     or since its process started
    */
   public record DelegateRelease(
       String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {}
 
-  /** The leader's record. */
+  /** Encodes the leader. */
   public static ObjectNode encodeLeader(LeaderRecord leader) {
     return ElectionRecordCodec.encodeLeader(leader);
   }
 
-  /** The leader from its record. */
+  /** Decodes the leader. */
   public static LeaderRecord decodeLeader(JsonNode n) {
     return ElectionRecordCodec.decodeLeader(n);
   }
 
-  /** The counter of terms, and who won the last one. */
+  /** Encodes the last term and the controller that won its election. */
   public static ObjectNode encodeTerm(long term, String member) {
     return ElectionRecordCodec.encodeTerm(term, member);
   }
 
-  /** The last term from its record. */
+  /** Decodes the last term. */
   public static TermRecord decodeTerm(JsonNode n) {
     return ElectionRecordCodec.decodeTerm(n);
   }
 
-  /** The key of the suspension of controller {@code member}. */
+  /** Returns the key of the suspension of controller {@code member}. */
   public static String suspensionKey(String member) {
     return SUSPENSIONS + member;
   }
 
-  /** A suspension; {@code leaving} is the incarnation about to leave it, or empty. */
+  /**
+   * Encodes a suspension; {@code leavingIncarnation} is the incarnation whose suspension is about
+   * to end, or empty.
+   */
   public static ObjectNode encodeSuspension(String leavingIncarnation) {
     return ElectionRecordCodec.encodeSuspension(leavingIncarnation);
   }
 
-  /** A suspension from its record and the record's revision. */
+  /** Decodes a suspension, with the record's revision. */
   public static Suspension decodeSuspension(JsonNode n, long revision) {
     return ElectionRecordCodec.decodeSuspension(n, revision);
   }
@@ -160,36 +161,36 @@
         incarnation, releasedUpTo, grantorTerm, sinceAutonomousResponseS);
   }
 
-  /** What a lease delegate has released, from its record. */
+  /** Decodes the grants that a lease delegate has released. */
   public static DelegateRelease decodeDelegateRelease(JsonNode n) {
     return ElectionRecordCodec.decodeDelegateRelease(n);
   }
 
   // ---------------------------------------------------------------- final states
 
-  /** The final state of a job, and the time of day at which it was written. */
+  /** Encodes the final state of a job and the time of the write in milliseconds since the epoch. */
   public static ObjectNode encodeFinalState(boolean cancelled, int tasks, long writtenAtMs) {
     return FinalStateCodec.encode(cancelled, tasks, writtenAtMs);
   }
 
-  /** The final state of a job from its record. */
+  /** Decodes the final state of a job. */
   public static FinalState decodeFinalState(JsonNode n) {
     return FinalStateCodec.decode(n);
   }
 
   // ---------------------------------------------------------------- jobs
 
-  /** A job's record: its terms, and whether its user asked to stop it. */
+  /** Encodes a job's specification and whether its user requested to stop it. */
   public static ObjectNode encodeJob(JobSpec spec, boolean stopRequested) {
     return JobRecordCodec.encode(spec, stopRequested);
   }
 
-  /** True if the job's user asked to stop it. */
+  /** Whether the job's user requested to stop it. */
   public static boolean decodeStopRequested(JsonNode n) {
     return JobRecordCodec.decodeStopRequested(n);
   }
 
-  /** The terms of job {@code id} from its record. */
+  /** Decodes the specification of job {@code id}. */
   public static JobSpec decodeJob(String id, JsonNode n) {
     return JobRecordCodec.decode(id, n);
   }
@@ -197,48 +198,56 @@
   // ---------------------------------------------------------------- task batches
 
   /**
-   * A task batch: attempts, the machines with their incarnations, and for each task the place in
-   * that list. A task batch that is all done shrinks to its size; a packed one takes a character
-   * per task.
+   * Encodes a task batch: the attempts, the list of machines with their incarnations, and for each
+   * task its state or its machine's index in that list. If all tasks are done, only their number is
+   * stored. The packed form uses one character per task.
    */
   public static ObjectNode encodeTaskBatch(TaskBatchRecord batch) {
     return TaskBatchRecordCodec.encode(batch);
   }
 
-  /** A task batch from its record, in any of its forms. */
+  /** Decodes a task batch in any of its forms. */
   public static TaskBatchRecord decodeTaskBatch(JsonNode n) {
     return TaskBatchRecordCodec.decode(n);
   }
 
   // ---------------------------------------------------------------- hints for the next leader
 
-  /** The recent demand, with times of day. */
+  /** Encodes the recent demand, with arrival times in milliseconds since the epoch. */
   public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs) {
     return LeaderHintCodec.encodeDemand(classes, nowMs);
   }
 
-  /** The same within so many bytes: the oldest arrivals are left out, then whole classes. */
+  /**
+   * Encodes the recent demand in at most {@code maxBytes}; omits the oldest arrivals first, then
+   * whole classes.
+   */
   public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
     return LeaderHintCodec.encodeDemand(classes, nowMs, maxBytes);
   }
 
-  /** The recent demand, with the arrivals' ages in seconds at {@code nowMs}. */
+  /** Decodes the recent demand, with the arrivals' ages in seconds at {@code nowMs}. */
   public static List<Action.Demand> decodeDemand(JsonNode n, long nowMs) {
     return LeaderHintCodec.decodeDemand(n, nowMs);
   }
 
-  /** Which images machines have: each image's name once, and for each machine its bits. */
+  /**
+   * Encodes which images machines have, as a list of at most {@code maxImages} image names and a
+   * bit mask over that list for each machine.
+   */
   public static ObjectNode encodeImages(Map<String, List<String>> imagesByMachine, int maxImages) {
     return LeaderHintCodec.encodeImages(imagesByMachine, maxImages);
   }
 
-  /** The same within so many bytes; it is a hint, so some machines may be left out. */
+  /**
+   * Encodes which images machines have in at most {@code maxBytes}, omitting machines if necessary.
+   */
   public static ObjectNode encodeImages(
       Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
     return LeaderHintCodec.encodeImages(imagesByMachine, maxImages, maxBytes);
   }
 
-  /** The images of each machine. */
+  /** Decodes the images of each machine. */
   public static Map<String, List<String>> decodeImages(JsonNode n) {
     return LeaderHintCodec.decodeImages(n);
   }
--- a/src/main/java/graderelay/wire/StoreCodec.java
+++ b/src/main/java/graderelay/wire/StoreCodec.java
@@ -6,12 +6,11 @@
 import java.util.List;
 
 /**
- * The protocol of the consensus-backed key-value store ("state service"): how its answers are read
- * and its requests for session leases are written. {@link TransactionCodec} writes compare-and-swap
- * transactions; {@link StateCodec} and the codecs beside it read and write the values.
+ * Decodes responses of the consensus-backed key-value store ("state service") and encodes requests
+ * for session leases. {@link TransactionCodec} encodes compare-and-swap transactions; {@link
+ * StateCodec} and its related codecs handle the stored values.
  *
- * <p>Reading is lenient, as the protocol asks of receivers: unknown fields are ignored, and a
- * number that is absent reads as 0.
+ * <p>As the protocol requires of receivers, unknown fields are ignored and an absent number is 0.
  */
 public final class StoreCodec {
   /** Wire name of a key. */
@@ -23,7 +22,7 @@
   /** Wire name "mark": the revision of a key's last change. */
   static final String REVISION = "mark";
 
-  /** Wire name "ledger": the store's own revision, which counts every change. */
+  /** Wire name "ledger": the revision of the store, which increases with every change. */
   static final String STORE_REVISION = "ledger";
 
   /** Wire name "permit": the id of the session lease that a key is attached to. */
@@ -47,28 +46,28 @@
   /** Wire name of the entries in a page of a range read. */
   private static final String ENTRIES = "items";
 
-  /** Wire name that tells whether a range has entries after this page. */
+  /** Whether the range continues after this page. */
   private static final String TRUNCATED = "truncated";
 
-  /** Wire name "news": the changes in the answer to a watch. */
+  /** Wire name "news": the changes in the response to a watch. */
   private static final String WATCHED_CHANGES = "news";
 
   /** Wire name "life_ms": the time to live of a session lease, in milliseconds. */
   private static final String LEASE_TTL_MS = "life_ms";
 
-  /** Wire name of the text that says what was wrong with a request. */
+  /** Wire name of the error message. */
   private static final String ERROR = "error";
 
-  /** What the error text of an expired or unknown session lease contains. */
+  /** Part of every error message about an expired or unknown session lease. */
   private static final String LEASE_ERROR = "lease";
 
   private StoreCodec() {}
 
   /**
-   * A key's value.
+   * A key with its value.
    *
-   * @param key the whole key; empty if the store did not give it
-   * @param value the value as it is stored
+   * @param key the full key; empty if absent in the response
+   * @param value the stored value
    * @param revision the revision of the key's last change
    * @param sessionLease the id of the session lease that the key is attached to, 0 for none
    */
@@ -78,45 +77,45 @@
    * One page of a range read.
    *
    * @param entries in the order of their keys
-   * @param truncated true if the range goes on after the last of them
-   * @param storeRevision the store's revision when the page was read
+   * @param truncated true if the range continues after the last entry
+   * @param storeRevision the store's revision at which the page was read
    */
   public record RangeResponse(List<StoreEntry> entries, boolean truncated, long storeRevision) {
-    /** The key after which the next page begins, or null if this page is the last one. */
+    /** Returns the key after which the next page starts, or null if this is the last page. */
     public String nextPageAfter() {
       return truncated && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
     }
   }
 
-  /** A change that a watch tells of. */
+  /** A change reported by a watch. */
   public sealed interface StoreChange {
-    /** The key that changed. */
+    /** Returns the key that changed. */
     String key();
 
-    /** The revision of the change. */
+    /** Returns the revision of the change. */
     long revision();
 
-    /** The key has a new value. */
+    /** A key was created or its value was changed. */
     record Put(String key, JsonNode value, long revision) implements StoreChange {}
 
-    /** The key is gone: deleted, or its session lease expired. */
+    /** A key was deleted, or its session lease expired. */
     record Delete(String key, long revision) implements StoreChange {}
   }
 
   /**
-   * The answer to a watch.
+   * The response to a watch.
    *
-   * @param storeRevision the revision up to which all changes are told
+   * @param storeRevision the revision up to which all changes are included
    * @param changes in the order in which they were made
    */
   public record WatchResponse(long storeRevision, List<StoreChange> changes) {}
 
-  /** The store's revision from any of its answers; 0 if the answer has none or is null. */
+  /** Decodes the store's revision in any response; 0 if the response has none or is null. */
   public static long decodeStoreRevision(JsonNode response) {
     return response == null ? 0 : response.path(STORE_REVISION).asLong();
   }
 
-  /** One key's value, from the answer to a read of that key or from an item of a page. */
+  /** Decodes the response to a read of one key, or one entry of a page. */
   public static StoreEntry decodeEntry(JsonNode n) {
     return new StoreEntry(
         n.path(KEY).asText(),
@@ -125,7 +124,7 @@
         n.path(SESSION_LEASE).asLong());
   }
 
-  /** One page of a range read. */
+  /** Decodes one page of a range read. */
   public static RangeResponse decodeRange(JsonNode n) {
     List<StoreEntry> entries = new ArrayList<>();
     for (JsonNode item : n.path(ENTRIES)) {
@@ -134,7 +133,7 @@
     return new RangeResponse(entries, n.path(TRUNCATED).asBoolean(false), decodeStoreRevision(n));
   }
 
-  /** The answer to a watch. A change that is neither a put nor a delete is left out. */
+  /** Decodes the response to a watch. Changes other than puts and deletes are ignored. */
   public static WatchResponse decodeWatch(JsonNode n) {
     List<StoreChange> changes = new ArrayList<>();
     for (JsonNode change : n.path(WATCHED_CHANGES)) {
@@ -148,7 +147,7 @@
     return new WatchResponse(decodeStoreRevision(n), changes);
   }
 
-  /** The keys whose conditions did not hold, from the answer to a transaction that failed. */
+  /** Decodes the keys whose conditions did not hold, from the response to a failed transaction. */
   public static List<String> decodeFailedConditions(JsonNode response) {
     List<String> keys = new ArrayList<>();
     for (JsonNode key : response.path(FAILED_CONDITIONS)) {
@@ -157,19 +156,23 @@
     return keys;
   }
 
-  /** A request for a session lease that lives for so many milliseconds unless it is renewed. */
+  /**
+   * Encodes a request for a session lease that expires after {@code ttlMs} unless it is renewed.
+   */
   public static ObjectNode encodeLeaseRequest(long ttlMs) {
     return Json.object().put(LEASE_TTL_MS, ttlMs);
   }
 
-  /** The id of the session lease that the store has created; 0 if the answer has none. */
+  /** Decodes the id of a new session lease; 0 if the response has none. */
   public static long decodeSessionLease(JsonNode response) {
     return response.path(SESSION_LEASE).asLong();
   }
 
   /**
-   * True if the store refused a transaction because the session lease of a put is unknown or has
-   * expired. The body is that of a refusal, and null if it was no JSON.
+   * Whether the store rejected a transaction because the session lease of a put is unknown or has
+   * expired.
+   *
+   * @param errorResponse body of the error response, or null if it is not JSON
    */
   public static boolean decodeLeaseExpired(JsonNode errorResponse) {
     return errorResponse != null && errorResponse.path(ERROR).asText().contains(LEASE_ERROR);
--- a/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
+++ b/src/main/java/graderelay/wire/TaskBatchRecordCodec.java
@@ -10,10 +10,10 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * The stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three forms: all
- * done, as its size alone; plain, as numbers; or packed, as a character for each task. Each form
- * gives for every task its attempt and its place: queued, done, or an index into the list of
- * (machine, agent incarnation) pairs that hold claims.
+ * Encodes the stored record of a task batch ("slice", {@code g/slice/JOB/INDEX}) in one of three
+ * forms: only the number of tasks if all are done; plain, with numbers; or packed, with one
+ * character per task. The plain and packed forms contain for every task its attempt and its state:
+ * queued, done, or an index into the list of (machine, agent incarnation) pairs that hold claims.
  */
 final class TaskBatchRecordCodec {
   static final String ALL_DONE = "done";
@@ -26,12 +26,15 @@
   private static final int QUEUED = -1;
   private static final int DONE = -2;
 
-  /** Past the quotation mark; some ninety characters of one byte follow, then those of two. */
+  /**
+   * First character after the quotation mark, which would need escaping. About ninety single-byte
+   * characters follow, then characters of two bytes.
+   */
   private static final char FIRST_CHAR = '#';
 
   private TaskBatchRecordCodec() {}
 
-  /** A task batch in the form that fits its state. */
+  /** Encodes a task batch in the form that its state requires. */
   static ObjectNode encode(TaskBatchRecord batch) {
     if (batch.doneCount() == batch.size()) {
       return Json.object().put(ALL_DONE, batch.size());
@@ -40,7 +43,7 @@
   }
 
   /**
-   * The (machine, incarnation) pairs of a task batch, each once, in the order of their first claim.
+   * The distinct (machine, incarnation) pairs of a task batch, in the order of their first claim.
    */
   private static final class ClaimHolders {
     final ArrayNode list = Json.array();
@@ -78,9 +81,9 @@
   }
 
   /**
-   * The same in fewer bytes, a character for each task instead of numbers. Only for task batches
-   * that an earlier version made too large for the store's present limits; that version can't read
-   * it.
+   * Encodes a task batch with one character per task instead of numbers. Used only for task batches
+   * that an earlier version made too large for the current limits of the store; that version cannot
+   * read this form.
    */
   private static ObjectNode encodePacked(TaskBatchRecord batch) {
     ClaimHolders holders = new ClaimHolders();
@@ -96,7 +99,7 @@
     return n;
   }
 
-  /** A task batch from any of its forms. */
+  /** Decodes a task batch in any of its forms. */
   static TaskBatchRecord decode(JsonNode n) {
     if (n.has(ALL_DONE)) {
       int size = n.get(ALL_DONE).asInt();
--- a/src/main/java/graderelay/wire/TransactionCodec.java
+++ b/src/main/java/graderelay/wire/TransactionCodec.java
@@ -7,28 +7,28 @@
 import java.util.OptionalLong;
 
 /**
- * Writes requests for compare-and-swap transactions of the key-value store: if every key has the
- * revision that it is expected to have, all changes are made at once, and otherwise none.
+ * Encodes compare-and-swap transactions of the key-value store: if every condition holds, all
+ * changes are made atomically; otherwise none are.
  */
 public final class TransactionCodec {
   private TransactionCodec() {}
 
   /**
-   * Requires that a key was last changed at this revision.
+   * Requires that a key was last changed at a given revision.
    *
-   * @param revision 0 requires that the key does not exist
+   * @param expectedRevision 0 if the key must not exist
    */
-  public record Condition(String key, long revision) {}
+  public record Condition(String key, long expectedRevision) {}
 
-  /** A change that a transaction makes. */
+  /** A change made by a transaction. */
   public sealed interface Change {
-    /** The key that is changed. */
+    /** Returns the key that is changed. */
     String key();
 
     /**
      * Sets a key's value.
      *
-     * @param sessionLease the id of the session lease with which the key is deleted, if any
+     * @param sessionLease the id of the session lease whose expiry deletes the key, if any
      */
     record Put(String key, JsonNode value, OptionalLong sessionLease) implements Change {}
 
@@ -36,7 +36,10 @@
     record Delete(String key) implements Change {}
   }
 
-  /** The body of a transaction's request; one without changes only compares. */
+  /**
+   * Encodes the body of a transaction request. A transaction without changes only checks the
+   * conditions.
+   */
   public static ObjectNode encode(List<Condition> conditions, List<Change> changes) {
     ObjectNode body = Json.object();
     ArrayNode conditionList = body.putArray(StoreCodec.CONDITIONS);
@@ -44,7 +47,7 @@
       conditionList
           .addObject()
           .put(StoreCodec.KEY, condition.key())
-          .put(StoreCodec.REVISION, condition.revision());
+          .put(StoreCodec.REVISION, condition.expectedRevision());
     }
     if (!changes.isEmpty()) {
       ArrayNode changeList = body.putArray(StoreCodec.CHANGES);
--- a/src/main/java/graderelay/wire/UserCodec.java
+++ b/src/main/java/graderelay/wire/UserCodec.java
@@ -12,27 +12,27 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** What passes between users and controllers: submissions and the state of jobs. */
+/** Decodes submissions of users and encodes responses with the state of jobs. */
 public final class UserCodec {
-  /** Jobs that a submission may name; a request has at most 64 KiB. */
+  /** Maximum number of dependencies of a submission; a request body has at most 64 KiB. */
   public static final int MAX_DEPENDENCIES = 2000;
 
-  /** Tasks of one job; a limit of the protocol. */
+  /** Maximum number of tasks of a job, a limit of the protocol. */
   private static final int MAX_TASKS = 100_000;
 
-  /** Machine types that a submission may name, for the same reason. */
+  /** Maximum number of machine types in a submission; a request body has at most 64 KiB. */
   private static final int MAX_MACHINE_TYPES = 32;
 
-  /** Wire name "awaits": the jobs that a submitted job waits for (DAG dependencies). */
+  /** Wire name "awaits": ids of the jobs that a job depends on. */
   public static final String DEPENDENCIES = "awaits";
 
   /** Wire name "ref": the id of a job. */
   private static final String JOB_ID = "ref";
 
-  /** Wire name "lot": the class of jobs that a job belongs to. */
+  /** Wire name "lot": the class of a job. */
   private static final String JOB_CLASS = "lot";
 
-  /** Wire name "crew": the team whose quota applies. */
+  /** Wire name "crew": the team whose quota a job counts against. */
   private static final String TEAM = "crew";
 
   /** Wire name "cut": the kind of a job, {@link #ARRAY} or {@link #SERVICE}. */
@@ -47,11 +47,11 @@
   private static final String PRIORITY = "urgency";
 
   /** Wire name "boards": the number of tasks. */
-  private static final String TASKS = "boards";
+  private static final String TASK_COUNT = "boards";
 
   private static final String CPUS = "cpus";
 
-  /** Wire name "cards": GPUs of a task. */
+  /** Wire name "cards": GPUs of each task. */
   private static final String GPUS = "cards";
 
   private static final String MEMORY_GB = "mem_gb";
@@ -70,38 +70,38 @@
 
   private static final String ONE_ZONE = "one_zone";
 
-  /** Wire name "apart": tasks must be spread over zones. */
+  /** Wire name "apart": whether tasks must be spread over zones. */
   private static final String SPREAD = "apart";
 
-  /** Wire name "borrowed": spot instances are allowed. */
+  /** Wire name "borrowed": whether spot instances are allowed. */
   private static final String SPOT = "borrowed";
 
   /** Wire name "expected_s": the estimated run time of a task in seconds. */
-  private static final String ESTIMATE_S = "expected_s";
+  private static final String ESTIMATED_RUN_TIME_S = "expected_s";
 
   /** Wire name "stack_s": the interval between checkpoints in seconds. */
   private static final String CHECKPOINT_INTERVAL_S = "stack_s";
 
-  /** Wire name "stack_write_s": seconds that a task needs to write a checkpoint. */
+  /** Wire name "stack_write_s": the time in seconds to write a checkpoint. */
   private static final String CHECKPOINT_WRITE_S = "stack_write_s";
 
   /** Wire name "ship_s": the deadline in seconds after the submission. */
   private static final String DEADLINE_S = "ship_s";
 
   private static final String STAGE = "stage";
-  private static final String DONE_TASKS = "done";
-  private static final String RUNNING_TASKS = "running";
+  private static final String DONE_TASK_COUNT = "done";
+  private static final String RUNNING_TASK_COUNT = "running";
 
   private static final Pattern JOB_ID_PATTERN = Pattern.compile("j-[0-9]{1,20}");
 
   private UserCodec() {}
 
-  /** True if a text has the form of a job id, like j-000412. */
+  /** Whether a text has the form of a job id, for example j-000412. */
   public static boolean isJobId(String text) {
     return JOB_ID_PATTERN.matcher(text).matches();
   }
 
-  /** Reads a submission, checking every field by the protocol's table. */
+  /** Decodes a submission and validates every field. */
   public static JobSpec decodeSubmission(JsonNode body, long nowMs, int batchCapacity)
       throws BadRequestException {
     RequestFields fields = new RequestFields(body);
@@ -109,7 +109,7 @@
     if (!isJobId(id)) {
       throw new BadRequestException(JOB_ID, "must look like j-000412");
     }
-    // Before the other fields: of several mistakes, this one is told.
+    // Validated before the other fields, so that this error takes precedence over theirs.
     JobKind kind = parseKind(fields.text(KIND));
     return new JobSpec(
         id,
@@ -117,7 +117,7 @@
         fields.text(TEAM),
         kind,
         parsePriority(fields.text(PRIORITY)),
-        fields.count(TASKS, 1, MAX_TASKS),
+        fields.count(TASK_COUNT, 1, MAX_TASKS),
         fields.amount(CPUS, false),
         fields.amount(GPUS, true),
         fields.amount(MEMORY_GB, true),
@@ -128,7 +128,7 @@
         fields.flag(ONE_ZONE),
         fields.flag(SPREAD),
         fields.flag(SPOT),
-        fields.amount(ESTIMATE_S, true),
+        fields.amount(ESTIMATED_RUN_TIME_S, true),
         fields.amount(CHECKPOINT_INTERVAL_S, true),
         fields.amount(CHECKPOINT_WRITE_S, true),
         fields.amountOrNull(DEADLINE_S),
@@ -145,7 +145,7 @@
     };
   }
 
-  /** The jobs that this one waits for, each once. */
+  /** Returns the distinct ids of the dependencies. */
   private static List<String> decodeDependencies(JsonNode n, String id) throws BadRequestException {
     if (n == null) {
       return List.of();
@@ -170,8 +170,8 @@
   }
 
   /**
-   * A submission as its user wrote it, with more jobs that it has to wait for. One whose list is no
-   * list stays as it is: the controller says what is wrong with it.
+   * Adds dependencies to a submission and returns it. If its dependencies are not a list, they
+   * remain unchanged, and the controller rejects the submission with an error.
    */
   public static ObjectNode addDependencies(ObjectNode submission, List<String> ids) {
     JsonNode dependencies = submission.get(DEPENDENCIES);
@@ -216,13 +216,16 @@
     return List.copyOf(types);
   }
 
-  /** A job and its stage, the answer to a submission and to a cancellation. */
+  /** Encodes the stage of a job, the response to a submission and to a cancellation. */
   public static ObjectNode encodeStage(String id, String stage) {
     return Json.object().put(JOB_ID, id).put(STAGE, stage);
   }
 
-  /** A job with its stage and its numbers of done and running tasks, the answer to a poll. */
+  /**
+   * Encodes the stage of a job and its numbers of completed and running tasks, the response to a
+   * status request.
+   */
   public static ObjectNode encodeStatus(String id, String stage, int done, int running) {
-    return encodeStage(id, stage).put(DONE_TASKS, done).put(RUNNING_TASKS, running);
+    return encodeStage(id, stage).put(DONE_TASK_COUNT, done).put(RUNNING_TASK_COUNT, running);
   }
 }
--- a/src/main/java/graderelay/wire/WorkerCodec.java
+++ b/src/main/java/graderelay/wire/WorkerCodec.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What passes between workers and controllers: heartbeats ("checkins") and worker commands. */
+/** Decodes heartbeats of workers ("checkins") and encodes responses and worker commands. */
 public final class WorkerCodec {
   /** Wire name "saw": the machine that a worker runs on. */
   private static final String MACHINE = "saw";
@@ -24,28 +24,30 @@
   /** Wire name "borrowed": true on a spot instance. */
   private static final String SPOT = "borrowed";
 
-  /** Wire name "shift": the agent's incarnation, which grows when the worker's lease expires. */
+  /**
+   * Wire name "shift": the agent's incarnation, which increases when the worker's lease expires.
+   */
   private static final String INCARNATION = "shift";
 
-  /** Wire name "tally": the number of the heartbeat within its incarnation. */
+  /** Wire name "tally": the sequence number of the heartbeat within its incarnation. */
   private static final String SEQUENCE_NUMBER = "tally";
 
   /** Wire name "foreman": the term, which fences worker commands. */
   private static final String TERM = "foreman";
 
-  /** Wire name "foreman_at": the controller that the worker should report to. */
+  /** Wire name "foreman_at": the controller to which the worker should send heartbeats. */
   private static final String CONTROLLER = "foreman_at";
 
-  /** Wire name "recall_s": seconds until the cloud preempts the spot instance. */
+  /** Wire name "recall_s": seconds until the cloud reclaims the spot instance. */
   private static final String INTERRUPTION_NOTICE_S = "recall_s";
 
-  /** Wire name "boards": the tasks on a machine. */
+  /** Wire name "boards": the task attempts on a machine. */
   private static final String TASKS = "boards";
 
   /** Wire name "board": the id of a task. */
   private static final String TASK = "board";
 
-  /** Wire name "pass": the attempt of a task. */
+  /** Wire name "pass": the number of a task attempt. */
   private static final String ATTEMPT = "pass";
 
   private static final String STAGE = "stage";
@@ -56,7 +58,7 @@
   /** Wire name "cause": why a task exited. */
   private static final String EXIT_REASON = "cause";
 
-  /** Wire name "saved": true if a task that was stopped has written its checkpoint. */
+  /** Wire name "saved": whether a stopped task has written its checkpoint. */
   private static final String CHECKPOINT_SAVED = "saved";
 
   /** Wire name "orders": the worker commands. */
@@ -68,7 +70,7 @@
   private static final String LAUNCH = "launch";
   private static final String KILL = "kill";
 
-  /** Wire name "reap": removes an exited task from the worker's heartbeats. */
+  /** Wire name "reap": removes an exited task attempt from the worker and its heartbeats. */
   private static final String REAP = "reap";
 
   /** Wire name "wind_down_s": the grace period of a kill in seconds. */
@@ -95,7 +97,7 @@
     return true;
   }
 
-  /** True if a heartbeat has what every heartbeat has; a list that is empty may be left out. */
+  /** Whether a heartbeat has all required fields; an empty list of tasks may be omitted. */
   private static boolean isWellFormed(JsonNode n) {
     JsonNode tasks = n == null ? null : n.path(TASKS);
     if (n == null
@@ -112,7 +114,7 @@
     return true;
   }
 
-  /** Reads a heartbeat; null if the body is none. */
+  /** Decodes a heartbeat; returns null if the body is not a valid heartbeat. */
   public static Heartbeat decodeHeartbeat(JsonNode n) {
     if (!isWellFormed(n)) {
       return null;
@@ -144,7 +146,10 @@
         task.path(CHECKPOINT_SAVED).asBoolean(false));
   }
 
-  /** A stage that this version doesn't know counts as fetching: the task takes its resources. */
+  /**
+   * Decodes a stage. Unknown stages count as fetching, in which a task already occupies its
+   * resources.
+   */
   private static Heartbeat.Stage decodeStage(String stage) {
     return switch (stage) {
       case RUNNING -> Heartbeat.Stage.RUNNING;
@@ -158,7 +163,7 @@
     ArrayNode list = Json.array();
     for (WorkerCommand command : commands) {
       if (list.size() >= maxCommands) {
-        break; // The rest follows with the next heartbeat.
+        break; // The remaining commands are sent with the response to the next heartbeat.
       }
       ObjectNode n = list.addObject().put(COMMAND_KIND, kindOf(command));
       n.put(TASK, command.task()).put(ATTEMPT, command.attempt());
@@ -177,8 +182,8 @@
   }
 
   /**
-   * The answer to a heartbeat, with at most {@code most} of the commands. The worker drops an
-   * answer whose term is lower than one that it has seen.
+   * Encodes the response to a heartbeat, with at most {@code maxCommands} commands. Workers discard
+   * a response whose term is lower than the highest term they have seen.
    */
   public static ObjectNode encodeHeartbeatResponse(
       long term, List<WorkerCommand> commands, int maxCommands) {
@@ -188,7 +193,8 @@
   }
 
   /**
-   * Commands that are sent straight to a worker, for the incarnation {@code session} of it only.
+   * Encodes commands that are sent directly to a worker. Only the given incarnation of the worker
+   * executes them.
    */
   public static ObjectNode encodeCommands(
       long term, long incarnation, List<WorkerCommand> commands) {
@@ -197,7 +203,9 @@
     return n;
   }
 
-  /** Sends a worker to another controller, or to any other if {@code member} is null. */
+  /**
+   * Encodes a redirect of a worker to another controller, to any other if {@code member} is null.
+   */
   public static ObjectNode encodeRedirect(String member) {
     ObjectNode n = Json.object();
     return member == null ? n : n.put(CONTROLLER, member);
--- a/src/main/java/graderelay/wire/package-info.java
+++ b/src/main/java/graderelay/wire/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The one place where the deployment's wire names meet the terms of the code. A codec's {@code
- * encodeX} and {@code decodeX} methods turn typed records into JSON trees (CBOR between
- * controllers) and back; every wire key is a constant beside its codec. Names on the wire and in
- * the store never change: other versions read and write them.
+ * Codecs for messages and stored records. Only this package uses the deployment's wire names. A
+ * codec's {@code encodeX} and {@code decodeX} methods convert typed records to JSON trees (CBOR
+ * between controllers) and back; every wire key is a constant in its codec. Names on the wire and
+ * in the store never change, because other versions read and write them.
  *
  * <table>
  *   <caption>Wire names and terms</caption>
@@ -11,12 +11,12 @@
  *   <tr><td>ledger</td><td>revision of the store</td><td>StoreCodec</td></tr>
  *   <tr><td>holds, permit</td><td>session lease and its id</td><td>StoreCodec</td></tr>
  *   <tr><td>life_ms</td><td>time to live of a session lease</td><td>StoreCodec</td></tr>
- *   <tr><td>news</td><td>changes that a watch tells of</td><td>StoreCodec</td></tr>
+ *   <tr><td>news</td><td>changes in the response to a watch</td><td>StoreCodec</td></tr>
  *   <tr><td>multi, if, then</td><td>compare-and-swap transaction</td>
  *     <td>{@link graderelay.wire.TransactionCodec}</td></tr>
  *   <tr><td>g/owner</td><td>leader</td><td>{@link graderelay.wire.StateCodec}</td></tr>
  *   <tr><td>mesh</td><td>peer address of the leader</td><td>StateCodec</td></tr>
- *   <tr><td>g/term</td><td>counter of terms (fencing tokens)</td><td>StateCodec</td></tr>
+ *   <tr><td>g/term</td><td>last term (fencing token)</td><td>StateCodec</td></tr>
  *   <tr><td>g/bar/</td><td>suspension from election</td><td>StateCodec</td></tr>
  *   <tr><td>g/deputy/</td><td>release of a lease delegate's grants</td><td>StateCodec</td></tr>
  *   <tr><td>g/slice/</td><td>task batch</td><td>StateCodec</td></tr>
@@ -29,15 +29,15 @@
  *     <td>{@link graderelay.wire.QuotaCodec}</td></tr>
  *   <tr><td>promise, keep</td><td>election pledge, leaderless pledge</td>
  *     <td>{@link graderelay.wire.PeerCodec}</td></tr>
- *   <tr><td>deputy</td><td>request to be a lease delegate</td><td>PeerCodec</td></tr>
- *   <tr><td>report</td><td>heartbeat that is passed on</td><td>PeerCodec</td></tr>
+ *   <tr><td>deputy</td><td>request to become a lease delegate</td><td>PeerCodec</td></tr>
+ *   <tr><td>report</td><td>relayed heartbeat</td><td>PeerCodec</td></tr>
  *   <tr><td>hold</td><td>session lease of the leader</td><td>PeerCodec</td></tr>
  *   <tr><td>checkin</td><td>heartbeat</td><td>{@link graderelay.wire.WorkerCodec}</td></tr>
  *   <tr><td>foreman, foreman_at</td><td>term; controller to report to</td>
  *     <td>WorkerCodec</td></tr>
  *   <tr><td>shift, tally</td><td>incarnation, sequence number</td><td>WorkerCodec</td></tr>
- *   <tr><td>recall_s</td><td>preemption notice of a spot instance</td><td>WorkerCodec</td></tr>
- *   <tr><td>order, reap</td><td>worker command; its kind that removes an exited task</td>
+ *   <tr><td>recall_s</td><td>interruption notice of a spot instance</td><td>WorkerCodec</td></tr>
+ *   <tr><td>order, reap</td><td>worker command; command that removes an exited task attempt</td>
  *     <td>WorkerCodec</td></tr>
  *   <tr><td>wind_down_s</td><td>grace period of a kill</td><td>WorkerCodec</td></tr>
  *   <tr><td>saw, rig, yard</td><td>machine, machine type, zone</td>
--- a/src/test/java/graderelay/cloud/CloudClientTest.java
+++ b/src/test/java/graderelay/cloud/CloudClientTest.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** How a scale-out ends for each kind of answer of the cloud. */
+/** Tests the result of a scale-out for each kind of response of the cloud. */
 class CloudClientTest {
   private static final int SCALE_OUT_ATTEMPTS = 3;
 
@@ -70,7 +70,7 @@
     };
   }
 
-  /** Stands still, and runs timers at once. */
+  /** Event loop whose clock does not advance and whose timers run immediately. */
   private static final class ImmediateLoop implements Loop {
     @Override
     public double now() {
--- a/src/test/java/graderelay/wire/DeploymentProtocolTest.java
+++ b/src/test/java/graderelay/wire/DeploymentProtocolTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages of users, workers and the cloud: the protocol's examples, and the bytes of ours. */
+/**
+ * Tests that the protocol's example messages of users, workers and the cloud are decoded, and that
+ * messages to them have the expected bytes.
+ */
 class DeploymentProtocolTest {
   private static final String SUBMISSION =
       "{\"ref\":\"j-000412\",\"lot\":\"train\",\"crew\":\"vision\",\"cut\":\"array\","
--- a/src/test/java/graderelay/wire/FeatureCodecTest.java
+++ b/src/test/java/graderelay/wire/FeatureCodecTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Records of feature levels and compact hints: both ways, and what is no record. */
+/**
+ * Tests that records of feature levels and compact hints round-trip and that malformed ones are
+ * rejected.
+ */
 class FeatureCodecTest {
   private static com.fasterxml.jackson.databind.JsonNode json(String text) {
     return Json.read(text.getBytes(StandardCharsets.UTF_8));
@@ -72,7 +75,7 @@
         .hasMessageContaining(field);
   }
 
-  /** Machines as a large fleet has them, each with some of a few images. */
+  /** Returns {@code count} machines, each with a pseudorandom subset of 12 images. */
   private static Map<String, List<String>> imagesByMachine(int first, int count) {
     Map<String, List<String>> machines = new TreeMap<>();
     for (int i = first; i < first + count; i++) {
--- a/src/test/java/graderelay/wire/ProductionFormats.java
+++ b/src/test/java/graderelay/wire/ProductionFormats.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 
 /**
- * Records and messages as the version in production wrote them, see {@code
+ * Records and messages that the version in production wrote, see {@code
  * src/test/resources/production/README.md}.
  */
 public final class ProductionFormats {
   private ProductionFormats() {}
 
-  /** Stored values by key, as the bytes that were stored. */
+  /** Returns the stored values by key, with their original bytes. */
   public static Map<String, byte[]> records() {
     Map<String, byte[]> records = new LinkedHashMap<>();
     lines("records.txt")
@@ -24,24 +24,27 @@
     return records;
   }
 
-  /** One stored value. */
+  /** Returns one stored value. */
   public static JsonNode record(String key) {
     return Json.read(records().get(key));
   }
 
-  /** Messages between controllers and their answers by name, as the bytes that were sent. */
+  /**
+   * Returns the messages between controllers and their responses by name, with their original
+   * bytes.
+   */
   public static Map<String, byte[]> messages() {
     Map<String, byte[]> messages = new LinkedHashMap<>();
     lines("messages.txt").forEach((name, hex) -> messages.put(name, HexFormat.of().parseHex(hex)));
     return messages;
   }
 
-  /** One message or answer. */
+  /** Returns one message or response. */
   public static JsonNode message(String name) {
     return Json.readCbor(messages().get(name));
   }
 
-  /** What stands before the last space of each line, and what stands behind it. */
+  /** Returns the lines of a file as a map, split at the last space of each line. */
   private static Map<String, String> lines(String file) {
     try (InputStream in = ProductionFormats.class.getResourceAsStream("/production/" + file)) {
       Map<String, String> lines = new LinkedHashMap<>();
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The present version beside the version in production: it reads that one's records and messages,
- * and what it writes while that one may still read it has no field that that one lacks.
+ * Tests compatibility with the version in production: its records and messages are decoded, and
+ * records and messages that it may read contain no field that it does not support, except the time
+ * of a final state.
  */
 class ProductionFormatsTest {
   private static final long NOW_MS = 1_700_000_000_000L;
@@ -31,7 +32,7 @@
   private static final KnownCancellations CANCELLATIONS =
       new KnownCancellations(true, 512.5, 1.25, List.of("j-000003", "j-000005"));
 
-  /** Every request between controllers, by the name of its bytes. */
+  /** Requests between controllers by name in the messages file. */
   private static final Map<String, PeerRequest> REQUESTS =
       Map.of(
           "promise",
@@ -39,7 +40,7 @@
           "keep",
           new PeerRequest.LeaderlessPledge("m-2", 0.6),
           "share",
-          new PeerRequest.Share("m-1", 41, 2.25),
+          new PeerRequest.LendWriteCapacity("m-1", 41, 2.25),
           "handover",
           new PeerRequest.Handover("m-1", 41, 7),
           "deputy",
@@ -51,7 +52,7 @@
           "admin",
           new PeerRequest.RelayedAdminRequest("GET", "/admin/jobs", "most=10", BODY));
 
-  /** Every answer between controllers, by the name of its bytes. */
+  /** Responses between controllers by name in the messages file. */
   private static final Map<String, PeerResponse> RESPONSES =
       Map.of(
           "promise answer",
@@ -61,7 +62,7 @@
           "keep answer",
           new PeerResponse.PledgeResponse(true, false, CANCELLATIONS),
           "share answer",
-          new PeerResponse.ShareResponse(3.5),
+          new PeerResponse.LendWriteCapacityResponse(3.5),
           "handover answer",
           new PeerResponse.HandoverResponse(),
           "deputy answer",
@@ -215,7 +216,10 @@
                 assertThat(names).containsExactlyInAnyOrderElementsOf(images.get(machine)));
   }
 
-  /** The time of an end is the one field that an old controller may see and does not know. */
+  /**
+   * The write time of a final state is the only field that the version in production may read but
+   * does not support.
+   */
   @Test
   void finalStateHasOnlyWriteTimeInAdditionToProductionVersion() {
     JsonNode old = ProductionFormats.record("g/end/j-000004");
@@ -257,7 +261,7 @@
           PeerResponse decoded =
               switch (name.substring(0, name.indexOf(' '))) {
                 case "promise", "keep" -> PeerCodec.decodePledgeResponse(sent);
-                case "share" -> PeerCodec.decodeShareResponse(sent);
+                case "share" -> PeerCodec.decodeLendWriteCapacityResponse(sent);
                 case "handover" -> PeerCodec.decodeHandoverResponse(sent);
                 case "deputy" -> PeerCodec.decodeDelegationResponse(sent);
                 default -> PeerCodec.decodeRelayedResponse(sent);
@@ -286,7 +290,7 @@
     byte[] notCbor = {(byte) 0xff, 0};
     assertThat(PeerCodec.decodeRequest(notCbor)).isNull();
     assertThat(PeerCodec.decodePledgeResponse(notCbor)).isNull();
-    assertThat(PeerCodec.decodeShareResponse(notCbor)).isNull();
+    assertThat(PeerCodec.decodeLendWriteCapacityResponse(notCbor)).isNull();
     assertThat(PeerCodec.decodeHandoverResponse(notCbor)).isNull();
     assertThat(PeerCodec.decodeDelegationResponse(notCbor)).isNull();
     assertThat(PeerCodec.decodeRelayedResponse(notCbor)).isNull();
--- a/src/test/java/graderelay/wire/RequestAndRecordErrorsTest.java
+++ b/src/test/java/graderelay/wire/RequestAndRecordErrorsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Errors carry the field that is wrong, and tell it in the text that senders have always got. */
+/** Tests that errors about requests and records name the invalid field, with unchanged messages. */
 class RequestAndRecordErrorsTest {
   @Test
   void badRequestNamesMissingField() {
--- a/src/test/java/graderelay/wire/StateCodecTest.java
+++ b/src/test/java/graderelay/wire/StateCodecTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Election records and final states have the stated bytes, and are read as they were written. */
+/** Tests that election records and final states have the expected bytes and round-trip. */
 class StateCodecTest {
   private static JsonNode json(String text) {
     return Json.read(text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/graderelay/wire/StoreCodecTest.java
+++ b/src/test/java/graderelay/wire/StoreCodecTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The key-value store's protocol: its examples are read, and requests have the stated bytes. */
+/**
+ * Tests that the examples of the key-value store's protocol are decoded and that requests have the
+ * expected bytes.
+ */
 class StoreCodecTest {
   private static JsonNode json(String text) {
     return Json.read(text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/graderelay/wire/StoredRecordCompatibilityTest.java
+++ b/src/test/java/graderelay/wire/StoredRecordCompatibilityTest.java
@@ -26,18 +26,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Records that the codecs of commit a8224e6 stored are read by the present codecs with every field,
- * see {@code src/test/resources/stored-records-a8224e6/README.md}. Unlike {@link
- * ProductionFormatsTest} it covers the kinds that came after the version in production: packed task
- * batches, final states with their time, stored limits and accounts, feature levels, members and
- * compact hints.
+ * Tests that the current codecs decode every field of records that the codecs of commit a8224e6
+ * stored, see {@code src/test/resources/stored-records-a8224e6/README.md}. Unlike {@link
+ * ProductionFormatsTest} it covers records that the version in production does not write: packed
+ * task batches, final states with their time, stored limits and accounts, feature levels, members
+ * and compact hints.
  */
 class StoredRecordCompatibilityTest {
   private static final String RESOURCE_DIRECTORY = "/stored-records-a8224e6/";
   private static final long NOW_MS = 1_760_000_000_000L;
   private static final long REVISION = 77;
 
-  /** Nine tasks as they were written: queued, claimed, done and retried ones. */
+  /** Attempts of nine stored tasks, which are queued, claimed, done or retried. */
   private static final int[] ATTEMPTS = {0, 1, 2, 3, 1, 0, 4, 2, 1};
 
   private static final String[] MACHINES = {
@@ -64,7 +64,7 @@
     return n;
   }
 
-  /** The keys of {@code keys.txt} by their names. */
+  /** Returns the keys of {@code keys.txt} by name. */
   private static Map<String, String> keys() {
     Map<String, String> keys = new LinkedHashMap<>();
     for (String line : new String(bytes("keys.txt"), StandardCharsets.UTF_8).split("\n")) {
