--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -39,7 +39,8 @@
   private static final double CALL_TIMEOUT_S = 5.0;
 
   /**
-   * Fraction of the cloud's rate limit that the leader uses; followers only read the machine types.
+   * Fraction of the cloud's rate limit that one controller uses. The rest is for the others, which
+   * only read the machine types.
    */
   private static final double RATE_FRACTION = 0.8;
 
--- a/src/main/java/graderelay/wire/LeaderHintCodec.java
+++ b/src/main/java/graderelay/wire/LeaderHintCodec.java
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Encodes the recent demand in at most {@code maxBytes}; omits the oldest arrivals first, then
-   * whole classes.
+   * Encodes the recent demand in a record of at most {@code maxBytes}; omits the oldest arrivals
+   * first, then whole classes.
    */
   static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
     int maxArrivals = classes.stream().mapToInt(d -> d.arrivals().size()).max().orElse(0);
@@ -118,7 +118,8 @@
   }
 
   /**
-   * Encodes which images machines have in at most {@code maxBytes}, omitting machines if necessary.
+   * Encodes which images machines have, in a record of at most {@code maxBytes}; omits machines if
+   * necessary.
    */
   static ObjectNode encodeImages(
       Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
--- a/src/main/java/graderelay/wire/StateCodec.java
+++ b/src/main/java/graderelay/wire/StateCodec.java
@@ -152,8 +152,9 @@
   }
 
   /**
-   * A lease delegate has released all grants up to that of its request {@code releasedUpTo} by the
-   * term {@code grantedBy}; {@code aloneS} is how long ago it last acted alone, in seconds.
+   * Encodes that a lease delegate has released all grants that the leader process with the first
+   * term {@code grantorTerm} made up to the request {@code releasedUpTo}. See {@link
+   * DelegateRelease}.
    */
   public static ObjectNode encodeDelegateRelease(
       String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {
@@ -219,8 +220,8 @@
   }
 
   /**
-   * Encodes the recent demand in at most {@code maxBytes}; omits the oldest arrivals first, then
-   * whole classes.
+   * Encodes the recent demand in a record of at most {@code maxBytes}; omits the oldest arrivals
+   * first, then whole classes.
    */
   public static ObjectNode encodeDemand(List<Action.Demand> classes, long nowMs, int maxBytes) {
     return LeaderHintCodec.encodeDemand(classes, nowMs, maxBytes);
@@ -240,7 +241,8 @@
   }
 
   /**
-   * Encodes which images machines have in at most {@code maxBytes}, omitting machines if necessary.
+   * Encodes which images machines have, in a record of at most {@code maxBytes}; omits machines if
+   * necessary.
    */
   public static ObjectNode encodeImages(
       Map<String, List<String>> imagesByMachine, int maxImages, int maxBytes) {
