--- a/src/main/java/graderelay/cli/Serve.java
+++ b/src/main/java/graderelay/cli/Serve.java
@@ -80,7 +80,7 @@
     var random = new SplittableRandom(ByteBuffer.wrap(seed).getLong());
     var client = new HttpClient(loop, (int) (settings.maxConnections() * IDLE_CONNECTIONS_SHARE));
     ControllerNode controller = new ControllerNode(clock, client, settings, options, random);
-    controller.onLeave(Serve::leave);
+    controller.onShutdownRequested(Serve::leave);
     int mostAccepted = (int) (settings.maxConnections() * ACCEPT_SHARE);
     HttpServer api = new HttpServer(loop, clock, mostAccepted, controller::handle);
     HttpServer peerServer =
@@ -92,7 +92,7 @@
       LoggerFactory.getLogger("serve").error("an address can't be had: {}", e.getMessage());
       return false;
     }
-    controller.watchConnections(
+    controller.registerConnectionGauges(
         () -> api.connections() + peerServer.connections(), client::connections);
     clock.execute(controller::start);
     return true;
--- a/src/main/java/graderelay/service/CloudScaler.java
+++ b/src/main/java/graderelay/service/CloudScaler.java
@@ -12,16 +12,16 @@
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
   /** The cluster's first fencing token: before it there was no leader that scaled out. */
-  private static final long FIRST_TOKEN = 1;
+  private static final long FIRST_TERM = 1;
 
-  private final LeaderTerm term;
+  private final LeaderTerm leaderTerm;
   private final Scheduler core;
   private final Loop loop;
-  private final CloudClient cloud;
-  private final long fencingToken;
-  private final double startedAt;
+  private final CloudClient cloudClient;
+  private final long electedTerm;
+  private final double termStartedAt;
   private final double listLagS;
-  private boolean listed;
+  private boolean hasListedMachines;
 
   /**
    * Makes the scaler of one term, whose core exists already.
@@ -31,23 +31,23 @@
    * @param listLagS how long the cloud's list of machines may lag behind a scale-out, in seconds
    */
   CloudScaler(
-      LeaderTerm term,
+      LeaderTerm leaderTerm,
       LeaderServices services,
-      long fencingToken,
-      double startedAt,
+      long electedTerm,
+      double termStartedAt,
       double listLagS) {
-    this.term = term;
-    this.core = term.core();
+    this.leaderTerm = leaderTerm;
+    this.core = leaderTerm.core();
     this.loop = services.loop();
-    this.cloud = services.cloud();
-    this.fencingToken = fencingToken;
-    this.startedAt = startedAt;
+    this.cloudClient = services.cloudClient();
+    this.electedTerm = electedTerm;
+    this.termStartedAt = termStartedAt;
     this.listLagS = listLagS;
   }
 
   /** The cloud has listed its machines once in this term: earlier leaders' scale-outs show. */
-  void markListed() {
-    listed = true;
+  void onMachinesListed() {
+    hasListedMachines = true;
   }
 
   /** Asks for machines; refused without asking while those of an earlier leader may not show. */
@@ -56,41 +56,42 @@
       core.onScaleOutResponse(request.id(), null, false, loop.now());
       return;
     }
-    String name = "hire-" + fencingToken + "-" + request.id();
+    String requestName = "hire-" + electedTerm + "-" + request.id();
     LOG.info(
         "scale out {} {} in {}{} as {}",
         request.count(),
         request.type(),
         request.zone(),
         request.spot() ? ", spot" : "",
-        name);
-    cloud.scaleOut(
-        name,
+        requestName);
+    cloudClient.scaleOut(
+        requestName,
         request.type(),
         request.zone(),
         request.spot(),
         request.count(),
         result ->
-            term.takeOutcome(
+            leaderTerm.applyOutcome(
                 now -> {
-                  LOG.info("{}: {}", name, result.noCapacity() ? "no capacity" : result.names());
+                  LOG.info(
+                      "{}: {}", requestName, result.noCapacity() ? "no capacity" : result.names());
                   core.onScaleOutResponse(request.id(), result.names(), result.noCapacity(), now);
                 }));
   }
 
   /** An earlier leader may have scaled out for the same work; the list shows it only later. */
   private boolean mayMissEarlierScaleOuts() {
-    boolean first = fencingToken == FIRST_TOKEN;
-    return !first && (!listed || loop.now() < startedAt + listLagS);
+    boolean isFirstTerm = electedTerm == FIRST_TERM;
+    return !isFirstTerm && (!hasListedMachines || loop.now() < termStartedAt + listLagS);
   }
 
   /** Returns machines to the cloud; what it does not confirm, the core decides on again. */
   void scaleIn(Action.ScaleIn request) {
-    cloud.scaleIn(
+    cloudClient.scaleIn(
         request.machines(),
         confirmed -> {
           if (confirmed) {
-            term.takeOutcome(now -> core.onMachinesDeleted(request.machines(), now));
+            leaderTerm.applyOutcome(now -> core.onMachinesDeleted(request.machines(), now));
           }
         });
   }
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -32,22 +32,22 @@
  * ones it needs. Parts that need a later one take a method of this class that asks it when called.
  * Nothing runs before {@link ControllerNode#start}.
  */
-final class ControllerParts {
+final class ControllerComponents {
   final Loop loop;
   final Settings settings;
   final StateClient state;
   final Cache cache;
   final Leadership leadership;
-  final CloudClient cloud;
+  final CloudClient cloudClient;
   final LeaseDelegate leaseDelegate;
   final PeerApi peerApi;
   final Metrics metrics;
-  final FeatureGate gate;
-  final FeatureLevelManager features;
+  final FeatureGate featureGate;
+  final FeatureLevelManager featureLevelManager;
   final QuotaMonitor quotaMonitor;
   final RequestRouter router;
   final Readiness readiness;
-  final MachineTypePoller machineTypes;
+  final MachineTypePoller machineTypePoller;
   final LeaderLifecycle leaderLifecycle;
 
   private final RandomGenerator random;
@@ -55,7 +55,7 @@
   private final LeaderServices leaderServices;
   private final PeerClient peerClient;
   private final RequestHedger requestHedger;
-  private final StoredOperatorSettings operators;
+  private final StoredOperatorSettings operatorSettings;
   private final TeamLimits teamLimits;
 
   /**
@@ -64,27 +64,29 @@
    * @param options switches features on that this process supports
    * @param random draws that tests can repeat
    */
-  ControllerParts(
+  ControllerComponents(
       Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
     this.loop = loop;
     this.settings = settings;
     this.random = random;
-    this.gate = new FeatureGate(options.supported());
-    this.operators = new StoredOperatorSettings(SchedulerPolicy.mostBatchTasks(settings));
+    this.featureGate = new FeatureGate(options.supported());
+    this.operatorSettings = new StoredOperatorSettings(SchedulerPolicy.maxTasksPerBatch(settings));
     this.metrics = new Metrics(loop);
     this.state = newStateClient(transport);
-    RecordChangeDispatcher recordChanges = new RecordChangeDispatcher();
-    this.cache = new Cache(loop, state, gate, recordChanges);
-    this.peerClient = new PeerClient(transport, settings.peers(), gate);
+    RecordChangeDispatcher recordChangeDispatcher = new RecordChangeDispatcher();
+    this.cache = new Cache(loop, state, featureGate, recordChangeDispatcher);
+    this.peerClient = new PeerClient(transport, settings.peers(), featureGate);
     this.cancellations = new Cancellations(loop, cache, settings);
     this.leaderLifecycle = newLeaderLifecycle();
     cancellations.setListener(leaderLifecycle::onCancelled);
     this.leadership = newLeadership();
-    this.cloud = new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRps());
-    this.machineTypes = new MachineTypePoller(loop, cloud, this::leads, this::onMachineTypes);
+    this.cloudClient =
+        new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRps());
+    this.machineTypePoller =
+        new MachineTypePoller(loop, cloudClient, this::isLeader, this::onMachineTypes);
     this.leaderServices =
         new LeaderServices(
-            loop, state, cache, leadership, cloud, new WorkerClient(transport), metrics);
+            loop, state, cache, leadership, cloudClient, new WorkerClient(transport), metrics);
     this.teamLimits = new TeamLimits(cache.quota(), settings.teams());
     this.quotaMonitor = new QuotaMonitor(teamLimits, this::core);
     this.leaseDelegate =
@@ -92,8 +94,9 @@
             loop, peerClient, leadership, cache, state, cancellations, settings, random.nextLong());
     this.requestHedger = newRequestHedger();
     this.readiness =
-        new Readiness(loop, gate, state, cache, leadership, machineTypes, requestHedger);
-    this.features =
+        new Readiness(
+            loop, featureGate, state, cache, leadership, machineTypePoller, requestHedger);
+    this.featureLevelManager =
         new FeatureLevelManager(
             loop,
             state,
@@ -106,10 +109,13 @@
     WorkerApi workerApi = newWorkerApi();
     this.router = newRouter(workerApi);
     this.peerApi = newPeerApi(workerApi);
-    recordChanges.connect(
+    recordChangeDispatcher.connect(
         cache,
         new RecordChangeDispatcher.Targets(
-            leaderLifecycle, this::onLeaderRecord, quotaMonitor::onQuota, operators));
+            leaderLifecycle,
+            this::onLeaderRecordChanged,
+            quotaMonitor::onQuotaRecordsChanged,
+            operatorSettings));
   }
 
   // ---------------------------------------------------------------- steps of the constructor
@@ -129,7 +135,7 @@
     return new LeaderLifecycle(
         loop,
         cache,
-        this::leads,
+        this::isLeader,
         this::term,
         this::mayActAsLeader,
         cancellations,
@@ -159,7 +165,7 @@
         peerClient,
         state.health()::isStalled,
         leadership::isStoreUnavailableToAll,
-        this::mayAnswer);
+        this::mayBeResponsive);
   }
 
   private WorkerApi newWorkerApi() {
@@ -180,16 +186,16 @@
         new FeaturesApi(
             settings.member(),
             cache,
-            features.coordinator(),
+            featureLevelManager.coordinator(),
             leadership::isLeader,
             adminApi::atLeader);
     return new RequestRouter(
-        new RequestRouter.Targets(
+        new RequestRouter.Handlers(
             newUserApi(), workerApi, adminApi, featuresApi, newQuotaApi(adminApi)),
-        gate,
+        featureGate,
         requestHedger,
-        readiness::ready,
-        readiness::submissionsWaitHere,
+        readiness::isReady,
+        readiness::wouldDelaySubmission,
         this::metricsText);
   }
 
@@ -202,7 +208,7 @@
         settings,
         teamLimits,
         this::currentMachineTypes,
-        () -> operators.current().batchCapacity());
+        () -> operatorSettings.current().batchCapacity());
   }
 
   private AdminApi newAdminApi() {
@@ -213,10 +219,10 @@
         state,
         cache,
         peerClient,
-        operators.defaults(),
-        SchedulerPolicy.mostBatchTasks(settings),
+        operatorSettings.defaults(),
+        SchedulerPolicy.maxTasksPerBatch(settings),
         this::core,
-        readiness::ready);
+        readiness::isReady);
   }
 
   private QuotaApi newQuotaApi(AdminApi adminApi) {
@@ -246,7 +252,7 @@
 
   // ---------------------------------------------------------------- calls between the parts
 
-  private boolean leads() {
+  private boolean isLeader() {
     return leadership.isLeader();
   }
 
@@ -263,24 +269,25 @@
   }
 
   private List<MachineType> currentMachineTypes() {
-    return machineTypes.current();
+    return machineTypePoller.current();
   }
 
   private void onMachineTypes(List<MachineType> types) {
-    leaderLifecycle.ifLeading(term -> term.onTypes(types));
+    leaderLifecycle.ifLeading(term -> term.onMachineTypes(types));
   }
 
-  private void onLeaderRecord() {
-    features.checkRecords();
+  private void onLeaderRecordChanged() {
+    featureLevelManager.checkRecords();
     leadership.reconcile();
   }
 
   private String metricsText() {
-    return metrics.scrape(Map.of("state", state.callCounts(), "cloud", cloud.outcomes()), core());
+    return metrics.scrape(
+        Map.of("state", state.callCounts(), "cloud", cloudClient.outcomes()), core());
   }
 
   /** A leader knows which peers answer; a follower finds out by asking. */
-  private boolean mayAnswer(String peer) {
+  private boolean mayBeResponsive(String peer) {
     return !leadership.isLeader() || leadership.isPeerResponsive(peer);
   }
 
@@ -288,9 +295,9 @@
   private LeaderTerm newTerm() {
     return new LeaderTerm(
         leaderServices,
-        SchedulerPolicy.of(settings, state, operators.current()),
+        SchedulerPolicy.of(settings, state, operatorSettings.current()),
         settings.least(),
-        operators.current(),
+        operatorSettings.current(),
         random,
         currentMachineTypes());
   }
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -19,11 +19,11 @@
  */
 public final class ControllerNode {
   /** Seconds between ticks of the core. */
-  static final double TICK_S = 0.25;
+  static final double TICK_INTERVAL_S = 0.25;
 
   private static final Logger LOG = LoggerFactory.getLogger("node");
 
-  private final ControllerParts parts;
+  private final ControllerComponents components;
   private Loop.Timer tickTimer;
   private boolean closed;
 
@@ -39,59 +39,63 @@
    */
   public ControllerNode(
       Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
-    this.parts = new ControllerParts(loop, transport, settings, options, random);
+    this.components = new ControllerComponents(loop, transport, settings, options, random);
   }
 
   // ---------------------------------------------------------------- start and end
 
   /** Tells where the numbers of open connections come from, to show them to operators. */
-  public void watchConnections(IntSupplier in, IntSupplier out) {
-    parts.metrics.gauge("graderelay.connections", Tags.of("direction", "in"), m -> in.getAsInt());
-    parts.metrics.gauge("graderelay.connections", Tags.of("direction", "out"), m -> out.getAsInt());
+  public void registerConnectionGauges(IntSupplier inbound, IntSupplier outbound) {
+    components.metrics.registerGauge(
+        "graderelay.connections", Tags.of("direction", "in"), m -> inbound.getAsInt());
+    components.metrics.registerGauge(
+        "graderelay.connections", Tags.of("direction", "out"), m -> outbound.getAsInt());
   }
 
   /** Hears why this process has to end, if the cluster has gone on without it. */
-  public void onLeave(Consumer<String> listener) {
-    parts.features.onLeave(listener);
+  public void onShutdownRequested(Consumer<String> listener) {
+    components.featureLevelManager.onShutdownRequested(listener);
   }
 
   /** Starts metrics, the records' watch, features, machine types, lease delegation and ticks. */
   public void start() {
-    LOG.info("{} starts in zone {}", parts.settings.member(), parts.settings.zone());
+    LOG.info("{} starts in zone {}", components.settings.member(), components.settings.zone());
     startMetrics();
-    parts.cache.start();
-    parts.features.start();
-    parts.machineTypes.start();
-    parts.leaseDelegate.start();
+    components.cache.start();
+    components.featureLevelManager.start();
+    components.machineTypePoller.start();
+    components.leaseDelegate.start();
     tick();
   }
 
   private void startMetrics() {
-    parts.metrics.bucket("state requests", parts.state.budget().requestTokens());
-    parts.metrics.bucket("state changes", parts.state.budget().changeTokens());
-    parts.metrics.bucket("cloud", parts.cloud.tokens());
-    parts.metrics.readings(parts.quotaMonitor::readings);
-    parts.metrics.start();
-    parts.metrics.gauge(
+    components.metrics.registerTokenBucket(
+        "state requests", components.state.budget().requestTokens());
+    components.metrics.registerTokenBucket(
+        "state changes", components.state.budget().changeTokens());
+    components.metrics.registerTokenBucket("cloud", components.cloudClient.tokens());
+    components.metrics.sampleSuppliers(components.quotaMonitor::samples);
+    components.metrics.start();
+    components.metrics.registerGauge(
         "graderelay.feature.level",
         Tags.of("what", "finalized"),
-        m -> parts.gate.current().level());
-    parts.metrics.gauge(
+        m -> components.featureGate.current().level());
+    components.metrics.registerGauge(
         "graderelay.feature.level",
         Tags.of("what", "supported"),
-        m -> parts.gate.supported().max());
+        m -> components.featureGate.supported().max());
   }
 
   /** Ends what {@link #start} has started, the leader's term first. */
   public void close() {
     closed = true;
-    parts.leaderLifecycle.close();
-    parts.leaseDelegate.close();
-    parts.features.close();
-    parts.leadership.close();
-    parts.metrics.close();
-    parts.cache.close();
-    parts.machineTypes.close();
+    components.leaderLifecycle.close();
+    components.leaseDelegate.close();
+    components.featureLevelManager.close();
+    components.leadership.close();
+    components.metrics.close();
+    components.cache.close();
+    components.machineTypePoller.close();
     if (tickTimer != null) {
       tickTimer.cancel();
     }
@@ -103,39 +107,39 @@
     if (closed) {
       return;
     }
-    parts.leadership.tick();
-    tickTimer = parts.loop.after(TICK_S, this::tick);
+    components.leadership.tick();
+    tickTimer = components.loop.after(TICK_INTERVAL_S, this::tick);
   }
 
   /** Requests of users, workers, operators and the load balancer. */
   public void handle(Exchange exchange) {
-    parts.router.handle(exchange);
+    components.router.handle(exchange);
   }
 
   /** Requests of the other controllers. */
   public void handlePeer(Exchange exchange) {
-    parts.peerApi.handle(exchange);
+    components.peerApi.handle(exchange);
   }
 
   // ---------------------------------------------------------------- status
 
   /** True if this controller can take requests. */
-  public boolean ready() {
-    return parts.readiness.ready();
+  public boolean isReady() {
+    return components.readiness.isReady();
   }
 
   /** True while this controller is the leader. */
-  public boolean leader() {
-    return parts.leadership.isLeader();
+  public boolean isLeader() {
+    return components.leadership.isLeader();
   }
 
   /** True while this controller may answer workers for all controllers. */
-  public boolean speaks() {
-    return parts.leadership.mayActAsLeader();
+  public boolean mayActAsLeader() {
+    return components.leadership.mayActAsLeader();
   }
 
   /** The core while this controller runs a leader term, else null. */
   public Scheduler core() {
-    return parts.leaderLifecycle.core();
+    return components.leaderLifecycle.core();
   }
 }
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -30,34 +30,34 @@
  */
 final class FailoverHints {
   /** Images named in one of those records: a machine's are bits of one number. */
-  private static final int KEPT_IMAGES = 60;
+  private static final int MAX_IMAGES_PER_RECORD = 60;
 
   /** The same for records in their compact form, at some 18 bytes a machine. */
-  private static final int COMPACT_IMAGE_PARTS_PER_THOUSAND = 12;
+  private static final int COMPACT_IMAGE_RECORDS_PER_THOUSAND_MACHINES = 12;
 
   /** Times a value's size that a plain hint may have before its compact form is tried. */
-  private static final int HINT_RATIO = 3;
+  private static final int INITIAL_PLAIN_SIZE_FACTOR = 3;
 
   /** What of a plain hint is kept if its compact form does not fit a value. */
-  private static final double HINT_KEPT = 0.75;
+  private static final double PLAIN_SIZE_REDUCTION_FACTOR = 0.75;
 
   private static final Logger LOG = LoggerFactory.getLogger("hints");
 
   private final StateClient state;
   private final Cache cache;
   private final Leadership leadership;
-  private final int mostBytes;
+  private final int maxValueBytes;
 
   /**
    * Makes the hints of one term.
    *
    * @param mostBytes the largest value that the store takes, in bytes
    */
-  FailoverHints(StateClient state, Cache cache, Leadership leadership, int mostBytes) {
+  FailoverHints(StateClient state, Cache cache, Leadership leadership, int maxValueBytes) {
     this.state = state;
     this.cache = cache;
     this.leadership = leadership;
-    this.mostBytes = mostBytes;
+    this.maxValueBytes = maxValueBytes;
   }
 
   private boolean writesCompactForm() {
@@ -65,28 +65,32 @@
   }
 
   /** Records that share the images of each thousand machines. */
-  int imagePartsPerThousand() {
+  int imageShardsPerThousandMachines() {
     return writesCompactForm()
-        ? COMPACT_IMAGE_PARTS_PER_THOUSAND
+        ? COMPACT_IMAGE_RECORDS_PER_THOUSAND_MACHINES
         : SchedulerLimits.IMAGE_RECORDS_PER_THOUSAND_MACHINES;
   }
 
   /** The images on machines in all records, the newer form last. */
-  List<Map<String, List<String>>> images() {
-    List<Map<String, List<String>>> all = new ArrayList<>();
-    cache.hints().images().values().forEach(plain -> all.add(StateCodec.decodeImages(plain)));
+  List<Map<String, List<String>>> storedImages() {
+    List<Map<String, List<String>>> imagesByRecord = new ArrayList<>();
+    cache
+        .hints()
+        .images()
+        .values()
+        .forEach(plainHint -> imagesByRecord.add(StateCodec.decodeImages(plainHint)));
     cache
         .hints()
         .compactHints()
         .forEach(
-            (key, compact) -> {
-              JsonNode plain =
-                  key.startsWith(FeatureCodec.IMAGE_HINTS) ? unpacked(key, compact) : null;
-              if (plain != null) {
-                all.add(StateCodec.decodeImages(plain));
+            (key, compactHint) -> {
+              JsonNode plainHint =
+                  key.startsWith(FeatureCodec.IMAGE_HINTS) ? unpackOrNull(key, compactHint) : null;
+              if (plainHint != null) {
+                imagesByRecord.add(StateCodec.decodeImages(plainHint));
               }
             });
-    return all;
+    return imagesByRecord;
   }
 
   /**
@@ -94,16 +98,17 @@
    *
    * @param wallMs the time of day now, in milliseconds since the epoch
    */
-  List<Action.Demand> demand(long wallMs) {
-    JsonNode compact = cache.hints().compactHints().get(FeatureCodec.DEMAND_HINT);
-    JsonNode unpacked = compact == null ? null : unpacked(FeatureCodec.DEMAND_HINT, compact);
-    JsonNode plain = unpacked == null ? cache.hints().demand() : unpacked;
-    return plain == null ? List.of() : StateCodec.decodeDemand(plain, wallMs);
+  List<Action.Demand> storedDemand(long wallMs) {
+    JsonNode compactHint = cache.hints().compactHints().get(FeatureCodec.DEMAND_HINT);
+    JsonNode unpacked =
+        compactHint == null ? null : unpackOrNull(FeatureCodec.DEMAND_HINT, compactHint);
+    JsonNode plainHint = unpacked == null ? cache.hints().demand() : unpacked;
+    return plainHint == null ? List.of() : StateCodec.decodeDemand(plainHint, wallMs);
   }
 
-  private static JsonNode unpacked(String key, JsonNode compact) {
+  private static JsonNode unpackOrNull(String key, JsonNode compactHint) {
     try {
-      return CompactHints.unpack(compact);
+      return CompactHints.unpack(compactHint);
     } catch (MalformedRecord e) {
       LOG.warn("{} is left out: {}", key, e.getMessage());
       return null;
@@ -115,25 +120,26 @@
    *
    * @param wallMs the time of day now, in milliseconds since the epoch
    */
-  void keepDemand(Action.StoreDemand demand, long wallMs) {
+  void storeDemand(Action.StoreDemand demand, long wallMs) {
     if (writesCompactForm()) {
-      IntFunction<ObjectNode> within =
+      IntFunction<ObjectNode> encodeWithin =
           bytes -> StateCodec.encodeDemand(demand.classes(), wallMs, bytes);
-      put(FeatureCodec.DEMAND_HINT, packed(within));
+      put(FeatureCodec.DEMAND_HINT, packToFit(encodeWithin));
     } else {
-      put(StateCodec.DEMAND, StateCodec.encodeDemand(demand.classes(), wallMs, mostBytes));
+      put(StateCodec.DEMAND, StateCodec.encodeDemand(demand.classes(), wallMs, maxValueBytes));
     }
   }
 
   /** Stores the images on one part of the machines. */
-  void keepImages(Action.StoreImages images) {
+  void storeImages(Action.StoreImages images) {
     // By name, since neighbours in that order differ in little.
-    Map<String, List<String>> machines = new TreeMap<>(images.imagesByMachine());
-    IntFunction<ObjectNode> within = bytes -> StateCodec.encodeImages(machines, KEPT_IMAGES, bytes);
+    Map<String, List<String>> imagesByMachine = new TreeMap<>(images.imagesByMachine());
+    IntFunction<ObjectNode> encodeWithin =
+        bytes -> StateCodec.encodeImages(imagesByMachine, MAX_IMAGES_PER_RECORD, bytes);
     if (writesCompactForm()) {
-      put(FeatureCodec.IMAGE_HINTS + images.shard(), packed(within));
+      put(FeatureCodec.IMAGE_HINTS + images.shard(), packToFit(encodeWithin));
     } else {
-      put(StateCodec.IMAGES + images.shard(), within.apply(mostBytes));
+      put(StateCodec.IMAGES + images.shard(), encodeWithin.apply(maxValueBytes));
     }
   }
 
@@ -142,12 +148,12 @@
    *
    * @param within makes the plain form in so many bytes
    */
-  private ObjectNode packed(IntFunction<ObjectNode> within) {
-    int plainBytes = mostBytes * HINT_RATIO;
-    ObjectNode packed = CompactHints.pack(within.apply(plainBytes));
-    while (Json.write(packed).length > mostBytes) {
-      plainBytes = (int) (plainBytes * HINT_KEPT);
-      packed = CompactHints.pack(within.apply(plainBytes));
+  private ObjectNode packToFit(IntFunction<ObjectNode> encodeWithin) {
+    int plainBytes = maxValueBytes * INITIAL_PLAIN_SIZE_FACTOR;
+    ObjectNode packed = CompactHints.pack(encodeWithin.apply(plainBytes));
+    while (Json.write(packed).length > maxValueBytes) {
+      plainBytes = (int) (plainBytes * PLAIN_SIZE_REDUCTION_FACTOR);
+      packed = CompactHints.pack(encodeWithin.apply(plainBytes));
     }
     return packed;
   }
@@ -158,6 +164,6 @@
             .when(cache.election().leaderKey(), leadership.leaderRevision())
             .put(key, value),
         Use.SUBMISSION,
-        r -> {});
+        result -> {});
   }
 }
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -31,13 +31,13 @@
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   private final Loop loop;
-  private final FeatureGate gate;
+  private final FeatureGate featureGate;
   private final Cache cache;
-  private final MembershipPublisher publisher;
+  private final MembershipPublisher membershipPublisher;
   private final UpgradeCoordinator coordinator;
-  private Consumer<String> onLeave = why -> {};
-  private String refusedBecause;
-  private boolean left;
+  private Consumer<String> onShutdownRequested = reason -> {};
+  private String loggedReason;
+  private boolean shutdownRequested;
   private boolean closed;
   private Loop.Timer timer;
 
@@ -57,10 +57,10 @@
       Options options,
       String incarnation) {
     this.loop = loop;
-    this.gate = cache.features().gate();
+    this.featureGate = cache.features().gate();
     this.cache = cache;
     if (options.features() == null) {
-      this.publisher = null;
+      this.membershipPublisher = null;
       this.coordinator = null;
       return;
     }
@@ -72,12 +72,13 @@
             incarnation,
             loop.wallMs(),
             0);
-    this.publisher = new MembershipPublisher(loop, state, cache, self, this::leave);
+    this.membershipPublisher =
+        new MembershipPublisher(loop, state, cache, self, this::requestShutdown);
     this.coordinator =
         new UpgradeCoordinator(
-            gate,
+            featureGate,
             new FeatureLevelStore(state, cache, leadership, settings, loop::wallMs),
-            probe(peerClient, settings.member()),
+            newMemberProbe(peerClient, settings.member()),
             options.features(),
             settings.member(),
             incarnation,
@@ -97,14 +98,14 @@
   }
 
   /** Asks a peer which process it is. */
-  private static MemberProbe probe(PeerClient peerClient, String self) {
-    return (member, done) ->
+  private static MemberProbe newMemberProbe(PeerClient peerClient, String self) {
+    return (member, callback) ->
         peerClient.send(
             peerClient.addressOf(member),
             new PeerRequest.Identify(self),
             PeerCodec::decodeIdentified,
             peerClient.timeoutS(),
-            answer -> done.accept(answer == null ? null : answer.incarnation()));
+            answer -> callback.accept(answer == null ? null : answer.incarnation()));
   }
 
   /**
@@ -115,8 +116,8 @@
   }
 
   /** Hears why this process has to end, once. */
-  void onLeave(Consumer<String> listener) {
-    onLeave = listener;
+  void onShutdownRequested(Consumer<String> listener) {
+    onShutdownRequested = listener;
   }
 
   /** Checks the levels now and then at every interval. */
@@ -141,28 +142,28 @@
 
   /** Checks the records; to be called after each change of them. */
   void checkRecords() {
-    if (!cache.isElectionLoaded() || left) {
+    if (!cache.isElectionLoaded() || shutdownRequested) {
       return;
     }
-    String why = gate.closedBecause();
-    if (why != null && gate.overtaken()) {
-      leave(why);
-    } else if (why != null && !why.equals(refusedBecause)) {
+    String reason = featureGate.closedBecause();
+    if (reason != null && featureGate.overtaken()) {
+      requestShutdown(reason);
+    } else if (reason != null && !reason.equals(loggedReason)) {
       // The process stays: if it ended, it would be restarted again and again to no avail.
-      LOG.error("this controller does not take part: {}", why);
+      LOG.error("this controller does not take part: {}", reason);
     }
-    refusedBecause = why;
-    if (publisher != null) {
-      publisher.checkRecord();
+    loggedReason = reason;
+    if (membershipPublisher != null) {
+      membershipPublisher.checkRecord();
     }
   }
 
-  private void leave(String why) {
-    if (!left) {
-      left = true;
-      gate.leave(why);
-      LOG.error("this controller leaves: {}", why);
-      onLeave.accept(why);
+  private void requestShutdown(String reason) {
+    if (!shutdownRequested) {
+      shutdownRequested = true;
+      featureGate.leave(reason);
+      LOG.error("this controller leaves: {}", reason);
+      onShutdownRequested.accept(reason);
     }
   }
 }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -32,10 +32,10 @@
   private final Cache cache;
   private final Leadership leadership;
   private final List<String> members = new ArrayList<>();
-  private final int mostChanges;
-  private final String member;
+  private final int maxTransactionOps;
+  private final String localMember;
   private final List<Team> teams;
-  private final LongSupplier clock;
+  private final LongSupplier wallClockMs;
 
   /**
    * Makes the store for one controller.
@@ -47,16 +47,16 @@
       Cache cache,
       Leadership leadership,
       Settings settings,
-      LongSupplier clock) {
-    this.member = settings.member();
+      LongSupplier wallClockMs) {
+    this.localMember = settings.member();
     this.teams = settings.teams();
-    this.clock = clock;
+    this.wallClockMs = wallClockMs;
     this.state = state;
     this.cache = cache;
     this.leadership = leadership;
-    this.mostChanges = settings.least().txnOps();
+    this.maxTransactionOps = settings.least().txnOps();
     members.add(settings.member());
-    settings.peers().forEach(p -> members.add(p.member()));
+    settings.peers().forEach(peer -> members.add(peer.member()));
   }
 
   private FeatureRecords records() {
@@ -79,13 +79,15 @@
   }
 
   @Override
-  public void changeLevel(ClusterLevel to, Collection<Member> on, Consumer<Outcome> done) {
+  public void changeLevel(
+      ClusterLevel newLevel, Collection<Member> unchangedMembers, Consumer<Outcome> done) {
     leadership.changeLevel(
-        new LevelChange(to, on, members, mostChanges), result -> done.accept(outcome(result)));
+        new LevelChange(newLevel, unchangedMembers, members, maxTransactionOps),
+        result -> done.accept(toOutcome(result)));
   }
 
   /** A transaction that fails unless this controller is still the leader. */
-  private Transaction asLeader() {
+  private Transaction newLeaderTransaction() {
     return new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
@@ -94,10 +96,10 @@
     state.commit(
         txn,
         Use.CLAIM,
-        result -> cache.catchUp(caughtUp -> done.accept(outcome(result.outcome()))));
+        result -> cache.catchUp(caughtUp -> done.accept(toOutcome(result.outcome()))));
   }
 
-  private static Outcome outcome(StoreOutcome outcome) {
+  private static Outcome toOutcome(StoreOutcome outcome) {
     return switch (outcome) {
       case SUCCEEDED -> Outcome.DONE;
       case CONDITION_FAILED -> Outcome.CONFLICT;
@@ -106,25 +108,26 @@
   }
 
   @Override
-  public void beginLowering(ClusterLevel to, Consumer<Outcome> done) {
+  public void beginLowering(ClusterLevel newLevel, Consumer<Outcome> done) {
     commit(
-        asLeader()
-            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
+        newLeaderTransaction()
+            .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(newLevel))
             .put(FeatureCodec.HOLD, Json.object()),
         done);
   }
 
   @Override
-  public void hold(boolean on, Consumer<Outcome> done) {
-    if (on == held()) {
+  public void hold(boolean enabled, Consumer<Outcome> done) {
+    if (enabled == held()) {
       done.accept(Outcome.DONE);
       return;
     }
     Transaction txn = new Transaction().when(FeatureCodec.HOLD, records().holdRevision());
-    commit(on ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.delete(FeatureCodec.HOLD), done);
+    commit(
+        enabled ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.delete(FeatureCodec.HOLD), done);
   }
 
-  private static String prefixOf(Feature feature) {
+  private static String keyPrefixOf(Feature feature) {
     return switch (feature) {
       case SEALED_ELECTION -> StateCodec.SUSPENSIONS;
       case COMPACT_HINTS -> FeatureCodec.HINTS;
@@ -135,27 +138,27 @@
   @Override
   public void keysOf(Feature feature, Consumer<List<String>> done) {
     state.list(
-        prefixOf(feature),
+        keyPrefixOf(feature),
         Use.CLAIM,
         listing -> done.accept(listing == null ? null : listing.keys()));
   }
 
   @Override
   public void remove(List<String> keys, Consumer<Outcome> done) {
-    Transaction txn = asLeader();
-    keys.subList(0, Math.min(mostChanges, keys.size())).forEach(txn::delete);
+    Transaction txn = newLeaderTransaction();
+    keys.subList(0, Math.min(maxTransactionOps, keys.size())).forEach(txn::delete);
     commit(txn, done);
   }
 
   @Override
   public void complete(Feature feature, Consumer<Boolean> done) {
-    Consumer<Consumer<Boolean>> step =
+    Consumer<Consumer<Boolean>> completionStep =
         switch (feature) {
           case SEALED_ELECTION -> this::sealMembers;
           case COMPACT_HINTS -> this::removePlainHints;
           case STORED_LIMITS -> this::storeLimits;
         };
-    step.accept(done);
+    completionStep.accept(done);
   }
 
   /** Stores the settings' limits; the last transaction also records that they are complete. */
@@ -165,15 +168,19 @@
       done.accept(true);
       return;
     }
-    List<Team> missing = new ArrayList<>();
-    teams.stream().filter(t -> quota.limits(t.name()) == null).forEach(missing::add);
-    Transaction txn = asLeader();
-    List<Team> batch = missing.subList(0, Math.min(missing.size(), mostChanges - 1));
+    List<Team> teamsWithoutLimits = new ArrayList<>();
+    teams.stream()
+        .filter(team -> quota.limits(team.name()) == null)
+        .forEach(teamsWithoutLimits::add);
+    Transaction txn = newLeaderTransaction();
+    List<Team> batch =
+        teamsWithoutLimits.subList(0, Math.min(teamsWithoutLimits.size(), maxTransactionOps - 1));
     for (Team team : batch) {
       String key = QuotaCodec.limitKey(team.name());
-      txn.when(key, 0).put(key, QuotaCodec.encodeLimits(team.quota(), member, clock.getAsLong()));
+      txn.when(key, 0)
+          .put(key, QuotaCodec.encodeLimits(team.quota(), localMember, wallClockMs.getAsLong()));
     }
-    if (batch.size() == missing.size()) {
+    if (batch.size() == teamsWithoutLimits.size()) {
       txn.when(QuotaCodec.SEEDED, 0).put(QuotaCodec.SEEDED, Json.object());
     }
     commit(txn, outcome -> done.accept(false));
@@ -181,15 +188,16 @@
 
   /** Suspends every member in the layout that only older versions read. */
   private void sealMembers(Consumer<Boolean> done) {
-    Transaction txn = asLeader();
-    int missing = 0;
+    Transaction txn = newLeaderTransaction();
+    int missingCount = 0;
     for (String member : members) {
-      if (!cache.election().isSuspendedInUnsealedLayout(member) && missing < mostChanges) {
+      if (!cache.election().isSuspendedInUnsealedLayout(member)
+          && missingCount < maxTransactionOps) {
         txn.put(StateCodec.suspensionKey(member), StateCodec.encodeSuspension(""));
-        missing++;
+        missingCount++;
       }
     }
-    if (missing == 0) {
+    if (missingCount == 0) {
       done.accept(true);
     } else {
       commit(txn, outcome -> done.accept(false));
@@ -198,14 +206,14 @@
 
   /** Removes hints in the older form, which would be ever more out of date. */
   private void removePlainHints(Consumer<Boolean> done) {
-    List<String> plain = new ArrayList<>(cache.hints().images().keySet());
+    List<String> plainHintKeys = new ArrayList<>(cache.hints().images().keySet());
     if (cache.hints().demand() != null) {
-      plain.add(StateCodec.DEMAND);
+      plainHintKeys.add(StateCodec.DEMAND);
     }
-    if (plain.isEmpty()) {
+    if (plainHintKeys.isEmpty()) {
       done.accept(true);
     } else {
-      remove(plain, outcome -> done.accept(false));
+      remove(plainHintKeys, outcome -> done.accept(false));
     }
   }
 }
--- a/src/main/java/graderelay/service/LeaderActions.java
+++ b/src/main/java/graderelay/service/LeaderActionExecutor.java
@@ -14,10 +14,10 @@
  * raising of the term are done here. Every outcome goes back to the core, unless the term has been
  * closed meanwhile.
  */
-final class LeaderActions {
+final class LeaderActionExecutor {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-  private final LeaderTerm term;
+  private final LeaderTerm leaderTerm;
   private final Scheduler core;
   private final Cache cache;
   private final Leadership leadership;
@@ -36,40 +36,40 @@
    * @param transactions commits the core's writes
    * @param cloudScaler asks the cloud for machines and returns them
    */
-  LeaderActions(
-      LeaderTerm term,
+  LeaderActionExecutor(
+      LeaderTerm leaderTerm,
       LeaderServices services,
       FailoverHints hints,
       CancellationResolver cancellationResolver,
       TransactionExecutor transactions,
       CloudScaler cloudScaler) {
-    this.term = term;
-    this.core = term.core();
+    this.leaderTerm = leaderTerm;
+    this.core = leaderTerm.core();
     this.cache = services.cache();
     this.leadership = services.leadership();
     this.metrics = services.metrics();
     this.hints = hints;
     this.cancellationResolver = cancellationResolver;
     this.transactions = transactions;
-    this.workerCommands = new WorkerCommandSender(term, services);
+    this.workerCommands = new WorkerCommandSender(leaderTerm, services);
     this.cloudScaler = cloudScaler;
   }
 
   /** Takes every action the core has decided on and carries it out, in the core's order. */
-  void carryOut() {
+  void execute() {
     for (Action action : core.takeActions()) {
-      carryOut(action);
+      execute(action);
     }
   }
 
-  private void carryOut(Action action) {
-    if (action instanceof Action.LogLine note) {
-      LOG.info("{}", note.text());
-    } else if (action instanceof Action.MetricEvent seen) {
-      countTask(seen);
-    } else if (action instanceof Action.AccountDiscrepancyFound found) {
-      LOG.error("{}", found.discrepancy());
-      metrics.count("graderelay.quota.differences", "team", found.discrepancy().team());
+  private void execute(Action action) {
+    if (action instanceof Action.LogLine logLine) {
+      LOG.info("{}", logLine.text());
+    } else if (action instanceof Action.MetricEvent event) {
+      recordTaskEvent(event);
+    } else if (action instanceof Action.AccountDiscrepancyFound results) {
+      LOG.error("{}", results.discrepancy());
+      metrics.count("graderelay.quota.differences", "team", results.discrepancy().team());
     } else if (action instanceof Action.Write write) {
       transactions.commit(write);
     } else if (action instanceof Action.SendCommands command) {
@@ -78,32 +78,32 @@
       cloudScaler.scaleOut(scaleOut);
     } else if (action instanceof Action.ScaleIn scaleIn) {
       cloudScaler.scaleIn(scaleIn);
-    } else if (action instanceof Action.FetchFinalRecords find) {
-      findFinalStates(find);
+    } else if (action instanceof Action.FetchFinalRecords fetch) {
+      fetchFinalStates(fetch);
     } else if (action instanceof Action.StoreDemand demand) {
-      hints.keepDemand(demand, term.wallMs());
+      hints.storeDemand(demand, leaderTerm.wallMs());
     } else if (action instanceof Action.StoreImages images) {
-      hints.keepImages(images);
+      hints.storeImages(images);
     } else if (action instanceof Action.RaiseTerm) {
-      leadership.raiseTerm(raised -> term.takeOutcome(now -> core.onTerm(raised, now)));
+      leadership.raiseTerm(raised -> leaderTerm.applyOutcome(now -> core.onTerm(raised, now)));
     }
   }
 
   /** Counts a start or an end of a task; only a start tells how long its job waited. */
-  private void countTask(Action.MetricEvent seen) {
-    if (seen.waitedS() >= 0) {
-      metrics.span("graderelay.queue.wait", seen.waitedS());
+  private void recordTaskEvent(Action.MetricEvent event) {
+    if (event.waitedS() >= 0) {
+      metrics.recordDuration("graderelay.queue.wait", event.waitedS());
     }
-    metrics.count("graderelay.tasks", "outcome", seen.event());
+    metrics.count("graderelay.tasks", "outcome", event.event());
   }
 
-  private void findFinalStates(Action.FetchFinalRecords find) {
+  private void fetchFinalStates(Action.FetchFinalRecords fetch) {
     cancellationResolver.lookUpFinalStates(
-        find.jobs(),
-        found -> {
-          for (String job : find.jobs()) {
-            if (!term.isClosed() && cache.finalState(job) != null) {
-              term.records().onEnd(job, cache.finalState(job));
+        fetch.jobs(),
+        results -> {
+          for (String job : fetch.jobs()) {
+            if (!leaderTerm.isClosed() && cache.finalState(job) != null) {
+              leaderTerm.recordFeed().onFinalState(job, cache.finalState(job));
             }
           }
         });
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -27,15 +27,15 @@
 
   private final Loop loop;
   private final Cache cache;
-  private final BooleanSupplier leading;
-  private final BooleanSupplier entitled;
+  private final BooleanSupplier isLeader;
+  private final BooleanSupplier mayActAsLeader;
   private final Cancellations cancellations;
-  private final LongSupplier fencingToken;
+  private final LongSupplier termNumber;
   private final Metrics metrics;
   private final String member;
-  private final Supplier<List<MachineType>> types;
-  private final Supplier<LeaderTerm> newTerm;
-  private LeaderTerm current;
+  private final Supplier<List<MachineType>> machineTypes;
+  private final Supplier<LeaderTerm> termFactory;
+  private LeaderTerm currentTerm;
   private boolean closed;
 
   /**
@@ -50,50 +50,52 @@
   LeaderLifecycle(
       Loop loop,
       Cache cache,
-      BooleanSupplier leading,
-      LongSupplier fencingToken,
-      BooleanSupplier entitled,
+      BooleanSupplier isLeader,
+      LongSupplier termNumber,
+      BooleanSupplier mayActAsLeader,
       Cancellations cancellations,
       Metrics metrics,
       String member,
-      Supplier<List<MachineType>> types,
-      Supplier<LeaderTerm> newTerm) {
+      Supplier<List<MachineType>> machineTypes,
+      Supplier<LeaderTerm> termFactory) {
     this.loop = loop;
     this.cache = cache;
-    this.leading = leading;
-    this.fencingToken = fencingToken;
-    this.entitled = entitled;
+    this.isLeader = isLeader;
+    this.termNumber = termNumber;
+    this.mayActAsLeader = mayActAsLeader;
     this.cancellations = cancellations;
     this.metrics = metrics;
     this.member = member;
-    this.types = types;
-    this.newTerm = newTerm;
+    this.machineTypes = machineTypes;
+    this.termFactory = termFactory;
   }
 
   /** The current term, or null while this controller does not lead. */
-  LeaderTerm current() {
-    return current;
+  LeaderTerm currentTerm() {
+    return currentTerm;
   }
 
   /** The core of the current term, or null. */
   Scheduler core() {
-    return current == null ? null : current.core();
+    return currentTerm == null ? null : currentTerm.core();
   }
 
   /** Passes an event to the current term, if there is one. */
-  void ifLeading(Consumer<LeaderTerm> event) {
-    if (current != null) {
-      event.accept(current);
+  void ifLeading(Consumer<LeaderTerm> action) {
+    if (currentTerm != null) {
+      action.accept(currentTerm);
     }
   }
 
   /**
    * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
    */
-  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
+  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String receivingController) {
     // A leader that is still reading the records keeps worker leases alive and commands nothing: it
     // counts the leases from when its term begins, which is later.
-    return current == null ? List.of() : current.onHeartbeat(heartbeat, via);
+    return currentTerm == null
+        ? List.of()
+        : currentTerm.onHeartbeat(heartbeat, receivingController);
   }
 
   /**
@@ -101,9 +103,9 @@
    * and if the core knows the peer. The answer carries the cancellations that we have heard of.
    */
   PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
-    return current != null && entitled.getAsBoolean()
+    return currentTerm != null && mayActAsLeader.getAsBoolean()
         ? new PeerAnswer.Delegated(
-            current.grantLeaseDelegation(request), cancellations.ownKnowledge())
+            currentTerm.grantLeaseDelegation(request), cancellations.ownKnowledge())
         : new PeerAnswer.Delegated(null, null);
   }
 
@@ -111,23 +113,23 @@
    * Writes a team's account anew for operators; false if this controller does not lead any more.
    */
   boolean replaceAccount(String team) {
-    if (current == null) {
+    if (currentTerm == null) {
       return false;
     }
-    current.replaceAccount(team);
+    currentTerm.replaceAccount(team);
     return true;
   }
 
   /** A peer says that a job was cancelled: its tasks are stopped now, its record read later. */
   void onCancelled(String job) {
-    ifLeading(term -> term.records().onCancelled(job));
+    ifLeading(term -> term.recordFeed().onCancelled(job));
   }
 
   /** Ends the current term for good, as the process ends. */
   void close() {
     closed = true;
-    if (current != null) {
-      current.close();
+    if (currentTerm != null) {
+      currentTerm.close();
     }
   }
 
@@ -138,30 +140,30 @@
   }
 
   /** Starts the term as soon as the records are known as they stood when it was won. */
-  private void startTerm(long term, double wonAt) {
+  private void startTerm(long term, double electedAt) {
     if (!cache.isLoaded()) {
-      if (stillLeads(term)) {
-        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, wonAt));
+      if (isStillLeader(term)) {
+        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, electedAt));
       }
       return;
     }
     cache.catchUp(
         caughtUp -> {
-          if (!stillLeads(term)) {
+          if (!isStillLeader(term)) {
             return;
           }
-          if (!caughtUp || types.get() == null) {
-            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, wonAt));
+          if (!caughtUp || machineTypes.get() == null) {
+            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, electedAt));
             return;
           }
-          current = newTerm.get();
-          current.start();
-          metrics.span("graderelay.takeover", loop.now() - wonAt);
+          currentTerm = termFactory.get();
+          currentTerm.start();
+          metrics.recordDuration("graderelay.takeover", loop.now() - electedAt);
         });
   }
 
-  private boolean stillLeads(long term) {
-    return !closed && leading.getAsBoolean() && fencingToken.getAsLong() == term;
+  private boolean isStillLeader(long term) {
+    return !closed && isLeader.getAsBoolean() && termNumber.getAsLong() == term;
   }
 
   @Override
@@ -170,10 +172,10 @@
   }
 
   @Override
-  public void onStoppedLeading(String why) {
-    if (current != null) {
-      current.close();
-      current = null;
+  public void onStoppedLeading(String reason) {
+    if (currentTerm != null) {
+      currentTerm.close();
+      currentTerm = null;
     }
   }
 }
--- a/src/main/java/graderelay/service/LeaderServices.java
+++ b/src/main/java/graderelay/service/LeaderServices.java
@@ -15,8 +15,8 @@
  * @param state the client of the key-value store
  * @param cache this controller's copy of the stored records
  * @param leadership this controller's part in the leader election
- * @param cloud the client of the cloud's machine API
- * @param workers the client that sends commands straight to workers
+ * @param cloudClient the client of the cloud's machine API
+ * @param workerClient the client that sends commands straight to workers
  * @param metrics counters for operators
  */
 record LeaderServices(
@@ -24,6 +24,6 @@
     StateClient state,
     Cache cache,
     Leadership leadership,
-    CloudClient cloud,
-    WorkerClient workers,
+    CloudClient cloudClient,
+    WorkerClient workerClient,
     Metrics metrics) {}
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -22,31 +22,31 @@
 
 /**
  * One term of this controller's leadership: feeds the core scheduler with heartbeats, the cloud's
- * list and, through {@link TermRecords}, the stored records; steps it, and has {@link
- * LeaderActions} carry out what it decides. Made when the term is won and the records are caught up
- * with; closed on failover.
+ * list and, through {@link RecordFeed}, the stored records; steps it, and has {@link
+ * LeaderActionExecutor} carry out what it decides. Made when the term is won and the records are
+ * caught up with; closed on failover.
  */
 final class LeaderTerm {
   private final Loop loop;
-  private final CloudClient cloud;
+  private final CloudClient cloudClient;
   private final Leadership leadership;
   private final Scheduler core;
   private final FailoverHints hints;
-  private final TermRecords records;
+  private final RecordFeed recordFeed;
   private final CloudScaler cloudScaler;
-  private final LeaderActions actions;
+  private final LeaderActionExecutor actionExecutor;
   private final Metrics metrics;
 
   /** The fencing token that the term was won with; it may be raised later. */
-  private final long firstToken;
+  private final long electedTerm;
 
   private boolean closed;
-  private boolean stepping;
+  private boolean isStepScheduled;
   private Loop.Timer stepTimer;
   private Loop.Timer tickTimer;
-  private Loop.Timer listTimer;
-  private OperatorSettings operators;
-  private long staleHeartbeats;
+  private Loop.Timer machineListTimer;
+  private OperatorSettings operatorSettings;
+  private long countedStaleHeartbeats;
 
   /**
    * Makes a term that begins now; nothing runs before {@link #start}.
@@ -58,32 +58,32 @@
   LeaderTerm(
       LeaderServices services,
       Policy policy,
-      Settings.StateLimits leastLimits,
-      OperatorSettings operators,
+      Settings.StateLimits minimumLimits,
+      OperatorSettings operatorSettings,
       RandomGenerator random,
-      List<MachineType> types) {
+      List<MachineType> machineTypes) {
     this.loop = services.loop();
-    this.cloud = services.cloud();
+    this.cloudClient = services.cloudClient();
     this.leadership = services.leadership();
     this.metrics = services.metrics();
-    this.operators = operators;
-    this.firstToken = leadership.term();
+    this.operatorSettings = operatorSettings;
+    this.electedTerm = leadership.term();
     final double startedAt = loop.now();
-    this.core = new Scheduler(policy, firstToken, leadership.incarnation(), random, loop.now());
-    core.onMachineTypes(types);
+    this.core = new Scheduler(policy, electedTerm, leadership.incarnation(), random, loop.now());
+    core.onMachineTypes(machineTypes);
     Cache cache = services.cache();
-    this.hints = new FailoverHints(services.state(), cache, leadership, leastLimits.valueBytes());
-    this.records = new TermRecords(loop, cache, core, hints, this::stepSoon);
-    this.cloudScaler = new CloudScaler(this, services, firstToken, startedAt, policy.listLagS());
-    FinalStateLookup finalStates =
-        new FinalStateLookup(loop, services.state(), cache, leastLimits.txnOps());
-    this.actions =
-        new LeaderActions(
+    this.hints = new FailoverHints(services.state(), cache, leadership, minimumLimits.valueBytes());
+    this.recordFeed = new RecordFeed(loop, cache, core, hints, this::scheduleStep);
+    this.cloudScaler = new CloudScaler(this, services, electedTerm, startedAt, policy.listLagS());
+    FinalStateLookup finalStateLookup =
+        new FinalStateLookup(loop, services.state(), cache, minimumLimits.txnOps());
+    this.actionExecutor =
+        new LeaderActionExecutor(
             this,
             services,
             hints,
-            new CancellationResolver(cache, finalStates),
-            new TransactionExecutor(this, services, leastLimits),
+            new CancellationResolver(cache, finalStateLookup),
+            new TransactionExecutor(this, services, minimumLimits),
             cloudScaler);
   }
 
@@ -92,8 +92,8 @@
   }
 
   /** What passes the stored records on to the core. */
-  TermRecords records() {
-    return records;
+  RecordFeed recordFeed() {
+    return recordFeed;
   }
 
   /** The time of day, in milliseconds since the epoch. */
@@ -107,7 +107,7 @@
 
   /** Takes the records as they are now, which the caller has just caught up with. */
   void start() {
-    records.load();
+    recordFeed.load();
     listMachines();
     tick();
   }
@@ -115,9 +115,9 @@
   /** Ends the term: no timer fires and no outcome is taken any more. */
   void close() {
     closed = true;
-    for (Loop.Timer t : new Loop.Timer[] {stepTimer, tickTimer, listTimer}) {
-      if (t != null) {
-        t.cancel();
+    for (Loop.Timer timer : new Loop.Timer[] {stepTimer, tickTimer, machineListTimer}) {
+      if (timer != null) {
+        timer.cancel();
       }
     }
   }
@@ -125,8 +125,8 @@
   // ---------------------------------------------------------------- outcomes of actions
 
   /** Carries out what the core has decided on so far, without waiting for its next step. */
-  void carryOut() {
-    actions.carryOut();
+  void executeActions() {
+    actionExecutor.execute();
   }
 
   /**
@@ -135,40 +135,40 @@
    *
    * @param outcome takes the loop's time in seconds
    */
-  void takeOutcome(DoubleConsumer outcome) {
+  void applyOutcome(DoubleConsumer outcome) {
     if (!closed) {
       outcome.accept(loop.now());
-      stepSoon();
+      scheduleStep();
     }
   }
 
   // ---------------------------------------------------------------- term, quota and settings
 
   /** The term was raised with a change of the feature level, which may change the hints' form. */
-  void onTermRaised(long term) {
-    core.onTerm(term, loop.now());
-    core.onImageShards(hints.imagePartsPerThousand());
-    stepSoon();
+  void onTermRaised(long newTerm) {
+    core.onTerm(newTerm, loop.now());
+    core.onImageShards(hints.imageShardsPerThousandMachines());
+    scheduleStep();
   }
 
   /** An operator wants a team's account written anew from its committed claims. */
   void replaceAccount(String team) {
     core.replaceAccount(team);
-    stepSoon();
+    scheduleStep();
   }
 
   /** The cloud has listed its machine types anew. */
-  void onTypes(List<MachineType> types) {
-    core.onMachineTypes(types);
-    stepSoon();
+  void onMachineTypes(List<MachineType> machineTypes) {
+    core.onMachineTypes(machineTypes);
+    scheduleStep();
   }
 
   /** The operators' settings changed: tuning, cordons and graceful evictions. */
   void onSettings(OperatorSettings changed) {
     core.onTuning(changed.tuning());
     core.onCordons(changed.cordoned(), changed.drained(), loop.now());
-    operators = changed;
-    stepSoon();
+    operatorSettings = changed;
+    scheduleStep();
   }
 
   // ---------------------------------------------------------------- heartbeats and peers
@@ -179,18 +179,18 @@
    *
    * @param via the controller that the worker sent it to
    */
-  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
+  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String receivingController) {
     double now = loop.now();
-    boolean fresh = core.onHeartbeat(heartbeat, via, now);
-    if (core.staleHeartbeatCount() > staleHeartbeats) {
-      staleHeartbeats = core.staleHeartbeatCount();
+    boolean accepted = core.onHeartbeat(heartbeat, receivingController, now);
+    if (core.staleHeartbeatCount() > countedStaleHeartbeats) {
+      countedStaleHeartbeats = core.staleHeartbeatCount();
       metrics.count("graderelay.dropped", "what", "stale report");
     }
     List<WorkerCommand> commands = core.commandsFor(heartbeat, now);
-    if (fresh) {
+    if (accepted) {
       core.onHeartbeatAnswered(heartbeat.machine(), now);
     }
-    stepSoon();
+    scheduleStep();
     return commands;
   }
 
@@ -200,7 +200,7 @@
    */
   PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
-    boolean known =
+    boolean granted =
         core.onDelegateGrantRequest(
             request.member(),
             request.process(),
@@ -209,7 +209,7 @@
             request.echo(),
             request.aloneS(),
             now);
-    return known ? new PeerAnswer.Grant(leadership.term(), firstToken, now) : null;
+    return granted ? new PeerAnswer.Grant(leadership.term(), electedTerm, now) : null;
   }
 
   // ---------------------------------------------------------------- time
@@ -219,28 +219,28 @@
       return;
     }
     core.tick(loop.now());
-    actions.carryOut();
-    tickTimer = loop.after(ControllerNode.TICK_S, this::tick);
+    actionExecutor.execute();
+    tickTimer = loop.after(ControllerNode.TICK_INTERVAL_S, this::tick);
   }
 
   /** Has the core step after the events of this moment, which it decides on together. */
-  void stepSoon() {
-    if (!stepping && !closed) {
-      stepping = true;
+  void scheduleStep() {
+    if (!isStepScheduled && !closed) {
+      isStepScheduled = true;
       loop.execute(this::step);
     }
   }
 
   private void step() {
-    stepping = false;
+    isStepScheduled = false;
     if (closed) {
       return;
     }
-    double wait = core.step(loop.now());
-    actions.carryOut();
-    if (wait < SchedulerLimits.MIN_ROUND_INTERVAL_S * 2 && !stepping) {
-      stepping = true;
-      stepTimer = loop.after(wait, this::step);
+    double delayS = core.step(loop.now());
+    actionExecutor.execute();
+    if (delayS < SchedulerLimits.MIN_ROUND_INTERVAL_S * 2 && !isStepScheduled) {
+      isStepScheduled = true;
+      stepTimer = loop.after(delayS, this::step);
     }
   }
 
@@ -248,19 +248,19 @@
     if (closed) {
       return;
     }
-    cloud.list(
+    cloudClient.list(
         machines -> {
           if (closed) {
             return;
           }
           if (machines != null) {
-            cloudScaler.markListed();
+            cloudScaler.onMachinesListed();
             core.onMachineList(machines, loop.now());
-            core.onCordons(operators.cordoned(), operators.drained(), loop.now());
-            stepSoon();
+            core.onCordons(operatorSettings.cordoned(), operatorSettings.drained(), loop.now());
+            scheduleStep();
           }
-          int listed = machines == null ? 0 : machines.size();
-          listTimer = loop.after(cloud.listEveryS(listed), this::listMachines);
+          int machineCount = machines == null ? 0 : machines.size();
+          machineListTimer = loop.after(cloudClient.listEveryS(machineCount), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -9,17 +9,17 @@
 
 /**
  * Reads the cloud's machine types: every {@link #TYPES_RETRY_S} until it has them, then every
- * {@link #TYPES_EVERY_S} on the leader and five times as seldom on a follower.
+ * {@link #LEADER_POLL_INTERVAL_S} on the leader and five times as seldom on a follower.
  */
 final class MachineTypePoller {
   /** Seconds between reads of the machine types by the leader: spot prices move slowly. */
-  private static final double TYPES_EVERY_S = 60;
+  private static final double LEADER_POLL_INTERVAL_S = 60;
 
   private final Loop loop;
-  private final CloudClient cloud;
-  private final BooleanSupplier leading;
-  private final Consumer<List<MachineType>> onTypes;
-  private List<MachineType> types;
+  private final CloudClient cloudClient;
+  private final BooleanSupplier isLeader;
+  private final Consumer<List<MachineType>> listener;
+  private List<MachineType> machineTypes;
   private Loop.Timer timer;
   private boolean closed;
 
@@ -30,20 +30,23 @@
    * @param onTypes hears every list that is not empty
    */
   MachineTypePoller(
-      Loop loop, CloudClient cloud, BooleanSupplier leading, Consumer<List<MachineType>> onTypes) {
+      Loop loop,
+      CloudClient cloudClient,
+      BooleanSupplier isLeader,
+      Consumer<List<MachineType>> listener) {
     this.loop = loop;
-    this.cloud = cloud;
-    this.leading = leading;
-    this.onTypes = onTypes;
+    this.cloudClient = cloudClient;
+    this.isLeader = isLeader;
+    this.listener = listener;
   }
 
   /** The last list that was not empty, or null before the first. */
   List<MachineType> current() {
-    return types;
+    return machineTypes;
   }
 
   void start() {
-    read();
+    poll();
   }
 
   void close() {
@@ -53,21 +56,21 @@
     }
   }
 
-  private void read() {
+  private void poll() {
     if (closed) {
       return;
     }
-    cloud.types(
-        list -> {
-          if (list != null && !list.isEmpty()) {
-            types = list;
-            onTypes.accept(list);
+    cloudClient.types(
+        listedTypes -> {
+          if (listedTypes != null && !listedTypes.isEmpty()) {
+            machineTypes = listedTypes;
+            listener.accept(listedTypes);
           }
-          double wait =
-              types == null
+          double delayS =
+              machineTypes == null
                   ? CloudClient.TYPES_RETRY_S
-                  : TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
-          timer = loop.after(wait, this::read);
+                  : LEADER_POLL_INTERVAL_S * (isLeader.getAsBoolean() ? 1 : 5);
+          timer = loop.after(delayS, this::poll);
         });
   }
 }
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -20,8 +20,8 @@
   private final StateClient state;
   private final Cache cache;
   private final Member self;
-  private final Consumer<String> superseded;
-  private boolean sending;
+  private final Consumer<String> onSuperseded;
+  private boolean isPublishing;
 
   /**
    * Makes the publisher.
@@ -30,18 +30,18 @@
    * @param superseded hears why this process has to leave
    */
   MembershipPublisher(
-      Loop loop, StateClient state, Cache cache, Member self, Consumer<String> superseded) {
+      Loop loop, StateClient state, Cache cache, Member self, Consumer<String> onSuperseded) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.self = self;
-    this.superseded = superseded;
+    this.onSuperseded = onSuperseded;
   }
 
   /** Publishes unless the record is this process's; to be called after changes and regularly. */
   void checkRecord() {
     FeatureRecords records = cache.features();
-    if (!cache.isLoaded() || sending || !records.gate().isOpen()) {
+    if (!cache.isLoaded() || isPublishing || !records.gate().isOpen()) {
       return;
     }
     Member stored = records.members().get(self.name());
@@ -49,7 +49,7 @@
       return;
     }
     if (stored != null && stored.beganMs() > self.beganMs()) {
-      superseded.accept("a later process runs as " + self.name());
+      onSuperseded.accept("a later process runs as " + self.name());
     } else {
       // Also over a record of an earlier process whose write was carried out late.
       publish(records.memberRevision(self.name()));
@@ -60,7 +60,7 @@
    * Conditioned on the record's revision: a late write of an earlier process must not undo ours.
    */
   private void publish(long revision) {
-    sending = true;
+    isPublishing = true;
     String key = FeatureCodec.memberKey(self.name());
     state.commit(
         new Transaction().when(key, revision).put(key, FeatureCodec.encodeMember(self)),
@@ -68,7 +68,7 @@
         result ->
             cache.catchUp(
                 caughtUp -> {
-                  sending = false;
+                  isPublishing = false;
                   if (caughtUp) {
                     checkRecord();
                   } else {
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -24,31 +24,31 @@
  */
 public final class Metrics {
   /** Seconds between measurements of how late the event loop is. */
-  private static final double DELAY_PROBE_S = 1;
+  private static final double LOOP_DELAY_PROBE_INTERVAL_S = 1;
 
   /** Measured times kept until somebody reads the metrics for the first time. */
-  private static final int MOST_UNREAD_SPANS = 256;
+  private static final int MAX_BUFFERED_DURATIONS = 256;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
   /** Something whose present value is asked for. */
-  private record Source(String name, Tags tags, ToDoubleFunction<Metrics> value) {}
+  private record RegisteredGauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {}
 
   /** A value of the moment, of a set that may change from one time to the next. */
-  record Reading(String name, Tags tags, double value) {}
+  record Sample(String name, Tags tags, double value) {}
 
   /** How long something took, kept until there is a registry. */
-  private record Span(String name, double seconds) {}
+  private record MeasuredDuration(String name, double seconds) {}
 
   private final Loop loop;
-  private final Map<String, Long> counts = new HashMap<>();
-  private final List<Source> sources = new ArrayList<>();
-  private final List<Supplier<List<Reading>>> readings = new ArrayList<>();
-  private final List<Span> unread = new ArrayList<>();
-  private final Set<Tags> fleetTags = new HashSet<>();
+  private final Map<String, Long> counters = new HashMap<>();
+  private final List<RegisteredGauge> gauges = new ArrayList<>();
+  private final List<Supplier<List<Sample>>> sampleSuppliers = new ArrayList<>();
+  private final List<MeasuredDuration> bufferedDurations = new ArrayList<>();
+  private final Set<Tags> reportedMachineTags = new HashSet<>();
 
   /** Cells that gauges of passing values read, by name and tag values. */
-  private final Map<String, double[]> shown = new HashMap<>();
+  private final Map<String, double[]> gaugeCells = new HashMap<>();
 
   private PrometheusMeterRegistry registry;
   private boolean closed;
@@ -60,11 +60,11 @@
 
   /** Starts to measure how late the event loop is. */
   public void start() {
-    double due = loop.now() + DELAY_PROBE_S;
+    double expectedAt = loop.now() + LOOP_DELAY_PROBE_INTERVAL_S;
     loop.after(
-        DELAY_PROBE_S,
+        LOOP_DELAY_PROBE_INTERVAL_S,
         () -> {
-          span("graderelay.loop.delay", Math.max(0, loop.now() - due));
+          recordDuration("graderelay.loop.delay", Math.max(0, loop.now() - expectedAt));
           if (!closed) {
             start();
           }
@@ -78,19 +78,19 @@
 
   /** Counts one event of a metric, with one tag and its value. */
   public void count(String name, String tag, String value) {
-    counts.merge(name + "|" + tag + "|" + value, 1L, Long::sum);
+    counters.merge(name + "|" + tag + "|" + value, 1L, Long::sum);
   }
 
   /** Measures how long something took, in seconds; shown as a distribution. */
-  public void span(String name, double seconds) {
+  public void recordDuration(String name, double seconds) {
     if (registry != null) {
-      record(name, seconds);
-    } else if (unread.size() < MOST_UNREAD_SPANS) {
-      unread.add(new Span(name, seconds));
+      recordInTimer(name, seconds);
+    } else if (bufferedDurations.size() < MAX_BUFFERED_DURATIONS) {
+      bufferedDurations.add(new MeasuredDuration(name, seconds));
     }
   }
 
-  private void record(String name, double seconds) {
+  private void recordInTimer(String name, double seconds) {
     Timer.builder(name)
         .publishPercentileHistogram(false)
         .register(registry)
@@ -98,21 +98,21 @@
   }
 
   /** Shows a value that is asked for each time that somebody reads the metrics. */
-  void gauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {
-    sources.add(new Source(name, tags, value));
+  void registerGauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {
+    gauges.add(new RegisteredGauge(name, tags, value));
   }
 
   /** Values that are asked for each time that somebody reads the metrics. */
-  void readings(Supplier<List<Reading>> source) {
-    readings.add(source);
+  void sampleSuppliers(Supplier<List<Sample>> supplier) {
+    sampleSuppliers.add(supplier);
   }
 
   /** Shows how requests wait for the tokens of a bucket. */
-  void bucket(String name, TokenBucket bucket) {
+  void registerTokenBucket(String name, TokenBucket bucket) {
     Tags tags = Tags.of("bucket", name);
-    gauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
-    gauge("graderelay.tokens.refused", tags, m -> bucket.refused());
-    gauge("graderelay.tokens.waited.seconds", tags, m -> bucket.waitedSeconds());
+    registerGauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
+    registerGauge("graderelay.tokens.refused", tags, m -> bucket.refused());
+    registerGauge("graderelay.tokens.waited.seconds", tags, m -> bucket.waitedSeconds());
   }
 
   /**
@@ -121,76 +121,78 @@
    * @param calls outcomes of calls to each service, counted by outcome
    * @param core the leader's core, or null on a follower
    */
-  public String scrape(Map<String, Map<String, Long>> calls, Scheduler core) {
+  public String scrape(Map<String, Map<String, Long>> callsByService, Scheduler core) {
     if (registry == null) {
-      makeRegistry();
+      createRegistry();
     }
-    showCalls(calls);
-    counts.forEach(
+    updateCallGauges(callsByService);
+    counters.forEach(
         (key, count) -> {
-          String[] parts = key.split("\\|", 3);
-          show(parts[0], Tags.of(parts[1], parts[2]), count);
+          String[] keyParts = key.split("\\|", 3);
+          setGauge(keyParts[0], Tags.of(keyParts[1], keyParts[2]), count);
         });
-    readings.forEach(
-        source -> source.get().forEach(value -> show(value.name(), value.tags(), value.value())));
+    sampleSuppliers.forEach(
+        supplier ->
+            supplier.get().forEach(value -> setGauge(value.name(), value.tags(), value.value())));
     if (core != null) {
-      showMachines(core);
+      updateMachineGauges(core);
     }
     return registry.scrape();
   }
 
   /** Registers the gauges, and the times that were measured before anybody asked. */
-  private void makeRegistry() {
+  private void createRegistry() {
     registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    for (Source source : sources) {
-      registry.gauge(source.name(), source.tags(), this, source.value());
+    for (RegisteredGauge supplier : gauges) {
+      registry.gauge(supplier.name(), supplier.tags(), this, supplier.value());
     }
-    registry.gauge("graderelay.heap.bytes", Runtime.getRuntime(), Metrics::usedBytes);
-    unread.forEach(span -> record(span.name(), span.seconds()));
-    unread.clear();
+    registry.gauge("graderelay.heap.bytes", Runtime.getRuntime(), Metrics::usedHeapBytes);
+    bufferedDurations.forEach(duration -> recordInTimer(duration.name(), duration.seconds()));
+    bufferedDurations.clear();
   }
 
-  private void showCalls(Map<String, Map<String, Long>> calls) {
-    calls.forEach(
+  private void updateCallGauges(Map<String, Map<String, Long>> callsByService) {
+    callsByService.forEach(
         (service, byOutcome) ->
             byOutcome.forEach(
                 (outcome, count) ->
-                    show("graderelay.calls", Tags.of("service", service, "call", outcome), count)));
+                    setGauge(
+                        "graderelay.calls", Tags.of("service", service, "call", outcome), count)));
   }
 
   /** Counts machines by type, kind and state; a combination that was shown once stays, as zero. */
-  private void showMachines(Scheduler core) {
-    Map<String, Long> machines = new HashMap<>();
+  private void updateMachineGauges(Scheduler core) {
+    Map<String, Long> machineCounts = new HashMap<>();
     for (Scheduler.MachineView machine : core.machines(loop.now())) {
       String kind = machine.spot() ? "spot" : "ordinary";
-      machines.merge(machine.type() + "|" + kind + "|" + machine.state(), 1L, Long::sum);
+      machineCounts.merge(machine.type() + "|" + kind + "|" + machine.state(), 1L, Long::sum);
     }
-    fleetTags.forEach(tags -> show("graderelay.fleet", tags, 0));
-    machines.forEach(
+    reportedMachineTags.forEach(tags -> setGauge("graderelay.fleet", tags, 0));
+    machineCounts.forEach(
         (key, count) -> {
-          String[] parts = key.split("\\|", 3);
-          Tags tags = Tags.of("type", parts[0], "kind", parts[1], "state", parts[2]);
-          fleetTags.add(tags);
-          show("graderelay.fleet", tags, count);
+          String[] keyParts = key.split("\\|", 3);
+          Tags tags = Tags.of("type", keyParts[0], "kind", keyParts[1], "state", keyParts[2]);
+          reportedMachineTags.add(tags);
+          setGauge("graderelay.fleet", tags, count);
         });
   }
 
   /** Shows the value of the moment; its gauge is registered once and reads the same cell again. */
-  private void show(String name, Tags tags, double value) {
+  private void setGauge(String name, Tags tags, double value) {
     StringBuilder key = new StringBuilder(name);
     for (Tag tag : tags) {
       key.append('|').append(tag.getValue());
     }
-    double[] cell = shown.get(key.toString());
-    if (cell == null) {
-      cell = new double[1];
-      shown.put(key.toString(), cell);
-      registry.gauge(name, tags, cell, values -> values[0]);
+    double[] gaugeCell = gaugeCells.get(key.toString());
+    if (gaugeCell == null) {
+      gaugeCell = new double[1];
+      gaugeCells.put(key.toString(), gaugeCell);
+      registry.gauge(name, tags, gaugeCell, values -> values[0]);
     }
-    cell[0] = value;
+    gaugeCell[0] = value;
   }
 
-  private static double usedBytes(Runtime runtime) {
+  private static double usedHeapBytes(Runtime runtime) {
     return runtime.totalMemory() - runtime.freeMemory();
   }
 }
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -15,12 +15,12 @@
 /** Shows operators the quota and usage of teams, and where settings and stored limits differ. */
 final class QuotaMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("quota");
-  private static final String NAME = "graderelay.quota";
+  private static final String METRIC_NAME = "graderelay.quota";
   private static final String STOPPED = "stopped";
 
   private final TeamLimits limits;
   private final Supplier<Scheduler> core;
-  private List<String> logged = List.of();
+  private List<String> loggedDifferences = List.of();
 
   /**
    * Makes the monitor.
@@ -33,43 +33,45 @@
   }
 
   /** The records have changed: their differences from the settings are logged once. */
-  void onQuota() {
+  void onQuotaRecordsChanged() {
     List<String> differences = limits.settingsDifferences();
-    if (!differences.equals(logged)) {
-      logged = differences;
+    if (!differences.equals(loggedDifferences)) {
+      loggedDifferences = differences;
       differences.forEach(difference -> LOG.warn("{}; the stored limits count", difference));
     }
   }
 
   /** The quota of each team and, on the leader, its usage. */
-  List<Metrics.Reading> readings() {
-    List<Metrics.Reading> readings = new ArrayList<>();
-    readings.add(reading("settings_differ", "", limits.settingsDifferences().size()));
-    limits.malformedLimits().keySet().forEach(team -> readings.add(reading(STOPPED, team, 1)));
+  List<Metrics.Sample> samples() {
+    List<Metrics.Sample> samples = new ArrayList<>();
+    samples.add(newSample("settings_differ", "", limits.settingsDifferences().size()));
+    limits.malformedLimits().keySet().forEach(team -> samples.add(newSample(STOPPED, team, 1)));
     for (Team team : limits.teams()) {
       TeamQuota quota = team.quota();
-      add(readings, "guarantee", team.name(), quota.guarantee());
-      add(readings, "limit", team.name(), quota.limit());
+      addAmountSamples(samples, "guarantee", team.name(), quota.guarantee());
+      addAmountSamples(samples, "limit", team.name(), quota.limit());
       if (core.get() != null && limits.usesStoredLimits()) {
         Scheduler.TeamUsage usage = core.get().teamUsage(team.name());
         Amount claims = usage.standing().claims();
-        add(readings, "used", team.name(), claims);
-        add(readings, "reserved", team.name(), usage.standing().account());
-        add(readings, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
-        add(readings, "waiting", team.name(), usage.waitingAmount());
+        addAmountSamples(samples, "used", team.name(), claims);
+        addAmountSamples(samples, "reserved", team.name(), usage.standing().account());
+        addAmountSamples(
+            samples, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
+        addAmountSamples(samples, "waiting", team.name(), usage.waitingAmount());
         int stopped = usage.standing().stoppedBecause() == null ? 0 : 1;
-        readings.add(reading(STOPPED, team.name(), stopped));
+        samples.add(newSample(STOPPED, team.name(), stopped));
       }
     }
-    return readings;
+    return samples;
   }
 
-  private static void add(List<Metrics.Reading> readings, String what, String team, Amount amount) {
-    readings.add(reading(what + "_cpus", team, amount.cpus()));
-    readings.add(reading(what + "_gpus", team, amount.gpus()));
+  private static void addAmountSamples(
+      List<Metrics.Sample> samples, String quantity, String team, Amount amount) {
+    samples.add(newSample(quantity + "_cpus", team, amount.cpus()));
+    samples.add(newSample(quantity + "_gpus", team, amount.gpus()));
   }
 
-  private static Metrics.Reading reading(String what, String team, double value) {
-    return new Metrics.Reading(NAME, Tags.of("what", what, "team", team), value);
+  private static Metrics.Sample newSample(String quantity, String team, double value) {
+    return new Metrics.Sample(METRIC_NAME, Tags.of("what", quantity, "team", team), value);
   }
 }
--- a/src/main/java/graderelay/service/RecordChangeDispatcher.java
+++ b/src/main/java/graderelay/service/RecordChangeDispatcher.java
@@ -17,16 +17,16 @@
   /**
    * The parts that act on changed records.
    *
-   * @param leader the leader's term, while this controller leads
-   * @param onLeaderRecord called after a change of the leader record
-   * @param onQuotaRecords called after a change of stored limits or accounts
-   * @param operators the operators' settings, read anew when their record changes
+   * @param leaderLifecycle the leader's term, while this controller leads
+   * @param onLeaderRecordChanged called after a change of the leader record
+   * @param onQuotaRecordsChanged called after a change of stored limits or accounts
+   * @param operatorSettings the operators' settings, read anew when their record changes
    */
   record Targets(
-      LeaderLifecycle leader,
-      Runnable onLeaderRecord,
-      Runnable onQuotaRecords,
-      StoredOperatorSettings operators) {}
+      LeaderLifecycle leaderLifecycle,
+      Runnable onLeaderRecordChanged,
+      Runnable onQuotaRecordsChanged,
+      StoredOperatorSettings operatorSettings) {}
 
   private Cache cache;
   private Targets targets;
@@ -44,7 +44,7 @@
 
   @Override
   public void onJobDeleted(String job) {
-    ifLeading(records -> records.onJobGone(job));
+    ifLeading(records -> records.onJobDeleted(job));
   }
 
   @Override
@@ -54,23 +54,23 @@
 
   @Override
   public void onTaskBatchDeleted(TaskBatchKey key) {
-    ifLeading(records -> records.onTaskBatchGone(key));
+    ifLeading(records -> records.onTaskBatchDeleted(key));
   }
 
   @Override
-  public void onFinalState(String job, FinalState end) {
-    ifLeading(records -> records.onEnd(job, end));
+  public void onFinalState(String job, FinalState finalState) {
+    ifLeading(records -> records.onFinalState(job, finalState));
   }
 
   @Override
   public void onElectionChanged() {
-    targets.onLeaderRecord().run();
+    targets.onLeaderRecordChanged().run();
   }
 
   @Override
   public void onQuotaChanged() {
-    targets.onQuotaRecords().run();
-    ifLeading(TermRecords::onQuota);
+    targets.onQuotaRecordsChanged().run();
+    ifLeading(RecordFeed::onQuotaChanged);
   }
 
   @Override
@@ -80,11 +80,11 @@
 
   @Override
   public void onSettingsChanged() {
-    var changed = targets.operators().reload(cache.settings());
-    targets.leader().ifLeading(term -> term.onSettings(changed));
+    var changed = targets.operatorSettings().reload(cache.settings());
+    targets.leaderLifecycle().ifLeading(term -> term.onSettings(changed));
   }
 
-  private void ifLeading(Consumer<TermRecords> change) {
-    targets.leader().ifLeading(term -> change.accept(term.records()));
+  private void ifLeading(Consumer<RecordFeed> change) {
+    targets.leaderLifecycle().ifLeading(term -> change.accept(term.recordFeed()));
   }
 }
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/RecordFeed.java
@@ -14,12 +14,12 @@
  * Passes the stored records on to the core of one {@link LeaderTerm}: all of them when the term
  * starts, and every change from then on.
  */
-final class TermRecords {
+final class RecordFeed {
   private final Loop loop;
   private final Cache cache;
   private final Scheduler core;
   private final FailoverHints hints;
-  private final Runnable stepSoon;
+  private final Runnable scheduleStep;
 
   /**
    * Makes the feed of one term.
@@ -27,12 +27,12 @@
    * @param hints what the leader before has kept
    * @param stepSoon has the core step after the events of this moment
    */
-  TermRecords(Loop loop, Cache cache, Scheduler core, FailoverHints hints, Runnable stepSoon) {
+  RecordFeed(Loop loop, Cache cache, Scheduler core, FailoverHints hints, Runnable scheduleStep) {
     this.loop = loop;
     this.cache = cache;
     this.core = core;
     this.hints = hints;
-    this.stepSoon = stepSoon;
+    this.scheduleStep = scheduleStep;
   }
 
   // ---------------------------------------------------------------- start of the term
@@ -40,11 +40,11 @@
   /** Takes the records as they are now, which the caller has just caught up with. */
   void load() {
     double now = loop.now();
-    hints.images().forEach(core::onStoredImages);
-    core.onImageShards(hints.imagePartsPerThousand());
+    hints.storedImages().forEach(core::onStoredImages);
+    core.onImageShards(hints.imageShardsPerThousandMachines());
     loadJobs(now);
-    core.onStoredDemand(hints.demand(loop.wallMs()), now);
-    onQuota();
+    core.onStoredDemand(hints.storedDemand(loop.wallMs()), now);
+    onQuotaChanged();
     core.onRecordsLoaded(now);
   }
 
@@ -68,45 +68,46 @@
 
   /** A live job's record is new or has changed. */
   void onJob(JobEntry job) {
-    double submittedAt = secondsAt(job.spec.submittedMs());
+    double submittedAt = toLoopTime(job.spec.submittedMs());
     core.onJob(
         job.spec, job.isCancelled(), job.revision(), Math.min(submittedAt, loop.now()), loop.now());
-    stepSoon.run();
+    scheduleStep.run();
   }
 
   /** The loop's time in seconds at a time of day, which is in milliseconds. */
-  private double secondsAt(long wallMs) {
+  private double toLoopTime(long wallMs) {
     return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
   }
 
   /** A job was cancelled, which its record may not show yet. */
   void onCancelled(String job) {
     core.onCancelled(job, loop.now());
-    stepSoon.run();
+    scheduleStep.run();
   }
 
   /** A job's final state is known. */
-  void onEnd(String job, FinalState end) {
+  void onFinalState(String job, FinalState finalState) {
     // Records of earlier versions lack the time: they count as ended just now.
-    double endedAt = end.writtenAtMs() == 0 ? loop.now() : secondsAt(end.writtenAtMs());
-    core.onJobEnd(job, end.cancelled(), endedAt, loop.now());
-    stepSoon.run();
+    double endedAt =
+        finalState.writtenAtMs() == 0 ? loop.now() : toLoopTime(finalState.writtenAtMs());
+    core.onJobEnd(job, finalState.cancelled(), endedAt, loop.now());
+    scheduleStep.run();
   }
 
   /** A job's record was removed. */
-  void onJobGone(String job) {
+  void onJobDeleted(String job) {
     core.onJobDeleted(job, loop.now());
-    stepSoon.run();
+    scheduleStep.run();
   }
 
   /** A task batch's record is new or has changed. */
   void onTaskBatch(TaskBatchKey key, TaskBatchEntry batch) {
     core.onTaskBatch(key, batch.record(), batch.revision(), loop.now());
-    stepSoon.run();
+    scheduleStep.run();
   }
 
   /** A task batch's record was removed. */
-  void onTaskBatchGone(TaskBatchKey key) {
+  void onTaskBatchDeleted(TaskBatchKey key) {
     core.onTaskBatchDeleted(key);
   }
 
@@ -114,10 +115,10 @@
    * Stored limits or accounts have changed. The caller has passed on the task batches of the same
    * revision before.
    */
-  void onQuota() {
-    boolean stored = cache.features().gate().enabled(Feature.STORED_LIMITS);
-    core.onQuota(stored ? cache.quota().snapshotAt(cache.observedRevision()) : null);
-    stepSoon.run();
+  void onQuotaChanged() {
+    boolean usesStoredLimits = cache.features().gate().enabled(Feature.STORED_LIMITS);
+    core.onQuota(usesStoredLimits ? cache.quota().snapshotAt(cache.observedRevision()) : null);
+    scheduleStep.run();
   }
 
   /** A lease delegate has released grants, as its record says. */
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -17,19 +17,19 @@
 
 /** Passes requests of users, workers, operators and peers on to the interface that serves them. */
 final class RequestRouter {
-  private static final String JOBS = "/v1/jobs";
-  private static final String WITHDRAW = "/withdraw";
+  private static final String JOBS_PATH = "/v1/jobs";
+  private static final String CANCEL_SUFFIX = "/withdraw";
 
   /** The interfaces that serve requests. */
-  record Targets(
+  record Handlers(
       UserApi users, WorkerApi workers, AdminApi admin, FeaturesApi features, QuotaApi quota) {}
 
-  private final Targets targets;
-  private final FeatureGate gate;
-  private final RequestHedger hedger;
-  private final BooleanSupplier ready;
-  private final BooleanSupplier submissionsWaitHere;
-  private final Supplier<String> metrics;
+  private final Handlers handlers;
+  private final FeatureGate featureGate;
+  private final RequestHedger requestHedger;
+  private final BooleanSupplier isReady;
+  private final BooleanSupplier wouldDelaySubmission;
+  private final Supplier<String> metricsText;
 
   /**
    * Makes a router.
@@ -39,29 +39,30 @@
    * @param metrics the text that a Prometheus server reads
    */
   RequestRouter(
-      Targets targets,
-      FeatureGate gate,
-      RequestHedger hedger,
-      BooleanSupplier ready,
-      BooleanSupplier submissionsWaitHere,
-      Supplier<String> metrics) {
-    this.targets = targets;
-    this.gate = gate;
-    this.hedger = hedger;
-    this.ready = ready;
-    this.submissionsWaitHere = submissionsWaitHere;
-    this.metrics = metrics;
+      Handlers handlers,
+      FeatureGate featureGate,
+      RequestHedger requestHedger,
+      BooleanSupplier isReady,
+      BooleanSupplier wouldDelaySubmission,
+      Supplier<String> metricsText) {
+    this.handlers = handlers;
+    this.featureGate = featureGate;
+    this.requestHedger = requestHedger;
+    this.isReady = isReady;
+    this.wouldDelaySubmission = wouldDelaySubmission;
+    this.metricsText = metricsText;
   }
 
   /** Requests of users, workers, operators and the load balancer. */
   void handle(Exchange exchange) {
     String path = exchange.path();
     switch (path) {
-      case "/ready" -> withMethod("GET", exchange, () -> showReady(exchange));
-      case "/checkin" -> withMethod("POST", exchange, () -> targets.workers().checkin(exchange));
-      case "/metrics" -> withMethod("GET", exchange, () -> showMetrics(exchange));
+      case "/ready" -> requireMethod("GET", exchange, () -> sendReadiness(exchange));
+      case "/checkin" ->
+          requireMethod("POST", exchange, () -> handlers.workers().checkin(exchange));
+      case "/metrics" -> requireMethod("GET", exchange, () -> sendMetrics(exchange));
       default -> {
-        if (!routedToOperatorApis(exchange)) {
+        if (!routeToOperatorApis(exchange)) {
           routeUserRequest(exchange);
         }
       }
@@ -70,25 +71,25 @@
 
   /** A request that a peer passes on. */
   void handleRelayed(Exchange exchange) {
-    if (routedToOperatorApis(exchange)) {
+    if (routeToOperatorApis(exchange)) {
       return;
     }
-    if (gate.isShut()) {
-      ApiError.unavailable(gate.closedBecause()).sendTo(exchange);
+    if (featureGate.isShut()) {
+      ApiError.unavailable(featureGate.closedBecause()).sendTo(exchange);
     } else {
-      handleHere(exchange);
+      handleLocally(exchange);
     }
   }
 
   /** Hands an operators' request to its interface; false if the request is none. */
-  private boolean routedToOperatorApis(Exchange exchange) {
+  private boolean routeToOperatorApis(Exchange exchange) {
     String path = exchange.path();
     if (FeaturesApi.owns(path)) {
-      targets.features().handle(exchange);
+      handlers.features().handle(exchange);
     } else if (QuotaApi.owns(path)) {
-      targets.quota().handle(exchange);
+      handlers.quota().handle(exchange);
     } else if (AdminApi.owns(path)) {
-      targets.admin().handle(exchange);
+      handlers.admin().handle(exchange);
     } else {
       return false;
     }
@@ -99,57 +100,59 @@
    * A user's request, hedged with a peer; a submission goes to a peer first if it would wait here.
    */
   private void routeUserRequest(Exchange exchange) {
-    boolean submission = exchange.method().equals("POST") && exchange.path().equals(JOBS);
-    if (gate.isShut()) {
-      ApiError.unavailable(gate.closedBecause()).sendTo(exchange);
-    } else if (submission && submissionsWaitHere.getAsBoolean()) {
-      hedger.handleAtPeerFirst(exchange, this::handleHere);
+    boolean isSubmission = exchange.method().equals("POST") && exchange.path().equals(JOBS_PATH);
+    if (featureGate.isShut()) {
+      ApiError.unavailable(featureGate.closedBecause()).sendTo(exchange);
+    } else if (isSubmission && wouldDelaySubmission.getAsBoolean()) {
+      requestHedger.handleAtPeerFirst(exchange, this::handleLocally);
     } else {
-      hedger.handle(exchange, this::handleHere);
+      requestHedger.handle(exchange, this::handleLocally);
     }
   }
 
-  private void showReady(Exchange exchange) {
-    if (ready.getAsBoolean()) {
+  private void sendReadiness(Exchange exchange) {
+    if (isReady.getAsBoolean()) {
       exchange.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
     } else {
-      ApiError.unavailable(gate.isShut() ? gate.closedBecause() : "not ready").sendTo(exchange);
+      ApiError.unavailable(featureGate.isShut() ? featureGate.closedBecause() : "not ready")
+          .sendTo(exchange);
     }
   }
 
-  private void showMetrics(Exchange exchange) {
-    byte[] text = metrics.get().getBytes(StandardCharsets.UTF_8);
+  private void sendMetrics(Exchange exchange) {
+    byte[] text = metricsText.get().getBytes(StandardCharsets.UTF_8);
     exchange.to().accept(new Answer(200, text, "text/plain; version=0.0.4", 0, false));
   }
 
   /** Requests about jobs, decided by this controller itself. */
-  private void handleHere(Exchange exchange) {
+  private void handleLocally(Exchange exchange) {
     String path = exchange.path();
-    if (path.equals(JOBS)) {
-      withMethod("POST", exchange, () -> targets.users().submit(exchange));
-    } else if (path.startsWith(JOBS + "/")) {
-      routeJobRequest(exchange, path.substring(JOBS.length() + 1));
+    if (path.equals(JOBS_PATH)) {
+      requireMethod("POST", exchange, () -> handlers.users().submit(exchange));
+    } else if (path.startsWith(JOBS_PATH + "/")) {
+      routeJobRequest(exchange, path.substring(JOBS_PATH.length() + 1));
     } else {
       ApiError.NO_SUCH_PATH.sendTo(exchange);
     }
   }
 
   /** A request about one job: {@code rest} is the path after {@code /v1/jobs/}. */
-  private void routeJobRequest(Exchange exchange, String rest) {
-    if (rest.endsWith(WITHDRAW) && rest.indexOf('/') == rest.length() - WITHDRAW.length()) {
-      String id = rest.substring(0, rest.length() - WITHDRAW.length());
-      withMethod("POST", exchange, () -> targets.users().cancel(exchange, id));
-    } else if (rest.isEmpty() || rest.indexOf('/') >= 0) {
+  private void routeJobRequest(Exchange exchange, String pathSuffix) {
+    if (pathSuffix.endsWith(CANCEL_SUFFIX)
+        && pathSuffix.indexOf('/') == pathSuffix.length() - CANCEL_SUFFIX.length()) {
+      String id = pathSuffix.substring(0, pathSuffix.length() - CANCEL_SUFFIX.length());
+      requireMethod("POST", exchange, () -> handlers.users().cancel(exchange, id));
+    } else if (pathSuffix.isEmpty() || pathSuffix.indexOf('/') >= 0) {
       ApiError.NO_SUCH_PATH.sendTo(exchange);
     } else {
-      withMethod("GET", exchange, () -> targets.users().poll(exchange, rest));
+      requireMethod("GET", exchange, () -> handlers.users().poll(exchange, pathSuffix));
     }
   }
 
   /** Refuses the request unless it has this method. */
-  private static void withMethod(String method, Exchange exchange, Runnable then) {
+  private static void requireMethod(String method, Exchange exchange, Runnable handler) {
     if (exchange.method().equals(method)) {
-      then.run();
+      handler.run();
     } else {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     }
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -12,12 +12,12 @@
    * Worker commands sent directly in a second, for each core that a controller has: each may cost a
    * connection, about a millisecond, so this many take about a fifth of its processor time.
    */
-  private static final double DIRECT_COMMANDS_PER_CORE_S = 200;
+  private static final double DIRECT_COMMANDS_PER_CORE_PER_S = 200;
 
   private SchedulerPolicy() {}
 
   /** The policy of a term that starts now. */
-  static Policy of(Settings settings, StateClient state, OperatorSettings operators) {
+  static Policy of(Settings settings, StateClient state, OperatorSettings operatorSettings) {
     return new Policy(
         settings.teams(),
         settings.delegates(),
@@ -28,15 +28,15 @@
         settings.least().txnOps(),
         (int) ((state.hasReducedLimits() ? settings.least() : settings.now()).valueKb() * 1024),
         state.budget().leaderChangesPerS(),
-        settings.cpuShare() * DIRECT_COMMANDS_PER_CORE_S,
+        settings.cpuShare() * DIRECT_COMMANDS_PER_CORE_PER_S,
         settings.waits(),
         settings.waitSteps(),
         settings.finishes(),
-        operators.tuning());
+        operatorSettings.tuning());
   }
 
   /** The most tasks in one task batch record, at least one. */
-  static int mostBatchTasks(Settings settings) {
+  static int maxTasksPerBatch(Settings settings) {
     // New records must fit the limits that the store will have later as well.
     return Math.max(
         1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -10,7 +10,7 @@
  */
 final class StoredOperatorSettings {
   private final OperatorSettings defaults;
-  private final int mostBatchTasks;
+  private final int maxTasksPerBatch;
   private OperatorSettings current;
 
   /**
@@ -19,10 +19,10 @@
    *
    * @param mostBatchTasks the most tasks in one task batch record
    */
-  StoredOperatorSettings(int mostBatchTasks) {
+  StoredOperatorSettings(int maxTasksPerBatch) {
     String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(mostBatchTasks, Logs.known(level) ? level : "info");
-    this.mostBatchTasks = mostBatchTasks;
+    this.defaults = OperatorSettings.defaults(maxTasksPerBatch, Logs.known(level) ? level : "info");
+    this.maxTasksPerBatch = maxTasksPerBatch;
     this.current = defaults;
   }
 
@@ -36,9 +36,9 @@
 
   /** Reads the stored record anew, sets the log's level if it changed, and returns the result. */
   OperatorSettings reload(JsonNode stored) {
-    String before = current.logLevel();
-    current = OperatorSettings.stored(stored, defaults, mostBatchTasks);
-    if (!current.logLevel().equals(before)) {
+    String previousLevel = current.logLevel();
+    current = OperatorSettings.stored(stored, defaults, maxTasksPerBatch);
+    if (!current.logLevel().equals(previousLevel)) {
       Logs.level(current.logLevel());
     }
     return current;
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -27,43 +27,44 @@
 final class TransactionExecutor {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-  private final LeaderTerm term;
+  private final LeaderTerm leaderTerm;
   private final Scheduler core;
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
   private final Leadership leadership;
   private final Metrics metrics;
-  private final Settings.StateLimits leastLimits;
+  private final Settings.StateLimits minimumLimits;
 
   /**
    * Makes the executor of one term, whose core exists already.
    *
    * @param leastLimits what the store allows at least, now and later
    */
-  TransactionExecutor(LeaderTerm term, LeaderServices services, Settings.StateLimits leastLimits) {
-    this.term = term;
-    this.core = term.core();
+  TransactionExecutor(
+      LeaderTerm leaderTerm, LeaderServices services, Settings.StateLimits minimumLimits) {
+    this.leaderTerm = leaderTerm;
+    this.core = leaderTerm.core();
     this.loop = services.loop();
     this.state = services.state();
     this.cache = services.cache();
     this.leadership = services.leadership();
     this.metrics = services.metrics();
-    this.leastLimits = leastLimits;
+    this.minimumLimits = minimumLimits;
   }
 
   /** Commits one write, conditioned on the leader record and on every record's revision. */
   void commit(Action.Write write) {
-    state.commit(transaction(write), Use.CLAIM, result -> onResult(write.id(), result));
+    state.commit(newTransaction(write), Use.CLAIM, result -> onResult(write.id(), result));
   }
 
-  private Transaction transaction(Action.Write write) {
+  private Transaction newTransaction(Action.Write write) {
     Transaction txn =
         new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
     Set<String> conditionedJobs = new HashSet<>();
     write.taskBatches().forEach(put -> putTaskBatch(txn, put, conditionedJobs));
-    write.jobEnds().forEach(end -> endJob(txn, end));
-    write.taskBatchDeletes().forEach(drop -> dropTaskBatch(txn, drop));
+    write.jobEnds().forEach(jobEnd -> endJob(txn, jobEnd));
+    write.taskBatchDeletes().forEach(deletion -> deleteTaskBatch(txn, deletion));
     write.accountChanges().forEach(change -> changeAccount(txn, change));
     return txn;
   }
@@ -79,18 +80,18 @@
     }
   }
 
-  private void endJob(Transaction txn, Action.JobEnd end) {
-    String key = StateCodec.jobKey(end.job());
-    txn.when(key, end.jobRevision()).delete(key);
+  private void endJob(Transaction txn, Action.JobEnd jobEnd) {
+    String key = StateCodec.jobKey(jobEnd.job());
+    txn.when(key, jobEnd.jobRevision()).delete(key);
     txn.put(
-        StateCodec.finalStateKey(end.job()),
-        StateCodec.encodeFinalState(end.cancelled(), end.tasks(), loop.wallMs()));
-    end.taskBatches().forEach(drop -> dropTaskBatch(txn, drop));
+        StateCodec.finalStateKey(jobEnd.job()),
+        StateCodec.encodeFinalState(jobEnd.cancelled(), jobEnd.tasks(), loop.wallMs()));
+    jobEnd.taskBatches().forEach(deletion -> deleteTaskBatch(txn, deletion));
   }
 
-  private static void dropTaskBatch(Transaction txn, Action.TaskBatchDelete drop) {
-    String key = StateCodec.taskBatchKey(drop.key());
-    txn.when(key, drop.revision()).delete(key);
+  private static void deleteTaskBatch(Transaction txn, Action.TaskBatchDelete deletion) {
+    String key = StateCodec.taskBatchKey(deletion.key());
+    txn.when(key, deletion.revision()).delete(key);
   }
 
   private static void changeAccount(Transaction txn, AccountChange change) {
@@ -105,19 +106,19 @@
   }
 
   private void onResult(long id, StoreResult result) {
-    if (term.isClosed()) {
+    if (leaderTerm.isClosed()) {
       return;
     }
     metrics.count("graderelay.writes", "outcome", result.outcome().metricLabel());
     if (result.succeeded()) {
       core.onTransactionOutcome(id, TransactionOutcome.COMMITTED, result.revision(), loop.now());
-      term.carryOut();
-      term.stepSoon();
+      leaderTerm.executeActions();
+      leaderTerm.scheduleStep();
     } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
       core.onStoreLimits(
-          state.hasReducedLimits() ? leastLimits.valueBytes() : Integer.MAX_VALUE,
+          state.hasReducedLimits() ? minimumLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
-      loop.after(StateClient.RETRY_DELAY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
+      loop.after(StateClient.RETRY_DELAY_S, () -> reportOutcome(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info(
           "transaction {}: {} {}",
@@ -125,7 +126,7 @@
           result.outcome(),
           result.body() == null ? "" : result.body());
       // The records as they are now come first; the core decides on them.
-      catchUpThenTellCore(
+      catchUpThenReportOutcome(
           id,
           result.outcome() == StoreOutcome.UNKNOWN
               ? TransactionOutcome.UNKNOWN
@@ -133,21 +134,21 @@
     }
   }
 
-  private void catchUpThenTellCore(long id, TransactionOutcome outcome) {
+  private void catchUpThenReportOutcome(long id, TransactionOutcome outcome) {
     cache.catchUp(
         caughtUp -> {
-          if (term.isClosed()) {
+          if (leaderTerm.isClosed()) {
             return;
           }
           if (caughtUp) {
-            tellCore(id, outcome);
+            reportOutcome(id, outcome);
           } else {
-            loop.after(StateClient.RETRY_DELAY_S, () -> catchUpThenTellCore(id, outcome));
+            loop.after(StateClient.RETRY_DELAY_S, () -> catchUpThenReportOutcome(id, outcome));
           }
         });
   }
 
-  private void tellCore(long id, TransactionOutcome outcome) {
-    term.takeOutcome(now -> core.onTransactionOutcome(id, outcome, 0, now));
+  private void reportOutcome(long id, TransactionOutcome outcome) {
+    leaderTerm.applyOutcome(now -> core.onTransactionOutcome(id, outcome, 0, now));
   }
 }
--- a/src/main/java/graderelay/service/WorkerCommandSender.java
+++ b/src/main/java/graderelay/service/WorkerCommandSender.java
@@ -14,20 +14,20 @@
 final class WorkerCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-  private final LeaderTerm term;
+  private final LeaderTerm leaderTerm;
   private final Scheduler core;
   private final Loop loop;
   private final Leadership leadership;
-  private final WorkerClient workers;
+  private final WorkerClient workerClient;
   private final Metrics metrics;
 
   /** Makes the sender of one term, whose core exists already. */
-  WorkerCommandSender(LeaderTerm term, LeaderServices services) {
-    this.term = term;
-    this.core = term.core();
+  WorkerCommandSender(LeaderTerm leaderTerm, LeaderServices services) {
+    this.leaderTerm = leaderTerm;
+    this.core = leaderTerm.core();
     this.loop = services.loop();
     this.leadership = services.leadership();
-    this.workers = services.workers();
+    this.workerClient = services.workerClient();
     this.metrics = services.metrics();
   }
 
@@ -38,20 +38,20 @@
       return;
     }
     LOG.debug("to {}: {}", command.machine(), command.commands());
-    workers.send(
+    workerClient.send(
         command,
-        (sent, heartbeat) ->
-            term.takeOutcome(
+        (outcome, heartbeat) ->
+            leaderTerm.applyOutcome(
                 now -> {
-                  countOutcome(command, sent);
-                  core.onCommandDelivery(command, sent, heartbeat, now);
+                  countOutcome(command, outcome);
+                  core.onCommandDelivery(command, outcome, heartbeat, now);
                 }));
   }
 
-  private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome sent) {
-    metrics.count("graderelay.orders", "outcome", sent.name().toLowerCase(Locale.ROOT));
-    if (sent != CommandDeliveryOutcome.EXECUTED) {
-      LOG.info("commands to {} ended {}: {}", command.machine(), sent, command.commands());
+  private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome outcome) {
+    metrics.count("graderelay.orders", "outcome", outcome.name().toLowerCase(Locale.ROOT));
+    if (outcome != CommandDeliveryOutcome.EXECUTED) {
+      LOG.info("commands to {} ended {}: {}", command.machine(), outcome, command.commands());
     }
   }
 }
--- a/src/test/java/graderelay/features/IncompatibleProcessTest.java
+++ b/src/test/java/graderelay/features/IncompatibleProcessTest.java
@@ -53,9 +53,9 @@
     w.resumeLost(old);
     w.loop.run(10);
     assertThat(w.left).containsKey("m-" + old);
-    assertThat(w.lostNode(old).leader()).isFalse();
-    assertThat(w.lostNode(old).speaks()).isFalse();
-    assertThat(w.lostNode(old).ready()).isFalse();
+    assertThat(w.lostNode(old).isLeader()).isFalse();
+    assertThat(w.lostNode(old).mayActAsLeader()).isFalse();
+    assertThat(w.lostNode(old).isReady()).isFalse();
     // It may have handed the late submission on to a peer that supports the level.
     assertThat(w.invariants.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
     assertThat(w.users.stage(old, "j-000630")).isEqualTo("running");
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -275,7 +275,7 @@
             old == null ? options[i] : Options.none(),
             random.split());
     controllers[i] = n;
-    n.onLeave(
+    n.onShutdownRequested(
         why -> {
           left.put("m-" + i, why);
           invariants.log("m-" + i + " leaves: " + why);
@@ -366,7 +366,7 @@
   /** Returns the controller that leads, or -1. */
   public int leader() {
     for (int i = 0; i < size; i++) {
-      if (!dead[i][0] && controllers[i].leader()) {
+      if (!dead[i][0] && controllers[i].isLeader()) {
         return i;
       }
     }
--- a/src/test/java/graderelay/state/ControllerRestartTest.java
+++ b/src/test/java/graderelay/state/ControllerRestartTest.java
@@ -54,7 +54,7 @@
     world.isolate(leader, true);
     world.loop.run(40);
     assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(world.controllers[leader].leader()).isFalse();
+    assertThat(world.controllers[leader].isLeader()).isFalse();
     world.isolate(leader, false);
     world.loop.run(20);
     assertThat(world.invariants.starts).isEqualTo(starts);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -99,7 +99,7 @@
     world.net.cut("c" + leader, "c" + (leader + 1) % 3);
     world.net.cut("c" + leader, "c" + (leader + 2) % 3);
     world.loop.run(4);
-    assertThat(world.controllers[leader].leader()).isFalse();
+    assertThat(world.controllers[leader].isLeader()).isFalse();
     world.loop.run(36);
     world.net.heal("c" + leader, "state");
     world.loop.run(10);
--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -92,7 +92,7 @@
       world.loop.run(0.1);
       int actingLeaders = 0;
       for (int controller = 0; controller < 3; controller++) {
-        actingLeaders += world.controllers[controller].speaks() ? 1 : 0;
+        actingLeaders += world.controllers[controller].mayActAsLeader() ? 1 : 0;
       }
       assertThat(actingLeaders).isLessThanOrEqualTo(1);
     }
