--- a/src/main/java/graderelay/service/CloudScaler.java
+++ b/src/main/java/graderelay/service/CloudScaler.java
@@ -7,11 +7,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out the core's scale-out and scale-in decisions through the cloud's machine API. */
+/**
+ * Executes the scheduler core's scale-out and scale-in decisions through the cloud's machine API.
+ */
 final class CloudScaler {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-  /** The cluster's first fencing token: before it there was no leader that scaled out. */
+  /** The first term of a cluster: no earlier leader can have scaled out. */
   private static final long FIRST_TERM = 1;
 
   private final LeaderTerm leaderTerm;
@@ -24,11 +26,13 @@
   private boolean hasListedMachines;
 
   /**
-   * Makes the scaler of one term, whose core exists already.
+   * Creates the scaler of one leader term, whose scheduler core must already exist.
    *
-   * @param fencingToken the token that the term was won with; it names scale-out requests
-   * @param startedAt when the term began, in seconds of the loop's clock
-   * @param listLagS how long the cloud's list of machines may lag behind a scale-out, in seconds
+   * @param electedTerm the term that this controller was elected in; part of the name of each
+   *     scale-out request
+   * @param termStartedAt when the term started, in seconds of the event loop's clock
+   * @param listLagS the longest time in seconds until a scaled-out machine appears in the cloud's
+   *     list of machines
    */
   CloudScaler(
       LeaderTerm leaderTerm,
@@ -45,12 +49,18 @@
     this.listLagS = listLagS;
   }
 
-  /** The cloud has listed its machines once in this term: earlier leaders' scale-outs show. */
+  /**
+   * Called when the cloud has listed its machines in this term. The list includes the machines that
+   * earlier leaders scaled out.
+   */
   void onMachinesListed() {
     hasListedMachines = true;
   }
 
-  /** Asks for machines; refused without asking while those of an earlier leader may not show. */
+  /**
+   * Requests machines from the cloud. The request is rejected without a call to the cloud while
+   * machines of an earlier leader may be missing from the list.
+   */
   void scaleOut(Action.ScaleOut request) {
     if (mayMissEarlierScaleOuts()) {
       core.onScaleOutResponse(request.id(), null, false, loop.now());
@@ -58,7 +68,7 @@
     }
     String requestName = "hire-" + electedTerm + "-" + request.id();
     LOG.info(
-        "scale out {} {} in {}{} as {}",
+        "scaling out by {} machines of type {} in zone {}{}, request {}",
         request.count(),
         request.type(),
         request.zone(),
@@ -74,18 +84,26 @@
             leaderTerm.applyOutcome(
                 now -> {
                   LOG.info(
-                      "{}: {}", requestName, result.noCapacity() ? "no capacity" : result.names());
+                      "scale-out request {}: {}",
+                      requestName,
+                      result.noCapacity() ? "no capacity" : result.names());
                   core.onScaleOutResponse(request.id(), result.names(), result.noCapacity(), now);
                 }));
   }
 
-  /** An earlier leader may have scaled out for the same work; the list shows it only later. */
+  /**
+   * True while an earlier leader may have scaled out for the same tasks without the machines being
+   * listed yet.
+   */
   private boolean mayMissEarlierScaleOuts() {
     boolean isFirstTerm = electedTerm == FIRST_TERM;
     return !isFirstTerm && (!hasListedMachines || loop.now() < termStartedAt + listLagS);
   }
 
-  /** Returns machines to the cloud; what it does not confirm, the core decides on again. */
+  /**
+   * Deletes machines in the cloud. If the cloud does not confirm the deletion, the core decides
+   * again.
+   */
   void scaleIn(Action.ScaleIn request) {
     cloudClient.scaleIn(
         request.machines(),
--- a/src/main/java/graderelay/service/ControllerComponents.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -28,9 +28,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Makes the parts of one controller process and connects them, in an order in which each finds the
- * ones it needs. Parts that need a later one take a method of this class that asks it when called.
- * Nothing runs before {@link ControllerNode#start}.
+ * Creates the components of one controller process in the order of their dependencies and wires
+ * them together. A component that depends on one created later gets a method of this class, which
+ * looks the later one up when it is called. Nothing runs before {@link ControllerNode#start}.
  */
 final class ControllerComponents {
   final Loop loop;
@@ -59,10 +59,10 @@
   private final TeamLimits teamLimits;
 
   /**
-   * Makes all parts of a controller.
+   * Creates all components of a controller.
    *
-   * @param options switches features on that this process supports
-   * @param random draws that tests can repeat
+   * @param options the optional features that this process supports
+   * @param random the source of randomness; tests pass a seeded one
    */
   ControllerComponents(
       Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
@@ -118,7 +118,7 @@
             operatorSettings));
   }
 
-  // ---------------------------------------------------------------- steps of the constructor
+  // ---------------------------------------------------------------- construction
 
   private StateClient newStateClient(Transport transport) {
     return new StateClient(
@@ -247,10 +247,10 @@
         cancellations,
         workerApi::relayed,
         leaderLifecycle::onDelegationRequest,
-        router::handleRelayed);
+        router::handleForwarded);
   }
 
-  // ---------------------------------------------------------------- calls between the parts
+  // ---------------------------------------------------------------- calls between components
 
   private boolean isLeader() {
     return leadership.isLeader();
@@ -286,12 +286,14 @@
         Map.of("state", state.callCounts(), "cloud", cloudClient.outcomes()), core());
   }
 
-  /** A leader knows which peers answer; a follower finds out by asking. */
+  /**
+   * Whether a peer may respond. A leader tracks which peers are responsive; a follower has to try.
+   */
   private boolean mayBeResponsive(String peer) {
     return !leadership.isLeader() || leadership.isPeerResponsive(peer);
   }
 
-  /** A term that starts now, with the records and settings as they are now. */
+  /** Creates a leader term from the current records and settings. */
   private LeaderTerm newTerm() {
     return new LeaderTerm(
         leaderServices,
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -14,11 +14,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: starts and ends its parts, and is where requests of users, workers,
- * operators and peers arrive. It knows no sockets, so tests run several at once.
+ * One controller process: starts and stops its components, and receives the requests of users,
+ * workers, operators and peers. It opens no sockets, so that a test can run several controllers in
+ * one process.
  */
 public final class ControllerNode {
-  /** Seconds between ticks of the core. */
+  /** Seconds between ticks of leader election and of the scheduler core. */
   static final double TICK_INTERVAL_S = 0.25;
 
   private static final Logger LOG = LoggerFactory.getLogger("node");
@@ -27,24 +28,24 @@
   private Loop.Timer tickTimer;
   private boolean closed;
 
-  /** A controller for which everything that options switch on is off. */
+  /** Creates a controller with all optional features disabled. */
   public ControllerNode(Loop loop, Transport transport, Settings settings, RandomGenerator random) {
     this(loop, transport, settings, Options.none(), random);
   }
 
   /**
-   * A controller of the given settings; nothing starts before {@link #start}.
+   * Creates a controller with the given settings; it is idle until {@link #start}.
    *
-   * @param options switches features on that this process supports
+   * @param options the optional features that this process supports
    */
   public ControllerNode(
       Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
     this.components = new ControllerComponents(loop, transport, settings, options, random);
   }
 
-  // ---------------------------------------------------------------- start and end
+  // ---------------------------------------------------------------- lifecycle
 
-  /** Tells where the numbers of open connections come from, to show them to operators. */
+  /** Registers gauges of the numbers of open inbound and outbound connections. */
   public void registerConnectionGauges(IntSupplier inbound, IntSupplier outbound) {
     components.metrics.registerGauge(
         "graderelay.connections", Tags.of("direction", "in"), m -> inbound.getAsInt());
@@ -52,14 +53,23 @@
         "graderelay.connections", Tags.of("direction", "out"), m -> outbound.getAsInt());
   }
 
-  /** Hears why this process has to end, if the cluster has gone on without it. */
+  /**
+   * Sets the listener that is called with the reason if this process must exit because the cluster
+   * has replaced it or uses features that it does not support.
+   */
   public void onShutdownRequested(Consumer<String> listener) {
     components.featureLevelManager.onShutdownRequested(listener);
   }
 
-  /** Starts metrics, the records' watch, features, machine types, lease delegation and ticks. */
+  /**
+   * Starts metrics, the watch of the stored records, feature level checks, polling of machine
+   * types, lease delegation and ticks.
+   */
   public void start() {
-    LOG.info("{} starts in zone {}", components.settings.member(), components.settings.zone());
+    LOG.info(
+        "controller {} is starting in zone {}",
+        components.settings.member(),
+        components.settings.zone());
     startMetrics();
     components.cache.start();
     components.featureLevelManager.start();
@@ -74,7 +84,7 @@
     components.metrics.registerTokenBucket(
         "state changes", components.state.budget().changeTokens());
     components.metrics.registerTokenBucket("cloud", components.cloudClient.tokens());
-    components.metrics.sampleSuppliers(components.quotaMonitor::samples);
+    components.metrics.addSampleSupplier(components.quotaMonitor::samples);
     components.metrics.start();
     components.metrics.registerGauge(
         "graderelay.feature.level",
@@ -86,7 +96,7 @@
         m -> components.featureGate.supported().max());
   }
 
-  /** Ends what {@link #start} has started, the leader's term first. */
+  /** Stops everything that {@link #start} started, the leader term first. */
   public void close() {
     closed = true;
     components.leaderLifecycle.close();
@@ -111,12 +121,12 @@
     tickTimer = components.loop.after(TICK_INTERVAL_S, this::tick);
   }
 
-  /** Requests of users, workers, operators and the load balancer. */
+  /** Handles a request of a user, a worker, an operator or the load balancer. */
   public void handle(Exchange exchange) {
     components.router.handle(exchange);
   }
 
-  /** Requests of the other controllers. */
+  /** Handles a request of another controller. */
   public void handlePeer(Exchange exchange) {
     components.peerApi.handle(exchange);
   }
@@ -133,12 +143,12 @@
     return components.leadership.isLeader();
   }
 
-  /** True while this controller may answer workers for all controllers. */
+  /** True while this controller may act as the leader. */
   public boolean mayActAsLeader() {
     return components.leadership.mayActAsLeader();
   }
 
-  /** The core while this controller runs a leader term, else null. */
+  /** The scheduler core of the current leader term, or null while there is none. */
   public Scheduler core() {
     return components.leaderLifecycle.core();
   }
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -24,21 +24,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hints that a leader stores for the next one: the images on machines and the recent demand. Both
- * forms are read; which one is written depends on {@link Feature#COMPACT_HINTS}. A failover works
- * without them, so a write whose answer is lost or a record that can't be read doesn't matter.
+ * Hints that a leader stores for its successor: the images on machines and the recent demand. Both
+ * the plain and the compact form are read; which one is written depends on {@link
+ * Feature#COMPACT_HINTS}. Failover does not depend on the hints, so a write with an unknown outcome
+ * is not retried and a malformed record is ignored.
  */
 final class FailoverHints {
-  /** Images named in one of those records: a machine's are bits of one number. */
+  /**
+   * The maximum number of distinct images in one record: the images of a machine are the bits of
+   * one number.
+   */
   private static final int MAX_IMAGES_PER_RECORD = 60;
 
-  /** The same for records in their compact form, at some 18 bytes a machine. */
+  /**
+   * The number of image records per 1,000 machines in the compact form, which takes about 18 bytes
+   * per machine.
+   */
   private static final int COMPACT_IMAGE_RECORDS_PER_THOUSAND_MACHINES = 12;
 
-  /** Times a value's size that a plain hint may have before its compact form is tried. */
+  /**
+   * The size of the plain form at the first attempt to compact it, as a multiple of the maximum
+   * value size.
+   */
   private static final int INITIAL_PLAIN_SIZE_FACTOR = 3;
 
-  /** What of a plain hint is kept if its compact form does not fit a value. */
+  /**
+   * The factor by which the plain form is reduced when its compact form exceeds the maximum value
+   * size.
+   */
   private static final double PLAIN_SIZE_REDUCTION_FACTOR = 0.75;
 
   private static final Logger LOG = LoggerFactory.getLogger("hints");
@@ -49,9 +62,9 @@
   private final int maxValueBytes;
 
   /**
-   * Makes the hints of one term.
+   * Creates the hints of one leader term.
    *
-   * @param mostBytes the largest value that the store takes, in bytes
+   * @param maxValueBytes the largest value that the store accepts, in bytes
    */
   FailoverHints(StateClient state, Cache cache, Leadership leadership, int maxValueBytes) {
     this.state = state;
@@ -64,14 +77,16 @@
     return cache.features().gate().enabled(Feature.COMPACT_HINTS);
   }
 
-  /** Records that share the images of each thousand machines. */
+  /** The number of image records per 1,000 machines. */
   int imageShardsPerThousandMachines() {
     return writesCompactForm()
         ? COMPACT_IMAGE_RECORDS_PER_THOUSAND_MACHINES
         : SchedulerLimits.IMAGE_RECORDS_PER_THOUSAND_MACHINES;
   }
 
-  /** The images on machines in all records, the newer form last. */
+  /**
+   * The stored images by machine, one map for each record; records in the compact form come last.
+   */
   List<Map<String, List<String>>> storedImages() {
     List<Map<String, List<String>>> imagesByRecord = new ArrayList<>();
     cache
@@ -94,9 +109,9 @@
   }
 
   /**
-   * The demand of the last minutes as the leader before has kept it; empty if it has kept none.
+   * The recent demand that the previous leader stored; empty if there is none.
    *
-   * @param wallMs the time of day now, in milliseconds since the epoch
+   * @param wallMs the current wall-clock time, in milliseconds since the epoch
    */
   List<Action.Demand> storedDemand(long wallMs) {
     JsonNode compactHint = cache.hints().compactHints().get(FeatureCodec.DEMAND_HINT);
@@ -110,15 +125,15 @@
     try {
       return CompactHints.unpack(compactHint);
     } catch (MalformedRecord e) {
-      LOG.warn("{} is left out: {}", key, e.getMessage());
+      LOG.warn("ignoring malformed hint record {}: {}", key, e.getMessage());
       return null;
     }
   }
 
   /**
-   * Stores the demand of the last minutes.
+   * Stores the recent demand.
    *
-   * @param wallMs the time of day now, in milliseconds since the epoch
+   * @param wallMs the current wall-clock time, in milliseconds since the epoch
    */
   void storeDemand(Action.StoreDemand demand, long wallMs) {
     if (writesCompactForm()) {
@@ -130,9 +145,9 @@
     }
   }
 
-  /** Stores the images on one part of the machines. */
+  /** Stores the images of one shard of the machines. */
   void storeImages(Action.StoreImages images) {
-    // By name, since neighbours in that order differ in little.
+    // Sorted by name, because names of adjacent machines then differ little and compress well.
     Map<String, List<String>> imagesByMachine = new TreeMap<>(images.imagesByMachine());
     IntFunction<ObjectNode> encodeWithin =
         bytes -> StateCodec.encodeImages(imagesByMachine, MAX_IMAGES_PER_RECORD, bytes);
@@ -144,9 +159,10 @@
   }
 
   /**
-   * The compact form of as much as fits a value. How much that is depends on what is compressed.
+   * Returns the compact form of as much of the hint as fits the maximum value size. Since the
+   * compression ratio depends on the content, the plain form is reduced until the result fits.
    *
-   * @param within makes the plain form in so many bytes
+   * @param encodeWithin encodes the plain form in at most the given number of bytes
    */
   private ObjectNode packToFit(IntFunction<ObjectNode> encodeWithin) {
     int plainBytes = maxValueBytes * INITIAL_PLAIN_SIZE_FACTOR;
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's part in the cluster's feature level: publishes the levels that it supports,
- * raises and lowers the cluster's level while it leads, and has the process leave if the cluster
- * has gone on without it.
+ * Manages the cluster's feature level on this controller: publishes the levels that this process
+ * supports, raises and lowers the cluster's level while this controller leads, and requests the
+ * shutdown of a process that has been superseded or does not support the cluster's level.
  */
 final class FeatureLevelManager {
   /** Seconds between checks of the feature levels. */
@@ -42,10 +42,11 @@
   private Loop.Timer timer;
 
   /**
-   * Makes the manager; it neither publishes nor raises anything if the options leave feature levels
-   * alone.
+   * Creates the manager; it neither publishes nor changes levels if the options do not include the
+   * management of feature levels.
    *
-   * @param incarnation tells this process from earlier and later ones of the same controller
+   * @param incarnation identifies this process among earlier and later processes of the same
+   *     controller
    */
   FeatureLevelManager(
       Loop loop,
@@ -97,30 +98,28 @@
     return version == null ? "unknown" : version;
   }
 
-  /** Asks a peer which process it is. */
+  /** Returns a probe that requests the incarnation of a peer's process. */
   private static MemberProbe newMemberProbe(PeerClient peerClient, String self) {
-    return (member, callback) ->
+    return (member, done) ->
         peerClient.send(
             peerClient.addressOf(member),
             new PeerRequest.Identify(self),
             PeerCodec::decodeIdentified,
             peerClient.timeoutS(),
-            answer -> callback.accept(answer == null ? null : answer.incarnation()));
+            answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
 
-  /**
-   * What raises and lowers the level on the leader, or null where feature levels are left alone.
-   */
+  /** The coordinator of level changes, or null if feature levels are not managed. */
   UpgradeCoordinator coordinator() {
     return coordinator;
   }
 
-  /** Hears why this process has to end, once. */
+  /** Sets the listener that is called once, with the reason, when this process must exit. */
   void onShutdownRequested(Consumer<String> listener) {
     onShutdownRequested = listener;
   }
 
-  /** Checks the levels now and then at every interval. */
+  /** Checks the feature levels immediately and then periodically. */
   void start() {
     if (closed) {
       return;
@@ -132,7 +131,7 @@
     timer = loop.after(CHECK_INTERVAL_S, this::start);
   }
 
-  /** Stops the checks. */
+  /** Stops the periodic checks. */
   void close() {
     closed = true;
     if (timer != null) {
@@ -140,7 +139,7 @@
     }
   }
 
-  /** Checks the records; to be called after each change of them. */
+  /** Checks the feature level records; must be called after each change to them. */
   void checkRecords() {
     if (!cache.isElectionLoaded() || shutdownRequested) {
       return;
@@ -149,8 +148,8 @@
     if (reason != null && featureGate.overtaken()) {
       requestShutdown(reason);
     } else if (reason != null && !reason.equals(loggedReason)) {
-      // The process stays: if it ended, it would be restarted again and again to no avail.
-      LOG.error("this controller does not take part: {}", reason);
+      // The process keeps running: if it exited, it would be restarted in a loop without effect.
+      LOG.error("this controller does not take part in the cluster: {}", reason);
     }
     loggedReason = reason;
     if (membershipPublisher != null) {
@@ -162,7 +161,7 @@
     if (!shutdownRequested) {
       shutdownRequested = true;
       featureGate.leave(reason);
-      LOG.error("this controller leaves: {}", reason);
+      LOG.error("this controller leaves the cluster: {}", reason);
       onShutdownRequested.accept(reason);
     }
   }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -26,7 +26,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The records of feature levels in the key-value store, as the leader changes them. */
+/** Reads and changes the feature level records in the key-value store, on behalf of the leader. */
 final class FeatureLevelStore implements ClusterStore {
   private final StateClient state;
   private final Cache cache;
@@ -38,9 +38,9 @@
   private final LongSupplier wallClockMs;
 
   /**
-   * Makes the store for one controller.
+   * Creates the store of one controller.
    *
-   * @param clock the time of day, in milliseconds since the epoch
+   * @param wallClockMs the wall clock, in milliseconds since the epoch
    */
   FeatureLevelStore(
       StateClient state,
@@ -86,13 +86,13 @@
         result -> done.accept(toOutcome(result)));
   }
 
-  /** A transaction that fails unless this controller is still the leader. */
+  /** Creates a transaction that fails unless this controller is still the leader. */
   private Transaction newLeaderTransaction() {
     return new Transaction().when(cache.election().leaderKey(), leadership.leaderRevision());
   }
 
   private void commit(Transaction txn, Consumer<Outcome> done) {
-    // The next decision is made on the records as they are after this one.
+    // The cache must have caught up before the next decision is made.
     state.commit(
         txn,
         Use.CLAIM,
@@ -161,7 +161,10 @@
     completionStep.accept(done);
   }
 
-  /** Stores the settings' limits; the last transaction also records that they are complete. */
+  /**
+   * Stores the next batch of the team limits in the settings, in one transaction; the transaction
+   * of the last batch also marks the stored limits as complete.
+   */
   private void storeLimits(Consumer<Boolean> done) {
     QuotaRecords quota = cache.quota();
     if (quota.isSeeded()) {
@@ -186,7 +189,7 @@
     commit(txn, outcome -> done.accept(false));
   }
 
-  /** Suspends every member in the layout that only older versions read. */
+  /** Writes a suspension of every member in the unsealed layout, which only older versions read. */
   private void sealMembers(Consumer<Boolean> done) {
     Transaction txn = newLeaderTransaction();
     int missingCount = 0;
@@ -204,7 +207,7 @@
     }
   }
 
-  /** Removes hints in the older form, which would be ever more out of date. */
+  /** Deletes hints in the plain form, since they are no longer updated. */
   private void removePlainHints(Consumer<Boolean> done) {
     List<String> plainHintKeys = new ArrayList<>(cache.hints().images().keySet());
     if (cache.hints().demand() != null) {
--- a/src/main/java/graderelay/service/LeaderActionExecutor.java
+++ b/src/main/java/graderelay/service/LeaderActionExecutor.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out what the core of one {@link LeaderTerm} decides. Store transactions, worker commands
- * and cloud requests have executors of their own; log lines, counters, hints, look-ups and the
- * raising of the term are done here. Every outcome goes back to the core, unless the term has been
- * closed meanwhile.
+ * Executes the actions that the scheduler core of one {@link LeaderTerm} decides on. Store
+ * transactions, worker commands and cloud requests are delegated to separate executors; log lines,
+ * counters, hints, lookups of final states and term increases are handled here. Every outcome is
+ * reported to the core unless the leader term has been closed in the meantime.
  */
 final class LeaderActionExecutor {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
@@ -29,12 +29,12 @@
   private final CloudScaler cloudScaler;
 
   /**
-   * Makes the executor of one term, whose core exists already.
+   * Creates the executor of one leader term, whose scheduler core must already exist.
    *
-   * @param hints where recent demand and images on machines are kept for the next leader
+   * @param hints stores the recent demand and the images on machines for the next leader
    * @param cancellationResolver looks up final states of jobs that are no longer cached
    * @param transactions commits the core's writes
-   * @param cloudScaler asks the cloud for machines and returns them
+   * @param cloudScaler creates and deletes machines in the cloud
    */
   LeaderActionExecutor(
       LeaderTerm leaderTerm,
@@ -55,7 +55,7 @@
     this.cloudScaler = cloudScaler;
   }
 
-  /** Takes every action the core has decided on and carries it out, in the core's order. */
+  /** Executes all pending actions of the core, in the core's order. */
   void execute() {
     for (Action action : core.takeActions()) {
       execute(action);
@@ -67,9 +67,9 @@
       LOG.info("{}", logLine.text());
     } else if (action instanceof Action.MetricEvent event) {
       recordTaskEvent(event);
-    } else if (action instanceof Action.AccountDiscrepancyFound results) {
-      LOG.error("{}", results.discrepancy());
-      metrics.count("graderelay.quota.differences", "team", results.discrepancy().team());
+    } else if (action instanceof Action.AccountDiscrepancyFound discrepancyFound) {
+      LOG.error("{}", discrepancyFound.discrepancy());
+      metrics.count("graderelay.quota.differences", "team", discrepancyFound.discrepancy().team());
     } else if (action instanceof Action.Write write) {
       transactions.commit(write);
     } else if (action instanceof Action.SendCommands command) {
@@ -89,7 +89,10 @@
     }
   }
 
-  /** Counts a start or an end of a task; only a start tells how long its job waited. */
+  /**
+   * Counts the start or end of a task. Only the event of a start contains the time that the job
+   * waited.
+   */
   private void recordTaskEvent(Action.MetricEvent event) {
     if (event.waitedS() >= 0) {
       metrics.recordDuration("graderelay.queue.wait", event.waitedS());
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -18,11 +18,12 @@
 import java.util.function.Supplier;
 
 /**
- * Starts a {@link LeaderTerm} once this controller has won leadership and its records are caught up
- * with as they stood then, and closes the term on failover. There is no term on a follower.
+ * Starts a {@link LeaderTerm} once this controller has been elected and its cache contains all
+ * records committed before the election, and closes the leader term when leadership is lost. A
+ * follower has no leader term.
  */
 final class LeaderLifecycle implements Leadership.Listener {
-  /** Seconds between checks whether the records are read, for a controller that has won a term. */
+  /** Seconds between checks of an elected controller whether its cache has loaded the records. */
   private static final double RECORDS_CHECK_INTERVAL_S = 0.02;
 
   private final Loop loop;
@@ -39,13 +40,13 @@
   private boolean closed;
 
   /**
-   * Makes the lifecycle of a controller that is a follower so far.
+   * Creates the lifecycle of a controller that starts as a follower.
    *
-   * @param leading whether this controller holds leadership now
-   * @param fencingToken the fencing token of this controller's leadership now
-   * @param entitled whether this controller may answer workers for all controllers now
-   * @param types the machine types the cloud has listed, null until it has
-   * @param newTerm makes a term with the records and settings as they are now
+   * @param isLeader whether this controller is the leader
+   * @param termNumber the term of this controller's current leadership, which is its fencing token
+   * @param mayActAsLeader whether this controller may act as the leader
+   * @param machineTypes the machine types of the cloud, null until it has listed them
+   * @param termFactory creates a leader term from the current records and settings
    */
   LeaderLifecycle(
       Loop loop,
@@ -70,17 +71,17 @@
     this.termFactory = termFactory;
   }
 
-  /** The current term, or null while this controller does not lead. */
+  /** The current leader term, or null while there is none. */
   LeaderTerm currentTerm() {
     return currentTerm;
   }
 
-  /** The core of the current term, or null. */
+  /** The scheduler core of the current leader term, or null while there is none. */
   Scheduler core() {
     return currentTerm == null ? null : currentTerm.core();
   }
 
-  /** Passes an event to the current term, if there is one. */
+  /** Runs the action on the current leader term, if there is one. */
   void ifLeading(Consumer<LeaderTerm> action) {
     if (currentTerm != null) {
       action.accept(currentTerm);
@@ -88,19 +89,22 @@
   }
 
   /**
-   * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
+   * Handles a heartbeat and returns the worker commands for the response; none while there is no
+   * leader term.
    */
   List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String receivingController) {
-    // A leader that is still reading the records keeps worker leases alive and commands nothing: it
-    // counts the leases from when its term begins, which is later.
+    // A leader that is still loading the records renews worker leases without sending commands.
+    // This is safe because it measures the leases from the start of its leader term, which is
+    // later.
     return currentTerm == null
         ? List.of()
         : currentTerm.onHeartbeat(heartbeat, receivingController);
   }
 
   /**
-   * A peer asks to be our lease delegate in its zone: granted only while our session lease lasts
-   * and if the core knows the peer. The answer carries the cancellations that we have heard of.
+   * Handles a peer's request to become the lease delegate of its zone. It is granted only while
+   * this controller may act as the leader, and only if the core knows the peer's process. The
+   * response contains the cancellations that this controller has learned of.
    */
   PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
     return currentTerm != null && mayActAsLeader.getAsBoolean()
@@ -110,7 +114,8 @@
   }
 
   /**
-   * Writes a team's account anew for operators; false if this controller does not lead any more.
+   * Rewrites a team's account at an operator's request; returns false if this controller has no
+   * leader term.
    */
   boolean replaceAccount(String team) {
     if (currentTerm == null) {
@@ -120,12 +125,15 @@
     return true;
   }
 
-  /** A peer says that a job was cancelled: its tasks are stopped now, its record read later. */
+  /**
+   * Handles a peer's notification that a job was cancelled: its tasks are stopped immediately,
+   * before the job's record has been read.
+   */
   void onCancelled(String job) {
     ifLeading(term -> term.recordFeed().onCancelled(job));
   }
 
-  /** Ends the current term for good, as the process ends. */
+  /** Closes the current leader term permanently when the process stops. */
   void close() {
     closed = true;
     if (currentTerm != null) {
@@ -139,7 +147,9 @@
     startTerm(term, loop.now());
   }
 
-  /** Starts the term as soon as the records are known as they stood when it was won. */
+  /**
+   * Starts the leader term as soon as the cache contains all records committed before the election.
+   */
   private void startTerm(long term, double electedAt) {
     if (!cache.isLoaded()) {
       if (isStillLeader(term)) {
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -21,10 +21,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One term of this controller's leadership: feeds the core scheduler with heartbeats, the cloud's
- * list and, through {@link RecordFeed}, the stored records; steps it, and has {@link
- * LeaderActionExecutor} carry out what it decides. Made when the term is won and the records are
- * caught up with; closed on failover.
+ * One term of this controller's leadership. Passes heartbeats, the cloud's list of machines and,
+ * through {@link RecordFeed}, the stored records to the scheduler core, runs its scheduling rounds,
+ * and has its actions executed by {@link LeaderActionExecutor}. Created once the controller has
+ * been elected and its cache has caught up; closed when leadership is lost.
  */
 final class LeaderTerm {
   private final Loop loop;
@@ -37,7 +37,7 @@
   private final LeaderActionExecutor actionExecutor;
   private final Metrics metrics;
 
-  /** The fencing token that the term was won with; it may be raised later. */
+  /** The term that this controller was elected in; the current term may be raised later. */
   private final long electedTerm;
 
   private boolean closed;
@@ -49,11 +49,11 @@
   private long countedStaleHeartbeats;
 
   /**
-   * Makes a term that begins now; nothing runs before {@link #start}.
+   * Creates a leader term that starts now; it is idle until {@link #start}.
    *
-   * @param leastLimits what the key-value store allows at least, now and later
-   * @param operators the operators' settings as stored now
-   * @param types the machine types that the cloud has listed
+   * @param minimumLimits the lowest limits that the key-value store has, now or in the future
+   * @param operatorSettings the operators' settings as currently stored
+   * @param machineTypes the machine types that the cloud has listed
    */
   LeaderTerm(
       LeaderServices services,
@@ -91,12 +91,12 @@
     return core;
   }
 
-  /** What passes the stored records on to the core. */
+  /** The feed that passes the stored records to the core. */
   RecordFeed recordFeed() {
     return recordFeed;
   }
 
-  /** The time of day, in milliseconds since the epoch. */
+  /** The wall-clock time, in milliseconds since the epoch. */
   long wallMs() {
     return loop.wallMs();
   }
@@ -105,14 +105,17 @@
     return closed;
   }
 
-  /** Takes the records as they are now, which the caller has just caught up with. */
+  /**
+   * Loads the cached records and starts the timers. The caller must have caught up with the store
+   * immediately before.
+   */
   void start() {
     recordFeed.load();
     listMachines();
     tick();
   }
 
-  /** Ends the term: no timer fires and no outcome is taken any more. */
+  /** Closes the leader term: cancels its timers and ignores outcomes from now on. */
   void close() {
     closed = true;
     for (Loop.Timer timer : new Loop.Timer[] {stepTimer, tickTimer, machineListTimer}) {
@@ -124,16 +127,16 @@
 
   // ---------------------------------------------------------------- outcomes of actions
 
-  /** Carries out what the core has decided on so far, without waiting for its next step. */
+  /** Executes the core's pending actions without waiting for its next scheduling round. */
   void executeActions() {
     actionExecutor.execute();
   }
 
   /**
-   * Passes an action's outcome to the core, which then steps soon; passed over once the term is
-   * closed.
+   * Passes an action's outcome to the core and schedules a scheduling round; ignored once the
+   * leader term is closed.
    *
-   * @param outcome takes the loop's time in seconds
+   * @param outcome reports the outcome to the core, given the event loop's time in seconds
    */
   void applyOutcome(DoubleConsumer outcome) {
     if (!closed) {
@@ -144,26 +147,29 @@
 
   // ---------------------------------------------------------------- term, quota and settings
 
-  /** The term was raised with a change of the feature level, which may change the hints' form. */
+  /**
+   * Handles a raise of the term by a change of the feature level, which may also change the form of
+   * the hints.
+   */
   void onTermRaised(long newTerm) {
     core.onTerm(newTerm, loop.now());
     core.onImageShards(hints.imageShardsPerThousandMachines());
     scheduleStep();
   }
 
-  /** An operator wants a team's account written anew from its committed claims. */
+  /** Rewrites a team's account from its committed claims at an operator's request. */
   void replaceAccount(String team) {
     core.replaceAccount(team);
     scheduleStep();
   }
 
-  /** The cloud has listed its machine types anew. */
+  /** Handles a new list of the cloud's machine types. */
   void onMachineTypes(List<MachineType> machineTypes) {
     core.onMachineTypes(machineTypes);
     scheduleStep();
   }
 
-  /** The operators' settings changed: tuning, cordons and graceful evictions. */
+  /** Handles a change of the operators' settings: tuning, cordons and drains. */
   void onSettings(OperatorSettings changed) {
     core.onTuning(changed.tuning());
     core.onCordons(changed.cordoned(), changed.drained(), loop.now());
@@ -174,10 +180,10 @@
   // ---------------------------------------------------------------- heartbeats and peers
 
   /**
-   * Takes a heartbeat and returns the worker commands for its response; the caller has checked our
-   * session lease.
+   * Handles a heartbeat and returns the worker commands for the response. The caller must have
+   * checked that this controller may act as the leader.
    *
-   * @param via the controller that the worker sent it to
+   * @param receivingController the controller that the worker sent the heartbeat to
    */
   List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String receivingController) {
     double now = loop.now();
@@ -195,8 +201,9 @@
   }
 
   /**
-   * A peer asks to be our lease delegate; the caller has checked our session lease. Null if the
-   * core does not know the peer's incarnation.
+   * Handles a peer's request to become a lease delegate. The caller must have checked that this
+   * controller may act as the leader. Returns null if the core does not know the incarnation of the
+   * peer's process.
    */
   PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
@@ -223,7 +230,10 @@
     tickTimer = loop.after(ControllerNode.TICK_INTERVAL_S, this::tick);
   }
 
-  /** Has the core step after the events of this moment, which it decides on together. */
+  /**
+   * Schedules a scheduling round after all events that are already queued, so that one round
+   * handles them together.
+   */
   void scheduleStep() {
     if (!isStepScheduled && !closed) {
       isStepScheduled = true;
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -8,11 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the cloud's machine types: every {@link #TYPES_RETRY_S} until it has them, then every
- * {@link #LEADER_POLL_INTERVAL_S} on the leader and five times as seldom on a follower.
+ * Polls the cloud's machine types: every {@link CloudClient#TYPES_RETRY_S} until the first list
+ * arrives, then every {@link #LEADER_POLL_INTERVAL_S} on the leader and at five times this interval
+ * on a follower.
  */
 final class MachineTypePoller {
-  /** Seconds between reads of the machine types by the leader: spot prices move slowly. */
+  /** Seconds between polls of the machine types by the leader: spot prices change slowly. */
   private static final double LEADER_POLL_INTERVAL_S = 60;
 
   private final Loop loop;
@@ -24,10 +25,10 @@
   private boolean closed;
 
   /**
-   * Makes the poller; it reads nothing before {@link #start}.
+   * Creates the poller; it is idle until {@link #start}.
    *
-   * @param leading whether this controller is the leader now
-   * @param onTypes hears every list that is not empty
+   * @param isLeader whether this controller is the leader
+   * @param listener called with every list that is not empty
    */
   MachineTypePoller(
       Loop loop,
@@ -40,7 +41,7 @@
     this.listener = listener;
   }
 
-  /** The last list that was not empty, or null before the first. */
+  /** The last list that was not empty, or null if there is none yet. */
   List<MachineType> current() {
     return machineTypes;
   }
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Publishes the feature levels that this process supports, in a record that replaces the one of an
- * earlier process of the same controller. If a later process replaces it in turn, this one has been
- * taken for dead, and leaves.
+ * Publishes the feature levels that this process supports, in a record that replaces that of an
+ * earlier process of the same controller. If a later process replaces the record, this process has
+ * been superseded and must exit.
  */
 final class MembershipPublisher {
   private final Loop loop;
@@ -24,10 +24,10 @@
   private boolean isPublishing;
 
   /**
-   * Makes the publisher.
+   * Creates the publisher.
    *
-   * @param self what to publish
-   * @param superseded hears why this process has to leave
+   * @param self the membership to publish
+   * @param onSuperseded called with the reason when this process must exit
    */
   MembershipPublisher(
       Loop loop, StateClient state, Cache cache, Member self, Consumer<String> onSuperseded) {
@@ -38,7 +38,10 @@
     this.onSuperseded = onSuperseded;
   }
 
-  /** Publishes unless the record is this process's; to be called after changes and regularly. */
+  /**
+   * Publishes the record unless it already belongs to this process; must be called periodically and
+   * after each change of the records.
+   */
   void checkRecord() {
     FeatureRecords records = cache.features();
     if (!cache.isLoaded() || isPublishing || !records.gate().isOpen()) {
@@ -49,15 +52,17 @@
       return;
     }
     if (stored != null && stored.beganMs() > self.beganMs()) {
-      onSuperseded.accept("a later process runs as " + self.name());
+      onSuperseded.accept("a later process is running as controller " + self.name());
     } else {
-      // Also over a record of an earlier process whose write was carried out late.
+      // This also replaces the record of an earlier process whose delayed write has been executed
+      // after that of this process.
       publish(records.memberRevision(self.name()));
     }
   }
 
   /**
-   * Conditioned on the record's revision: a late write of an earlier process must not undo ours.
+   * Writes the record on condition that its revision is unchanged, so that a delayed write of an
+   * earlier process cannot overwrite that of a later one.
    */
   private void publish(long revision) {
     isPublishing = true;
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -19,25 +19,26 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Numbers for operators. They are counted in plain maps and only become meters when somebody asks:
- * a registry costs start-up time and memory that a small machine has better use for.
+ * The metrics of this process. They are collected in plain maps, and a meter registry is created
+ * only at the first scrape, because it takes start-up time and memory that matter on a small
+ * machine.
  */
 public final class Metrics {
-  /** Seconds between measurements of how late the event loop is. */
+  /** Seconds between measurements of the event loop's delay. */
   private static final double LOOP_DELAY_PROBE_INTERVAL_S = 1;
 
-  /** Measured times kept until somebody reads the metrics for the first time. */
+  /** The maximum number of durations that are buffered until the first scrape. */
   private static final int MAX_BUFFERED_DURATIONS = 256;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Something whose present value is asked for. */
+  /** A gauge whose value is read at each scrape. */
   private record RegisteredGauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {}
 
-  /** A value of the moment, of a set that may change from one time to the next. */
+  /** One value at a scrape, from a set of values that may change between scrapes. */
   record Sample(String name, Tags tags, double value) {}
 
-  /** How long something took, kept until there is a registry. */
+  /** A duration that is buffered until the registry exists. */
   private record MeasuredDuration(String name, double seconds) {}
 
   private final Loop loop;
@@ -47,18 +48,18 @@
   private final List<MeasuredDuration> bufferedDurations = new ArrayList<>();
   private final Set<Tags> reportedMachineTags = new HashSet<>();
 
-  /** Cells that gauges of passing values read, by name and tag values. */
+  /** The current values of gauges that are set at each scrape, by metric name and tag values. */
   private final Map<String, double[]> gaugeCells = new HashMap<>();
 
   private PrometheusMeterRegistry registry;
   private boolean closed;
 
-  /** Makes the counters; nothing is measured before {@link #start}. */
+  /** Creates the metrics; the event loop's delay is not measured before {@link #start}. */
   public Metrics(Loop loop) {
     this.loop = loop;
   }
 
-  /** Starts to measure how late the event loop is. */
+  /** Starts to measure the event loop's delay. */
   public void start() {
     double expectedAt = loop.now() + LOOP_DELAY_PROBE_INTERVAL_S;
     loop.after(
@@ -71,17 +72,17 @@
         });
   }
 
-  /** Stops the measurement of the loop's delay. */
+  /** Stops measuring the event loop's delay. */
   public void close() {
     closed = true;
   }
 
-  /** Counts one event of a metric, with one tag and its value. */
+  /** Increments the counter of a metric with one tag. */
   public void count(String name, String tag, String value) {
     counters.merge(name + "|" + tag + "|" + value, 1L, Long::sum);
   }
 
-  /** Measures how long something took, in seconds; shown as a distribution. */
+  /** Records a duration in seconds; published as a distribution. */
   public void recordDuration(String name, double seconds) {
     if (registry != null) {
       recordInTimer(name, seconds);
@@ -97,17 +98,17 @@
         .record((long) (seconds * NANOS_PER_SECOND), TimeUnit.NANOSECONDS);
   }
 
-  /** Shows a value that is asked for each time that somebody reads the metrics. */
+  /** Registers a gauge that is read at each scrape. */
   void registerGauge(String name, Tags tags, ToDoubleFunction<Metrics> value) {
     gauges.add(new RegisteredGauge(name, tags, value));
   }
 
-  /** Values that are asked for each time that somebody reads the metrics. */
-  void sampleSuppliers(Supplier<List<Sample>> supplier) {
+  /** Registers a supplier of samples that is called at each scrape. */
+  void addSampleSupplier(Supplier<List<Sample>> supplier) {
     sampleSuppliers.add(supplier);
   }
 
-  /** Shows how requests wait for the tokens of a bucket. */
+  /** Registers gauges of the requests that wait for tokens of a bucket. */
   void registerTokenBucket(String name, TokenBucket bucket) {
     Tags tags = Tags.of("bucket", name);
     registerGauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
@@ -116,10 +117,10 @@
   }
 
   /**
-   * The text that a Prometheus server reads.
+   * Returns the metrics in the Prometheus text format.
    *
-   * @param calls outcomes of calls to each service, counted by outcome
-   * @param core the leader's core, or null on a follower
+   * @param callsByService the number of calls to each service by outcome
+   * @param core the scheduler core of the leader term, or null on a follower
    */
   public String scrape(Map<String, Map<String, Long>> callsByService, Scheduler core) {
     if (registry == null) {
@@ -133,18 +134,20 @@
         });
     sampleSuppliers.forEach(
         supplier ->
-            supplier.get().forEach(value -> setGauge(value.name(), value.tags(), value.value())));
+            supplier
+                .get()
+                .forEach(sample -> setGauge(sample.name(), sample.tags(), sample.value())));
     if (core != null) {
       updateMachineGauges(core);
     }
     return registry.scrape();
   }
 
-  /** Registers the gauges, and the times that were measured before anybody asked. */
+  /** Creates the registry, registers the gauges and records the buffered durations. */
   private void createRegistry() {
     registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    for (RegisteredGauge supplier : gauges) {
-      registry.gauge(supplier.name(), supplier.tags(), this, supplier.value());
+    for (RegisteredGauge gauge : gauges) {
+      registry.gauge(gauge.name(), gauge.tags(), this, gauge.value());
     }
     registry.gauge("graderelay.heap.bytes", Runtime.getRuntime(), Metrics::usedHeapBytes);
     bufferedDurations.forEach(duration -> recordInTimer(duration.name(), duration.seconds()));
@@ -160,7 +163,10 @@
                         "graderelay.calls", Tags.of("service", service, "call", outcome), count)));
   }
 
-  /** Counts machines by type, kind and state; a combination that was shown once stays, as zero. */
+  /**
+   * Counts machines by type, kind and state. A combination that was reported before is set to zero
+   * when it no longer occurs.
+   */
   private void updateMachineGauges(Scheduler core) {
     Map<String, Long> machineCounts = new HashMap<>();
     for (Scheduler.MachineView machine : core.machines(loop.now())) {
@@ -177,7 +183,10 @@
         });
   }
 
-  /** Shows the value of the moment; its gauge is registered once and reads the same cell again. */
+  /**
+   * Sets a gauge to a value. The gauge is registered once and reads its value from an array cell,
+   * which is reused.
+   */
   private void setGauge(String name, Tags tags, double value) {
     StringBuilder key = new StringBuilder(name);
     for (Tag tag : tags) {
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -12,7 +12,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Shows operators the quota and usage of teams, and where settings and stored limits differ. */
+/**
+ * Reports the quota and usage of teams as metrics, and logs where the settings and the stored
+ * limits differ.
+ */
 final class QuotaMonitor {
   private static final Logger LOG = LoggerFactory.getLogger("quota");
   private static final String METRIC_NAME = "graderelay.quota";
@@ -23,25 +26,29 @@
   private List<String> loggedDifferences = List.of();
 
   /**
-   * Makes the monitor.
+   * Creates the monitor.
    *
-   * @param core the core of the leader's term, or null on a follower
+   * @param core provides the scheduler core of the leader term, or null on a follower
    */
   QuotaMonitor(TeamLimits limits, Supplier<Scheduler> core) {
     this.limits = limits;
     this.core = core;
   }
 
-  /** The records have changed: their differences from the settings are logged once. */
+  /**
+   * Called after a change of the stored limits; logs their differences from the settings, each set
+   * of differences once.
+   */
   void onQuotaRecordsChanged() {
     List<String> differences = limits.settingsDifferences();
     if (!differences.equals(loggedDifferences)) {
       loggedDifferences = differences;
-      differences.forEach(difference -> LOG.warn("{}; the stored limits count", difference));
+      differences.forEach(
+          difference -> LOG.warn("{}; the stored limits take precedence", difference));
     }
   }
 
-  /** The quota of each team and, on the leader, its usage. */
+  /** The quota of each team and, on the leader, its usage, as samples of the metric. */
   List<Metrics.Sample> samples() {
     List<Metrics.Sample> samples = new ArrayList<>();
     samples.add(newSample("settings_differ", "", limits.settingsDifferences().size()));
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -7,9 +7,12 @@
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 
-/** Whether this controller can take requests now, and whether a peer would be faster. */
+/**
+ * Determines whether this controller can accept requests, and whether a peer could handle a
+ * submission sooner.
+ */
 final class Readiness {
-  /** Seconds without an answer of the store after which this controller is not ready. */
+  /** Seconds without a response of the store after which this controller is not ready. */
   private static final double STORE_RESPONSE_TIMEOUT_S = 2.5;
 
   private final Loop loop;
@@ -37,15 +40,16 @@
     this.requestHedger = requestHedger;
   }
 
-  /** True if this controller can take requests. */
+  /** True if this controller can accept requests. */
   boolean isReady() {
     if (featureGate.isShut()) {
       return false;
     }
     boolean isStoreResponsive =
         isStateLoaded() && loop.now() - state.health().lastAnsweredAt() < STORE_RESPONSE_TIMEOUT_S;
-    // While the store refuses this controller alone, a peer decides on its requests; while the
-    // store is away for all, what can be answered is, and the rest is told when to come back.
+    // While the store rejects only this controller, a peer decides on its requests. While the store
+    // is unavailable to all controllers, requests that need no store access are answered, and the
+    // others get a response that says when to retry.
     return isStoreResponsive
         || loop.now() - requestHedger.lastHelp() < STORE_RESPONSE_TIMEOUT_S
         || (isStateLoaded() && leadership.isStoreUnavailableToAll());
@@ -56,9 +60,10 @@
   }
 
   /**
-   * True if a peer may take a submission sooner. On the leader claims and ends go first, which only
-   * it can write. A follower has a small share of the changes: of a pipeline whose jobs come at
-   * once, it can write one or two without waiting, and its peers' shares lie idle meanwhile.
+   * True if a submission would be delayed here, so that a peer may handle it sooner. On the leader,
+   * claims and ends of jobs, which only the leader can write, take precedence over submissions. A
+   * follower has a small share of the write budget: when all jobs of a pipeline are submitted at
+   * once, it can write one or two without waiting, while the shares of its peers are unused.
    */
   boolean wouldDelaySubmission() {
     return leadership.isLeader()
--- a/src/main/java/graderelay/service/RecordChangeDispatcher.java
+++ b/src/main/java/graderelay/service/RecordChangeDispatcher.java
@@ -10,17 +10,17 @@
 import java.util.function.Consumer;
 
 /**
- * Passes changes of the stored records on to the parts of this controller that act on them. The
- * cache needs its listener before those parts exist, so they are connected afterwards.
+ * Dispatches changes of the stored records to the components that handle them. The cache needs its
+ * listener before those components exist, so they are connected afterwards.
  */
 final class RecordChangeDispatcher implements RecordListener {
   /**
-   * The parts that act on changed records.
+   * The components that handle changed records.
    *
-   * @param leaderLifecycle the leader's term, while this controller leads
+   * @param leaderLifecycle provides the current leader term, if there is one
    * @param onLeaderRecordChanged called after a change of the leader record
    * @param onQuotaRecordsChanged called after a change of stored limits or accounts
-   * @param operatorSettings the operators' settings, read anew when their record changes
+   * @param operatorSettings the operators' settings, reloaded when their record changes
    */
   record Targets(
       LeaderLifecycle leaderLifecycle,
@@ -31,7 +31,7 @@
   private Cache cache;
   private Targets targets;
 
-  /** Connects the parts; to be called once, before the cache starts to read. */
+  /** Connects the components; must be called once, before the cache starts. */
   void connect(Cache cache, Targets targets) {
     this.cache = cache;
     this.targets = targets;
@@ -75,7 +75,7 @@
 
   @Override
   public void onDelegateReleased(String member, StateCodec.DelegateRelease release) {
-    ifLeading(records -> records.onLeaseDelegateReleased(member, release));
+    ifLeading(records -> records.onDelegateReleased(member, release));
   }
 
   @Override
--- a/src/main/java/graderelay/service/RecordFeed.java
+++ b/src/main/java/graderelay/service/RecordFeed.java
@@ -11,8 +11,8 @@
 import graderelay.wire.StateCodec;
 
 /**
- * Passes the stored records on to the core of one {@link LeaderTerm}: all of them when the term
- * starts, and every change from then on.
+ * Passes the stored records to the scheduler core of one {@link LeaderTerm}: all records when the
+ * leader term starts, and every change after that.
  */
 final class RecordFeed {
   private final Loop loop;
@@ -22,10 +22,10 @@
   private final Runnable scheduleStep;
 
   /**
-   * Makes the feed of one term.
+   * Creates the feed of one leader term.
    *
-   * @param hints what the leader before has kept
-   * @param stepSoon has the core step after the events of this moment
+   * @param hints the hints that the previous leader stored
+   * @param scheduleStep schedules a scheduling round after the events that are already queued
    */
   RecordFeed(Loop loop, Cache cache, Scheduler core, FailoverHints hints, Runnable scheduleStep) {
     this.loop = loop;
@@ -35,9 +35,12 @@
     this.scheduleStep = scheduleStep;
   }
 
-  // ---------------------------------------------------------------- start of the term
+  // ---------------------------------------------------------------- initial load
 
-  /** Takes the records as they are now, which the caller has just caught up with. */
+  /**
+   * Passes all cached records to the core. The caller must have caught up with the store
+   * immediately before.
+   */
   void load() {
     double now = loop.now();
     hints.storedImages().forEach(core::onStoredImages);
@@ -48,7 +51,7 @@
     core.onRecordsLoaded(now);
   }
 
-  /** Every job comes before the first task batch. */
+  /** Passes all jobs to the core, then all task batches. */
   private void loadJobs(double now) {
     for (JobEntry job : cache.jobs().values()) {
       onJob(job);
@@ -66,7 +69,7 @@
 
   // ---------------------------------------------------------------- changes
 
-  /** A live job's record is new or has changed. */
+  /** Handles a new or changed record of a live job. */
   void onJob(JobEntry job) {
     double submittedAt = toLoopTime(job.spec.submittedMs());
     core.onJob(
@@ -74,46 +77,46 @@
     scheduleStep.run();
   }
 
-  /** The loop's time in seconds at a time of day, which is in milliseconds. */
+  /** Converts a wall-clock time in milliseconds to the event loop's time in seconds. */
   private double toLoopTime(long wallMs) {
     return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
   }
 
-  /** A job was cancelled, which its record may not show yet. */
+  /** Handles the cancellation of a job, which its record may not contain yet. */
   void onCancelled(String job) {
     core.onCancelled(job, loop.now());
     scheduleStep.run();
   }
 
-  /** A job's final state is known. */
+  /** Handles the final state of a job. */
   void onFinalState(String job, FinalState finalState) {
-    // Records of earlier versions lack the time: they count as ended just now.
+    // Records of earlier versions contain no time of writing: the job is treated as ended now.
     double endedAt =
         finalState.writtenAtMs() == 0 ? loop.now() : toLoopTime(finalState.writtenAtMs());
     core.onJobEnd(job, finalState.cancelled(), endedAt, loop.now());
     scheduleStep.run();
   }
 
-  /** A job's record was removed. */
+  /** Handles the deletion of a job's record. */
   void onJobDeleted(String job) {
     core.onJobDeleted(job, loop.now());
     scheduleStep.run();
   }
 
-  /** A task batch's record is new or has changed. */
+  /** Handles a new or changed record of a task batch. */
   void onTaskBatch(TaskBatchKey key, TaskBatchEntry batch) {
     core.onTaskBatch(key, batch.record(), batch.revision(), loop.now());
     scheduleStep.run();
   }
 
-  /** A task batch's record was removed. */
+  /** Handles the deletion of a task batch's record. */
   void onTaskBatchDeleted(TaskBatchKey key) {
     core.onTaskBatchDeleted(key);
   }
 
   /**
-   * Stored limits or accounts have changed. The caller has passed on the task batches of the same
-   * revision before.
+   * Handles a change of stored limits or accounts. The caller must have passed on the task batches
+   * of the same revision before.
    */
   void onQuotaChanged() {
     boolean usesStoredLimits = cache.features().gate().enabled(Feature.STORED_LIMITS);
@@ -121,8 +124,8 @@
     scheduleStep.run();
   }
 
-  /** A lease delegate has released grants, as its record says. */
-  void onLeaseDelegateReleased(String member, StateCodec.DelegateRelease release) {
+  /** Handles the record in which a lease delegate releases its grants. */
+  void onDelegateReleased(String member, StateCodec.DelegateRelease release) {
     core.onDelegateGrantRelease(
         member,
         release.incarnation(),
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -15,12 +15,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Passes requests of users, workers, operators and peers on to the interface that serves them. */
+/** Routes requests of users, workers, operators and peers to the API that handles them. */
 final class RequestRouter {
   private static final String JOBS_PATH = "/v1/jobs";
   private static final String CANCEL_SUFFIX = "/withdraw";
 
-  /** The interfaces that serve requests. */
+  /** The APIs that handle requests. */
   record Handlers(
       UserApi users, WorkerApi workers, AdminApi admin, FeaturesApi features, QuotaApi quota) {}
 
@@ -32,11 +32,12 @@
   private final Supplier<String> metricsText;
 
   /**
-   * Makes a router.
+   * Creates a router.
    *
-   * @param ready true if this controller can take requests
-   * @param submissionsWaitHere true if a peer may take a submission sooner
-   * @param metrics the text that a Prometheus server reads
+   * @param isReady true if this controller can accept requests
+   * @param wouldDelaySubmission true if a submission would be delayed here, so that a peer may
+   *     handle it sooner
+   * @param metricsText the metrics in the Prometheus text format
    */
   RequestRouter(
       Handlers handlers,
@@ -53,7 +54,7 @@
     this.metricsText = metricsText;
   }
 
-  /** Requests of users, workers, operators and the load balancer. */
+  /** Handles a request of a user, a worker, an operator or the load balancer. */
   void handle(Exchange exchange) {
     String path = exchange.path();
     switch (path) {
@@ -69,8 +70,8 @@
     }
   }
 
-  /** A request that a peer passes on. */
-  void handleRelayed(Exchange exchange) {
+  /** Handles a request that a peer has forwarded. */
+  void handleForwarded(Exchange exchange) {
     if (routeToOperatorApis(exchange)) {
       return;
     }
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Hands an operators' request to its interface; false if the request is none. */
+  /** Routes an operator's request to its API; returns false if the request is not an operator's. */
   private boolean routeToOperatorApis(Exchange exchange) {
     String path = exchange.path();
     if (FeaturesApi.owns(path)) {
@@ -97,7 +98,8 @@
   }
 
   /**
-   * A user's request, hedged with a peer; a submission goes to a peer first if it would wait here.
+   * Handles a user's request, hedged with a peer; a submission is forwarded to a peer first if it
+   * would be delayed here.
    */
   private void routeUserRequest(Exchange exchange) {
     boolean isSubmission = exchange.method().equals("POST") && exchange.path().equals(JOBS_PATH);
@@ -124,7 +126,7 @@
     exchange.to().accept(new Answer(200, text, "text/plain; version=0.0.4", 0, false));
   }
 
-  /** Requests about jobs, decided by this controller itself. */
+  /** Handles a request about jobs on this controller, without a peer. */
   private void handleLocally(Exchange exchange) {
     String path = exchange.path();
     if (path.equals(JOBS_PATH)) {
@@ -136,7 +138,7 @@
     }
   }
 
-  /** A request about one job: {@code rest} is the path after {@code /v1/jobs/}. */
+  /** Routes a request about one job; {@code pathSuffix} is the path after {@code /v1/jobs/}. */
   private void routeJobRequest(Exchange exchange, String pathSuffix) {
     if (pathSuffix.endsWith(CANCEL_SUFFIX)
         && pathSuffix.indexOf('/') == pathSuffix.length() - CANCEL_SUFFIX.length()) {
@@ -149,7 +151,10 @@
     }
   }
 
-  /** Refuses the request unless it has this method. */
+  /**
+   * Runs the handler if the request has the given method, otherwise responds that the method is not
+   * allowed.
+   */
   private static void requireMethod(String method, Exchange exchange, Runnable handler) {
     if (exchange.method().equals(method)) {
       handler.run();
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -6,17 +6,18 @@
 import graderelay.core.TaskBatchRecord;
 import graderelay.state.StateClient;
 
-/** Builds the core's {@link Policy} from the settings and what the store allows now. */
+/** Builds the scheduler core's {@link Policy} from the settings and the store's current limits. */
 final class SchedulerPolicy {
   /**
-   * Worker commands sent directly in a second, for each core that a controller has: each may cost a
-   * connection, about a millisecond, so this many take about a fifth of its processor time.
+   * Maximum number of commands sent directly to workers per second, for each CPU core of a
+   * controller. Each may need a new connection, which takes about 1 ms, so that this rate takes
+   * about a fifth of the CPU time.
    */
   private static final double DIRECT_COMMANDS_PER_CORE_PER_S = 200;
 
   private SchedulerPolicy() {}
 
-  /** The policy of a term that starts now. */
+  /** Creates the policy of a leader term that starts now. */
   static Policy of(Settings settings, StateClient state, OperatorSettings operatorSettings) {
     return new Policy(
         settings.teams(),
@@ -35,9 +36,9 @@
         operatorSettings.tuning());
   }
 
-  /** The most tasks in one task batch record, at least one. */
+  /** The maximum number of tasks in one task batch record, at least one. */
   static int maxTasksPerBatch(Settings settings) {
-    // New records must fit the limits that the store will have later as well.
+    // New records must also fit the store's future limits.
     return Math.max(
         1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
   }
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -5,8 +5,8 @@
 import graderelay.config.OperatorSettings;
 
 /**
- * The operators' settings as stored in the key-value store, over the defaults of this process; the
- * log's level follows them.
+ * The operators' settings: the values in the key-value store override the defaults of this process.
+ * The log level is set from them.
  */
 final class StoredOperatorSettings {
   private final OperatorSettings defaults;
@@ -14,10 +14,10 @@
   private OperatorSettings current;
 
   /**
-   * Starts from the defaults; the log's level is {@code LOG_LEVEL} of the environment if it names a
-   * known one, else info.
+   * Starts with the defaults. The default log level is the environment variable {@code LOG_LEVEL}
+   * if it names a known level, otherwise info.
    *
-   * @param mostBatchTasks the most tasks in one task batch record
+   * @param maxTasksPerBatch the maximum number of tasks in one task batch record
    */
   StoredOperatorSettings(int maxTasksPerBatch) {
     String level = System.getenv("LOG_LEVEL");
@@ -34,7 +34,10 @@
     return current;
   }
 
-  /** Reads the stored record anew, sets the log's level if it changed, and returns the result. */
+  /**
+   * Applies the stored record to the defaults, sets the log level if it changed, and returns the
+   * resulting settings.
+   */
   OperatorSettings reload(JsonNode stored) {
     String previousLevel = current.logLevel();
     current = OperatorSettings.stored(stored, defaults, maxTasksPerBatch);
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits the core's writes as compare-and-swap transactions on the key-value store, and tells the
- * core how each of them ended.
+ * Commits the scheduler core's writes as compare-and-swap transactions on the key-value store, and
+ * reports the outcome of each to the core.
  */
 final class TransactionExecutor {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
@@ -37,9 +37,9 @@
   private final Settings.StateLimits minimumLimits;
 
   /**
-   * Makes the executor of one term, whose core exists already.
+   * Creates the executor of one leader term, whose scheduler core must already exist.
    *
-   * @param leastLimits what the store allows at least, now and later
+   * @param minimumLimits the lowest limits that the key-value store has, now or in the future
    */
   TransactionExecutor(
       LeaderTerm leaderTerm, LeaderServices services, Settings.StateLimits minimumLimits) {
@@ -53,7 +53,10 @@
     this.minimumLimits = minimumLimits;
   }
 
-  /** Commits one write, conditioned on the leader record and on every record's revision. */
+  /**
+   * Commits one write on condition that the leader record and the revision of every changed record
+   * are unchanged.
+   */
   void commit(Action.Write write) {
     state.commit(newTransaction(write), Use.CLAIM, result -> onResult(write.id(), result));
   }
@@ -69,7 +72,10 @@
     return txn;
   }
 
-  /** Each job's revision is a condition once, however many of its task batches change. */
+  /**
+   * Adds the change of one task batch, and a condition on the job's revision unless the transaction
+   * already has it.
+   */
   private static void putTaskBatch(
       Transaction txn, Action.TaskBatchPut put, Set<String> conditionedJobs) {
     String key = StateCodec.taskBatchKey(put.key());
@@ -121,11 +127,11 @@
       loop.after(StateClient.RETRY_DELAY_S, () -> reportOutcome(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info(
-          "transaction {}: {} {}",
+          "transaction {} had outcome {}: {}",
           id,
           result.outcome(),
           result.body() == null ? "" : result.body());
-      // The records as they are now come first; the core decides on them.
+      // The cache catches up first, so that the core decides on the current records.
       catchUpThenReportOutcome(
           id,
           result.outcome() == StoreOutcome.UNKNOWN
--- a/src/main/java/graderelay/service/WorkerCommandSender.java
+++ b/src/main/java/graderelay/service/WorkerCommandSender.java
@@ -10,7 +10,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends the core's commands straight to workers, and tells the core what became of them. */
+/**
+ * Sends the scheduler core's commands directly to workers, and reports the outcomes to the core.
+ */
 final class WorkerCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
@@ -21,7 +23,7 @@
   private final WorkerClient workerClient;
   private final Metrics metrics;
 
-  /** Makes the sender of one term, whose core exists already. */
+  /** Creates the sender of one leader term, whose scheduler core must already exist. */
   WorkerCommandSender(LeaderTerm leaderTerm, LeaderServices services) {
     this.leaderTerm = leaderTerm;
     this.core = leaderTerm.core();
@@ -31,13 +33,15 @@
     this.metrics = services.metrics();
   }
 
-  /** Sends commands to one worker, or nothing while this controller's session lease is over. */
+  /**
+   * Sends commands to one worker; sends nothing while this controller may not act as the leader.
+   */
   void send(Action.SendCommands command) {
     if (!leadership.mayActAsLeader()) {
       core.onCommandDelivery(command, CommandDeliveryOutcome.NEVER_LEFT, null, loop.now());
       return;
     }
-    LOG.debug("to {}: {}", command.machine(), command.commands());
+    LOG.debug("sending commands to {}: {}", command.machine(), command.commands());
     workerClient.send(
         command,
         (outcome, heartbeat) ->
@@ -51,7 +55,7 @@
   private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome outcome) {
     metrics.count("graderelay.orders", "outcome", outcome.name().toLowerCase(Locale.ROOT));
     if (outcome != CommandDeliveryOutcome.EXECUTED) {
-      LOG.info("commands to {} ended {}: {}", command.machine(), outcome, command.commands());
+      LOG.info("commands to {} had outcome {}: {}", command.machine(), outcome, command.commands());
     }
   }
 }
