--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -5,24 +5,24 @@
 import graderelay.config.OperatorSettings;
 
 /**
- * The operators' settings as stored in the key-value store, over the defaults of this process; the
- * log's level follows them.
+ * The operators' settings: the values in the key-value store override the defaults of this process.
+ * The log level is set from them.
  */
 final class StoredOperatorSettings {
   private final OperatorSettings defaults;
-  private final int mostBatchTasks;
+  private final int maxTasksPerBatch;
   private OperatorSettings current;
 
   /**
-   * Starts from the defaults; the log's level is {@code LOG_LEVEL} of the environment if it names a
-   * known one, else info.
+   * Starts with the defaults. The default log level is the environment variable {@code LOG_LEVEL}
+   * if it names a known level, otherwise info.
    *
-   * @param mostBatchTasks the most tasks in one task batch record
+   * @param maxTasksPerBatch the maximum number of tasks in one task batch record
    */
-  StoredOperatorSettings(int mostBatchTasks) {
+  StoredOperatorSettings(int maxTasksPerBatch) {
     String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(mostBatchTasks, Logs.known(level) ? level : "info");
-    this.mostBatchTasks = mostBatchTasks;
+    this.defaults = OperatorSettings.defaults(maxTasksPerBatch, Logs.known(level) ? level : "info");
+    this.maxTasksPerBatch = maxTasksPerBatch;
     this.current = defaults;
   }
 
@@ -34,11 +34,14 @@
     return current;
   }
 
-  /** Reads the stored record anew, sets the log's level if it changed, and returns the result. */
+  /**
+   * Applies the stored record to the defaults, sets the log level if it changed, and returns the
+   * resulting settings.
+   */
   OperatorSettings reload(JsonNode stored) {
-    String before = current.logLevel();
-    current = OperatorSettings.stored(stored, defaults, mostBatchTasks);
-    if (!current.logLevel().equals(before)) {
+    String previousLevel = current.logLevel();
+    current = OperatorSettings.stored(stored, defaults, maxTasksPerBatch);
+    if (!current.logLevel().equals(previousLevel)) {
       Logs.level(current.logLevel());
     }
     return current;
