--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's part in the cluster's feature level: publishes the levels that it supports,
- * raises and lowers the cluster's level while it leads, and has the process leave if the cluster
- * has gone on without it.
+ * Manages the cluster's feature level on this controller: publishes the levels that this process
+ * supports, raises and lowers the cluster's level while this controller leads, and requests the
+ * shutdown of a process that has been superseded or does not support the cluster's level.
  */
 final class FeatureLevelManager {
   /** Seconds between checks of the feature levels. */
@@ -31,21 +31,22 @@
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
   private final Loop loop;
-  private final FeatureGate gate;
+  private final FeatureGate featureGate;
   private final Cache cache;
-  private final MembershipPublisher publisher;
+  private final MembershipPublisher membershipPublisher;
   private final UpgradeCoordinator coordinator;
-  private Consumer<String> onLeave = why -> {};
-  private String refusedBecause;
-  private boolean left;
+  private Consumer<String> onShutdownRequested = reason -> {};
+  private String loggedReason;
+  private boolean shutdownRequested;
   private boolean closed;
   private Loop.Timer timer;
 
   /**
-   * Makes the manager; it neither publishes nor raises anything if the options leave feature levels
-   * alone.
+   * Creates the manager; it neither publishes nor changes levels if the options do not include the
+   * management of feature levels.
    *
-   * @param incarnation tells this process from earlier and later ones of the same controller
+   * @param incarnation identifies this process among earlier and later processes of the same
+   *     controller
    */
   FeatureLevelManager(
       Loop loop,
@@ -57,10 +58,10 @@
       Options options,
       String incarnation) {
     this.loop = loop;
-    this.gate = cache.features().gate();
+    this.featureGate = cache.features().gate();
     this.cache = cache;
     if (options.features() == null) {
-      this.publisher = null;
+      this.membershipPublisher = null;
       this.coordinator = null;
       return;
     }
@@ -72,12 +73,13 @@
             incarnation,
             loop.wallMs(),
             0);
-    this.publisher = new MembershipPublisher(loop, state, cache, self, this::leave);
+    this.membershipPublisher =
+        new MembershipPublisher(loop, state, cache, self, this::requestShutdown);
     this.coordinator =
         new UpgradeCoordinator(
-            gate,
+            featureGate,
             new FeatureLevelStore(state, cache, leadership, settings, loop::wallMs),
-            probe(peerClient, settings.member()),
+            newMemberProbe(peerClient, settings.member()),
             options.features(),
             settings.member(),
             incarnation,
@@ -96,8 +98,8 @@
     return version == null ? "unknown" : version;
   }
 
-  /** Asks a peer which process it is. */
-  private static MemberProbe probe(PeerClient peerClient, String self) {
+  /** Returns a probe that requests the incarnation of a peer's process. */
+  private static MemberProbe newMemberProbe(PeerClient peerClient, String self) {
     return (member, done) ->
         peerClient.send(
             peerClient.addressOf(member),
@@ -107,19 +109,17 @@
             answer -> done.accept(answer == null ? null : answer.incarnation()));
   }
 
-  /**
-   * What raises and lowers the level on the leader, or null where feature levels are left alone.
-   */
+  /** The coordinator of level changes, or null if feature levels are not managed. */
   UpgradeCoordinator coordinator() {
     return coordinator;
   }
 
-  /** Hears why this process has to end, once. */
-  void onLeave(Consumer<String> listener) {
-    onLeave = listener;
+  /** Sets the listener that is called once, with the reason, when this process must exit. */
+  void onShutdownRequested(Consumer<String> listener) {
+    onShutdownRequested = listener;
   }
 
-  /** Checks the levels now and then at every interval. */
+  /** Checks the feature levels immediately and then periodically. */
   void start() {
     if (closed) {
       return;
@@ -131,7 +131,7 @@
     timer = loop.after(CHECK_INTERVAL_S, this::start);
   }
 
-  /** Stops the checks. */
+  /** Stops the periodic checks. */
   void close() {
     closed = true;
     if (timer != null) {
@@ -139,30 +139,30 @@
     }
   }
 
-  /** Checks the records; to be called after each change of them. */
+  /** Checks the feature level records; must be called after each change to them. */
   void checkRecords() {
-    if (!cache.isElectionLoaded() || left) {
+    if (!cache.isElectionLoaded() || shutdownRequested) {
       return;
     }
-    String why = gate.closedBecause();
-    if (why != null && gate.overtaken()) {
-      leave(why);
-    } else if (why != null && !why.equals(refusedBecause)) {
-      // The process stays: if it ended, it would be restarted again and again to no avail.
-      LOG.error("this controller does not take part: {}", why);
+    String reason = featureGate.closedBecause();
+    if (reason != null && featureGate.overtaken()) {
+      requestShutdown(reason);
+    } else if (reason != null && !reason.equals(loggedReason)) {
+      // The process keeps running: if it exited, it would be restarted in a loop without effect.
+      LOG.error("this controller does not take part in the cluster: {}", reason);
     }
-    refusedBecause = why;
-    if (publisher != null) {
-      publisher.checkRecord();
+    loggedReason = reason;
+    if (membershipPublisher != null) {
+      membershipPublisher.checkRecord();
     }
   }
 
-  private void leave(String why) {
-    if (!left) {
-      left = true;
-      gate.leave(why);
-      LOG.error("this controller leaves: {}", why);
-      onLeave.accept(why);
+  private void requestShutdown(String reason) {
+    if (!shutdownRequested) {
+      shutdownRequested = true;
+      featureGate.leave(reason);
+      LOG.error("this controller leaves the cluster: {}", reason);
+      onShutdownRequested.accept(reason);
     }
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -8,42 +8,46 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the cloud's machine types: every {@link #TYPES_RETRY_S} until it has them, then every
- * {@link #TYPES_EVERY_S} on the leader and five times as seldom on a follower.
+ * Polls the cloud's machine types: every {@link CloudClient#TYPES_RETRY_S} until the first list
+ * arrives, then every {@link #LEADER_POLL_INTERVAL_S} on the leader and at five times this interval
+ * on a follower.
  */
 final class MachineTypePoller {
-  /** Seconds between reads of the machine types by the leader: spot prices move slowly. */
-  private static final double TYPES_EVERY_S = 60;
+  /** Seconds between polls of the machine types by the leader: spot prices change slowly. */
+  private static final double LEADER_POLL_INTERVAL_S = 60;
 
   private final Loop loop;
-  private final CloudClient cloud;
-  private final BooleanSupplier leading;
-  private final Consumer<List<MachineType>> onTypes;
-  private List<MachineType> types;
+  private final CloudClient cloudClient;
+  private final BooleanSupplier isLeader;
+  private final Consumer<List<MachineType>> listener;
+  private List<MachineType> machineTypes;
   private Loop.Timer timer;
   private boolean closed;
 
   /**
-   * Makes the poller; it reads nothing before {@link #start}.
+   * Creates the poller; it is idle until {@link #start}.
    *
-   * @param leading whether this controller is the leader now
-   * @param onTypes hears every list that is not empty
+   * @param isLeader whether this controller is the leader
+   * @param listener called with every list that is not empty
    */
   MachineTypePoller(
-      Loop loop, CloudClient cloud, BooleanSupplier leading, Consumer<List<MachineType>> onTypes) {
+      Loop loop,
+      CloudClient cloudClient,
+      BooleanSupplier isLeader,
+      Consumer<List<MachineType>> listener) {
     this.loop = loop;
-    this.cloud = cloud;
-    this.leading = leading;
-    this.onTypes = onTypes;
+    this.cloudClient = cloudClient;
+    this.isLeader = isLeader;
+    this.listener = listener;
   }
 
-  /** The last list that was not empty, or null before the first. */
+  /** The last list that was not empty, or null if there is none yet. */
   List<MachineType> current() {
-    return types;
+    return machineTypes;
   }
 
   void start() {
-    read();
+    poll();
   }
 
   void close() {
@@ -53,21 +57,21 @@
     }
   }
 
-  private void read() {
+  private void poll() {
     if (closed) {
       return;
     }
-    cloud.listMachineTypes(
-        list -> {
-          if (list != null && !list.isEmpty()) {
-            types = list;
-            onTypes.accept(list);
+    cloudClient.listMachineTypes(
+        listedTypes -> {
+          if (listedTypes != null && !listedTypes.isEmpty()) {
+            machineTypes = listedTypes;
+            listener.accept(listedTypes);
           }
-          double wait =
-              types == null
+          double delayS =
+              machineTypes == null
                   ? CloudClient.RETRY_DELAY_S
-                  : TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
-          timer = loop.after(wait, this::read);
+                  : LEADER_POLL_INTERVAL_S * (isLeader.getAsBoolean() ? 1 : 5);
+          timer = loop.after(delayS, this::poll);
         });
   }
 }
--- a/src/main/java/graderelay/service/WorkerCommandSender.java
+++ b/src/main/java/graderelay/service/WorkerCommandSender.java
@@ -10,48 +10,52 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends the core's commands straight to workers, and tells the core what became of them. */
+/**
+ * Sends the scheduler core's commands directly to workers, and reports the outcomes to the core.
+ */
 final class WorkerCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger("fleet");
 
-  private final LeaderTerm term;
+  private final LeaderTerm leaderTerm;
   private final Scheduler core;
   private final Loop loop;
   private final Leadership leadership;
-  private final WorkerClient workers;
+  private final WorkerClient workerClient;
   private final Metrics metrics;
 
-  /** Makes the sender of one term, whose core exists already. */
-  WorkerCommandSender(LeaderTerm term, LeaderServices services) {
-    this.term = term;
-    this.core = term.core();
+  /** Creates the sender of one leader term, whose scheduler core must already exist. */
+  WorkerCommandSender(LeaderTerm leaderTerm, LeaderServices services) {
+    this.leaderTerm = leaderTerm;
+    this.core = leaderTerm.core();
     this.loop = services.loop();
     this.leadership = services.leadership();
-    this.workers = services.workers();
+    this.workerClient = services.workerClient();
     this.metrics = services.metrics();
   }
 
-  /** Sends commands to one worker, or nothing while this controller's session lease is over. */
+  /**
+   * Sends commands to one worker; sends nothing while this controller may not act as the leader.
+   */
   void send(Action.SendCommands command) {
     if (!leadership.mayActAsLeader()) {
       core.onCommandDelivery(command, CommandDeliveryOutcome.NEVER_LEFT, null, loop.now());
       return;
     }
-    LOG.debug("to {}: {}", command.machine(), command.commands());
-    workers.send(
+    LOG.debug("sending commands to {}: {}", command.machine(), command.commands());
+    workerClient.send(
         command,
-        (sent, heartbeat) ->
-            term.takeOutcome(
+        (outcome, heartbeat) ->
+            leaderTerm.applyOutcome(
                 now -> {
-                  countOutcome(command, sent);
-                  core.onCommandDelivery(command, sent, heartbeat, now);
+                  countOutcome(command, outcome);
+                  core.onCommandDelivery(command, outcome, heartbeat, now);
                 }));
   }
 
-  private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome sent) {
-    metrics.count("graderelay.orders", "outcome", sent.name().toLowerCase(Locale.ROOT));
-    if (sent != CommandDeliveryOutcome.EXECUTED) {
-      LOG.info("commands to {} ended {}: {}", command.machine(), sent, command.commands());
+  private void countOutcome(Action.SendCommands command, CommandDeliveryOutcome outcome) {
+    metrics.count("graderelay.orders", "outcome", outcome.name().toLowerCase(Locale.ROOT));
+    if (outcome != CommandDeliveryOutcome.EXECUTED) {
+      LOG.info("commands to {} had outcome {}: {}", command.machine(), outcome, command.commands());
     }
   }
 }
