--- a/src/main/java/graderelay/service/CloudScaler.java
+++ b/src/main/java/graderelay/service/CloudScaler.java
@@ -86,8 +86,9 @@
                   LOG.info(
                       "scale-out request {}: {}",
                       requestName,
-                      result.noCapacity() ? "no capacity" : result.names());
-                  core.onScaleOutResponse(request.id(), result.names(), result.noCapacity(), now);
+                      result.noCapacity() ? "no capacity" : result.machineNames());
+                  core.onScaleOutResponse(
+                      request.id(), result.machineNames(), result.noCapacity(), now);
                 }));
   }
 
--- a/src/main/java/graderelay/service/ControllerComponents.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -283,7 +283,7 @@
 
   private String metricsText() {
     return metrics.scrape(
-        Map.of("state", state.callCounts(), "cloud", cloudClient.outcomes()), core());
+        Map.of("state", state.callCounts(), "cloud", cloudClient.responseCounts()), core());
   }
 
   /**
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -83,7 +83,7 @@
         "state requests", components.state.budget().requestTokens());
     components.metrics.registerTokenBucket(
         "state changes", components.state.budget().changeTokens());
-    components.metrics.registerTokenBucket("cloud", components.cloudClient.tokens());
+    components.metrics.registerTokenBucket("cloud", components.cloudClient.tokenBucket());
     components.metrics.addSampleSupplier(components.quotaMonitor::samples);
     components.metrics.start();
     components.metrics.registerGauge(
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -10,10 +10,10 @@
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
-import graderelay.wire.CompactHints;
+import graderelay.wire.CompactHintCodec;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.Json;
-import graderelay.wire.MalformedRecord;
+import graderelay.wire.MalformedRecordException;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -123,8 +123,8 @@
 
   private static JsonNode unpackOrNull(String key, JsonNode compactHint) {
     try {
-      return CompactHints.unpack(compactHint);
-    } catch (MalformedRecord e) {
+      return CompactHintCodec.decode(compactHint);
+    } catch (MalformedRecordException e) {
       LOG.warn("ignoring malformed hint record {}: {}", key, e.getMessage());
       return null;
     }
@@ -166,10 +166,10 @@
    */
   private ObjectNode packToFit(IntFunction<ObjectNode> encodeWithin) {
     int plainBytes = maxValueBytes * INITIAL_PLAIN_SIZE_FACTOR;
-    ObjectNode packed = CompactHints.pack(encodeWithin.apply(plainBytes));
+    ObjectNode packed = CompactHintCodec.encode(encodeWithin.apply(plainBytes));
     while (Json.write(packed).length > maxValueBytes) {
       plainBytes = (int) (plainBytes * PLAIN_SIZE_REDUCTION_FACTOR);
-      packed = CompactHints.pack(encodeWithin.apply(plainBytes));
+      packed = CompactHintCodec.encode(encodeWithin.apply(plainBytes));
     }
     return packed;
   }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -112,7 +112,7 @@
     commit(
         newLeaderTransaction()
             .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(newLevel))
-            .put(FeatureCodec.HOLD, Json.object()),
+            .put(FeatureCodec.PAUSE, Json.object()),
         done);
   }
 
@@ -122,9 +122,10 @@
       done.accept(Outcome.DONE);
       return;
     }
-    Transaction txn = new Transaction().when(FeatureCodec.HOLD, records().holdRevision());
+    Transaction txn = new Transaction().when(FeatureCodec.PAUSE, records().holdRevision());
     commit(
-        enabled ? txn.put(FeatureCodec.HOLD, Json.object()) : txn.delete(FeatureCodec.HOLD), done);
+        enabled ? txn.put(FeatureCodec.PAUSE, Json.object()) : txn.delete(FeatureCodec.PAUSE),
+        done);
   }
 
   private static String keyPrefixOf(Feature feature) {
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -9,8 +9,8 @@
 import graderelay.state.Cancellations;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -106,11 +106,11 @@
    * this controller may act as the leader, and only if the core knows the peer's process. The
    * response contains the cancellations that this controller has learned of.
    */
-  PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
+  PeerResponse.DelegationResponse onDelegationRequest(PeerRequest.Delegation request) {
     return currentTerm != null && mayActAsLeader.getAsBoolean()
-        ? new PeerAnswer.Delegated(
+        ? new PeerResponse.DelegationResponse(
             currentTerm.grantLeaseDelegation(request), cancellations.ownKnowledge())
-        : new PeerAnswer.Delegated(null, null);
+        : new PeerResponse.DelegationResponse(null, null);
   }
 
   /**
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -14,8 +14,8 @@
 import graderelay.state.CancellationResolver;
 import graderelay.state.FinalStateLookup;
 import graderelay.state.Leadership;
-import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerRequest;
+import graderelay.wire.PeerResponse;
 import java.util.List;
 import java.util.function.DoubleConsumer;
 import java.util.random.RandomGenerator;
@@ -205,18 +205,18 @@
    * controller may act as the leader. Returns null if the core does not know the incarnation of the
    * peer's process.
    */
-  PeerAnswer.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
+  PeerResponse.Grant grantLeaseDelegation(PeerRequest.Delegation request) {
     double now = loop.now();
     boolean granted =
         core.onDelegateGrantRequest(
             request.member(),
-            request.process(),
-            request.number(),
-            request.grantedBy(),
-            request.echo(),
-            request.aloneS(),
+            request.incarnation(),
+            request.sequenceNumber(),
+            request.grantorTerm(),
+            request.leaderTime(),
+            request.sinceAutonomousResponseS(),
             now);
-    return granted ? new PeerAnswer.Grant(leadership.term(), electedTerm, now) : null;
+    return granted ? new PeerResponse.Grant(leadership.term(), electedTerm, now) : null;
   }
 
   // ---------------------------------------------------------------- time
@@ -258,7 +258,7 @@
     if (closed) {
       return;
     }
-    cloudClient.list(
+    cloudClient.listMachines(
         machines -> {
           if (closed) {
             return;
@@ -270,7 +270,8 @@
             scheduleStep();
           }
           int machineCount = machines == null ? 0 : machines.size();
-          machineListTimer = loop.after(cloudClient.listEveryS(machineCount), this::listMachines);
+          machineListTimer =
+              loop.after(cloudClient.listIntervalS(machineCount), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -61,7 +61,7 @@
     if (closed) {
       return;
     }
-    cloudClient.types(
+    cloudClient.listMachineTypes(
         listedTypes -> {
           if (listedTypes != null && !listedTypes.isEmpty()) {
             machineTypes = listedTypes;
@@ -69,7 +69,7 @@
           }
           double delayS =
               machineTypes == null
-                  ? CloudClient.TYPES_RETRY_S
+                  ? CloudClient.RETRY_DELAY_S
                   : LEADER_POLL_INTERVAL_S * (isLeader.getAsBoolean() ? 1 : 5);
           timer = loop.after(delayS, this::poll);
         });
--- a/src/main/java/graderelay/service/RecordFeed.java
+++ b/src/main/java/graderelay/service/RecordFeed.java
@@ -130,8 +130,8 @@
         member,
         release.incarnation(),
         release.releasedUpTo(),
-        release.grantedBy(),
-        release.aloneS(),
+        release.grantorTerm(),
+        release.sinceAutonomousResponseS(),
         loop.now());
   }
 }
--- a/src/main/java/graderelay/wire/ElectionRecordCodec.java
+++ b/src/main/java/graderelay/wire/ElectionRecordCodec.java
@@ -8,8 +8,8 @@
 import graderelay.wire.StateCodec.TermRecord;
 
 /**
- * The stored records that decide who leads: the leader ("owner", {@code g/owner}), the counter of
- * terms ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
+ * Encodes the stored records of leader election: the leader ("owner", {@code g/owner}), the current
+ * term ({@code g/term}), suspensions from election ("bars", {@code g/bar/MEMBER}) and the grants
  * that lease delegates have released ("deputies", {@code g/deputy/MEMBER}).
  */
 final class ElectionRecordCodec {
@@ -19,20 +19,23 @@
   /** Wire name "mesh": the address at which other controllers reach the leader. */
   static final String PEER_ADDRESS = "mesh";
 
-  /** Wire name "leaving": the incarnation that is about to leave its suspension, or empty. */
+  /** Wire name "leaving": the incarnation whose suspension is about to end, or empty. */
   static final String LEAVING_INCARNATION = "leaving";
 
   /** Wire name "self": the lease delegate's incarnation. */
   static final String DELEGATE_INCARNATION = "self";
 
-  /** Wire name "n": the last request whose grant was released. */
+  /** Wire name "n": the sequence number of the last request whose grant was released. */
   static final String RELEASED_UP_TO = "n";
 
-  /** Wire name "of": the term whose grants were released. */
-  static final String GRANTED_BY = "of";
+  /** Wire name "of": the first term of the leader process whose grants were released. */
+  static final String GRANTOR_TERM = "of";
 
-  /** Wire name "alone": seconds since the lease delegate last answered workers by itself. */
-  static final String ALONE_S = "alone";
+  /**
+   * Wire name "alone": seconds since the lease delegate last responded to a worker without the
+   * leader, or since its process started.
+   */
+  static final String SINCE_AUTONOMOUS_RESPONSE_S = "alone";
 
   private ElectionRecordCodec() {}
 
@@ -40,7 +43,7 @@
     return Json.object()
         .put(MEMBER, leader.member())
         .put(TERM, leader.term())
-        .put(PEER_ADDRESS, leader.address());
+        .put(PEER_ADDRESS, leader.peerAddress());
   }
 
   static LeaderRecord decodeLeader(JsonNode n) {
@@ -56,8 +59,8 @@
     return new TermRecord(n.path(TERM).asLong(), n.path(MEMBER).asText());
   }
 
-  static ObjectNode encodeSuspension(String leaving) {
-    return Json.object().put(LEAVING_INCARNATION, leaving);
+  static ObjectNode encodeSuspension(String leavingIncarnation) {
+    return Json.object().put(LEAVING_INCARNATION, leavingIncarnation);
   }
 
   static Suspension decodeSuspension(JsonNode n, long revision) {
@@ -65,19 +68,19 @@
   }
 
   static ObjectNode encodeDelegateRelease(
-      String incarnation, long releasedUpTo, long grantedBy, double aloneS) {
+      String incarnation, long releasedUpTo, long grantorTerm, double sinceAutonomousResponseS) {
     return Json.object()
         .put(DELEGATE_INCARNATION, incarnation)
         .put(RELEASED_UP_TO, releasedUpTo)
-        .put(GRANTED_BY, grantedBy)
-        .put(ALONE_S, aloneS);
+        .put(GRANTOR_TERM, grantorTerm)
+        .put(SINCE_AUTONOMOUS_RESPONSE_S, sinceAutonomousResponseS);
   }
 
   static DelegateRelease decodeDelegateRelease(JsonNode n) {
     return new DelegateRelease(
         n.path(DELEGATE_INCARNATION).asText(),
         n.path(RELEASED_UP_TO).asLong(),
-        n.path(GRANTED_BY).asLong(),
-        n.path(ALONE_S).asDouble());
+        n.path(GRANTOR_TERM).asLong(),
+        n.path(SINCE_AUTONOMOUS_RESPONSE_S).asDouble());
   }
 }
--- a/src/main/java/graderelay/wire/JobRecordCodec.java
+++ b/src/main/java/graderelay/wire/JobRecordCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * The stored record of a job ({@code g/job/ID}): its terms as the user gave them, and whether its
- * user asked to stop it. Optional fields are left out when absent, so that older versions read the
- * records of jobs that don't use them.
+ * Encodes the stored record of a job ({@code g/job/ID}): its specification and whether its user
+ * requested to stop it. Optional fields are omitted when not set, so that older versions can read
+ * the records of jobs that do not use them.
  */
 final class JobRecordCodec {
   static final String CLASS = "class";
@@ -31,17 +31,17 @@
   static final String SPREAD = "spread";
   static final String SPOT = "spot";
   static final String ESTIMATE_S = "estimate";
-  static final String CHECKPOINT_S = "checkpoint";
-  static final String CHECKPOINT_SAVE_S = "save";
+  static final String CHECKPOINT_INTERVAL_S = "checkpoint";
+  static final String CHECKPOINT_WRITE_S = "save";
   static final String DEADLINE_S = "deadline";
-  static final String SUBMITTED_MS = "at";
+  static final String SUBMITTED_AT_MS = "at";
   static final String BATCH_CAPACITY = "cap";
   static final String DEPENDENCIES = "needs";
   static final String STOP_REQUESTED = "stop";
 
   private JobRecordCodec() {}
 
-  /** A job's record. */
+  /** Encodes a job's record. */
   static ObjectNode encode(JobSpec spec, boolean stopRequested) {
     ObjectNode n = Json.object();
     n.put(CLASS, spec.jobClass()).put(TEAM, spec.team()).put(KIND, spec.kind().name());
@@ -57,11 +57,11 @@
     }
     n.put(ONE_ZONE, spec.oneZone()).put(SPREAD, spec.spread()).put(SPOT, spec.spot());
     n.put(ESTIMATE_S, spec.estimateS());
-    n.put(CHECKPOINT_S, spec.checkpointS()).put(CHECKPOINT_SAVE_S, spec.saveS());
+    n.put(CHECKPOINT_INTERVAL_S, spec.checkpointS()).put(CHECKPOINT_WRITE_S, spec.saveS());
     if (spec.deadlineS() != null) {
       n.put(DEADLINE_S, spec.deadlineS());
     }
-    n.put(SUBMITTED_MS, spec.submittedMs()).put(BATCH_CAPACITY, spec.batchCapacity());
+    n.put(SUBMITTED_AT_MS, spec.submittedMs()).put(BATCH_CAPACITY, spec.batchCapacity());
     if (!spec.dependencies().isEmpty()) {
       spec.dependencies().forEach(n.putArray(DEPENDENCIES)::add);
     }
@@ -71,12 +71,12 @@
     return n;
   }
 
-  /** True if the job's user asked to stop it. */
+  /** Whether the job's user requested to stop it. */
   static boolean decodeStopRequested(JsonNode n) {
     return n.path(STOP_REQUESTED).asBoolean(false);
   }
 
-  /** The terms of job {@code id} from its record. */
+  /** Decodes the specification of job {@code id} from its record. */
   static JobSpec decode(String id, JsonNode n) {
     List<String> types = null;
     if (n.has(MACHINE_TYPES)) {
@@ -103,15 +103,15 @@
         n.path(SPREAD).asBoolean(),
         n.path(SPOT).asBoolean(),
         n.path(ESTIMATE_S).asDouble(),
-        n.path(CHECKPOINT_S).asDouble(),
-        n.path(CHECKPOINT_SAVE_S).asDouble(),
+        n.path(CHECKPOINT_INTERVAL_S).asDouble(),
+        n.path(CHECKPOINT_WRITE_S).asDouble(),
         n.has(DEADLINE_S) ? n.get(DEADLINE_S).asDouble() : null,
-        n.path(SUBMITTED_MS).asLong(),
+        n.path(SUBMITTED_AT_MS).asLong(),
         Math.max(1, n.path(BATCH_CAPACITY).asInt(1)),
-        dependencies(n.path(DEPENDENCIES)));
+        decodeDependencies(n.path(DEPENDENCIES)));
   }
 
-  private static List<String> dependencies(JsonNode n) {
+  private static List<String> decodeDependencies(JsonNode n) {
     if (n.isEmpty()) {
       return List.of();
     }
