--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -132,7 +132,7 @@
     }
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
-    if (address == null || exchange.relayed()) {
+    if (address == null || exchange.forwarded()) {
       ApiError.unavailable("nobody owns the fleet at the moment").sendTo(exchange);
     } else {
       relay(exchange, leader.member(), address);
@@ -150,7 +150,7 @@
           if (relayed == null) {
             ApiError.unavailable("the owner " + leaderName + " did not answer").sendTo(exchange);
           } else {
-            exchange.to().accept(relayed.answer());
+            exchange.responder().accept(relayed.answer());
           }
         });
   }
--- a/src/main/java/graderelay/api/ApiError.java
+++ b/src/main/java/graderelay/api/ApiError.java
@@ -1,7 +1,7 @@
 package graderelay.api;
 
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.wire.Json;
 
 /**
@@ -55,13 +55,13 @@
   }
 
   /** The answer that tells of this error. */
-  Answer toAnswer() {
+  Response toAnswer() {
     byte[] body = Json.error(message);
-    return retryable ? Answer.later(status, body) : Answer.json(status, body);
+    return retryable ? Response.unavailable(status, body) : Response.json(status, body);
   }
 
   /** Answers a request with this error. */
   public void sendTo(Exchange exchange) {
-    exchange.to().accept(toAnswer());
+    exchange.responder().accept(toAnswer());
   }
 }
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -3,7 +3,7 @@
 import graderelay.config.Settings;
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.peer.RequestHedger;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
@@ -87,7 +87,7 @@
             .put(key, StateCodec.encodeJob(live.spec, true));
     state.commit(
         txn,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result -> {
           if (result.succeeded()) {
             cancellations.onCommitted(id);
--- a/src/main/java/graderelay/api/JobCreation.java
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -4,7 +4,7 @@
 import graderelay.core.JobSpec;
 import graderelay.core.MachineType;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.CancellationResolver;
 import graderelay.state.StateClient;
@@ -58,7 +58,7 @@
    * store's limits have become smaller.
    */
   Optional<ApiError> tooLarge(JobSpec spec) {
-    int mostBytes = settings.least().valueBytes();
+    int mostBytes = settings.minStoreLimits().valueBytes();
     if (Json.write(StateCodec.encodeJob(spec, true)).length <= mostBytes) {
       return Optional.empty();
     }
@@ -92,7 +92,7 @@
     Runnable again = () -> create(pending, spec, onConflict);
     state.commit(
         txn,
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         result -> {
           switch (result.outcome()) {
             case SUCCEEDED -> {
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -90,7 +90,7 @@
     try {
       spec =
           UserCodec.decodeSubmission(
-              Json.read(exchange.body()), loop.wallMs(), batchCapacity.getAsInt());
+              Json.read(exchange.body()), loop.wallClockMs(), batchCapacity.getAsInt());
     } catch (BadRequest malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
       return;
@@ -108,19 +108,19 @@
   }
 
   private boolean wouldWaitTooLong(Exchange exchange, JobSpec spec) {
-    double longestS = exchange.relayed() ? FORWARDED_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
+    double longestS = exchange.forwarded() ? FORWARDED_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
     boolean tooLate =
-        state.budget().changeTokens().waitingS() > longestS && cache.job(spec.id()) == null;
+        state.budget().changeTokens().estimatedWaitS() > longestS && cache.job(spec.id()) == null;
     return inFlight >= MOST_SUBMISSIONS || tooLate;
   }
 
   /** The same request, counted among those under way until it is answered. */
   private Exchange counted(Exchange exchange) {
     inFlight++;
-    return exchange.answeredTo(
+    return exchange.withResponder(
         answer -> {
           inFlight--;
-          exchange.to().accept(answer);
+          exchange.responder().accept(answer);
         });
   }
 
--- a/src/main/java/graderelay/api/ListQuery.java
+++ b/src/main/java/graderelay/api/ListQuery.java
@@ -1,6 +1,6 @@
 package graderelay.api;
 
-import graderelay.net.Query;
+import graderelay.net.QueryString;
 import java.util.Map;
 import java.util.Optional;
 
@@ -21,7 +21,7 @@
 
   /** The query, or empty if {@code most} is given and is no number of at least 1. */
   static Optional<ListQuery> parse(String rawQuery) {
-    Map<String, String> parameters = Query.parse(rawQuery);
+    Map<String, String> parameters = QueryString.parse(rawQuery);
     int most;
     try {
       most = Integer.parseInt(parameters.getOrDefault("most", "" + MOST_LISTED));
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -2,7 +2,7 @@
 
 import graderelay.features.Feature;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.peer.PeerClient;
 import graderelay.state.Cancellations;
 import graderelay.state.FeatureRecords;
@@ -29,7 +29,7 @@
      * @param body the heartbeat as the worker wrote it
      * @param to takes the answer for the worker
      */
-    void accept(String relayedBy, byte[] body, Consumer<Answer> to);
+    void accept(String relayedBy, byte[] body, Consumer<Response> to);
   }
 
   private final Leadership leadership;
@@ -162,13 +162,13 @@
   }
 
   /** Sends an answer back to the controller that has passed the request on. */
-  private static Consumer<Answer> relayedTo(Exchange exchange) {
+  private static Consumer<Response> relayedTo(Exchange exchange) {
     return answer -> answer(exchange, new PeerAnswer.Relayed(answer));
   }
 
   private static void answer(Exchange exchange, PeerAnswer answer) {
     exchange
-        .to()
-        .accept(new Answer(200, PeerCodec.encodeAnswer(answer), "application/cbor", 0, false));
+        .responder()
+        .accept(new Response(200, PeerCodec.encodeAnswer(answer), "application/cbor", 0, false));
   }
 }
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.state.StateClient;
 import graderelay.wire.Json;
@@ -17,7 +17,7 @@
       ApiError.unavailable("the state service did not answer");
 
   private final Loop loop;
-  private final Consumer<Answer> to;
+  private final Consumer<Response> to;
   private final double sinceS;
   private final Loop.Timer deadline;
   private boolean answered;
@@ -26,8 +26,8 @@
   PendingAnswer(Loop loop, Exchange exchange, double seconds) {
     this.loop = loop;
     this.sinceS = loop.now();
-    this.to = exchange.to();
-    this.deadline = loop.after(seconds, () -> fail(TIMED_OUT));
+    this.to = exchange.responder();
+    this.deadline = loop.schedule(seconds, () -> fail(TIMED_OUT));
   }
 
   /** The loop's time, in seconds, at which the request came. */
@@ -37,7 +37,7 @@
 
   /** Answers {@code status} with {@code body} as JSON. */
   void answer(int status, JsonNode body) {
-    send(Answer.json(status, Json.write(body)));
+    send(Response.json(status, Json.write(body)));
   }
 
   /** Answers with an error. */
@@ -45,7 +45,7 @@
     send(error.toAnswer());
   }
 
-  private void send(Answer answer) {
+  private void send(Response answer) {
     if (!answered) {
       answered = true;
       deadline.cancel();
@@ -55,7 +55,7 @@
 
   /** Runs {@code step} again after a moment, unless the request has been answered by then. */
   void retry(Runnable step) {
-    loop.after(
+    loop.schedule(
         StateClient.RETRY_DELAY_S / 2,
         () -> {
           if (!answered) {
--- a/src/main/java/graderelay/api/QuotaWrites.java
+++ b/src/main/java/graderelay/api/QuotaWrites.java
@@ -2,7 +2,7 @@
 
 import graderelay.net.Exchange;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.quota.Account;
 import graderelay.quota.Amount;
 import graderelay.quota.LimitChange;
@@ -117,7 +117,7 @@
         new Transaction()
             .when(key, ifRevision)
             .when(QuotaCodec.SEEDED, records().seededRevision())
-            .put(key, QuotaCodec.encodeLimits(quota, changedBy, loop.wallMs()));
+            .put(key, QuotaCodec.encodeLimits(quota, changedBy, loop.wallClockMs()));
     commit(exchange, team, txn);
   }
 
@@ -137,7 +137,7 @@
     String conflict = "somebody else changed the limits of team " + team + " meanwhile";
     state.commit(
         txn,
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         result ->
             OperatorWrites.answer(exchange, cache, result, () -> views.present(team), conflict));
   }
--- a/src/main/java/graderelay/api/Replies.java
+++ b/src/main/java/graderelay/api/Replies.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.wire.Json;
 
 /** Answers that the operators' handlers share. */
@@ -14,7 +14,7 @@
 
   /** Answers {@code status} with {@code body} as JSON. */
   static void json(Exchange exchange, int status, JsonNode body) {
-    exchange.to().accept(Answer.json(status, Json.write(body)));
+    exchange.responder().accept(Response.json(status, Json.write(body)));
   }
 
   /** Answers 200 with the JSON body {@code {"message": message}}. */
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -5,7 +5,7 @@
 import graderelay.config.OperatorSettings;
 import graderelay.config.Settings;
 import graderelay.net.Exchange;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.StateClient;
 import graderelay.state.Transaction;
@@ -51,7 +51,7 @@
 
   /** The settings as this controller's copy of the record has them. */
   OperatorSettings current() {
-    return OperatorSettings.stored(cache.settings(), defaults, mostBatchTasks);
+    return OperatorSettings.fromStored(cache.settings(), defaults, mostBatchTasks);
   }
 
   /**
@@ -105,8 +105,8 @@
 
   private ObjectNode view() {
     ObjectNode body = Json.object().put("mark", cache.settingsRevision());
-    body.set("values", current().json());
-    body.set("defaults", defaults.json());
+    body.set("values", current().toJson());
+    body.set("defaults", defaults.toJson());
     return body;
   }
 
@@ -128,7 +128,7 @@
       ApiError.badRequest(invalid.getMessage()).sendTo(exchange);
       return;
     }
-    if (Json.write(next.json()).length > platform.least().valueBytes()) {
+    if (Json.write(next.toJson()).length > platform.minStoreLimits().valueBytes()) {
       ApiError.badRequest("the settings are too large for the state service").sendTo(exchange);
       return;
     }
@@ -139,11 +139,11 @@
     Transaction txn =
         new Transaction()
             .when(StateCodec.SETTINGS, ifRevision)
-            .put(StateCodec.SETTINGS, next.json());
+            .put(StateCodec.SETTINGS, next.toJson());
     String conflict = "somebody else changed the settings meanwhile";
     state.commit(
         txn,
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         result -> OperatorWrites.answer(exchange, cache, result, this::view, conflict));
   }
 }
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -49,7 +49,7 @@
     this.state = state;
     this.cache = cache;
     FinalStateLookup finalStates =
-        new FinalStateLookup(loop, state, cache, settings.least().txnOps());
+        new FinalStateLookup(loop, state, cache, settings.minStoreLimits().txnOps());
     CancellationResolver dependencies = new CancellationResolver(cache, finalStates);
     this.lookup = new JobLookup(cache, settings, dependencies, finalStates, this::stateAway);
     this.submissions =
--- a/src/main/java/graderelay/cli/CancelTool.java
+++ b/src/main/java/graderelay/cli/CancelCommand.java
@@ -6,17 +6,17 @@
 
 /** Cancels a job. */
 @Command(name = "cancel", mixinStandardHelpOptions = true, description = "Cancel a job.")
-final class CancelTool extends Tool {
+final class CancelCommand extends ClientCommand {
   @Parameters(paramLabel = "JOB", description = "the job's id")
-  private String id;
+  private String jobId;
 
   @Override
   public Integer call() {
-    return ask("POST", "/v1/jobs/" + id + "/withdraw", null);
+    return request("POST", "/v1/jobs/" + jobId + "/withdraw", null);
   }
 
   @Override
-  void show(JsonNode answer) {
-    System.out.println(answer.path("ref").asText() + " " + answer.path("stage").asText());
+  void printText(JsonNode response) {
+    System.out.println(response.path("ref").asText() + " " + response.path("stage").asText());
   }
 }
--- a/src/main/java/graderelay/cli/Check.java
+++ b/src/main/java/graderelay/cli/CheckCommand.java
@@ -5,18 +5,18 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Checks a settings file. */
+/** Validates a settings file. */
 @Command(name = "check", description = "Check a settings file.", mixinStandardHelpOptions = true)
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
   @Option(names = "--config", required = true, paramLabel = "FILE", description = "settings file")
-  private String file;
+  private String settingsFile;
 
   @Override
   public Integer call() {
     try {
-      Settings settings = Settings.load(file);
+      Settings settings = Settings.load(settingsFile);
       System.out.println(
-          file
+          settingsFile
               + ": good; "
               + settings.member()
               + " in "
@@ -27,9 +27,9 @@
               + settings.teams().size()
               + " teams");
       return 0;
-    } catch (Settings.Wrong e) {
-      System.err.println("graderelay: " + file + ": " + e.getMessage());
-      return Main.USAGE;
+    } catch (Settings.InvalidSettingsException e) {
+      System.err.println("graderelay: " + settingsFile + ": " + e.getMessage());
+      return Main.USAGE_ERROR;
     }
   }
 }
--- a/src/main/java/graderelay/cli/FeaturesTool.java
+++ b/src/main/java/graderelay/cli/FeaturesCommand.java
@@ -7,32 +7,32 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shows the cluster's feature level and what a higher one waits for, or changes it. */
+/** Shows the cluster's feature level and what prevents a higher one, or changes it. */
 @Command(
     name = "features",
     mixinStandardHelpOptions = true,
     description = "Show the cluster's feature level, or raise, hold or lower it.")
-final class FeaturesTool extends Tool {
+final class FeaturesCommand extends ClientCommand {
   private static final String PATH = "/admin/features";
 
-  /** At most one of them. */
+  /** Mutually exclusive options. */
   static final class Change {
     @Option(
         names = "--finalize",
         paramLabel = "LEVEL",
-        description = "go to this level, which all controllers must support")
+        description = "raise the level to this one, which all controllers must support")
     private Integer finalizeLevel;
 
     @Option(
         names = "--downgrade",
         paramLabel = "LEVEL",
-        description = "go down to this level, and stay there")
+        description = "lower the level to this one, and hold it there")
     private Integer downgradeLevel;
 
     @Option(names = "--hold", description = "stay at the present level")
     private boolean hold;
 
-    @Option(names = "--release", description = "take --hold back")
+    @Option(names = "--release", description = "undo --hold")
     private boolean release;
   }
 
@@ -41,36 +41,36 @@
   @Override
   public Integer call() {
     if (change == null) {
-      return ask("GET", PATH, null);
+      return request("GET", PATH, null);
     }
     if (change.finalizeLevel != null) {
-      return ask("POST", PATH + "/finalize", level(change.finalizeLevel));
+      return request("POST", PATH + "/finalize", levelBody(change.finalizeLevel));
     }
     if (change.downgradeLevel != null) {
-      return ask("POST", PATH + "/downgrade", level(change.downgradeLevel));
+      return request("POST", PATH + "/downgrade", levelBody(change.downgradeLevel));
     }
-    return ask("POST", PATH + (change.hold ? "/hold" : "/release"), Json.object());
+    return request("POST", PATH + (change.hold ? "/hold" : "/release"), Json.object());
   }
 
-  private static ObjectNode level(int level) {
+  private static ObjectNode levelBody(int level) {
     return Json.object().put("level", level);
   }
 
   @Override
-  void show(JsonNode answer) {
-    if (answer.has("message")) {
-      System.out.println(answer.get("message").asText());
+  void printText(JsonNode response) {
+    if (response.has("message")) {
+      System.out.println(response.get("message").asText());
       return;
     }
-    ObjectNode rest = answer.deepCopy();
-    final JsonNode features = rest.remove("features");
-    final JsonNode members = rest.remove("members");
-    final JsonNode waits = rest.remove("waits_for");
-    TextOutput.fields(rest);
+    ObjectNode otherFields = response.deepCopy();
+    final JsonNode features = otherFields.remove("features");
+    final JsonNode members = otherFields.remove("members");
+    final JsonNode blockers = otherFields.remove("waits_for");
+    TextOutput.fields(otherFields);
     TextOutput.table(features, "name", "level", "used");
     TextOutput.table(members, "member", "version", "min", "max");
-    if (waits != null) {
-      TextOutput.table(waits, "member", "reason");
+    if (blockers != null) {
+      TextOutput.table(blockers, "member", "reason");
     }
   }
 }
--- a/src/main/java/graderelay/cli/MachinesTool.java
+++ b/src/main/java/graderelay/cli/MachinesCommand.java
@@ -13,39 +13,48 @@
 @Command(
     name = "machines",
     mixinStandardHelpOptions = true,
-    description = "List the machines, or keep work off one.")
-final class MachinesTool extends Tool {
-  /** At most one of them. */
+    description = "List the machines, or cordon, drain or uncordon one.")
+final class MachinesCommand extends ClientCommand {
+  /** Mutually exclusive options. */
   static final class Change {
-    @Option(names = "--cordon", paramLabel = "NAME", description = "start nothing new there")
+    @Option(
+        names = "--cordon",
+        paramLabel = "NAME",
+        description = "place no new tasks on this machine")
     private String cordon;
 
-    @Option(names = "--drain", paramLabel = "NAME", description = "also stop what runs there")
+    @Option(
+        names = "--drain",
+        paramLabel = "NAME",
+        description = "cordon this machine and stop its tasks")
     private String drain;
 
-    @Option(names = "--uncordon", paramLabel = "NAME", description = "use it again")
+    @Option(
+        names = "--uncordon",
+        paramLabel = "NAME",
+        description = "place tasks on this machine again")
     private String uncordon;
   }
 
   @ArgGroup private Change change;
 
-  @Option(names = "--state", paramLabel = "STATE", description = "only those in this state")
+  @Option(names = "--state", paramLabel = "STATE", description = "list only machines in this state")
   private String state;
 
-  @Option(names = "--type", paramLabel = "TYPE", description = "only those of this type")
+  @Option(names = "--type", paramLabel = "TYPE", description = "list only machines of this type")
   private String type;
 
-  @Option(names = "--zone", paramLabel = "ZONE", description = "only those in this zone")
+  @Option(names = "--zone", paramLabel = "ZONE", description = "list only machines in this zone")
   private String zone;
 
-  /** The path of the list, with the filters that are given. */
+  /** Returns the path of the list with the given filters as its query string. */
   private String filteredPath() {
-    Map<String, String> only = new LinkedHashMap<>();
-    only.put("state", state);
-    only.put("type", type);
-    only.put("zone", zone);
+    Map<String, String> filters = new LinkedHashMap<>();
+    filters.put("state", state);
+    filters.put("type", type);
+    filters.put("zone", zone);
     StringBuilder path = new StringBuilder("/admin/machines");
-    only.forEach(
+    filters.forEach(
         (name, value) -> {
           if (value != null) {
             path.append(path.indexOf("?") < 0 ? '?' : '&').append(name).append('=');
@@ -58,7 +67,7 @@
   @Override
   public Integer call() {
     if (change == null) {
-      return pages(filteredPath(), "machines", "name");
+      return requestAllPages(filteredPath(), "machines", "name");
     }
     return change();
   }
@@ -68,15 +77,15 @@
         change.cordon != null
             ? change.cordon
             : change.drain != null ? change.drain : change.uncordon;
-    String verb = change.cordon != null ? "cordon" : change.drain != null ? "drain" : "uncordon";
-    return ask("POST", "/admin/machines/" + name + "/" + verb, null);
+    String action = change.cordon != null ? "cordon" : change.drain != null ? "drain" : "uncordon";
+    return request("POST", "/admin/machines/" + name + "/" + action, null);
   }
 
   @Override
-  void show(JsonNode answer) {
-    if (answer.has("machines")) {
+  void printText(JsonNode response) {
+    if (response.has("machines")) {
       TextOutput.table(
-          answer.get("machines"),
+          response.get("machines"),
           "name",
           "type",
           "zone",
@@ -85,9 +94,9 @@
           "tasks",
           "cpus_used",
           "cpus");
-      System.out.println(answer.path("known").asInt() + " known: " + answer.path("states"));
+      System.out.println(response.path("known").asInt() + " known: " + response.path("states"));
     } else {
-      TextOutput.fields(answer.path("values"));
+      TextOutput.fields(response.path("values"));
     }
   }
 }
--- a/src/main/java/graderelay/cli/SettingsTool.java
+++ b/src/main/java/graderelay/cli/SettingsCommand.java
@@ -15,27 +15,29 @@
     name = "settings",
     mixinStandardHelpOptions = true,
     description = "Show the operators' settings, or change some.")
-final class SettingsTool extends Tool {
+final class SettingsCommand extends ClientCommand {
   @Option(
       names = "--set",
       paramLabel = "NAME=VALUE",
-      description = "a new value; 'default' takes a setting back")
-  private Map<String, String> set = new LinkedHashMap<>();
+      description = "a new value; 'default' resets the setting to its default")
+  private Map<String, String> newValues = new LinkedHashMap<>();
 
   @Override
   public Integer call() {
-    if (set.isEmpty()) {
-      return ask("GET", "/admin/settings", null);
+    if (newValues.isEmpty()) {
+      return request("GET", "/admin/settings", null);
     }
     ObjectNode values = Json.object();
-    set.forEach((name, text) -> values.set(name, value(text)));
+    newValues.forEach((name, text) -> values.set(name, parseValue(text)));
     ObjectNode body = Json.object();
     body.set("values", values);
-    return ask("PUT", "/admin/settings", body);
+    return request("PUT", "/admin/settings", body);
   }
 
-  /** JSON as it is, and anything else as a string; the server says what is wrong with it. */
-  private static JsonNode value(String text) {
+  /**
+   * Returns valid JSON as it is, and any other text as a string. The server validates the value.
+   */
+  private static JsonNode parseValue(String text) {
     if (text.equals("default")) {
       return Json.object().nullNode();
     }
@@ -44,7 +46,7 @@
   }
 
   @Override
-  void show(JsonNode answer) {
-    TextOutput.fields(answer.path("values"));
+  void printText(JsonNode response) {
+    TextOutput.fields(response.path("values"));
   }
 }
--- a/src/main/java/graderelay/cli/SubmitTool.java
+++ b/src/main/java/graderelay/cli/SubmitCommand.java
@@ -18,39 +18,41 @@
     name = "submit",
     mixinStandardHelpOptions = true,
     description = "Submit the job that a JSON file describes.")
-final class SubmitTool extends Tool {
-  @Parameters(paramLabel = "FILE", description = "the job as the protocol has it")
-  private Path file;
+final class SubmitCommand extends ClientCommand {
+  @Parameters(
+      paramLabel = "FILE",
+      description = "JSON file with the job in the format of the protocol")
+  private Path jobFile;
 
   @Option(
       names = "--needs",
       paramLabel = "JOB",
-      description = "a job that has to be done before this one starts; may be given several times")
-  private List<String> needs = new ArrayList<>();
+      description = "a job that must be done before this one starts; may be repeated")
+  private List<String> dependencies = new ArrayList<>();
 
   @Override
   public Integer call() {
     JsonNode job;
     try {
-      job = Json.read(Files.readAllBytes(file));
+      job = Json.read(Files.readAllBytes(jobFile));
     } catch (IOException e) {
-      System.err.println("graderelay: " + file + " can't be read");
-      return Main.USAGE;
+      System.err.println("graderelay: " + jobFile + " can't be read");
+      return Main.USAGE_ERROR;
     }
     if (job == null) {
-      System.err.println("graderelay: " + file + " is not JSON");
-      return Main.USAGE;
+      System.err.println("graderelay: " + jobFile + " is not JSON");
+      return Main.USAGE_ERROR;
     }
-    return ask(
+    return request(
         "POST",
         "/v1/jobs",
-        job instanceof ObjectNode o && !needs.isEmpty()
-            ? UserCodec.withDependencies(o, needs)
+        job instanceof ObjectNode o && !dependencies.isEmpty()
+            ? UserCodec.withDependencies(o, dependencies)
             : job);
   }
 
   @Override
-  void show(JsonNode answer) {
-    System.out.println(answer.path("ref").asText() + " " + answer.path("stage").asText());
+  void printText(JsonNode response) {
+    System.out.println(response.path("ref").asText() + " " + response.path("stage").asText());
   }
 }
--- a/src/main/java/graderelay/cli/TextOutput.java
+++ b/src/main/java/graderelay/cli/TextOutput.java
@@ -2,17 +2,17 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Prints parts of an answer on standard output, for people. */
+/** Prints parts of a response on standard output in a human-readable form. */
 final class TextOutput {
-  /** Characters that an object's field names are padded to. */
+  /** Width of the column of field names, in characters. */
   private static final int FIELD_NAME_WIDTH = 18;
 
-  /** Spaces after each column. */
+  /** Number of spaces after each column. */
   private static final int COLUMN_GAP = 2;
 
   private TextOutput() {}
 
-  /** Prints rows under a header, each column as wide as it needs. */
+  /** Prints rows below a header, with each column as wide as its longest cell. */
   static void table(JsonNode rows, String... columns) {
     int[] widths = widths(rows, columns);
     StringBuilder line = new StringBuilder();
@@ -40,7 +40,7 @@
     return widths;
   }
 
-  /** Prints an object's fields, one a line. */
+  /** Prints the fields of an object, one per line. */
   static void fields(JsonNode object) {
     object
         .fields()
--- a/src/main/java/graderelay/cli/Warmup.java
+++ b/src/main/java/graderelay/cli/WarmupCommand.java
@@ -23,13 +23,13 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller for a moment on loopback, against a stand-in for the store and the cloud, so
- * that the build can archive the classes that a start needs. A restart then costs far less
- * processor time, of which a controller has a fraction of a core. Run by the build; of no use to
- * operators.
+ * Runs a controller briefly on loopback against a stub of the store and the cloud, so that the
+ * build can store the loaded classes in a class data archive. The archive reduces the CPU time of a
+ * restart, which matters because a controller has only a fraction of a core. Used by the build
+ * only.
  */
-@Command(name = "warmup", hidden = true, description = "Load the service's classes and end.")
-final class Warmup implements Callable<Integer> {
+@Command(name = "warmup", hidden = true, description = "Load the classes of the service and exit.")
+final class WarmupCommand implements Callable<Integer> {
   private static final String SETTINGS =
       """
       member = "w-0"
@@ -62,20 +62,20 @@
       max_connections = 100
       """;
 
-  /** How often the leader is looked for, and the pause in between, in milliseconds. */
-  private static final int LEADER_CHECKS = 100;
+  /** Maximum number of checks whether the controller has become the leader. */
+  private static final int MAX_LEADER_CHECKS = 100;
 
-  private static final long LEADER_CHECK_MS = 20;
+  private static final long LEADER_CHECK_INTERVAL_MS = 20;
 
-  /** Milliseconds in which the submitted job is placed. */
-  private static final long PLACEMENT_MS = 100;
+  /** Time to wait for the placement of the submitted job. */
+  private static final long PLACEMENT_WAIT_MS = 100;
 
-  /** Connections that a server may have, and idle ones that the client keeps. */
-  private static final int MOST_CONNECTIONS = 100;
+  /** Maximum number of open connections of each server. */
+  private static final int MAX_CONNECTIONS = 100;
 
-  private static final int IDLE_CONNECTIONS = 16;
+  private static final int MAX_IDLE_CONNECTIONS = 16;
 
-  private static final String ANY_PORT = "127.0.0.1:0";
+  private static final String ANY_PORT_ADDRESS = "127.0.0.1:0";
 
   @Override
   public Integer call() throws Exception {
@@ -86,73 +86,79 @@
     NioEventLoopGroup group = new NioEventLoopGroup(1);
     EventLoop eventLoop = group.next();
     NettyLoop loop = new NettyLoop(eventLoop);
-    HttpClient client = new HttpClient(eventLoop, IDLE_CONNECTIONS);
-    HttpServer outside = new HttpServer(eventLoop, loop, MOST_CONNECTIONS, new WarmupWorld());
-    String outsideAddress = listen(outside);
+    HttpClient client = new HttpClient(eventLoop, MAX_IDLE_CONNECTIONS);
+    HttpServer stubServer =
+        new HttpServer(eventLoop, loop, MAX_CONNECTIONS, new WarmupStubServer());
+    String stubAddress = listen(stubServer);
     ControllerNode controller =
         new ControllerNode(
             loop,
-            (address, method, path, body, timeout, done) ->
-                client.call(outsideAddress, method, path, body, timeout, done),
+            (address, method, path, body, timeoutS, onReply) ->
+                client.call(stubAddress, method, path, body, timeoutS, onReply),
             settings,
             new SplittableRandom(1));
-    HttpServer api = new HttpServer(eventLoop, loop, MOST_CONNECTIONS, controller::handle);
+    HttpServer api = new HttpServer(eventLoop, loop, MAX_CONNECTIONS, controller::handle);
     String apiAddress = listen(api);
     loop.execute(controller::start);
-    for (int i = 0; i < LEADER_CHECKS && !leads(loop, controller); i++) {
-      TimeUnit.MILLISECONDS.sleep(LEADER_CHECK_MS);
+    for (int i = 0; i < MAX_LEADER_CHECKS && !isLeader(loop, controller); i++) {
+      TimeUnit.MILLISECONDS.sleep(LEADER_CHECK_INTERVAL_MS);
     }
-    playRequests(new User(loop, client, apiAddress));
+    sendRequests(new TestClient(loop, client, apiAddress));
     loop.execute(controller::close);
     api.close();
-    outside.close();
+    stubServer.close();
     group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).sync();
     return 0;
   }
 
-  /** Reads the settings from a file, as a controller does; null if the file can't be deleted. */
-  private static Settings loadSettings() throws IOException, Settings.Wrong {
+  /**
+   * Reads the settings from a temporary file, so that the TOML parser is loaded; null if the file
+   * can't be deleted.
+   */
+  private static Settings loadSettings() throws IOException, Settings.InvalidSettingsException {
     File file = File.createTempFile("warmup", ".toml");
     Files.writeString(file.toPath(), SETTINGS);
     Settings settings = Settings.load(file.getPath());
     return file.delete() ? settings : null;
   }
 
-  /** Starts a server on a free port, and returns its address. */
+  /** Starts a server on a free port and returns its address. */
   private static String listen(HttpServer server) throws InterruptedException {
-    Channel channel = server.listen(ANY_PORT).sync().channel();
+    Channel channel = server.listen(ANY_PORT_ADDRESS).sync().channel();
     return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
-  /** Takes one job through its life, so that the classes that it needs are loaded. */
-  private static void playRequests(User user) throws InterruptedException {
-    user.ask("GET", "/ready", null);
-    user.ask("POST", "/checkin", WarmupWorld.HEARTBEAT);
-    user.ask("POST", "/v1/jobs", WarmupWorld.JOB);
-    TimeUnit.MILLISECONDS.sleep(PLACEMENT_MS);
-    user.ask("GET", "/v1/jobs/j-000001", null);
-    user.ask("POST", "/checkin", WarmupWorld.HEARTBEAT);
-    user.ask("POST", "/v1/jobs/j-000001/withdraw", "");
-    user.ask("GET", "/metrics", null);
+  /**
+   * Sends the requests of the life cycle of a job, so that the classes that handle them are loaded.
+   */
+  private static void sendRequests(TestClient client) throws InterruptedException {
+    client.request("GET", "/ready", null);
+    client.request("POST", "/checkin", WarmupStubServer.HEARTBEAT_JSON);
+    client.request("POST", "/v1/jobs", WarmupStubServer.JOB_JSON);
+    TimeUnit.MILLISECONDS.sleep(PLACEMENT_WAIT_MS);
+    client.request("GET", "/v1/jobs/j-000001", null);
+    client.request("POST", "/checkin", WarmupStubServer.HEARTBEAT_JSON);
+    client.request("POST", "/v1/jobs/j-000001/withdraw", "");
+    client.request("GET", "/metrics", null);
   }
 
-  private static boolean leads(NettyLoop loop, ControllerNode controller)
+  private static boolean isLeader(NettyLoop loop, ControllerNode controller)
       throws InterruptedException {
-    AtomicBoolean leads = new AtomicBoolean();
+    AtomicBoolean isLeader = new AtomicBoolean();
     CountDownLatch answered = new CountDownLatch(1);
     loop.execute(
         () -> {
-          leads.set(controller.core() != null);
+          isLeader.set(controller.core() != null);
           answered.countDown();
         });
     answered.await(1, TimeUnit.SECONDS);
-    return leads.get();
+    return isLeader.get();
   }
 
-  /** Sends requests to the controller's address, one after the other. */
-  private record User(NettyLoop loop, HttpClient client, String address) {
-    /** Waits up to two seconds for the answer, which is read and thrown away. */
-    void ask(String method, String path, String body) throws InterruptedException {
+  /** Sends requests to the controller one at a time. */
+  private record TestClient(NettyLoop loop, HttpClient client, String address) {
+    /** Waits up to two seconds for the response, which is parsed and discarded. */
+    void request(String method, String path, String body) throws InterruptedException {
       CountDownLatch answered = new CountDownLatch(1);
       byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
       loop.execute(
--- a/src/main/java/graderelay/cli/package-info.java
+++ b/src/main/java/graderelay/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line: {@code serve} runs a controller, {@code check} checks a settings file, and the
- * operators' tools ask a running controller over HTTP and print its answer. {@link
- * graderelay.cli.Main} has the exit codes.
+ * The command line: {@code serve} runs a controller, {@code check} validates a settings file, and
+ * the client commands send requests to a running controller over HTTP and print its response.
+ * {@link graderelay.cli.Main} defines the exit codes.
  */
 package graderelay.cli;
--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -6,7 +6,7 @@
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.TokenBucket;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.net.Transport;
 import graderelay.wire.CloudCodec;
 import graderelay.wire.Json;
@@ -72,7 +72,7 @@
 
   /** The cloud's answer; {@code body} is null if none came or it is no JSON. */
   private record Answer(int status, JsonNode body) {
-    static final Answer NONE = new Answer(Reply.NO_ANSWER, null);
+    static final Answer NONE = new Answer(Reply.NO_RESPONSE, null);
 
     boolean ok() {
       return status == 200;
@@ -120,7 +120,7 @@
   /** Reads the machine types; calls back with null if there was no answer. */
   public void types(Consumer<List<MachineType>> done) {
     call(
-        Use.READ,
+        CallPriority.READ,
         "GET",
         "/machine_types",
         null,
@@ -131,7 +131,7 @@
   /** Seconds that should lie between lists, so that most calls are left for other uses. */
   public double listEveryS(int machines) {
     double pages = 1 + machines / (double) MOST_IN_PAGE;
-    return Math.max(LIST_EVERY_S, pages / (tokens.rate() * LIST_SHARE));
+    return Math.max(LIST_EVERY_S, pages / (tokens.tokensPerS() * LIST_SHARE));
   }
 
   /** Reads the whole list of machines; calls back with null if a page of it did not come. */
@@ -142,7 +142,7 @@
   private void listAfter(
       String after, List<ListedMachine> read, Consumer<List<ListedMachine>> done) {
     call(
-        Use.READ,
+        CallPriority.READ,
         "GET",
         "/machines?after=" + after + "&most=" + MOST_IN_PAGE,
         null,
@@ -176,7 +176,7 @@
 
   private void scaleOut(ScaleOutRequest request, int attemptsLeft, Consumer<ScaledOut> done) {
     call(
-        Use.CLAIM,
+        CallPriority.CLAIM,
         "POST",
         "/machines",
         CloudCodec.encodeScaleOut(
@@ -187,7 +187,7 @@
           } else if (answer.saysNoCapacity()) {
             done.accept(ScaledOut.emptyPool());
           } else if (attemptsLeft > 1) {
-            loop.after(TYPES_RETRY_S, () -> scaleOut(request, attemptsLeft - 1, done));
+            loop.schedule(TYPES_RETRY_S, () -> scaleOut(request, attemptsLeft - 1, done));
           } else {
             done.accept(ScaledOut.unknown());
           }
@@ -197,7 +197,7 @@
   /** Deletes machines; calls back with true once the cloud has said that they are gone. */
   public void scaleIn(List<String> names, Consumer<Boolean> done) {
     call(
-        Use.CLAIM,
+        CallPriority.CLAIM,
         "POST",
         "/machines/delete",
         CloudCodec.encodeMachineNames(names),
@@ -205,7 +205,8 @@
   }
 
   /** Makes a call once there is a token for it; calls back with no answer if it is refused. */
-  private void call(Use use, String method, String path, JsonNode body, Consumer<Answer> done) {
+  private void call(
+      CallPriority use, String method, String path, JsonNode body, Consumer<Answer> done) {
     tokens.take(
         use,
         1,
@@ -230,9 +231,9 @@
 
   private Answer onReply(String path, Reply reply) {
     if (reply.status() == TOO_MANY_REQUESTS) {
-      tokens.penalty();
+      tokens.onThrottled();
     }
-    boolean answered = reply.status() != Reply.NO_ANSWER;
+    boolean answered = reply.status() != Reply.NO_RESPONSE;
     String outcome = path.split("\\?", 2)[0] + " " + (answered ? reply.status() : "none");
     outcomes.merge(outcome, 1L, Long::sum);
     return new Answer(reply.status(), answered ? Json.read(reply.body()) : null);
--- a/src/main/java/graderelay/config/Logs.java
+++ b/src/main/java/graderelay/config/Logging.java
@@ -9,46 +9,55 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Logs on standard error, one line for each event, with a level that can change while it runs. */
-public final class Logs {
+/**
+ * Configures logging to standard error, one line per event, with a level that can be changed at run
+ * time.
+ */
+public final class Logging {
   private static final Map<String, Level> LEVELS =
       Map.of("error", Level.SEVERE, "info", Level.INFO, "debug", Level.FINE);
 
-  /** Netty logs more than operators want; held strongly, or its level would be forgotten. */
+  /**
+   * Set to a higher level, since Netty logs more than operators need. Kept in a field because the
+   * log manager holds loggers weakly: the level would be lost when the logger is collected.
+   */
   private static final Logger NETTY = Logger.getLogger("io.netty");
 
-  private Logs() {}
+  private Logging() {}
 
-  /** True for the name of a level that operators may set. */
-  public static boolean known(String level) {
+  /** Returns true for the name of a level that operators may set. */
+  public static boolean isKnownLevel(String level) {
     return level != null && LEVELS.containsKey(level);
   }
 
-  /** Replaces all handlers by one that writes a line for each event. */
-  public static void start(String level) {
+  /** Replaces all handlers with one that writes a line per event, and sets the level. */
+  public static void configure(String level) {
     Logger root = Logger.getLogger("");
     for (var handler : root.getHandlers()) {
       root.removeHandler(handler);
     }
     ConsoleHandler console = new ConsoleHandler();
-    console.setFormatter(new Line());
+    console.setFormatter(new LineFormatter());
     console.setLevel(Level.ALL);
     root.addHandler(console);
     NETTY.setLevel(Level.WARNING);
-    level(level);
+    setLevel(level);
   }
 
-  /** Changes the level; an unknown one means info. */
-  public static void level(String level) {
-    Logger.getLogger("").setLevel(known(level) ? LEVELS.get(level) : Level.INFO);
+  /** Changes the level; an unknown name means info. */
+  public static void setLevel(String level) {
+    Logger.getLogger("").setLevel(isKnownLevel(level) ? LEVELS.get(level) : Level.INFO);
   }
 
-  /** The level, the logger's name, the message and, if there is one, the stack trace. */
-  private static final class Line extends Formatter {
+  /**
+   * Formats an event as the level, the logger's name and the message, followed by the stack trace
+   * if there is one.
+   */
+  private static final class LineFormatter extends Formatter {
     @Override
     public String format(LogRecord event) {
       String line =
-          level(event.getLevel().intValue())
+          levelName(event.getLevel().intValue())
               + " "
               + event.getLoggerName()
               + " - "
@@ -62,7 +71,7 @@
       return line + trace;
     }
 
-    private static String level(int value) {
+    private static String levelName(int value) {
       if (value >= Level.SEVERE.intValue()) {
         return "ERROR";
       }
--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -9,19 +9,20 @@
 import java.util.Set;
 
 /**
- * The operators' own settings: kept in the key-value store, changed only through the administration
- * API. What is not set has the default given here. {@link OperatorSettingsEditor} checks changes.
+ * Settings that operators change at run time, through the administration API alone. They are kept
+ * in the key-value store; settings that are not stored have the defaults of this class. {@link
+ * OperatorSettingsEditor} validates changes.
  *
- * @param batchCapacity the most tasks in a task batch
- * @param sampleSize machines that are compared for a placement
- * @param attemptCap failures of one job in a row before it backs off
- * @param idleS seconds that a machine may be idle before it is scaled in
- * @param spareFactor times the spare room that recent arrivals suggest
- * @param spotAllowed true if spot instances may be used
- * @param claimsPaused true if nothing new may be claimed
+ * @param batchCapacity maximum number of tasks in a task batch
+ * @param sampleSize number of machines that are compared for a placement
+ * @param attemptCap consecutive failures of a job before it backs off
+ * @param idleS seconds without tasks after which a machine is scaled in
+ * @param spareFactor factor on the spare capacity derived from recent arrivals
+ * @param spotAllowed true if spot instances may be requested
+ * @param claimsPaused true if new claims are paused
  * @param logLevel error, info or debug
- * @param cordoned machines on which nothing new starts, in the order given
- * @param drained machines whose tasks are evicted as well, in the order given
+ * @param cordoned machines on which no new tasks are placed, in the order given
+ * @param drained machines whose running tasks are evicted as well, in the order given
  */
 public record OperatorSettings(
     int batchCapacity,
@@ -34,29 +35,37 @@
     String logLevel,
     Set<String> cordoned,
     Set<String> drained) {
-  /** Tasks in a task batch: a record of so many fits a value with room to spare. */
-  private static final int BATCH_CAPACITY = 500;
+  /**
+   * Default number of tasks in a task batch; a record of this size fits well within a stored value.
+   */
+  private static final int DEFAULT_BATCH_CAPACITY = 500;
 
-  /** Machines compared for a placement, on the ordinary path. */
-  private static final int SAMPLE_SIZE = 3;
+  /** Default number of machines compared for an ordinary placement. */
+  private static final int DEFAULT_SAMPLE_SIZE = 3;
 
-  /** Failures of one job in a row before it backs off; see design.md. */
-  private static final int ATTEMPT_CAP = 3;
+  /** Default number of consecutive failures of a job before it backs off; see design.md. */
+  private static final int DEFAULT_ATTEMPT_CAP = 3;
 
-  /** Seconds that a machine may be idle: well under the minute that is charged at least. */
-  private static final double IDLE_S = 30;
+  /** Default idle time before scale-in: well below the minimum billing period of one minute. */
+  private static final double DEFAULT_IDLE_S = 30;
 
-  /** Times the spare room that the arrivals of the last minutes suggest. */
-  private static final double SPARE_FACTOR = 1.0;
+  /** Default factor on the spare capacity derived from the arrivals of the last minutes. */
+  private static final double DEFAULT_SPARE_FACTOR = 1.0;
 
-  /** The defaults; a task batch must fit a value of the deployment's key-value store. */
-  public static OperatorSettings defaults(int mostBatchTasks, String logLevel) {
+  /**
+   * Returns the defaults.
+   *
+   * @param maxBatchTasks number of tasks whose task batch record fits a value of the deployment's
+   *     key-value store
+   * @param logLevel the default log level
+   */
+  public static OperatorSettings defaults(int maxBatchTasks, String logLevel) {
     return new OperatorSettings(
-        Math.min(BATCH_CAPACITY, mostBatchTasks),
-        SAMPLE_SIZE,
-        ATTEMPT_CAP,
-        IDLE_S,
-        SPARE_FACTOR,
+        Math.min(DEFAULT_BATCH_CAPACITY, maxBatchTasks),
+        DEFAULT_SAMPLE_SIZE,
+        DEFAULT_ATTEMPT_CAP,
+        DEFAULT_IDLE_S,
+        DEFAULT_SPARE_FACTOR,
         true,
         false,
         logLevel,
@@ -64,33 +73,36 @@
         Set.of());
   }
 
-  /** The settings that tune the core's decisions. */
+  /** Returns the settings that the core's policy uses. */
   public Policy.Tuning tuning() {
     return new Policy.Tuning(
         batchCapacity, sampleSize, attemptCap, idleS, spareFactor, spotAllowed, claimsPaused);
   }
 
   /**
-   * The settings with some fields changed; null takes a field back to its default.
+   * Returns a copy with some settings changed; a null value resets a setting to its default.
    *
-   * @throws BadRequest naming the first field that is not known or whose value is not allowed
+   * @throws BadRequest if a setting is unknown or its value is invalid; the message names the first
+   *     one
    */
-  public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int mostBatchTasks)
+  public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int maxBatchTasks)
       throws BadRequest {
     if (changes == null || !changes.isObject()) {
       throw new BadRequest("values must be an object");
     }
-    OperatorSettingsEditor editor = new OperatorSettingsEditor(this, mostBatchTasks);
+    OperatorSettingsEditor editor = new OperatorSettingsEditor(this, maxBatchTasks);
     for (Iterator<String> names = changes.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       JsonNode value = changes.get(name);
-      editor.set(name, value.isNull() ? defaults.json().get(name) : value);
+      editor.set(name, value.isNull() ? defaults.toJson().get(name) : value);
     }
     return editor.settings();
   }
 
-  /** The settings as they are stored and shown, in the order in which operators see them. */
-  public ObjectNode json() {
+  /**
+   * Returns the settings in their stored form, which is also the form and order shown to operators.
+   */
+  public ObjectNode toJson() {
     ObjectNode tree = Json.object();
     tree.put("slice_cap", batchCapacity);
     tree.put("sample_size", sampleSize);
@@ -105,19 +117,19 @@
     return tree;
   }
 
-  /** The stored record over the defaults; what can't be read there is left at its default. */
-  public static OperatorSettings stored(
-      JsonNode record, OperatorSettings defaults, int mostBatchTasks) {
-    if (record == null) {
+  /** Returns the stored settings, with defaults for those that are missing or invalid. */
+  public static OperatorSettings fromStored(
+      JsonNode storedSettings, OperatorSettings defaults, int maxBatchTasks) {
+    if (storedSettings == null) {
       return defaults;
     }
-    OperatorSettingsEditor editor = new OperatorSettingsEditor(defaults, mostBatchTasks);
-    for (Iterator<String> names = record.fieldNames(); names.hasNext(); ) {
+    OperatorSettingsEditor editor = new OperatorSettingsEditor(defaults, maxBatchTasks);
+    for (Iterator<String> names = storedSettings.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       try {
-        editor.set(name, record.get(name));
+        editor.set(name, storedSettings.get(name));
       } catch (BadRequest e) {
-        // Written by another version: its default serves.
+        // Written by another version of the program: the default applies.
       }
     }
     return editor.settings();
--- a/src/main/java/graderelay/config/OperatorSettingsEditor.java
+++ b/src/main/java/graderelay/config/OperatorSettingsEditor.java
@@ -8,30 +8,32 @@
 import java.util.List;
 import java.util.Set;
 
-/** Checks changes of {@link OperatorSettings}, field by field, and applies those that are good. */
+/**
+ * Validates changes of {@link OperatorSettings} one setting at a time, and applies the valid ones.
+ */
 final class OperatorSettingsEditor {
-  /** Largest sample size: beyond that a round is no longer a sample. */
-  private static final int MOST_SAMPLE = 64;
+  /** Maximum sample size; a larger one would no longer be a sample of the fleet. */
+  private static final int MAX_SAMPLE_SIZE = 64;
 
-  /** Largest attempt cap. */
-  private static final int MOST_ATTEMPT_CAP = 100;
+  /** Maximum attempt cap. */
+  private static final int MAX_ATTEMPT_CAP = 100;
 
-  /** Longest idle time that may be set, in seconds. */
-  private static final double MOST_IDLE_S = 3600;
+  /** Maximum idle time before scale-in, in seconds. */
+  private static final double MAX_IDLE_S = 3600;
 
-  /** Largest factor for spare room that may be set. */
-  private static final double MOST_SPARE = 10;
+  /** Maximum factor on the spare capacity. */
+  private static final double MAX_SPARE_FACTOR = 10;
 
   /**
-   * Machine names in one list of the settings: those of all machines. How many there is really room
-   * for depends on the store's values, which the settings' record has to fit.
+   * Maximum number of machine names in a list: enough for all machines. The effective maximum may
+   * be lower, since the record of the settings has to fit a value of the store.
    */
-  private static final int MOST_MACHINE_NAMES = 4096;
+  private static final int MAX_MACHINE_NAMES = 4096;
 
-  /** Characters of a machine's name in those lists. */
-  private static final int MOST_NAME_LENGTH = 64;
+  /** Maximum length of a machine name in these lists, in characters. */
+  private static final int MAX_NAME_LENGTH = 64;
 
-  private final int mostBatchTasks;
+  private final int maxBatchTasks;
   private int batchCapacity;
   private int sampleSize;
   private int attemptCap;
@@ -44,12 +46,12 @@
   private Set<String> drained;
 
   /**
-   * Begins with settings as they are.
+   * Creates an editor that starts from the given settings.
    *
-   * @param mostBatchTasks the most tasks that one task batch record has room for
+   * @param maxBatchTasks number of tasks whose task batch record fits a stored value
    */
-  OperatorSettingsEditor(OperatorSettings settings, int mostBatchTasks) {
-    this.mostBatchTasks = mostBatchTasks;
+  OperatorSettingsEditor(OperatorSettings settings, int maxBatchTasks) {
+    this.maxBatchTasks = maxBatchTasks;
     this.batchCapacity = settings.batchCapacity();
     this.sampleSize = settings.sampleSize();
     this.attemptCap = settings.attemptCap();
@@ -62,7 +64,7 @@
     this.drained = settings.drained();
   }
 
-  /** The settings with the changes so far. */
+  /** Returns the settings with all changes applied so far. */
   OperatorSettings settings() {
     return new OperatorSettings(
         batchCapacity,
@@ -78,46 +80,46 @@
   }
 
   /**
-   * Changes one field; nothing changes if the value is not allowed.
+   * Changes one setting; an invalid value changes nothing.
    *
-   * @param value the new value, or null if the field is not known
+   * @param value the new value, or null if the setting is unknown
    */
   void set(String name, JsonNode value) throws BadRequest {
     if (value == null) {
-      throw unknown(name);
+      throw unknownSetting(name);
     }
     switch (name) {
-      case "slice_cap" -> batchCapacity = count(name, value, mostBatchTasks);
-      case "sample_size" -> sampleSize = count(name, value, MOST_SAMPLE);
-      case "attempt_cap" -> attemptCap = count(name, value, MOST_ATTEMPT_CAP);
-      case "idle_s" -> idleS = number(name, value, MOST_IDLE_S);
-      case "spare_factor" -> spareFactor = number(name, value, MOST_SPARE);
+      case "slice_cap" -> batchCapacity = count(name, value, maxBatchTasks);
+      case "sample_size" -> sampleSize = count(name, value, MAX_SAMPLE_SIZE);
+      case "attempt_cap" -> attemptCap = count(name, value, MAX_ATTEMPT_CAP);
+      case "idle_s" -> idleS = number(name, value, MAX_IDLE_S);
+      case "spare_factor" -> spareFactor = number(name, value, MAX_SPARE_FACTOR);
       case "spot_allowed" -> spotAllowed = flag(name, value);
       case "claims_paused" -> claimsPaused = flag(name, value);
       case "log_level" -> logLevel = level(value);
       case "cordoned" -> cordoned = machineNames(name, value);
       case "drained" -> drained = machineNames(name, value);
-      default -> throw unknown(name);
+      default -> throw unknownSetting(name);
     }
   }
 
-  private BadRequest unknown(String name) {
+  private BadRequest unknownSetting(String name) {
     List<String> known = new ArrayList<>();
-    settings().json().fieldNames().forEachRemaining(known::add);
-    return new BadRequest(name + " is not a setting; there are " + String.join(", ", known));
+    settings().toJson().fieldNames().forEachRemaining(known::add);
+    return new BadRequest(name + " is not a setting; known settings: " + String.join(", ", known));
   }
 
-  private static int count(String name, JsonNode value, int most) throws BadRequest {
-    if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > most) {
-      throw new BadRequest(name + " must be an integer from 1 to " + most);
+  private static int count(String name, JsonNode value, int max) throws BadRequest {
+    if (!value.isIntegralNumber() || value.longValue() < 1 || value.longValue() > max) {
+      throw new BadRequest(name + " must be an integer from 1 to " + max);
     }
     return value.intValue();
   }
 
-  private static double number(String name, JsonNode value, double most) throws BadRequest {
-    double least = 0;
-    if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
-      throw new BadRequest(name + " must be a number from " + least + " to " + most);
+  private static double number(String name, JsonNode value, double max) throws BadRequest {
+    double min = 0;
+    if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
+      throw new BadRequest(name + " must be a number from " + min + " to " + max);
     }
     return value.doubleValue();
   }
@@ -130,17 +132,17 @@
   }
 
   private static String level(JsonNode value) throws BadRequest {
-    if (!value.isTextual() || !Logs.known(value.textValue())) {
+    if (!value.isTextual() || !Logging.isKnownLevel(value.textValue())) {
       throw new BadRequest("log_level must be error, info or debug");
     }
     return value.textValue();
   }
 
-  /** The names in their order, each once. */
+  /** Returns the names in their order, without duplicates. */
   private static Set<String> machineNames(String name, JsonNode value) throws BadRequest {
-    if (!value.isArray() || value.size() > MOST_MACHINE_NAMES) {
+    if (!value.isArray() || value.size() > MAX_MACHINE_NAMES) {
       throw new BadRequest(
-          name + " must be a list of at most " + MOST_MACHINE_NAMES + " machine names");
+          name + " must be a list of at most " + MAX_MACHINE_NAMES + " machine names");
     }
     Set<String> machines = new LinkedHashSet<>();
     for (JsonNode machine : value) {
@@ -155,6 +157,6 @@
   private static boolean isMachineName(JsonNode node) {
     return node.isTextual()
         && !node.textValue().isEmpty()
-        && node.textValue().length() <= MOST_NAME_LENGTH;
+        && node.textValue().length() <= MAX_NAME_LENGTH;
   }
 }
--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -8,32 +8,32 @@
 import java.util.Map;
 
 /**
- * The checked settings of the platform's file, with the durations that follow from them. {@link
- * SettingsParser} has the names of the fields.
+ * The validated settings of the platform's settings file, and the durations derived from them.
+ * {@link SettingsParser} defines the names of the fields in the file.
  *
  * @param member the name of this controller
- * @param zone the zone that it runs in
- * @param apiAddress where users, workers and operators reach it
- * @param peerAddress where the other controllers reach it
+ * @param zone the zone that this controller runs in
+ * @param apiAddress the address that serves users, workers and operators
+ * @param peerAddress the address that serves the other controllers
  * @param peers the other controllers
- * @param cloudAddress where the cloud's machine API is
- * @param stateAddress where the key-value store is
+ * @param cloudAddress the address of the cloud's machine API
+ * @param storeAddress the address of the key-value store
  * @param teams the teams with their quotas
- * @param waits by job class, the shortest waiting time in seconds that is an objective
- * @param waitSteps by job class, all waiting times in seconds that are objectives, in rising order
- * @param finishes by job class, the shortest time in seconds to finish in that is an objective
- * @param reportS seconds between heartbeats of a worker
- * @param leaseS seconds that a worker's lease lasts
- * @param cancelS seconds within which a cancelled job must have stopped everywhere
- * @param stateRps requests to the store in a second that are allowed to this controller
- * @param stateChangesPerS changes of stored records in a second that are allowed at present
- * @param valueKb the largest stored value at present, in units of 1024 bytes
- * @param txnOps the most operations in one transaction at present
- * @param cloudRps requests to the cloud in a second that are allowed to this controller
+ * @param startObjectivesS the shortest start objective by job class, in seconds
+ * @param startObjectiveStepsS all start objectives by job class, in seconds, ascending
+ * @param completionObjectivesS the shortest completion objective by job class, in seconds
+ * @param heartbeatIntervalS interval between two heartbeats of a worker, in seconds
+ * @param leaseS duration of a worker's lease, in seconds
+ * @param cancellationDeadlineS seconds within which all tasks of a cancelled job must have stopped
+ * @param storeRequestsPerS store requests that this controller may make per second
+ * @param storeChangesPerS changes of stored records that are allowed per second at present
+ * @param valueKib maximum size of a stored value at present, in KiB
+ * @param txnOps maximum number of operations in one transaction at present
+ * @param cloudRequestsPerS cloud requests that this controller may make per second
  * @param listLagS seconds by which the cloud's list of machines may lag behind a scale-out
  * @param cpuShare the share of a core that this controller has
- * @param maxConnections the most connections that this controller may have open
- * @param next the store's limits from some moment on
+ * @param maxConnections maximum number of open connections of this controller
+ * @param nextStoreLimits limits of the store that will replace the present ones at an unknown time
  */
 public record Settings(
     String member,
@@ -42,167 +42,194 @@
     String peerAddress,
     List<Peer> peers,
     String cloudAddress,
-    String stateAddress,
+    String storeAddress,
     List<Team> teams,
-    Map<String, Double> waits,
-    Map<String, List<Double>> waitSteps,
-    Map<String, Double> finishes,
-    double reportS,
+    Map<String, Double> startObjectivesS,
+    Map<String, List<Double>> startObjectiveStepsS,
+    Map<String, Double> completionObjectivesS,
+    double heartbeatIntervalS,
     double leaseS,
-    double cancelS,
-    double stateRps,
-    double stateChangesPerS,
-    double valueKb,
+    double cancellationDeadlineS,
+    double storeRequestsPerS,
+    double storeChangesPerS,
+    double valueKib,
     int txnOps,
-    double cloudRps,
+    double cloudRequestsPerS,
     double listLagS,
     double cpuShare,
     int maxConnections,
-    StateLimits next) {
-  /** Bytes of a value that are left free, since its size may be counted in another way. */
+    StoreLimits nextStoreLimits) {
+  /**
+   * Bytes of a value that are left unused, since the store may compute the size of a value
+   * differently.
+   */
   private static final int VALUE_MARGIN_BYTES = 48;
 
-  /** Share of a worker's lease that the session lease lasts: failovers must beat the lease. */
-  private static final double SESSION_LEASE_SHARE = 0.3;
+  /**
+   * Duration of the leader's session lease relative to a worker's lease: a failover must complete
+   * before worker leases expire.
+   */
+  private static final double SESSION_LEASE_RATIO = 0.3;
 
   /**
-   * Seconds that the session lease lasts at most: four renewals, each with time for a slow answer.
-   * A longer one would leave the cluster without a leader for longer after each leader's end.
+   * Maximum duration of the session lease: four renewals, each with time for a slow response. A
+   * longer lease would leave the cluster without a leader for longer after the loss of each leader.
    */
-  private static final double MOST_SESSION_LEASE_S = 3.6;
+  private static final double MAX_SESSION_LEASE_S = 3.6;
 
   /**
-   * Seconds of a cancellation's time that are left when the last lease that was renewed without
-   * knowing of it is over: for answers in flight and for a worker that is slow to notice.
+   * Time left before the cancellation deadline when the last lease that was renewed before the
+   * cancellation was known expires: it covers responses in flight and a worker that is slow to
+   * react.
    */
-  private static final double CANCEL_MARGIN_S = 1;
+  private static final double CANCELLATION_MARGIN_S = 1;
 
   /**
-   * Seconds by which the known cancellations may always be out of date: a slow answer of the store
-   * costs no lease, also where leases are about as long as cancellations may take.
+   * Staleness of the known cancellations that is always allowed, so that a slow response of the
+   * store does not prevent lease renewals, even if leases are about as long as the cancellation
+   * deadline.
    */
-  private static final double LEAST_RENEW_S = 4;
+  private static final double MIN_CANCELLATION_STALENESS_S = 4;
 
-  /** Share of a cancellation's spare time that processes which have just started may use. */
-  private static final double STARTUP_SHARE = 0.4;
+  /**
+   * Share of the slack before the cancellation deadline that a newly started process may use to
+   * renew leases.
+   */
+  private static final double STARTUP_RENEWAL_SHARE = 0.4;
 
-  /** Seconds below which a process that has just started had better wait for the records. */
-  private static final double LEAST_STARTUP_S = 0.5;
+  /**
+   * Minimum useful duration of the startup renewal period; if it would be shorter, a newly started
+   * process waits for the records instead.
+   */
+  private static final double MIN_STARTUP_RENEWAL_S = 0.5;
 
   /**
-   * How many worker lease lengths a zone's lease delegate may renew leases for after the leader's
-   * last message. Partitions of a zone last about two leases; tasks whose machines really died
-   * there start elsewhere that much later.
+   * Maximum duration of a lease delegate's grant after the leader's last message, in worker lease
+   * durations. Network partitions of a zone last about two lease durations. Tasks of machines in
+   * the zone that have failed are restarted elsewhere later by the same time.
    */
-  private static final double DELEGATE_LEASES = 2;
+  private static final double MAX_DELEGATE_GRANT_LEASES = 2;
 
   /**
-   * Seconds left of a cancellation's time when the last lease that a lease delegate kept is over: a
-   * job may be cancelled outside the zone just after it was cut off, unknown to the lease delegate.
+   * Time left before the cancellation deadline when the last lease that a lease delegate renewed
+   * expires: a job may be cancelled just after the zone was partitioned, when the lease delegate
+   * can't learn of it.
    */
-  private static final double DELEGATE_CANCEL_MARGIN_S = 2;
+  private static final double DELEGATE_CANCELLATION_MARGIN_S = 2;
 
   /**
    * Limits of the key-value store.
    *
-   * @param changesPerS changes of records in a second
-   * @param valueKb the largest value, in units of 1024 bytes
-   * @param txnOps the most operations in one transaction
+   * @param changesPerS changes of records per second
+   * @param valueKib maximum size of a value, in KiB
+   * @param txnOps maximum number of operations in one transaction
    */
-  public record StateLimits(double changesPerS, double valueKb, int txnOps) {
-    /** The largest value in bytes, less a margin for other ways of counting. */
+  public record StoreLimits(double changesPerS, double valueKib, int txnOps) {
+    /** Returns the maximum size of a value in bytes, less a safety margin. */
     public int valueBytes() {
-      return (int) (valueKb * 1024) - VALUE_MARGIN_BYTES;
+      return (int) (valueKib * 1024) - VALUE_MARGIN_BYTES;
     }
   }
 
-  /** The store's limits at present, as far as the platform's file says. */
-  public StateLimits now() {
-    return new StateLimits(stateChangesPerS, valueKb, txnOps);
+  /** Returns the present limits of the store according to the settings file. */
+  public StoreLimits currentStoreLimits() {
+    return new StoreLimits(storeChangesPerS, valueKib, txnOps);
   }
 
-  /** The lower of each of the store's present and coming limits. */
-  public StateLimits least() {
-    return new StateLimits(
-        Math.min(stateChangesPerS, next.changesPerS()),
-        Math.min(valueKb, next.valueKb()),
-        Math.min(txnOps, next.txnOps()));
+  /** Returns the lower of the present and the next value of each limit of the store. */
+  public StoreLimits minStoreLimits() {
+    return new StoreLimits(
+        Math.min(storeChangesPerS, nextStoreLimits.changesPerS()),
+        Math.min(valueKib, nextStoreLimits.valueKib()),
+        Math.min(txnOps, nextStoreLimits.txnOps()));
   }
 
-  /** Another controller: its name, its zone and where it listens to its peers. */
+  /** Another controller: its name, its zone and the address that serves its peers. */
   public record Peer(String member, String zone, String address) {}
 
-  /** Seconds that the leader's session lease lasts. */
-  public double holdS() {
-    return Math.min(MOST_SESSION_LEASE_S, leaseS * SESSION_LEASE_SHARE);
+  /** Returns the duration of the leader's session lease, in seconds. */
+  public double sessionLeaseS() {
+    return Math.min(MAX_SESSION_LEASE_S, leaseS * SESSION_LEASE_RATIO);
   }
 
   /**
-   * Seconds for which a zone's lease delegate may renew leases after the leader's last message. The
-   * leases it renews must be over within a cancellation's time: the leader's last message comes a
-   * session lease after the cut at the latest, and the last lease ends one lease after the grant.
+   * Returns the time for which a zone's lease delegate may renew leases after the leader's last
+   * message, in seconds. The leases that it renews must expire before the cancellation deadline:
+   * the leader's last message arrives at most one session lease after the start of the partition,
+   * and the last lease expires one lease duration after the end of the grant.
    */
-  public double grantS() {
-    double most = cancelS - leaseS - holdS() - DELEGATE_CANCEL_MARGIN_S;
-    return Math.max(0, Math.min(leaseS * DELEGATE_LEASES, most));
+  public double delegateGrantS() {
+    double maxS = cancellationDeadlineS - leaseS - sessionLeaseS() - DELEGATE_CANCELLATION_MARGIN_S;
+    return Math.max(0, Math.min(leaseS * MAX_DELEGATE_GRANT_LEASES, maxS));
   }
 
   /**
-   * Seconds by which the known cancellations may be out of date when a worker's lease is renewed: a
-   * task lives for a lease from then, and must be gone within a cancellation's time. Less where
-   * processes that have just started may renew without knowing any.
+   * Returns the maximum staleness of the known cancellations at which a worker's lease may be
+   * renewed, in seconds. A task may run for one lease duration after the renewal, and must have
+   * stopped by the cancellation deadline. The maximum is lower if newly started processes may renew
+   * leases before they know any cancellations.
    */
-  public double renewWithinS() {
-    double beginners = beginnersS();
-    double most = cancelSpareS() - (beginners > 0 ? longestLeaseS() + beginners : 0);
-    return Math.max(LEAST_RENEW_S, most);
+  public double maxCancellationStalenessS() {
+    double startupS = startupRenewalS();
+    double maxS = cancellationSlackS() - (startupS > 0 ? maxLeaseS() + startupS : 0);
+    return Math.max(MIN_CANCELLATION_STALENESS_S, maxS);
   }
 
   /**
-   * Seconds from the start of a process for which it may renew leases without knowing any
-   * cancellations. Whoever renewed them before was at most {@link #renewWithinS} behind, and it
-   * ended a lease ago at the most, since there would be none to renew. Where zones have lease
-   * delegates, which use all of the time that a cancellation leaves, there is nothing to give away.
+   * Returns the time after the start of a process for which it may renew leases before it knows any
+   * cancellations, in seconds. The process that renewed them before was behind by at most {@link
+   * #maxCancellationStalenessS}, and ended at most one lease duration ago, since the leases would
+   * have expired otherwise. It is 0 if zones have lease delegates, whose grants use all of the
+   * slack before the cancellation deadline.
    */
-  public double beginnersS() {
-    double spare = cancelSpareS() - longestLeaseS();
-    double startupS = Math.min(spare * STARTUP_SHARE, spare - LEAST_RENEW_S);
-    return delegates().isEmpty() && startupS > LEAST_STARTUP_S ? startupS : 0;
+  public double startupRenewalS() {
+    double slackS = cancellationSlackS() - maxLeaseS();
+    double startupS =
+        Math.min(slackS * STARTUP_RENEWAL_SHARE, slackS - MIN_CANCELLATION_STALENESS_S);
+    return delegateZones().isEmpty() && startupS > MIN_STARTUP_RENEWAL_S ? startupS : 0;
   }
 
-  /** Seconds that a worker's lease lasts at most, whatever its clock does. */
-  private double longestLeaseS() {
+  /** Returns the maximum duration of a worker's lease including clock drift, in seconds. */
+  private double maxLeaseS() {
     return leaseS * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO) + LeaseTiming.LEASE_MARGIN_S;
   }
 
-  /** Seconds of a cancellation's time that a lease renewed without knowing of it leaves. */
-  private double cancelSpareS() {
-    return cancelS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO) - longestLeaseS() - CANCEL_MARGIN_S;
+  /**
+   * Returns the time between the expiry of a lease that was renewed just before a cancellation and
+   * the cancellation deadline, in seconds.
+   */
+  private double cancellationSlackS() {
+    return cancellationDeadlineS * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO)
+        - maxLeaseS()
+        - CANCELLATION_MARGIN_S;
   }
 
-  /** The zones of the other controllers by name, or none where all controllers are in one zone. */
-  public Map<String, String> delegates() {
+  /**
+   * Returns the zones of the other controllers by controller name, or an empty map if all
+   * controllers are in one zone.
+   */
+  public Map<String, String> delegateZones() {
     Map<String, String> zones = new HashMap<>();
     peers.forEach(peer -> zones.put(peer.member(), peer.zone()));
     return zones.values().stream().allMatch(zone::equals) ? Map.of() : zones;
   }
 
-  /** The file is missing something or has it wrong; the message names the field. */
-  public static final class Wrong extends Exception {
+  /** A field of the file is missing or invalid; the message names it. */
+  public static final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Wrong(String message) {
+    InvalidSettingsException(String message) {
       super(message);
     }
   }
 
-  /** Reads and checks the platform's file, which is TOML. */
-  public static Settings load(String file) throws Wrong {
+  /** Reads and validates the platform's settings file, which is in TOML. */
+  public static Settings load(String file) throws InvalidSettingsException {
     return parse(TomlFile.read(file));
   }
 
-  /** Checks a tree of settings. */
-  public static Settings parse(JsonNode tree) throws Wrong {
+  /** Validates a tree of settings. */
+  public static Settings parse(JsonNode tree) throws InvalidSettingsException {
     return SettingsParser.parse(tree);
   }
 }
--- a/src/main/java/graderelay/config/package-info.java
+++ b/src/main/java/graderelay/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a controller is configured with: the platform's file, the program's own options, and the
- * operators' settings that are kept in the key-value store, each checked field by field; and the
- * set-up of logging.
+ * The configuration of a controller: the platform's settings file, the program's options file and
+ * the operators' settings, which are kept in the key-value store. Each is validated field by field.
+ * Also the configuration of logging.
  */
 package graderelay.config;
--- a/src/main/java/graderelay/net/ClientConnection.java
+++ b/src/main/java/graderelay/net/ClientConnection.java
@@ -15,15 +15,15 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * One connection of an {@link HttpClient}, with at most one call at a time. Used on the event loop
- * only.
+ * A connection of an {@link HttpClient}, which carries at most one call at a time. Confined to the
+ * event loop.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final String address;
   private final ConnectionPool pool;
   private Channel channel;
 
-  /** The call whose response is awaited, or null. */
+  /** The call that is awaiting its response, or null. */
   private PendingCall call;
 
   ClientConnection(String address, ConnectionPool pool) {
@@ -31,13 +31,13 @@
     this.pool = pool;
   }
 
-  /** The server's address, host:port. */
+  /** Returns the server's address as host:port. */
   String address() {
     return address;
   }
 
-  /** Takes the channel once it is connected. */
-  void connected(Channel connectedChannel) {
+  /** Sets the channel after the connection has been established. */
+  void onConnected(Channel connectedChannel) {
     channel = connectedChannel;
   }
 
@@ -49,12 +49,12 @@
     channel.close();
   }
 
-  /** Sends the request of a call; nothing else may be under way on this connection. */
-  void send(PendingCall next) {
-    call = next;
-    next.sentOn(this);
+  /** Sends the request of a call. No other call may be in progress on this connection. */
+  void send(PendingCall nextCall) {
+    call = nextCall;
+    nextCall.onSent(this);
     channel
-        .writeAndFlush(encode(next))
+        .writeAndFlush(encode(nextCall))
         .addListener(
             written -> {
               if (!written.isSuccess()) {
@@ -63,66 +63,66 @@
             });
   }
 
-  /** Closes the connection without finishing the call that it carries. */
+  /** Closes the connection without completing the call in progress. */
   void abandonCall() {
     call = null;
     channel.close();
   }
 
-  private DefaultFullHttpRequest encode(PendingCall next) {
-    boolean hasBody = next.body != null;
-    ByteBuf body = hasBody ? Unpooled.wrappedBuffer(next.body) : Unpooled.EMPTY_BUFFER;
+  private DefaultFullHttpRequest encode(PendingCall call) {
+    boolean hasBody = call.body != null;
+    ByteBuf body = hasBody ? Unpooled.wrappedBuffer(call.body) : Unpooled.EMPTY_BUFFER;
     var request =
         new DefaultFullHttpRequest(
-            HttpVersion.HTTP_1_1, HttpMethod.valueOf(next.method), next.path, body);
+            HttpVersion.HTTP_1_1, HttpMethod.valueOf(call.method), call.path, body);
     request.headers().set(HttpHeaderNames.HOST, address);
     if (hasBody) {
       request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     }
-    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, hasBody ? next.body.length : 0);
+    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, hasBody ? call.body.length : 0);
     return request;
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    PendingCall answered = takeCall();
-    boolean reusable = HttpUtil.isKeepAlive(response) && answered != null;
-    if (!reusable || !pool.keep(this)) {
+    PendingCall completedCall = removeCall();
+    boolean reusable = HttpUtil.isKeepAlive(response) && completedCall != null;
+    if (!reusable || !pool.release(this)) {
       ctx.close();
     }
-    if (answered != null) {
+    if (completedCall != null) {
       byte[] body = ByteBufUtil.getBytes(response.content());
-      answered.finish(new Reply(response.status().code(), body, true));
+      completedCall.finish(new Reply(response.status().code(), body, true));
     }
   }
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) throws Exception {
-    pool.opened();
+    pool.onConnectionOpened();
     super.channelActive(ctx);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    pool.closed(this);
-    PendingCall lost = takeCall();
-    if (lost != null) {
-      lost.finish(Reply.lost());
+    pool.onConnectionClosed(this);
+    PendingCall lostCall = removeCall();
+    if (lostCall != null) {
+      lostCall.finish(Reply.noResponse());
     }
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof TooLongFrameException && call != null) {
-      // Asked again it would be as large: whoever asked must ask for less.
-      takeCall().finish(Reply.tooLarge());
+      // A retry would be just as large: the caller has to request less data.
+      removeCall().finish(Reply.responseTooLarge());
     }
     ctx.close();
   }
 
-  private PendingCall takeCall() {
-    PendingCall taken = call;
+  private PendingCall removeCall() {
+    PendingCall removed = call;
     call = null;
-    return taken;
+    return removed;
   }
 }
--- a/src/main/java/graderelay/net/ConnectionPool.java
+++ b/src/main/java/graderelay/net/ConnectionPool.java
@@ -8,37 +8,45 @@
 import java.util.Set;
 
 /**
- * The idle connections of an {@link HttpClient}, and the number of open ones. The platform counts
- * sockets: there are hundreds of workers, and each is called rarely. Used on the event loop only.
+ * The idle connections of an {@link HttpClient}, and the number of open connections. Idle
+ * connections are bounded because the deployment limits the number of sockets, and there are
+ * hundreds of workers, each of which is called rarely. Confined to the event loop.
  */
 final class ConnectionPool {
-  /** Idle connections kept to one address. */
-  private static final int KEPT_CONNECTIONS = 4;
+  /** Maximum number of idle connections to one address. */
+  private static final int MAX_IDLE_PER_ADDRESS = 4;
 
-  private final int mostIdle;
+  private final int maxIdleConnections;
   private final Map<String, Deque<ClientConnection>> idleByAddress = new HashMap<>();
 
-  /** All idle connections, the longest idle first. */
-  private final Set<ClientConnection> idleByAge = new LinkedHashSet<>();
+  /** All idle connections, the one that has been idle for longest first. */
+  private final Set<ClientConnection> idleInOrder = new LinkedHashSet<>();
 
-  private int open;
+  private int openCount;
 
-  /** Keeps at most so many idle connections, whoever they lead to. */
-  ConnectionPool(int mostIdle) {
-    this.mostIdle = mostIdle;
+  /**
+   * Creates a pool.
+   *
+   * @param maxIdleConnections maximum number of idle connections to all addresses together
+   */
+  ConnectionPool(int maxIdleConnections) {
+    this.maxIdleConnections = maxIdleConnections;
   }
 
-  /** Connections that are open now, idle or not. */
-  int open() {
-    return open;
+  /** Returns the number of open connections, idle or in use. */
+  int openCount() {
+    return openCount;
   }
 
-  /** Takes the connection that was idle for the shortest time; null if there is none. */
-  ClientConnection take(String address) {
+  /**
+   * Removes and returns the most recently used idle connection to an address, or null if there is
+   * none.
+   */
+  ClientConnection acquire(String address) {
     Deque<ClientConnection> idle = idleByAddress.get(address);
     while (idle != null && !idle.isEmpty()) {
       ClientConnection connection = idle.pollLast();
-      idleByAge.remove(connection);
+      idleInOrder.remove(connection);
       if (connection.isActive()) {
         return connection;
       }
@@ -46,30 +54,33 @@
     return null;
   }
 
-  /** Keeps an idle connection; false if there are enough to its address. */
-  boolean keep(ClientConnection connection) {
+  /**
+   * Returns a connection to the pool. False if the pool already holds the maximum for its address;
+   * the caller then closes the connection.
+   */
+  boolean release(ClientConnection connection) {
     Deque<ClientConnection> idle =
         idleByAddress.computeIfAbsent(connection.address(), a -> new ArrayDeque<>());
-    if (idle.size() >= KEPT_CONNECTIONS) {
+    if (idle.size() >= MAX_IDLE_PER_ADDRESS) {
       return false;
     }
     idle.addLast(connection);
-    idleByAge.add(connection);
-    if (idleByAge.size() > mostIdle) {
-      idleByAge.iterator().next().close();
+    idleInOrder.add(connection);
+    if (idleInOrder.size() > maxIdleConnections) {
+      idleInOrder.iterator().next().close();
     }
     return true;
   }
 
-  /** Counts a connection that has just been opened. */
-  void opened() {
-    open++;
+  /** Counts a newly opened connection. */
+  void onConnectionOpened() {
+    openCount++;
   }
 
-  /** Forgets a connection that has been closed, by whichever side. */
-  void closed(ClientConnection connection) {
-    open--;
-    idleByAge.remove(connection);
+  /** Removes a connection that either side has closed. */
+  void onConnectionClosed(ClientConnection connection) {
+    openCount--;
+    idleInOrder.remove(connection);
     Deque<ClientConnection> idle = idleByAddress.get(connection.address());
     if (idle != null) {
       idle.remove(connection);
--- a/src/main/java/graderelay/net/Exchange.java
+++ b/src/main/java/graderelay/net/Exchange.java
@@ -3,54 +3,65 @@
 import java.util.function.Consumer;
 
 /**
- * A request that came in, and the way to answer it once.
+ * A received HTTP request and the callback for its response.
  *
  * @param method the HTTP method
- * @param path without the query
- * @param query what follows the question mark, still encoded; empty for none
- * @param body empty for none
- * @param relayed another controller has passed it on, so it is not passed on again
- * @param to takes the answer; only the first one counts
+ * @param path the path without the query string
+ * @param query the query string after the question mark, still encoded; empty if there is none
+ * @param body the request body; empty if there is none
+ * @param forwarded true if another controller has forwarded the request; it is then not forwarded
+ *     again
+ * @param responder receives the response; all responses after the first are ignored
  */
 public record Exchange(
-    String method, String path, String query, byte[] body, boolean relayed, Consumer<Answer> to) {
-  /** Seconds that a user is told to wait before the next try. */
+    String method,
+    String path,
+    String query,
+    byte[] body,
+    boolean forwarded,
+    Consumer<Response> responder) {
+  /** Value of the Retry-After header, in seconds. */
   private static final int RETRY_AFTER_S = 1;
 
-  /** A request that came from outside. */
-  public Exchange(String method, String path, String query, byte[] body, Consumer<Answer> to) {
-    this(method, path, query, body, false, to);
+  /** Creates an exchange for a request that no controller has forwarded. */
+  public Exchange(
+      String method, String path, String query, byte[] body, Consumer<Response> responder) {
+    this(method, path, query, body, false, responder);
   }
 
-  /** The same request, whose answer goes another way. */
-  public Exchange answeredTo(Consumer<Answer> other) {
-    return new Exchange(method, path, query, body, relayed, other);
+  /** Returns the same request with another callback for the response. */
+  public Exchange withResponder(Consumer<Response> newResponder) {
+    return new Exchange(method, path, query, body, forwarded, newResponder);
   }
 
   /**
-   * An answer to a request.
+   * An HTTP response.
    *
    * @param status the HTTP status
-   * @param type the content type of the body
-   * @param retryAfterS seconds for the Retry-After header, or 0 for none
-   * @param close true if the connection is closed after the answer
+   * @param contentType the content type of the body
+   * @param retryAfterS value of the Retry-After header in seconds, or 0 to omit the header
+   * @param closeConnection true if the connection is closed after the response
    */
-  public record Answer(int status, byte[] body, String type, int retryAfterS, boolean close) {
-    /** An answer with a JSON body. */
-    public static Answer json(int status, byte[] body) {
-      return new Answer(status, body, "application/json", 0, false);
+  public record Response(
+      int status, byte[] body, String contentType, int retryAfterS, boolean closeConnection) {
+    /** Returns a response with a JSON body. */
+    public static Response json(int status, byte[] body) {
+      return new Response(status, body, "application/json", 0, false);
     }
 
-    /** An answer with a JSON body and Retry-After: not now, and when to come back. */
-    public static Answer later(int status, byte[] body) {
-      return new Answer(status, body, "application/json", RETRY_AFTER_S, false);
+    /**
+     * Returns a response with a JSON body and a Retry-After header, for requests that may succeed
+     * later.
+     */
+    public static Response unavailable(int status, byte[] body) {
+      return new Response(status, body, "application/json", RETRY_AFTER_S, false);
     }
   }
 
-  /** Takes requests in. */
+  /** Handles received requests. */
   @FunctionalInterface
   public interface Handler {
-    /** Answers a request, now or later, on the event loop. */
+    /** Handles a request on the event loop; the response may be sent later. */
     void handle(Exchange exchange);
   }
 }
--- a/src/main/java/graderelay/net/HostPort.java
+++ b/src/main/java/graderelay/net/HostPort.java
@@ -2,11 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as the settings and the wire have them. */
+/** Parses addresses of the form {@code host:port}, as used in settings and messages. */
 final class HostPort {
   private HostPort() {}
 
-  /** The socket address of {@code host:port}; a runtime exception if it is none. */
+  /**
+   * Returns the socket address of {@code host:port}; throws a runtime exception if the text is
+   * malformed.
+   */
   static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     String host = address.substring(0, colon);
--- a/src/main/java/graderelay/net/HttpClient.java
+++ b/src/main/java/graderelay/net/HttpClient.java
@@ -14,32 +14,36 @@
 import java.util.function.Consumer;
 
 /**
- * Makes HTTP/1.1 calls and keeps connections to the outside, with one call at a time on each. Used
- * on the event loop only.
+ * An HTTP/1.1 client with a pool of connections, each of which carries one call at a time. Confined
+ * to the event loop.
  */
 public final class HttpClient implements Transport {
   /**
-   * Bytes of a response's body that we take, a bound on a batch: a watch has no limit of its own,
-   * and its tree takes several times as much of the heap. Who has missed more reads the records
-   * anew, page by page.
+   * Maximum size of a response body. A watch response has no size limit of its own, and its parsed
+   * tree takes several times as much heap. A client that has missed more changes than fit reloads
+   * the records page by page.
    */
-  private static final int MOST_RESPONSE = 4 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-  /** Seconds to wait for a connection. */
+  /** Timeout for establishing a connection. */
   private static final double CONNECT_TIMEOUT_S = 1.0;
 
   private final EventLoop loop;
   private final ConnectionPool pool;
 
-  /** Keeps at most so many idle connections, whoever they lead to. */
-  public HttpClient(EventLoop loop, int mostIdle) {
+  /**
+   * Creates a client.
+   *
+   * @param maxIdleConnections maximum number of idle connections to all addresses together
+   */
+  public HttpClient(EventLoop loop, int maxIdleConnections) {
     this.loop = loop;
-    this.pool = new ConnectionPool(mostIdle);
+    this.pool = new ConnectionPool(maxIdleConnections);
   }
 
-  /** Connections that are open now. */
-  public int connections() {
-    return pool.open();
+  /** Returns the number of open connections. */
+  public int openConnections() {
+    return pool.openCount();
   }
 
   @Override
@@ -49,11 +53,11 @@
       String path,
       byte[] body,
       double timeoutS,
-      Consumer<Reply> done) {
-    PendingCall call = new PendingCall(address, method, path, body, done);
+      Consumer<Reply> onReply) {
+    PendingCall call = new PendingCall(address, method, path, body, onReply);
     long timeoutMicros = (long) (timeoutS * 1e6);
-    call.timeout(loop.schedule(call::giveUp, timeoutMicros, TimeUnit.MICROSECONDS));
-    ClientConnection idle = pool.take(address);
+    call.timeoutTimer(loop.schedule(call::onTimeout, timeoutMicros, TimeUnit.MICROSECONDS));
+    ClientConnection idle = pool.acquire(address);
     if (idle != null) {
       idle.send(call);
     } else {
@@ -61,13 +65,13 @@
     }
   }
 
-  /** Sends a call on a new connection. */
+  /** Opens a connection and sends the call on it. */
   private void connect(PendingCall call) {
     InetSocketAddress server;
     try {
       server = HostPort.parse(call.address);
     } catch (RuntimeException malformed) {
-      call.finish(Reply.neverSent());
+      call.finish(Reply.notSent());
       return;
     }
     ClientConnection connection = new ClientConnection(call.address, pool);
@@ -89,7 +93,7 @@
                 channel
                     .pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(MOST_RESPONSE))
+                    .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
                     .addLast(connection);
               }
             });
@@ -98,11 +102,11 @@
   private static void onConnected(
       ChannelFuture connected, ClientConnection connection, PendingCall call) {
     if (!connected.isSuccess()) {
-      call.finish(Reply.neverSent());
+      call.finish(Reply.notSent());
     } else if (call.isFinished()) {
       connected.channel().close();
     } else {
-      connection.connected(connected.channel());
+      connection.onConnected(connected.channel());
       connection.send(call);
     }
   }
--- a/src/main/java/graderelay/net/HttpServer.java
+++ b/src/main/java/graderelay/net/HttpServer.java
@@ -10,48 +10,52 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 /**
- * Listens on one address. Every request gets one answer, and no connection lasts for nothing. Runs
- * on the event loop.
+ * An HTTP/1.1 server on one address. Each request gets exactly one response; idle and stalled
+ * connections are closed. Runs on the event loop.
  */
 public final class HttpServer {
-  /** Connections that may wait to be accepted: those of a whole fleet after a failover. */
+  /**
+   * Length of the accept queue: room for all workers of a fleet, which reconnect at once after a
+   * failover.
+   */
   private static final int ACCEPT_BACKLOG = 4096;
 
-  /** Bytes of a request line. */
-  private static final int MOST_LINE = 4096;
+  /** Maximum length of a request line. */
+  private static final int MAX_REQUEST_LINE_BYTES = 4096;
 
-  /** Bytes of all headers of a request. */
-  private static final int MOST_HEADERS = 8192;
+  /** Maximum size of all headers of a request together. */
+  private static final int MAX_HEADERS_BYTES = 8192;
 
-  /** Bytes of a body that the codec hands on at once. */
-  private static final int MOST_CHUNK = 8192;
+  /** Maximum size of the body chunks that the codec emits. */
+  private static final int MAX_CHUNK_BYTES = 8192;
 
   private final EventLoop loop;
   private final Loop clock;
   private final Exchange.Handler handler;
-  private final ServerConnections connections;
-  private Channel channel;
+  private final ServerConnections openConnections;
+  private Channel serverChannel;
 
   /**
-   * Makes a server that listens nowhere yet.
+   * Creates a server, which does not listen yet.
    *
-   * @param mostConnections connections that may be open at once; the longest idle one makes room
+   * @param maxConnections maximum number of open connections; when it is reached, the connection
+   *     that has been idle for longest is closed to make room
    */
-  public HttpServer(EventLoop loop, Loop clock, int mostConnections, Exchange.Handler handler) {
+  public HttpServer(EventLoop loop, Loop clock, int maxConnections, Exchange.Handler handler) {
     this.loop = loop;
     this.clock = clock;
     this.handler = handler;
-    this.connections = new ServerConnections(clock, mostConnections);
+    this.openConnections = new ServerConnections(clock, maxConnections);
   }
 
-  /** Binds the address, host:port; the future fails if it can't be had. */
+  /** Binds the address, given as host:port; the future fails if the address is not available. */
   public ChannelFuture listen(String address) {
     ChannelFuture bound = bootstrap().bind(HostPort.parse(address));
     bound.addListener(
         (ChannelFuture future) -> {
           if (future.isSuccess()) {
-            channel = future.channel();
-            connections.sweep();
+            serverChannel = future.channel();
+            openConnections.sweep();
           }
         });
     return bound;
@@ -74,26 +78,27 @@
   }
 
   private void addHandlers(Channel accepted) {
-    ServerConnection connection = new ServerConnection(accepted, clock, connections, handler);
+    ServerConnection connection = new ServerConnection(accepted, clock, openConnections, handler);
     accepted
         .pipeline()
         .addLast(connection.firstBytesObserver())
-        .addLast(new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_CHUNK, true))
+        .addLast(
+            new HttpServerCodec(MAX_REQUEST_LINE_BYTES, MAX_HEADERS_BYTES, MAX_CHUNK_BYTES, true))
         .addLast(new RequestAggregator())
         .addLast(connection);
   }
 
   /** Stops listening and closes all connections. */
   public void close() {
-    connections.stopSweeping();
-    if (channel != null) {
-      channel.close();
+    openConnections.stopSweeping();
+    if (serverChannel != null) {
+      serverChannel.close();
     }
-    connections.closeAll();
+    openConnections.closeAll();
   }
 
-  /** Connections that are open now. */
-  public int connections() {
-    return connections.size();
+  /** Returns the number of open connections. */
+  public int openConnections() {
+    return openConnections.size();
   }
 }
--- a/src/main/java/graderelay/net/Loop.java
+++ b/src/main/java/graderelay/net/Loop.java
@@ -1,23 +1,28 @@
 package graderelay.net;
 
-/** The one event loop that everything runs on, and its clocks. */
+/**
+ * The event loop of a controller, with its clocks and timers. All code of a controller runs on it.
+ */
 public interface Loop {
-  /** Seconds on the steady clock, which has no meaning outside this process. */
+  /** Returns the time of the monotonic clock in seconds; it is not comparable between processes. */
   double now();
 
-  /** Milliseconds of the time of day, which may be off by the deployment's clock error. */
-  long wallMs();
+  /**
+   * Returns the wall clock time in milliseconds since the epoch, which may be off by the
+   * deployment's clock error.
+   */
+  long wallClockMs();
 
-  /** Runs a task on the loop, after what it does now. The only method for other threads. */
+  /** Runs a task on the loop after the current one. The only method that other threads may call. */
   void execute(Runnable task);
 
-  /** Runs a task on the loop after so many seconds, unless the timer is cancelled. */
-  Timer after(double seconds, Runnable task);
+  /** Runs a task on the loop after a delay, unless the timer is cancelled. */
+  Timer schedule(double delayS, Runnable task);
 
-  /** Something that will happen unless it is cancelled. */
+  /** A scheduled task that can be cancelled. */
   @FunctionalInterface
   interface Timer {
-    /** Keeps it from happening; without effect if it has happened. */
+    /** Cancels the task; no effect if it has already run. */
     void cancel();
   }
 }
--- a/src/main/java/graderelay/net/NettyLoop.java
+++ b/src/main/java/graderelay/net/NettyLoop.java
@@ -5,13 +5,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The event loop of a real process: Netty's own thread, which also carries every socket. */
+/**
+ * The event loop of a controller process: a Netty event loop, which also handles the I/O of all
+ * sockets.
+ */
 public final class NettyLoop implements Loop {
   private static final Logger LOG = LoggerFactory.getLogger("loop");
 
   private final EventLoop loop;
 
-  /** Makes a loop of Netty's. */
+  /** Wraps a Netty event loop. */
   public NettyLoop(EventLoop loop) {
     this.loop = loop;
   }
@@ -22,28 +25,28 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMs() {
     return System.currentTimeMillis();
   }
 
   @Override
   public void execute(Runnable task) {
-    loop.execute(guarded(task));
+    loop.execute(logExceptions(task));
   }
 
   @Override
-  public Timer after(double seconds, Runnable task) {
-    var future = loop.schedule(guarded(task), (long) (seconds * 1e6), TimeUnit.MICROSECONDS);
+  public Timer schedule(double delayS, Runnable task) {
+    var future = loop.schedule(logExceptions(task), (long) (delayS * 1e6), TimeUnit.MICROSECONDS);
     return () -> future.cancel(false);
   }
 
-  /** A mistake in one event must be seen in the log and must not silence the others. */
-  private static Runnable guarded(Runnable task) {
+  /** Wraps a task so that its runtime exceptions are logged and do not affect other tasks. */
+  private static Runnable logExceptions(Runnable task) {
     return () -> {
       try {
         task.run();
       } catch (RuntimeException e) {
-        LOG.error("an event failed", e);
+        LOG.error("uncaught exception in a task of the event loop", e);
       }
     };
   }
--- a/src/main/java/graderelay/net/Reply.java
+++ b/src/main/java/graderelay/net/Reply.java
@@ -1,38 +1,42 @@
 package graderelay.net;
 
 /**
- * What came of a call.
+ * The outcome of a call: the response, or the reason why there is none.
  *
- * @param status the HTTP status, or {@link #NO_ANSWER} or {@link #TOO_LARGE}
- * @param body empty if no answer came
- * @param sent false if the request certainly never left, so that it can't be carried out late
+ * @param status the HTTP status, or {@link #NO_RESPONSE} or {@link #RESPONSE_TOO_LARGE}
+ * @param body the response body; empty if there was no response
+ * @param sent false if the request was certainly not sent, so that the server can't execute it
+ *     later
  */
 public record Reply(int status, byte[] body, boolean sent) {
-  /** The status of a call that no answer came to. */
-  public static final int NO_ANSWER = 0;
+  /** The status of a call that got no response. */
+  public static final int NO_RESPONSE = 0;
 
-  /** The status of {@link #tooLarge}; no server sends it. */
-  public static final int TOO_LARGE = 1;
+  /** The status of {@link #responseTooLarge}; servers never send it. */
+  public static final int RESPONSE_TOO_LARGE = 1;
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
-  /** No answer came to a request that may have been carried out. */
-  public static Reply lost() {
-    return new Reply(NO_ANSWER, NOTHING, true);
+  /** Returns the outcome of a call without a response, whose request may have been executed. */
+  public static Reply noResponse() {
+    return new Reply(NO_RESPONSE, EMPTY_BODY, true);
   }
 
-  /** An answer came that is larger than this program takes: {@link #TOO_LARGE} as a status. */
-  public static Reply tooLarge() {
-    return new Reply(TOO_LARGE, NOTHING, true);
+  /**
+   * Returns the outcome of a call whose response exceeds the size limit; its status is {@link
+   * #RESPONSE_TOO_LARGE}.
+   */
+  public static Reply responseTooLarge() {
+    return new Reply(RESPONSE_TOO_LARGE, EMPTY_BODY, true);
   }
 
-  /** The request never left. */
-  public static Reply neverSent() {
-    return new Reply(NO_ANSWER, NOTHING, false);
+  /** Returns the outcome of a call whose request was not sent. */
+  public static Reply notSent() {
+    return new Reply(NO_RESPONSE, EMPTY_BODY, false);
   }
 
-  /** True if the status is 200. */
-  public boolean ok() {
+  /** Returns true if the status is 200. */
+  public boolean isOk() {
     return status == 200;
   }
 }
--- a/src/main/java/graderelay/net/RequestAggregator.java
+++ b/src/main/java/graderelay/net/RequestAggregator.java
@@ -13,17 +13,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Makes whole requests of a request's parts. A body that is too large is malformed by the protocol,
- * and the rest of it is not read. Used on the event loop only.
+ * Aggregates the parts of a request into a full request. A body above the size limit gets status
+ * 400, as the protocol demands, and the rest of it is not read. Confined to the event loop.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-  /** Bytes of a request's body; a limit of the protocol. */
-  private static final int MOST_BODY = 64 * 1024;
+  /** Maximum size of a request body, as set by the protocol. */
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
-  private static final String TOO_LARGE = "{\"error\":\"the body is larger than 64 KiB\"}";
+  private static final String BODY_TOO_LARGE_JSON =
+      "{\"error\":\"the body is larger than 64 KiB\"}";
 
   RequestAggregator() {
-    super(MOST_BODY);
+    super(MAX_BODY_BYTES);
   }
 
   @Override
@@ -32,7 +33,7 @@
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
             HttpResponseStatus.BAD_REQUEST,
-            Unpooled.copiedBuffer(TOO_LARGE, StandardCharsets.UTF_8));
+            Unpooled.copiedBuffer(BODY_TOO_LARGE_JSON, StandardCharsets.UTF_8));
     response
         .headers()
         .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
--- a/src/main/java/graderelay/net/ServerConnection.java
+++ b/src/main/java/graderelay/net/ServerConnection.java
@@ -19,32 +19,32 @@
 import java.util.function.Consumer;
 
 /**
- * One connection of an {@link HttpServer}: hands whole requests to the handler and writes each one
- * answer. Used on the event loop only.
+ * A connection of an {@link HttpServer}: passes full requests to the handler and writes one
+ * response to each. Confined to the event loop.
  */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
-  /** Seconds after which an idle connection is closed. */
-  private static final double IDLE_CONNECTION_S = 90;
+  /** Time without a request after which a connection is closed. */
+  private static final double IDLE_TIMEOUT_S = 90;
 
-  /** Seconds in which a request must have arrived whole. */
-  private static final double WHOLE_REQUEST_S = 10;
+  /** Maximum time from the first byte of a request until the full request has been received. */
+  private static final double REQUEST_TIMEOUT_S = 10;
 
-  private static final Exchange.Answer MALFORMED =
-      new Exchange.Answer(400, new byte[0], "application/json", 0, true);
+  private static final Exchange.Response BAD_REQUEST =
+      new Exchange.Response(400, new byte[0], "application/json", 0, true);
 
   private final Channel channel;
   private final Loop clock;
   private final ServerConnections connections;
   private final Exchange.Handler handler;
 
-  /** A request is with the handler. */
-  private boolean busy;
+  /** True while the handler is processing a request. */
+  private boolean handlingRequest;
 
-  /** Some bytes of a request have come, but not the whole request. */
-  private boolean partial;
+  /** True while a request has been received in part. */
+  private boolean receivingRequest;
 
-  /** When the present state began, in seconds on the loop's clock. */
-  private double since;
+  /** Time of the last change of state, in seconds of the event loop's clock. */
+  private double stateSinceS;
 
   ServerConnection(
       Channel channel, Loop clock, ServerConnections connections, Exchange.Handler handler) {
@@ -52,45 +52,45 @@
     this.clock = clock;
     this.connections = connections;
     this.handler = handler;
-    this.since = clock.now();
+    this.stateSinceS = clock.now();
   }
 
-  /** True while a request is with the handler. */
-  boolean isBusy() {
-    return busy;
+  /** Returns true while the handler is processing a request. */
+  boolean isHandlingRequest() {
+    return handlingRequest;
   }
 
-  /** True while the connection carries no request, whole or not. */
+  /** Returns true if no request is being received or processed. */
   boolean isIdle() {
-    return !busy && !partial;
+    return !handlingRequest && !receivingRequest;
   }
 
-  /** True if a request should have arrived whole by now. */
-  boolean isStuck(double now) {
-    return partial && now - since > WHOLE_REQUEST_S;
+  /** Returns true if a request has been incomplete for longer than the timeout. */
+  boolean isRequestTimedOut(double now) {
+    return receivingRequest && now - stateSinceS > REQUEST_TIMEOUT_S;
   }
 
-  /** True if the connection has been idle for longer than it may. */
-  boolean isIdleForTooLong(double now) {
-    return isIdle() && now - since > IDLE_CONNECTION_S;
+  /** Returns true if the connection has been idle for longer than the timeout. */
+  boolean isIdleTimedOut(double now) {
+    return isIdle() && now - stateSinceS > IDLE_TIMEOUT_S;
   }
 
   void close() {
     channel.close();
   }
 
-  /** The handler that stands before the codec. */
+  /** Returns the handler that precedes the HTTP codec in the pipeline. */
   ChannelInboundHandlerAdapter firstBytesObserver() {
     return new FirstBytesObserver();
   }
 
-  /** Sees bytes before they are a request. */
+  /** Records when the first bytes of a request arrive, before the codec has decoded it. */
   private final class FirstBytesObserver extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
       if (isIdle()) {
-        partial = true;
-        since = clock.now();
+        receivingRequest = true;
+        stateSinceS = clock.now();
       }
       super.channelRead(ctx, message);
     }
@@ -110,61 +110,61 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-    partial = false;
-    busy = true;
-    since = clock.now();
+    receivingRequest = false;
+    handlingRequest = true;
+    stateSinceS = clock.now();
     boolean keepAlive = HttpUtil.isKeepAlive(request);
     if (request.decoderResult().isFailure()) {
-      answer(MALFORMED, false);
+      respond(BAD_REQUEST, false);
       return;
     }
-    handler.handle(exchange(request, once(answer -> answer(answer, keepAlive))));
+    handler.handle(exchange(request, firstOnly(response -> respond(response, keepAlive))));
   }
 
-  private static Exchange exchange(FullHttpRequest request, Consumer<Exchange.Answer> to) {
+  private static Exchange exchange(FullHttpRequest request, Consumer<Exchange.Response> responder) {
     String uri = request.uri();
     int questionMark = uri.indexOf('?');
     String path = questionMark < 0 ? uri : uri.substring(0, questionMark);
     String query = questionMark < 0 ? "" : uri.substring(questionMark + 1);
     byte[] body = ByteBufUtil.getBytes(request.content());
-    return new Exchange(request.method().name(), path, query, body, to);
+    return new Exchange(request.method().name(), path, query, body, responder);
   }
 
-  /** Passes the first answer on and ignores the others. */
-  private static Consumer<Exchange.Answer> once(Consumer<Exchange.Answer> to) {
-    boolean[] answered = {false};
-    return answer -> {
-      if (!answered[0]) {
-        answered[0] = true;
-        to.accept(answer);
+  /** Returns a callback that passes on the first response and ignores all others. */
+  private static Consumer<Exchange.Response> firstOnly(Consumer<Exchange.Response> responder) {
+    boolean[] hasResponded = {false};
+    return response -> {
+      if (!hasResponded[0]) {
+        hasResponded[0] = true;
+        responder.accept(response);
       }
     };
   }
 
-  private void answer(Exchange.Answer answer, boolean keepAlive) {
-    boolean close = !keepAlive || answer.close();
-    ChannelFuture written = channel.writeAndFlush(encode(answer, close));
+  private void respond(Exchange.Response response, boolean keepAlive) {
+    boolean close = !keepAlive || response.closeConnection();
+    ChannelFuture writeFuture = channel.writeAndFlush(encode(response, close));
     if (close) {
-      written.addListener(ChannelFutureListener.CLOSE);
+      writeFuture.addListener(ChannelFutureListener.CLOSE);
     }
-    busy = false;
-    since = clock.now();
-    connections.answered(this);
-  }
-
-  private static DefaultFullHttpResponse encode(Exchange.Answer answer, boolean close) {
-    ByteBuf body = Unpooled.wrappedBuffer(answer.body());
-    HttpResponseStatus status = HttpResponseStatus.valueOf(answer.status());
-    var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-    response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.type());
-    if (answer.retryAfterS() > 0) {
-      response.headers().set(HttpHeaderNames.RETRY_AFTER, answer.retryAfterS());
+    handlingRequest = false;
+    stateSinceS = clock.now();
+    connections.onResponse(this);
+  }
+
+  private static DefaultFullHttpResponse encode(Exchange.Response response, boolean close) {
+    ByteBuf body = Unpooled.wrappedBuffer(response.body());
+    HttpResponseStatus status = HttpResponseStatus.valueOf(response.status());
+    var encoded = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+    encoded.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+    encoded.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
+    if (response.retryAfterS() > 0) {
+      encoded.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfterS());
     }
     if (close) {
-      response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      encoded.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     }
-    return response;
+    return encoded;
   }
 
   @Override
--- a/src/main/java/graderelay/net/ServerConnections.java
+++ b/src/main/java/graderelay/net/ServerConnections.java
@@ -7,50 +7,53 @@
 import java.util.Set;
 
 /**
- * The open connections of an {@link HttpServer}, bounded in number. Idle ones and those whose
- * request never becomes whole are closed after a while. Used on the event loop only.
+ * The open connections of an {@link HttpServer}, bounded in number. Connections that are idle or
+ * whose request stays incomplete are closed after a timeout. Confined to the event loop.
  */
 final class ServerConnections {
-  /** Share of the most connections at which idle ones are closed, the longest idle first. */
-  private static final double CONNECTION_SHARE = 0.88;
+  /**
+   * Share of the maximum number of connections above which connections are closed, the least
+   * recently used first.
+   */
+  private static final double TARGET_OPEN_SHARE = 0.88;
 
-  /** Seconds between looks at connections. */
-  private static final double SWEEP_EVERY_S = 2;
+  /** Interval between two sweeps over all connections. */
+  private static final double SWEEP_INTERVAL_S = 2;
 
   private final Loop clock;
-  private final int mostConnections;
+  private final int maxConnections;
 
-  /** The one that was answered, or opened, longest ago first. */
+  /** Ordered by the time of the last response, or of opening, the least recent first. */
   private final Set<ServerConnection> open = new LinkedHashSet<>();
 
   private Loop.Timer sweepTimer;
 
-  ServerConnections(Loop clock, int mostConnections) {
+  ServerConnections(Loop clock, int maxConnections) {
     this.clock = clock;
-    this.mostConnections = mostConnections;
+    this.maxConnections = maxConnections;
   }
 
-  /** The number of open connections. */
+  /** Returns the number of open connections. */
   int size() {
     return open.size();
   }
 
-  /** Adds a connection; false if there are as many as there may be, and none of them is idle. */
+  /** Adds a connection; false if the maximum is reached and no connection is idle. */
   boolean add(ServerConnection connection) {
-    if (open.size() >= mostConnections && !closeLongestIdle()) {
+    if (open.size() >= maxConnections && !closeLeastRecentlyUsed()) {
       return false;
     }
     open.add(connection);
     return true;
   }
 
-  /** Forgets a connection that has been closed. */
+  /** Removes a connection that has been closed. */
   void remove(ServerConnection connection) {
     open.remove(connection);
   }
 
-  /** Moves a connection that was just answered behind those that are idle for longer. */
-  void answered(ServerConnection connection) {
+  /** Moves a connection to the end of the order after a response. */
+  void onResponse(ServerConnection connection) {
     if (open.remove(connection)) {
       open.add(connection);
     }
@@ -71,37 +74,40 @@
   }
 
   /**
-   * Closes requests that never become whole, idle connections, and more of those if need be; and
-   * again every {@link #SWEEP_EVERY_S}.
+   * Closes connections whose request or idle time has timed out, and more of the least recently
+   * used ones if there are too many. Repeats every {@link #SWEEP_INTERVAL_S}.
    */
   void sweep() {
     double now = clock.now();
     List<ServerConnection> toClose = new ArrayList<>();
     for (ServerConnection connection : open) {
-      if (connection.isStuck(now) || connection.isIdleForTooLong(now)) {
+      if (connection.isRequestTimedOut(now) || connection.isIdleTimedOut(now)) {
         toClose.add(connection);
       }
     }
-    addLongestIdle(toClose);
+    addLeastRecentlyUsed(toClose);
     toClose.forEach(ServerConnection::close);
-    sweepTimer = clock.after(SWEEP_EVERY_S, this::sweep);
+    sweepTimer = clock.schedule(SWEEP_INTERVAL_S, this::sweep);
   }
 
-  /** Adds as many that carry no request as are needed to get below the share. */
-  private void addLongestIdle(List<ServerConnection> toClose) {
-    int excess = open.size() - toClose.size() - (int) (mostConnections * CONNECTION_SHARE);
+  /**
+   * Adds as many connections that are not processing a request as are needed to reach {@link
+   * #TARGET_OPEN_SHARE}.
+   */
+  private void addLeastRecentlyUsed(List<ServerConnection> toClose) {
+    int excess = open.size() - toClose.size() - (int) (maxConnections * TARGET_OPEN_SHARE);
     Iterator<ServerConnection> oldest = open.iterator();
     while (excess > 0 && oldest.hasNext()) {
       ServerConnection connection = oldest.next();
-      if (!connection.isBusy() && !toClose.contains(connection)) {
+      if (!connection.isHandlingRequest() && !toClose.contains(connection)) {
         toClose.add(connection);
         excess--;
       }
     }
   }
 
-  /** Makes room for one more connection; false if none is idle. */
-  private boolean closeLongestIdle() {
+  /** Closes the least recently used idle connection to make room; false if none is idle. */
+  private boolean closeLeastRecentlyUsed() {
     for (ServerConnection connection : open) {
       if (connection.isIdle()) {
         open.remove(connection);
--- a/src/main/java/graderelay/net/TokenBucket.java
+++ b/src/main/java/graderelay/net/TokenBucket.java
@@ -1,156 +1,162 @@
 package graderelay.net;
 
-import graderelay.net.UrgencyQueues.WaitingCall;
+import graderelay.net.PriorityCallQueues.WaitingCall;
 import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Tokens for calls to a service with a limited rate. Calls wait by urgency, of which a small share
- * is kept for each less urgent use; the leader's renewals never wait at all, and when too many
- * wait, the least urgent is refused at once. Used on the event loop only.
+ * A token bucket for calls to a rate-limited service. Waiting calls are served by priority, with a
+ * small share of the tokens reserved for each lower priority. The leader's lease renewals never
+ * wait. When the queue is full, a call of the lowest priority is refused at once. Confined to the
+ * event loop.
  */
 public final class TokenBucket {
   /**
-   * Requests that may wait for tokens; beyond that the least urgent is refused. A bound on a queue:
-   * claims and ends of a fleet of any size go many to a request.
+   * Maximum number of calls that wait for tokens; beyond it, a call of the lowest priority is
+   * refused. The bound does not depend on the size of the fleet, since claims and task ends are
+   * batched, many to a request.
    */
-  private static final int MOST_WAITING_CALLS = 512;
+  private static final int MAX_WAITING_CALLS = 512;
 
-  /** Seconds that the timer for waiting calls takes at the least. */
-  private static final double SHORTEST_TIMER_S = 0.005;
+  /** Minimum delay of the timer that releases waiting calls. */
+  private static final double MIN_TIMER_DELAY_S = 0.005;
 
-  /** What a call is for, the most urgent first. */
-  public enum Use {
-    /** Renews the leader's session lease. */
+  /** The purpose of a call, which decides its priority; the highest priority first. */
+  public enum CallPriority {
+    /** Renewal of the leader's session lease. */
     RENEWAL,
-    /** Claims tasks, or scales out or in. */
+    /** Claims of tasks, scale-out and scale-in. */
     CLAIM,
-    /** Stores what users and operators ask for. */
+    /** Writes requested by users and operators. */
     SUBMISSION,
-    /** Reads, for which nobody waits long. */
+    /** Reads; a delay affects them least. */
     READ
   }
 
   private final Loop loop;
-  private final UrgencyQueues waiting = new UrgencyQueues();
+  private final PriorityCallQueues waiting = new PriorityCallQueues();
 
-  /** Tokens a second. */
-  private double rate;
+  /** Refill rate in tokens per second. */
+  private double tokensPerS;
 
-  /** The most tokens that the bucket holds. */
+  /** Capacity of the bucket in tokens. */
   private double burst;
 
   private double tokens;
 
-  /** When {@link #tokens} was last reckoned, in seconds on the loop's clock. */
-  private double refilledAt;
+  /** Time of the last refill of {@link #tokens}, in seconds of the event loop's clock. */
+  private double refilledAtS;
 
-  private boolean timerSet;
+  private boolean releaseScheduled;
   private long refusedCount;
-  private double waitedS;
+  private double totalWaitS;
 
   /**
-   * Makes a full bucket.
+   * Creates a full bucket.
    *
-   * @param rate tokens a second
-   * @param burst the most tokens that the bucket holds; at least one
+   * @param tokensPerS refill rate in tokens per second
+   * @param burst capacity of the bucket in tokens; at least one
    */
-  public TokenBucket(Loop loop, double rate, double burst) {
+  public TokenBucket(Loop loop, double tokensPerS, double burst) {
     this.loop = loop;
-    this.rate = rate;
+    this.tokensPerS = tokensPerS;
     this.burst = Math.max(1, burst);
     this.tokens = this.burst;
-    this.refilledAt = loop.now();
+    this.refilledAtS = loop.now();
   }
 
   /**
-   * Calls {@code onDecision} with true once there are tokens, or with false if the call is refused.
+   * Calls {@code onDecision} with true once there are enough tokens, or with false if the call is
+   * refused.
    *
-   * @param cost in tokens
+   * @param cost the cost of the call in tokens
    */
-  public void take(Use use, double cost, Consumer<Boolean> onDecision) {
+  public void take(CallPriority priority, double cost, Consumer<Boolean> onDecision) {
     refill();
-    if (use == Use.RENEWAL) {
-      tokens -= cost; // May go below zero: the others wait for it.
+    if (priority == CallPriority.RENEWAL) {
+      tokens -= cost; // May become negative: other calls then wait until the debt is paid off.
       onDecision.accept(true);
     } else if (waiting.isEmpty() && covers(cost)) {
       tokens -= cost;
       onDecision.accept(true);
-    } else if (waiting.size() >= MOST_WAITING_CALLS && !refuseLessUrgentThan(use)) {
+    } else if (waiting.size() >= MAX_WAITING_CALLS && !refuseLowerPriority(priority)) {
       refusedCount++;
       onDecision.accept(false);
     } else {
-      enqueue(use, cost, onDecision);
+      enqueue(priority, cost, onDecision);
     }
   }
 
-  /** Tokens a second. */
-  public double rate() {
-    return rate;
+  /** Returns the refill rate in tokens per second. */
+  public double tokensPerS() {
+    return tokensPerS;
   }
 
-  /** Changes the rate, in tokens a second; the burst is one second's worth. */
-  public void rate(double newRate) {
+  /**
+   * Changes the refill rate in tokens per second; the capacity becomes the tokens of one second.
+   */
+  public void tokensPerS(double newTokensPerS) {
     refill();
-    rate = newRate;
-    burst = Math.max(1, newRate);
+    tokensPerS = newTokensPerS;
+    burst = Math.max(1, newTokensPerS);
     tokens = Math.min(tokens, burst);
   }
 
-  /** The service said that there were too many: nothing more for a moment. */
-  public void penalty() {
+  /** Empties the bucket after the service has rejected a call for exceeding its rate limit. */
+  public void onThrottled() {
     refill();
     tokens = Math.min(tokens, 0);
   }
 
-  /** Seconds that what waits now takes at the rate. */
-  public double waitingS() {
-    return waiting.size() / rate;
+  /** Returns the estimated time to serve the waiting calls at the refill rate, in seconds. */
+  public double estimatedWaitS() {
+    return waiting.size() / tokensPerS;
   }
 
-  /** The number of calls that wait. */
+  /** Returns the number of waiting calls. */
   public int waiting() {
     return waiting.size();
   }
 
-  /** True if a call of that cost could not be made at once. */
+  /** Returns true if a call of this cost would have to wait. */
   public boolean wouldWait(double cost) {
     refill();
     return !waiting.isEmpty() || !covers(cost);
   }
 
-  /** The number of calls refused so far. */
-  public long refused() {
+  /** Returns the number of refused calls. */
+  public long refusedCount() {
     return refusedCount;
   }
 
-  /** Seconds that calls have waited so far, in total. */
-  public double waitedSeconds() {
-    return waitedS;
+  /** Returns the total time that calls have waited, in seconds. */
+  public double totalWaitS() {
+    return totalWaitS;
   }
 
   /**
-   * True if there are tokens for a call; one that costs more than the burst takes a full bucket.
+   * Returns true if there are enough tokens for a call. A call that costs more than the capacity
+   * needs a full bucket.
    */
   private boolean covers(double cost) {
     return tokens >= Math.min(cost, burst);
   }
 
-  private void enqueue(Use use, double cost, Consumer<Boolean> onDecision) {
-    double since = loop.now();
+  private void enqueue(CallPriority priority, double cost, Consumer<Boolean> onDecision) {
+    double enqueuedAtS = loop.now();
     waiting.add(
-        use,
+        priority,
         new WaitingCall(
             cost,
             granted -> {
-              waitedS += loop.now() - since;
+              totalWaitS += loop.now() - enqueuedAtS;
               onDecision.accept(granted);
             }));
-    setTimer();
+    scheduleRelease();
   }
 
-  private boolean refuseLessUrgentThan(Use use) {
-    Optional<WaitingCall> refused = waiting.removeLessUrgentThan(use);
+  private boolean refuseLowerPriority(CallPriority priority) {
+    Optional<WaitingCall> refused = waiting.removeLowerPriority(priority);
     if (refused.isEmpty()) {
       return false;
     }
@@ -161,25 +167,26 @@
 
   private void refill() {
     double now = loop.now();
-    tokens = Math.min(burst, tokens + (now - refilledAt) * rate);
-    refilledAt = now;
+    tokens = Math.min(burst, tokens + (now - refilledAtS) * tokensPerS);
+    refilledAtS = now;
   }
 
-  private void setTimer() {
-    if (timerSet || waiting.isEmpty()) {
+  private void scheduleRelease() {
+    if (releaseScheduled || waiting.isEmpty()) {
       return;
     }
-    timerSet = true;
-    double missing = 1 - tokens;
-    loop.after(Math.max(SHORTEST_TIMER_S, missing / rate), this::release);
+    releaseScheduled = true;
+    double missingTokens = 1 - tokens;
+    loop.schedule(
+        Math.max(MIN_TIMER_DELAY_S, missingTokens / tokensPerS), this::releaseWaitingCalls);
   }
 
-  /** Lets as many of the waiting calls go as there are tokens for. */
-  private void release() {
-    timerSet = false;
+  /** Releases as many waiting calls as there are tokens for. */
+  private void releaseWaitingCalls() {
+    releaseScheduled = false;
     refill();
     while (!waiting.isEmpty()) {
-      WaitingCall call = waiting.next();
+      WaitingCall call = waiting.peekNext();
       if (!covers(call.cost())) {
         break;
       }
@@ -187,6 +194,6 @@
       tokens -= call.cost();
       call.onDecision().accept(true);
     }
-    setTimer();
+    scheduleRelease();
   }
 }
--- a/src/main/java/graderelay/net/Transport.java
+++ b/src/main/java/graderelay/net/Transport.java
@@ -3,18 +3,18 @@
 import java.util.function.Consumer;
 
 /**
- * Makes HTTP calls. All of a controller's calls to other processes pass through it, so that tests
- * can put a simulated network there.
+ * Makes HTTP calls. All calls of a controller to other processes go through this interface, so that
+ * tests can substitute a simulated network.
  */
 public interface Transport {
   /**
-   * Makes a call from the event loop; calls {@code done} on it once, at the latest after the
-   * timeout.
+   * Makes a call. Must be called on the event loop; {@code onReply} runs there exactly once, at the
+   * latest after the timeout.
    *
-   * @param address host:port
-   * @param path with the query, if any
-   * @param body JSON or CBOR, or null for none
-   * @param timeoutS seconds after which the call is given up
+   * @param address the server as host:port
+   * @param path the path, with the query string if there is one
+   * @param body the request body in JSON or CBOR, or null if there is none
+   * @param timeoutS timeout of the call in seconds
    */
   void call(
       String address,
@@ -22,5 +22,5 @@
       String path,
       byte[] body,
       double timeoutS,
-      Consumer<Reply> done);
+      Consumer<Reply> onReply);
 }
--- a/src/main/java/graderelay/peer/ForwardedRequest.java
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -2,7 +2,7 @@
 
 import graderelay.config.Settings;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 
 /**
@@ -31,7 +31,7 @@
 
   /** Forwards the request to {@code peer}; runs {@code here} if the peer does not decide it. */
   void run(Settings.Peer peer, Runnable here) {
-    Loop.Timer slow = loop.after(FORWARDED_S, () -> settleHere(here));
+    Loop.Timer slow = loop.schedule(FORWARDED_S, () -> settleHere(here));
     forwarder.forward(
         exchange,
         peer,
@@ -40,7 +40,7 @@
           slow.cancel();
           if (isDecision(answer) && !settled) {
             settled = true;
-            exchange.to().accept(answer);
+            exchange.responder().accept(answer);
           } else {
             settleHere(here);
           }
@@ -54,7 +54,7 @@
     }
   }
 
-  private static boolean isDecision(Answer answer) {
+  private static boolean isDecision(Response answer) {
     return answer != null
         && answer.status() != RequestHedger.REFUSED
         && answer.status() != TOO_MANY;
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -2,7 +2,7 @@
 
 import graderelay.config.Settings;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.wire.Json;
 
@@ -26,7 +26,7 @@
   private final Exchange exchange;
 
   /** The answer to give if nobody has a better one, or null. */
-  private Answer refusal;
+  private Response refusal;
 
   private boolean answered;
   private int hedges;
@@ -46,10 +46,10 @@
 
   /** Puts the request to {@code here}, and to peers once that takes long or refuses it. */
   void run(Exchange.Handler here) {
-    hedgeTimer = loop.after(hedgeDelayS(), this::onSlow);
+    hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
     // Its user must hear of it before giving up: a peer that is away would take longer.
-    deadlineTimer = loop.after(deadlineS(), this::giveUp);
-    here.handle(exchange.answeredTo(answer -> onAnswer(answer, true)));
+    deadlineTimer = loop.schedule(deadlineS(), this::giveUp);
+    here.handle(exchange.withResponder(answer -> onAnswer(answer, true)));
   }
 
   private boolean isPoll() {
@@ -74,7 +74,7 @@
     if (policy.mayHedgeSlow()) {
       hedge();
     } else if (!answered) {
-      hedgeTimer = loop.after(hedgeDelayS(), this::onSlow);
+      hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
     }
   }
 
@@ -90,13 +90,13 @@
     }
     pending++;
     policy.started();
-    hedgeTimer = loop.after(hedgeDelayS(), this::onSlow);
+    hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
     forwarder.forward(
         exchange, peer, RequestHedger.POLL_DEADLINE_S, answer -> onPeerAnswer(index, answer));
   }
 
   /** Takes a peer's answer, or null for none. */
-  private void onPeerAnswer(int index, Answer answer) {
+  private void onPeerAnswer(int index, Response answer) {
     policy.ended();
     if (isDecision(answer)) {
       forwarder.prefer(index);
@@ -107,7 +107,7 @@
     onAnswer(answer, false);
   }
 
-  private void onAnswer(Answer answer, boolean fromHere) {
+  private void onAnswer(Response answer, boolean fromHere) {
     if (answered) {
       return;
     }
@@ -130,21 +130,21 @@
     }
   }
 
-  private static boolean isDecision(Answer answer) {
+  private static boolean isDecision(Response answer) {
     return answer != null && answer.status() != RequestHedger.REFUSED;
   }
 
   private void giveUp() {
     if (!answered) {
-      Answer nobody = Answer.later(RequestHedger.REFUSED, Json.error("nobody answered"));
+      Response nobody = Response.unavailable(RequestHedger.REFUSED, Json.error("nobody answered"));
       finish(refusal == null ? nobody : refusal);
     }
   }
 
-  private void finish(Answer answer) {
+  private void finish(Response answer) {
     answered = true;
     hedgeTimer.cancel();
     deadlineTimer.cancel();
-    exchange.to().accept(answer);
+    exchange.responder().accept(answer);
   }
 }
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -53,7 +53,7 @@
         PATH,
         PeerCodec.encodeRequest(request, gate.current().level()),
         timeoutS,
-        r -> done.accept(r.ok() ? decoder.apply(r.body()) : null));
+        r -> done.accept(r.isOk() ? decoder.apply(r.body()) : null));
   }
 
   /** The address of a member, or null if it is not a peer. */
--- a/src/main/java/graderelay/peer/PeerForwarder.java
+++ b/src/main/java/graderelay/peer/PeerForwarder.java
@@ -2,7 +2,7 @@
 
 import graderelay.config.Settings;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.wire.PeerCodec;
 import graderelay.wire.PeerRequest;
@@ -95,14 +95,14 @@
    * came within {@code timeoutS} seconds, and then the peer is passed over for {@link
    * #PASS_OVER_S}.
    */
-  void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
+  void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Response> done) {
     peerClient.send(
         peer.address(),
         new PeerRequest.UserRequest(exchange.method(), exchange.path(), exchange.body()),
         PeerCodec::decodeRelayed,
         timeoutS,
         relayed -> {
-          Answer answer = relayed == null ? null : relayed.answer();
+          Response answer = relayed == null ? null : relayed.answer();
           if (answer == null) {
             passedOverUntil.put(peer.address(), loop.now() + PASS_OVER_S);
           }
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -29,7 +29,7 @@
 
   /** A controller for which everything that options switch on is off. */
   public ControllerNode(Loop loop, Transport transport, Settings settings, RandomGenerator random) {
-    this(loop, transport, settings, Options.none(), random);
+    this(loop, transport, settings, Options.defaults(), random);
   }
 
   /**
@@ -104,7 +104,7 @@
       return;
     }
     parts.leadership.tick();
-    tickTimer = parts.loop.after(TICK_S, this::tick);
+    tickTimer = parts.loop.schedule(TICK_S, this::tick);
   }
 
   /** Requests of users, workers, operators and the load balancer. */
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerParts.java
@@ -69,7 +69,7 @@
     this.loop = loop;
     this.settings = settings;
     this.random = random;
-    this.gate = new FeatureGate(options.supported());
+    this.gate = new FeatureGate(options.supportedLevels());
     this.operators = new StoredOperatorSettings(SchedulerPolicy.mostBatchTasks(settings));
     this.metrics = new Metrics(loop);
     this.state = newStateClient(transport);
@@ -80,7 +80,8 @@
     this.leaderLifecycle = newLeaderLifecycle();
     cancellations.setListener(leaderLifecycle::onCancelled);
     this.leadership = newLeadership();
-    this.cloud = new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRps());
+    this.cloud =
+        new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRequestsPerS());
     this.machineTypes = new MachineTypePoller(loop, cloud, this::leads, this::onMachineTypes);
     this.leaderServices =
         new LeaderServices(
@@ -118,10 +119,10 @@
     return new StateClient(
         loop,
         transport,
-        settings.stateAddress(),
-        settings.stateRps(),
-        settings.stateChangesPerS(),
-        settings.least().changesPerS(),
+        settings.storeAddress(),
+        settings.storeRequestsPerS(),
+        settings.storeChangesPerS(),
+        settings.minStoreLimits().changesPerS(),
         settings.peers().size());
   }
 
@@ -146,7 +147,7 @@
         cache,
         settings.member(),
         settings.peerAddress(),
-        settings.holdS(),
+        settings.sessionLeaseS(),
         peerClient,
         cancellations,
         random::nextDouble,
@@ -289,7 +290,7 @@
     return new LeaderTerm(
         leaderServices,
         SchedulerPolicy.of(settings, state, operators.current()),
-        settings.least(),
+        settings.minStoreLimits(),
         operators.current(),
         random,
         currentMachineTypes());
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -5,7 +5,7 @@
 import graderelay.core.Action;
 import graderelay.core.SchedulerLimits;
 import graderelay.features.Feature;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
 import graderelay.state.StateClient;
@@ -157,7 +157,7 @@
         new Transaction()
             .when(cache.election().leaderKey(), leadership.leaderRevision())
             .put(key, value),
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         r -> {});
   }
 }
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -59,7 +59,7 @@
     this.loop = loop;
     this.gate = cache.features().gate();
     this.cache = cache;
-    if (options.features() == null) {
+    if (options.upgradePolicy() == null) {
       this.publisher = null;
       this.coordinator = null;
       return;
@@ -68,17 +68,17 @@
         new Member(
             settings.member(),
             programVersion(),
-            options.supported(),
+            options.supportedLevels(),
             incarnation,
-            loop.wallMs(),
+            loop.wallClockMs(),
             0);
     this.publisher = new MembershipPublisher(loop, state, cache, self, this::leave);
     this.coordinator =
         new UpgradeCoordinator(
             gate,
-            new FeatureLevelStore(state, cache, leadership, settings, loop::wallMs),
+            new FeatureLevelStore(state, cache, leadership, settings, loop::wallClockMs),
             probe(peerClient, settings.member()),
-            options.features(),
+            options.upgradePolicy(),
             settings.member(),
             incarnation,
             peerNames(settings),
@@ -128,7 +128,7 @@
     if (coordinator != null) {
       coordinator.tick();
     }
-    timer = loop.after(CHECK_INTERVAL_S, this::start);
+    timer = loop.schedule(CHECK_INTERVAL_S, this::start);
   }
 
   /** Stops the checks. */
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -6,7 +6,7 @@
 import graderelay.features.ClusterStore;
 import graderelay.features.Feature;
 import graderelay.features.Member;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.FeatureRecords;
 import graderelay.state.Leadership;
@@ -54,7 +54,7 @@
     this.state = state;
     this.cache = cache;
     this.leadership = leadership;
-    this.mostChanges = settings.least().txnOps();
+    this.mostChanges = settings.minStoreLimits().txnOps();
     members.add(settings.member());
     settings.peers().forEach(p -> members.add(p.member()));
   }
@@ -93,7 +93,7 @@
     // The next decision is made on the records as they are after this one.
     state.commit(
         txn,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result -> cache.catchUp(caughtUp -> done.accept(outcome(result.outcome()))));
   }
 
@@ -136,7 +136,7 @@
   public void keysOf(Feature feature, Consumer<List<String>> done) {
     state.list(
         prefixOf(feature),
-        Use.CLAIM,
+        CallPriority.CLAIM,
         listing -> done.accept(listing == null ? null : listing.keys()));
   }
 
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -141,7 +141,7 @@
   private void startTerm(long term, double wonAt) {
     if (!cache.isLoaded()) {
       if (stillLeads(term)) {
-        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, wonAt));
+        loop.schedule(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, wonAt));
       }
       return;
     }
@@ -151,7 +151,7 @@
             return;
           }
           if (!caughtUp || types.get() == null) {
-            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, wonAt));
+            loop.schedule(StateClient.RETRY_DELAY_S, () -> startTerm(term, wonAt));
             return;
           }
           current = newTerm.get();
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -58,7 +58,7 @@
   LeaderTerm(
       LeaderServices services,
       Policy policy,
-      Settings.StateLimits leastLimits,
+      Settings.StoreLimits leastLimits,
       OperatorSettings operators,
       RandomGenerator random,
       List<MachineType> types) {
@@ -98,7 +98,7 @@
 
   /** The time of day, in milliseconds since the epoch. */
   long wallMs() {
-    return loop.wallMs();
+    return loop.wallClockMs();
   }
 
   boolean isClosed() {
@@ -220,7 +220,7 @@
     }
     core.tick(loop.now());
     actions.carryOut();
-    tickTimer = loop.after(ControllerNode.TICK_S, this::tick);
+    tickTimer = loop.schedule(ControllerNode.TICK_S, this::tick);
   }
 
   /** Has the core step after the events of this moment, which it decides on together. */
@@ -240,7 +240,7 @@
     actions.carryOut();
     if (wait < SchedulerLimits.MIN_ROUND_INTERVAL_S * 2 && !stepping) {
       stepping = true;
-      stepTimer = loop.after(wait, this::step);
+      stepTimer = loop.schedule(wait, this::step);
     }
   }
 
@@ -260,7 +260,7 @@
             stepSoon();
           }
           int listed = machines == null ? 0 : machines.size();
-          listTimer = loop.after(cloud.listEveryS(listed), this::listMachines);
+          listTimer = loop.schedule(cloud.listEveryS(listed), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -67,7 +67,7 @@
               types == null
                   ? CloudClient.TYPES_RETRY_S
                   : TYPES_EVERY_S * (leading.getAsBoolean() ? 1 : 5);
-          timer = loop.after(wait, this::read);
+          timer = loop.schedule(wait, this::read);
         });
   }
 }
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -2,7 +2,7 @@
 
 import graderelay.features.Member;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.FeatureRecords;
 import graderelay.state.StateClient;
@@ -64,7 +64,7 @@
     String key = FeatureCodec.memberKey(self.name());
     state.commit(
         new Transaction().when(key, revision).put(key, FeatureCodec.encodeMember(self)),
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         result ->
             cache.catchUp(
                 caughtUp -> {
@@ -72,7 +72,7 @@
                   if (caughtUp) {
                     checkRecord();
                   } else {
-                    loop.after(StateClient.RETRY_DELAY_S, this::checkRecord);
+                    loop.schedule(StateClient.RETRY_DELAY_S, this::checkRecord);
                   }
                 }));
   }
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -61,7 +61,7 @@
   /** Starts to measure how late the event loop is. */
   public void start() {
     double due = loop.now() + DELAY_PROBE_S;
-    loop.after(
+    loop.schedule(
         DELAY_PROBE_S,
         () -> {
           span("graderelay.loop.delay", Math.max(0, loop.now() - due));
@@ -111,8 +111,8 @@
   void bucket(String name, TokenBucket bucket) {
     Tags tags = Tags.of("bucket", name);
     gauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
-    gauge("graderelay.tokens.refused", tags, m -> bucket.refused());
-    gauge("graderelay.tokens.waited.seconds", tags, m -> bucket.waitedSeconds());
+    gauge("graderelay.tokens.refused", tags, m -> bucket.refusedCount());
+    gauge("graderelay.tokens.waited.seconds", tags, m -> bucket.totalWaitS());
   }
 
   /**
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -7,7 +7,7 @@
 import graderelay.api.UserApi;
 import graderelay.features.FeatureGate;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.peer.RequestHedger;
 import graderelay.wire.Json;
 import graderelay.worker.WorkerApi;
@@ -111,7 +111,7 @@
 
   private void showReady(Exchange exchange) {
     if (ready.getAsBoolean()) {
-      exchange.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
+      exchange.responder().accept(Response.json(200, Json.write(Json.object().put("ready", true))));
     } else {
       ApiError.unavailable(gate.isShut() ? gate.closedBecause() : "not ready").sendTo(exchange);
     }
@@ -119,7 +119,7 @@
 
   private void showMetrics(Exchange exchange) {
     byte[] text = metrics.get().getBytes(StandardCharsets.UTF_8);
-    exchange.to().accept(new Answer(200, text, "text/plain; version=0.0.4", 0, false));
+    exchange.responder().accept(new Response(200, text, "text/plain; version=0.0.4", 0, false));
   }
 
   /** Requests about jobs, decided by this controller itself. */
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -20,18 +20,21 @@
   static Policy of(Settings settings, StateClient state, OperatorSettings operators) {
     return new Policy(
         settings.teams(),
-        settings.delegates(),
-        settings.grantS(),
-        settings.reportS(),
+        settings.delegateZones(),
+        settings.delegateGrantS(),
+        settings.heartbeatIntervalS(),
         settings.leaseS(),
         settings.listLagS(),
-        settings.least().txnOps(),
-        (int) ((state.hasReducedLimits() ? settings.least() : settings.now()).valueKb() * 1024),
+        settings.minStoreLimits().txnOps(),
+        (int)
+            ((state.hasReducedLimits() ? settings.minStoreLimits() : settings.currentStoreLimits())
+                    .valueKib()
+                * 1024),
         state.budget().leaderChangesPerS(),
         settings.cpuShare() * DIRECT_COMMANDS_PER_CORE_S,
-        settings.waits(),
-        settings.waitSteps(),
-        settings.finishes(),
+        settings.startObjectivesS(),
+        settings.startObjectiveStepsS(),
+        settings.completionObjectivesS(),
         operators.tuning());
   }
 
@@ -39,6 +42,7 @@
   static int mostBatchTasks(Settings settings) {
     // New records must fit the limits that the store will have later as well.
     return Math.max(
-        1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
+        1,
+        (int) (settings.minStoreLimits().valueKib() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
   }
 }
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -1,7 +1,7 @@
 package graderelay.service;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.config.Logs;
+import graderelay.config.Logging;
 import graderelay.config.OperatorSettings;
 
 /**
@@ -21,7 +21,8 @@
    */
   StoredOperatorSettings(int mostBatchTasks) {
     String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(mostBatchTasks, Logs.known(level) ? level : "info");
+    this.defaults =
+        OperatorSettings.defaults(mostBatchTasks, Logging.isKnownLevel(level) ? level : "info");
     this.mostBatchTasks = mostBatchTasks;
     this.current = defaults;
   }
@@ -37,9 +38,9 @@
   /** Reads the stored record anew, sets the log's level if it changed, and returns the result. */
   OperatorSettings reload(JsonNode stored) {
     String before = current.logLevel();
-    current = OperatorSettings.stored(stored, defaults, mostBatchTasks);
+    current = OperatorSettings.fromStored(stored, defaults, mostBatchTasks);
     if (!current.logLevel().equals(before)) {
-      Logs.level(current.logLevel());
+      Logging.setLevel(current.logLevel());
     }
     return current;
   }
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/TermRecords.java
@@ -43,7 +43,7 @@
     hints.images().forEach(core::onStoredImages);
     core.onImageShards(hints.imagePartsPerThousand());
     loadJobs(now);
-    core.onStoredDemand(hints.demand(loop.wallMs()), now);
+    core.onStoredDemand(hints.demand(loop.wallClockMs()), now);
     onQuota();
     core.onRecordsLoaded(now);
   }
@@ -76,7 +76,7 @@
 
   /** The loop's time in seconds at a time of day, which is in milliseconds. */
   private double secondsAt(long wallMs) {
-    return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
+    return loop.now() - (loop.wallClockMs() - wallMs) / 1000.0;
   }
 
   /** A job was cancelled, which its record may not show yet. */
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -5,7 +5,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.TransactionOutcome;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.quota.AccountChange;
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
@@ -34,14 +34,14 @@
   private final Cache cache;
   private final Leadership leadership;
   private final Metrics metrics;
-  private final Settings.StateLimits leastLimits;
+  private final Settings.StoreLimits leastLimits;
 
   /**
    * Makes the executor of one term, whose core exists already.
    *
    * @param leastLimits what the store allows at least, now and later
    */
-  TransactionExecutor(LeaderTerm term, LeaderServices services, Settings.StateLimits leastLimits) {
+  TransactionExecutor(LeaderTerm term, LeaderServices services, Settings.StoreLimits leastLimits) {
     this.term = term;
     this.core = term.core();
     this.loop = services.loop();
@@ -54,7 +54,7 @@
 
   /** Commits one write, conditioned on the leader record and on every record's revision. */
   void commit(Action.Write write) {
-    state.commit(transaction(write), Use.CLAIM, result -> onResult(write.id(), result));
+    state.commit(transaction(write), CallPriority.CLAIM, result -> onResult(write.id(), result));
   }
 
   private Transaction transaction(Action.Write write) {
@@ -84,7 +84,7 @@
     txn.when(key, end.jobRevision()).delete(key);
     txn.put(
         StateCodec.finalStateKey(end.job()),
-        StateCodec.encodeFinalState(end.cancelled(), end.tasks(), loop.wallMs()));
+        StateCodec.encodeFinalState(end.cancelled(), end.tasks(), loop.wallClockMs()));
     end.taskBatches().forEach(drop -> dropTaskBatch(txn, drop));
   }
 
@@ -117,7 +117,7 @@
       core.onStoreLimits(
           state.hasReducedLimits() ? leastLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
-      loop.after(StateClient.RETRY_DELAY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
+      loop.schedule(StateClient.RETRY_DELAY_S, () -> tellCore(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info(
           "transaction {}: {} {}",
@@ -142,7 +142,7 @@
           if (caughtUp) {
             tellCore(id, outcome);
           } else {
-            loop.after(StateClient.RETRY_DELAY_S, () -> catchUpThenTellCore(id, outcome));
+            loop.schedule(StateClient.RETRY_DELAY_S, () -> catchUpThenTellCore(id, outcome));
           }
         });
   }
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -64,8 +64,8 @@
     this.loop = loop;
     this.cache = cache;
     this.peers = settings.peers();
-    this.maxStalenessS = settings.renewWithinS();
-    this.startupRenewalS = settings.beginnersS();
+    this.maxStalenessS = settings.maxCancellationStalenessS();
+    this.startupRenewalS = settings.startupRenewalS();
     this.startedAt = loop.now();
   }
 
@@ -118,7 +118,7 @@
   /**
    * True if worker leases may be renewed now. A process that has just started may renew them for a
    * short time without knowing any cancellations, because the controllers that renewed them before
-   * knew enough; see {@link Settings#beginnersS}.
+   * knew enough; see {@link Settings#startupRenewalS}.
    */
   public boolean mayRenewLeases() {
     double now = loop.now();
--- a/src/main/java/graderelay/state/CatchUpReader.java
+++ b/src/main/java/graderelay/state/CatchUpReader.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,7 +53,7 @@
     double intervalS = Math.max(MIN_INTERVAL_S, state.budget().readIntervalS());
     double delayS = lastSentAt + intervalS - loop.now();
     if (delayS > 0) {
-      loop.after(delayS, this::read);
+      loop.schedule(delayS, this::read);
     } else {
       read();
     }
@@ -69,7 +69,7 @@
         StateCodec.ROOT,
         afterRevision,
         0,
-        Use.SUBMISSION,
+        CallPriority.SUBMISSION,
         result -> {
           readInFlight = false;
           boolean caughtUp = changeHandler.onChangesRead(result, afterRevision, sentAt);
--- a/src/main/java/graderelay/state/ElectionAttempt.java
+++ b/src/main/java/graderelay/state/ElectionAttempt.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.Optional;
@@ -73,7 +73,7 @@
     }
     stateClient.commit(
         leaderRecordTransaction(),
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> {
           switch (result.outcome()) {
             case SUCCEEDED -> finishWon(result.revision());
@@ -106,14 +106,14 @@
     }
     stateClient.get(
         cache.election().leaderKey(),
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> {
           if (result.succeeded() && isOwnRecord(result.entry())) {
             finishWon(result.entry().revision());
           } else if (result.succeeded() || result.outcome() == StoreOutcome.NOT_FOUND) {
             abort(); // A delayed copy of the transaction must fail.
           } else {
-            loop.after(OUTCOME_READ_RETRY_DELAY_S, this::readOutcome);
+            loop.schedule(OUTCOME_READ_RETRY_DELAY_S, this::readOutcome);
           }
         });
   }
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -64,7 +64,7 @@
     }
     lookupInFlight = true;
     double dueAt = lastLookupAt + state.budget().readIntervalS();
-    loop.after(Math.max(0, dueAt - loop.now()), this::sendLookup);
+    loop.schedule(Math.max(0, dueAt - loop.now()), this::sendLookup);
   }
 
   /** Sends a transaction conditioned on many ids having no final record. */
@@ -81,7 +81,7 @@
     }
     state.commit(
         transaction,
-        Use.READ,
+        CallPriority.READ,
         result -> {
           lookupInFlight = false;
           if (result.succeeded()) {
@@ -130,7 +130,7 @@
   private void read(String id, List<Consumer<Result>> callbacks) {
     state.get(
         StateCodec.finalStateKey(id),
-        Use.READ,
+        CallPriority.READ,
         result -> {
           if (result.succeeded()) {
             cache.cacheFinalState(id, StateCodec.decodeFinalState(result.entry().value()));
--- a/src/main/java/graderelay/state/FullLoad.java
+++ b/src/main/java/graderelay/state/FullLoad.java
@@ -2,7 +2,7 @@
 
 import graderelay.features.Feature;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.FeatureCodec;
 import graderelay.wire.StateCodec;
 import java.util.ArrayList;
@@ -79,7 +79,7 @@
   }
 
   private void scheduleRetry() {
-    loop.after(StateClient.RETRY_DELAY_S, this::start);
+    loop.schedule(StateClient.RETRY_DELAY_S, this::start);
   }
 
   private void readNext(List<Listing> listings) {
@@ -90,7 +90,7 @@
     String prefix = PREFIXES.get(listings.size());
     state.list(
         prefix,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         listing -> {
           if (listing == null) {
             loading = false;
@@ -114,7 +114,7 @@
     }
     state.list(
         FeatureCodec.HINTS,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         listing -> {
           loading = false;
           if (listing == null) {
--- a/src/main/java/graderelay/state/LeaderElection.java
+++ b/src/main/java/graderelay/state/LeaderElection.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import graderelay.wire.StoreCodec.StoreEntry;
 import java.util.Optional;
@@ -101,7 +101,7 @@
 
   private void runAfterDelay(double delayS, Runnable action) {
     attemptPending = true;
-    loop.after(
+    loop.schedule(
         delayS,
         () -> {
           attemptPending = false;
@@ -116,7 +116,7 @@
     attemptPending = true;
     stateClient.get(
         cache.election().leaderKey(),
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> {
           attemptPending = false;
           long lease = result.succeeded() ? result.entry().sessionLease() : 0;
--- a/src/main/java/graderelay/state/LeaderPledges.java
+++ b/src/main/java/graderelay/state/LeaderPledges.java
@@ -91,7 +91,7 @@
             handOverIfFailing(peer);
           }
         });
-    loop.after(REQUEST_INTERVAL_S, this::requestPledges);
+    loop.schedule(REQUEST_INTERVAL_S, this::requestPledges);
   }
 
   /** Hands over to a peer that reaches the store if renewals have failed here for a while. */
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -76,6 +76,6 @@
             pledges.add(peer.member(), sentAt, ElectionTiming.LEADERLESS_PLEDGE_S);
           }
         });
-    loop.after(REQUEST_INTERVAL_S, this::requestPledges);
+    loop.schedule(REQUEST_INTERVAL_S, this::requestPledges);
   }
 }
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -2,7 +2,7 @@
 
 import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 
 /**
@@ -43,7 +43,7 @@
             .when(cache.election().leaderKey(), 0)
             .when(key, cache.suspension(self.member()).revision())
             .put(key, StateCodec.encodeSuspension(self.incarnation())),
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> done.run());
   }
 
--- a/src/main/java/graderelay/state/PeerMonitor.java
+++ b/src/main/java/graderelay/state/PeerMonitor.java
@@ -3,7 +3,7 @@
 import graderelay.config.Settings;
 import graderelay.core.LeaseTiming;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.peer.PeerClient;
 import graderelay.wire.PeerAnswer;
 import graderelay.wire.PeerCodec;
@@ -137,7 +137,7 @@
           answer -> onAnswer(peer.member(), term, answer));
       suspendOrLift(peer.member());
     }
-    loop.after(STATUS_REQUEST_INTERVAL_S, this::requestStatuses);
+    loop.schedule(STATUS_REQUEST_INTERVAL_S, this::requestStatuses);
   }
 
   /** Handles the answer to a status request of a term; {@code answer} is null if there is none. */
@@ -175,7 +175,7 @@
     changingSuspension = true;
     stateClient.commit(
         transaction,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result ->
             cache.catchUp(caughtUp -> onSuspensionChanged(peer, suspend && result.succeeded())));
   }
--- a/src/main/java/graderelay/state/SessionLeaseRenewal.java
+++ b/src/main/java/graderelay/state/SessionLeaseRenewal.java
@@ -98,7 +98,7 @@
   }
 
   private void scheduleRenewal() {
-    renewalTimer = loop.after(sessionLeaseS * RENEWAL_INTERVAL_FRACTION, this::renew);
+    renewalTimer = loop.schedule(sessionLeaseS * RENEWAL_INTERVAL_FRACTION, this::renew);
   }
 
   private void renew() {
--- a/src/main/java/graderelay/state/StateClient.java
+++ b/src/main/java/graderelay/state/StateClient.java
@@ -5,7 +5,7 @@
 import graderelay.core.SchedulerLimits;
 import graderelay.net.Loop;
 import graderelay.net.Reply;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.net.Transport;
 import graderelay.wire.Json;
 import graderelay.wire.StoreCodec;
@@ -94,16 +94,17 @@
   // ---------------------------------------------------------------- reads
 
   /** Reads one key. */
-  public void get(String key, Use use, Consumer<StoreResult> done) {
+  public void get(String key, CallPriority use, Consumer<StoreResult> done) {
     call(use, "GET", KEYS_PATH + "/" + key, null, CALL_TIMEOUT_S, done);
   }
 
   /** Reads all records under a prefix; calls back with null if a page can't be read. */
-  public void list(String prefix, Use use, Consumer<Listing> done) {
+  public void list(String prefix, CallPriority use, Consumer<Listing> done) {
     new PagedRead((afterKey, onPage) -> readPage(prefix, afterKey, use, onPage), done).start();
   }
 
-  private void readPage(String prefix, String afterKey, Use use, Consumer<StoreResult> done) {
+  private void readPage(
+      String prefix, String afterKey, CallPriority use, Consumer<StoreResult> done) {
     String path =
         KEYS_PATH
             + "?under="
@@ -120,7 +121,11 @@
    * @param blockMs maximum time in milliseconds that the store waits for a change; 0 for none
    */
   public void watch(
-      String prefix, long afterRevision, int blockMs, Use use, Consumer<StoreResult> done) {
+      String prefix,
+      long afterRevision,
+      int blockMs,
+      CallPriority use,
+      Consumer<StoreResult> done) {
     String path =
         WATCH_PATH
             + "?under="
@@ -156,7 +161,7 @@
   }
 
   /** Executes a transaction, with the fence as an additional condition. */
-  public void commit(Transaction transaction, Use use, Consumer<StoreResult> done) {
+  public void commit(Transaction transaction, CallPriority use, Consumer<StoreResult> done) {
     if (!transaction.isReadOnly() && !changesAllowed.getAsBoolean()) {
       done.accept(StoreResult.notExecuted());
       return;
@@ -187,23 +192,29 @@
    */
   public void createSessionLease(long ttlMs, Consumer<StoreResult> done) {
     ObjectNode body = StoreCodec.encodeLeaseRequest(ttlMs);
-    call(Use.RENEWAL, "POST", LEASES_PATH, body, CALL_TIMEOUT_S, done);
+    call(CallPriority.RENEWAL, "POST", LEASES_PATH, body, CALL_TIMEOUT_S, done);
   }
 
   /** Renews a session lease for its full time to live. */
   public void renewSessionLease(long lease, double timeoutS, Consumer<StoreResult> done) {
-    call(Use.RENEWAL, "POST", LEASES_PATH + "/" + lease + "/extend", Json.object(), timeoutS, done);
+    call(
+        CallPriority.RENEWAL,
+        "POST",
+        LEASES_PATH + "/" + lease + "/extend",
+        Json.object(),
+        timeoutS,
+        done);
   }
 
   /** Revokes a session lease; the store immediately deletes the keys bound to it. */
   public void revokeSessionLease(long lease, Consumer<StoreResult> done) {
-    call(Use.RENEWAL, "DELETE", LEASES_PATH + "/" + lease, null, CALL_TIMEOUT_S, done);
+    call(CallPriority.RENEWAL, "DELETE", LEASES_PATH + "/" + lease, null, CALL_TIMEOUT_S, done);
   }
 
   // ---------------------------------------------------------------- calls
 
   private void call(
-      Use use,
+      CallPriority use,
       String method,
       String path,
       JsonNode body,
@@ -262,7 +273,7 @@
               : StoreOutcome.NOT_EXECUTED;
       case 429, 503 -> StoreOutcome.NOT_EXECUTED;
       case 0 -> reply.sent() ? StoreOutcome.UNKNOWN : StoreOutcome.NOT_EXECUTED;
-      case Reply.TOO_LARGE -> outcomeOfTooLarge(path);
+      case Reply.RESPONSE_TOO_LARGE -> outcomeOfTooLarge(path);
       default -> StoreOutcome.UNKNOWN;
     };
   }
--- a/src/main/java/graderelay/state/StoreRequestBudget.java
+++ b/src/main/java/graderelay/state/StoreRequestBudget.java
@@ -2,7 +2,7 @@
 
 import graderelay.net.Loop;
 import graderelay.net.TokenBucket;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import java.util.function.Consumer;
 
 /**
@@ -94,12 +94,13 @@
    */
   void setLeader(boolean isLeader) {
     this.isLeader = isLeader;
-    requestTokens.rate(isLeader ? requestsPerS * LEADER_REQUEST_SHARE : followerRequestsPerS());
+    requestTokens.tokensPerS(
+        isLeader ? requestsPerS * LEADER_REQUEST_SHARE : followerRequestsPerS());
     resetChangeRate();
   }
 
   private void resetChangeRate() {
-    changeTokens.rate(isLeader ? leaderChangesPerS() : followerChangesPerS());
+    changeTokens.tokensPerS(isLeader ? leaderChangesPerS() : followerChangesPerS());
   }
 
   // ---------------------------------------------------------------- lending
@@ -110,19 +111,19 @@
    * many of them are then combined into one change.
    */
   void lend(double lentChangesPerS) {
-    changeTokens.rate(leaderChangesPerS() - lentChangesPerS);
+    changeTokens.tokensPerS(leaderChangesPerS() - lentChangesPerS);
   }
 
   /** Uses the change rate that the leader has lent to this follower until the loan expires. */
   void borrow(double borrowedChangesPerS) {
-    changeTokens.rate(Math.max(followerChangesPerS(), borrowedChangesPerS));
+    changeTokens.tokensPerS(Math.max(followerChangesPerS(), borrowedChangesPerS));
     borrowedUntil = loop.now() + LOAN_DURATION_S;
-    loop.after(LOAN_DURATION_S, this::endLoan);
+    loop.schedule(LOAN_DURATION_S, this::endLoan);
   }
 
   private void endLoan() {
     if (!isLeader && loop.now() >= borrowedUntil) {
-      changeTokens.rate(followerChangesPerS());
+      changeTokens.tokensPerS(followerChangesPerS());
     }
   }
 
@@ -136,12 +137,12 @@
   // ---------------------------------------------------------------- use
 
   /** Calls back with true once a request may be sent, or with false if it is rejected. */
-  void takeRequest(Use use, Consumer<Boolean> done) {
+  void takeRequest(CallPriority use, Consumer<Boolean> done) {
     requestTokens.take(use, 1, done);
   }
 
   /** Calls back with true once {@code count} changes may be sent, or with false if rejected. */
-  void takeChanges(Use use, int count, Consumer<Boolean> done) {
+  void takeChanges(CallPriority use, int count, Consumer<Boolean> done) {
     changeTokens.take(
         use,
         count,
@@ -155,13 +156,13 @@
 
   /** Minimum interval in seconds between reads of one kind that keeps them within this budget. */
   double readIntervalS() {
-    return REQUESTS_PER_READ / requestTokens.rate();
+    return REQUESTS_PER_READ / requestTokens.tokensPerS();
   }
 
   /** Called when the store has answered 429; discards all tokens to pause for a moment. */
   void onTooManyRequests() {
-    requestTokens.penalty();
-    changeTokens.penalty();
+    requestTokens.onThrottled();
+    changeTokens.onThrottled();
   }
 
   /** Keeps to the store's reduced change rate from now on. */
--- a/src/main/java/graderelay/state/TermRaise.java
+++ b/src/main/java/graderelay/state/TermRaise.java
@@ -1,6 +1,6 @@
 package graderelay.state;
 
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
@@ -62,7 +62,7 @@
                 status.sessionLease());
     stateClient.commit(
         transaction,
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> {
           onResult(newTerm, result);
           done.accept(result.succeeded() ? newTerm : 0L);
@@ -103,7 +103,7 @@
             self.leaderRecord(newTerm),
             status.leaderRevision(),
             status.sessionLease()),
-        Use.RENEWAL,
+        CallPriority.RENEWAL,
         result -> {
           onResult(newTerm, result);
           if (result.succeeded()) {
--- a/src/main/java/graderelay/state/WatchLoop.java
+++ b/src/main/java/graderelay/state/WatchLoop.java
@@ -1,7 +1,7 @@
 package graderelay.state;
 
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.wire.StateCodec;
 import java.util.function.LongSupplier;
 
@@ -52,7 +52,7 @@
     double intervalS = Math.max(MIN_INTERVAL_S, state.budget().readIntervalS());
     double delayS = lastSentAt + intervalS - loop.now();
     if (delayS > 0) {
-      loop.after(delayS, () -> watch(watchGeneration));
+      loop.schedule(delayS, () -> watch(watchGeneration));
       return;
     }
     lastSentAt = loop.now();
@@ -62,13 +62,13 @@
         StateCodec.ROOT,
         afterRevision,
         BLOCK_MS,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result -> {
           changeHandler.onChangesRead(result, afterRevision, sentAt);
           if (result.succeeded()) {
             watch(watchGeneration);
           } else if (result.outcome() != StoreOutcome.NOT_FOUND) {
-            loop.after(StateClient.RETRY_DELAY_S, () -> watch(watchGeneration));
+            loop.schedule(StateClient.RETRY_DELAY_S, () -> watch(watchGeneration));
           }
         });
   }
--- a/src/main/java/graderelay/wire/PeerAnswer.java
+++ b/src/main/java/graderelay/wire/PeerAnswer.java
@@ -1,7 +1,7 @@
 package graderelay.wire;
 
 import graderelay.core.KnownCancellations;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 
 /** What a controller answers another. {@link PeerCodec} has its form on the wire. */
 public sealed interface PeerAnswer {
@@ -42,5 +42,5 @@
   record Identified(String incarnation) implements PeerAnswer {}
 
   /** To a request that was passed on: what its sender is to be told. */
-  record Relayed(Answer answer) implements PeerAnswer {}
+  record Relayed(Response answer) implements PeerAnswer {}
 }
--- a/src/main/java/graderelay/wire/PeerAnswerCodec.java
+++ b/src/main/java/graderelay/wire/PeerAnswerCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.KnownCancellations;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -71,7 +71,7 @@
     } else if (answer instanceof PeerAnswer.Identified identified) {
       return n.put(INCARNATION, identified.incarnation());
     } else if (answer instanceof PeerAnswer.Relayed relayed) {
-      Answer passedOn = relayed.answer();
+      Response passedOn = relayed.answer();
       return n.put(STATUS, passedOn.status())
           .put(PeerCodec.BODY, passedOn.body())
           .put(RETRY_AFTER_S, passedOn.retryAfterS());
@@ -120,7 +120,7 @@
       return null;
     }
     return new PeerAnswer.Relayed(
-        new Answer(
+        new Response(
             n.get(STATUS).asInt(),
             PeerCodec.decodeBody(n),
             JSON,
--- a/src/main/java/graderelay/worker/DelegationRequests.java
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -2,7 +2,7 @@
 
 import graderelay.config.Settings;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
 import graderelay.state.Cancellations;
@@ -109,7 +109,7 @@
     if (releasePending && state.health().isReachable()) {
       recordRelease(now);
     }
-    timer = loop.after(DELEGATE_ASKS_S, this::tick);
+    timer = loop.schedule(DELEGATE_ASKS_S, this::tick);
   }
 
   private void renew(double now) {
@@ -175,7 +175,7 @@
                 StateCodec.LEASE_DELEGATES + member,
                 StateCodec.encodeDelegateRelease(
                     processId, upTo, grant.grantedBy(), grant.sinceAnsweredAlone(now))),
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result -> {
           if (result.succeeded() && releasedUpTo == upTo) {
             releasePending = false;
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -47,8 +47,8 @@
     this.state = state;
     this.cancellations = cancellations;
     this.zone = settings.zone();
-    double lengthS = settings.grantS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
-    this.needed = !settings.delegates().isEmpty() && lengthS > 0;
+    double lengthS = settings.delegateGrantS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    this.needed = !settings.delegateZones().isEmpty() && lengthS > 0;
     this.grant = new DelegationGrant(loop, lengthS);
     this.requests =
         new DelegationRequests(
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -4,7 +4,7 @@
 import graderelay.core.SchedulerLimits;
 import graderelay.core.WorkerCommand;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.peer.PeerClient;
 import graderelay.state.Cache;
@@ -85,18 +85,18 @@
   public void checkin(Exchange exchange) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(exchange.body()));
     if (heartbeat == null) {
-      refuseMalformed(exchange.to());
+      refuseMalformed(exchange.responder());
     } else if (cache.features().gate().isShut()) {
-      redirect(exchange.to(), leaderName(cache.leader()));
+      redirect(exchange.responder(), leaderName(cache.leader()));
     } else if (leadership.isLeader()) {
-      answerAsLeader(heartbeat, "", exchange.to());
+      answerAsLeader(heartbeat, "", exchange.responder());
     } else if (leadership.mayRenewLeasesWithoutLeader()
         && heartbeat.term() > 0
         && cancellations.mayRenewLeases()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
-      renew(exchange.to(), heartbeat.term(), cancellations.killCommands(heartbeat));
+      renew(exchange.responder(), heartbeat.term(), cancellations.killCommands(heartbeat));
     } else if (leaseDelegate.mayAnswer(heartbeat)) {
-      renew(exchange.to(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
+      renew(exchange.responder(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
     } else {
       leadership.collectLeaderlessPledges();
       relayOrRedirect(exchange, heartbeat);
@@ -104,7 +104,7 @@
   }
 
   /** Answers a heartbeat that the controller {@code relayedBy} passes on to the leader. */
-  public void relayed(String relayedBy, byte[] body, Consumer<Answer> to) {
+  public void relayed(String relayedBy, byte[] body, Consumer<Response> to) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(body));
     if (heartbeat == null) {
       refuseMalformed(to);
@@ -113,7 +113,7 @@
     }
   }
 
-  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Answer> to) {
+  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Response> to) {
     if (leadership.mayActAsLeader() && cancellations.mayRenewLeases()) {
       List<WorkerCommand> commands = scheduler.onHeartbeat(heartbeat, relayedBy);
       renew(to, leadership.term(), cancellations.prependKillCommands(heartbeat, commands));
@@ -128,7 +128,7 @@
     if (redirected.shouldRelay(heartbeat, leader, address != null, loop.now())) {
       relay(exchange, address, leader.member());
     } else {
-      redirect(exchange.to(), leaderName(leader));
+      redirect(exchange.responder(), leaderName(leader));
     }
   }
 
@@ -140,9 +140,9 @@
         peerClient.timeoutS(),
         relayed -> {
           if (relayed != null && relayed.answer().status() == OK) {
-            exchange.to().accept(relayed.answer());
+            exchange.responder().accept(relayed.answer());
           } else {
-            redirect(exchange.to(), leaderName);
+            redirect(exchange.responder(), leaderName);
           }
         });
   }
@@ -152,20 +152,20 @@
   }
 
   /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
-  private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> commands) {
+  private static void renew(Consumer<Response> to, long term, List<WorkerCommand> commands) {
     byte[] body =
         Json.write(
             WorkerCodec.encodeHeartbeatResponse(
                 term, commands, SchedulerLimits.MAX_COMMANDS_PER_MESSAGE));
-    to.accept(Answer.json(OK, body));
+    to.accept(Response.json(OK, body));
   }
 
   /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
-  private static void redirect(Consumer<Answer> to, String member) {
-    to.accept(Answer.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(member))));
+  private static void redirect(Consumer<Response> to, String member) {
+    to.accept(Response.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(member))));
   }
 
-  private static void refuseMalformed(Consumer<Answer> to) {
-    to.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
+  private static void refuseMalformed(Consumer<Response> to) {
+    to.accept(Response.json(BAD_REQUEST, Json.error("not a report")));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -57,14 +57,14 @@
     return switch (reply.status()) {
       case OK -> CommandDeliveryOutcome.EXECUTED;
       case CONFLICT, BAD_REQUEST -> CommandDeliveryOutcome.REFUSED;
-      case Reply.NO_ANSWER ->
+      case Reply.NO_RESPONSE ->
           reply.sent() ? CommandDeliveryOutcome.UNKNOWN : CommandDeliveryOutcome.NEVER_LEFT;
       default -> CommandDeliveryOutcome.UNKNOWN;
     };
   }
 
   private static Heartbeat heartbeat(Reply reply) {
-    boolean hasStatus = reply.ok() || reply.status() == CONFLICT;
+    boolean hasStatus = reply.isOk() || reply.status() == CONFLICT;
     return hasStatus ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
   }
 }
--- a/src/test/java/graderelay/api/DependencySubmissionTest.java
+++ b/src/test/java/graderelay/api/DependencySubmissionTest.java
@@ -69,7 +69,7 @@
 
   @Test
   void manyDependenciesWorkAndMoreThanOneRecordHoldsAreRefused() {
-    SimWorld w = new SimWorld(410, WorldShape.of(3), new Settings.StateLimits(200, 2, 4));
+    SimWorld w = new SimWorld(410, WorldShape.of(3), new Settings.StoreLimits(200, 2, 4));
     w.loop.run(3);
     List<SimJob> over = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -18,15 +18,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Controllers as processes of their own on loopback, with stand-ins for the store, the cloud and
- * its workers.
+ * Runs controllers as separate processes on loopback, with simulations of the store, the cloud and
+ * the workers.
  */
 final class LocalDeployment implements AutoCloseable {
   private static final int TXN_OPS = 12;
-  private static final int CONNECTIONS = 200;
-  private static final long END_S = 10;
-  private static final int TRIES = 400;
-  private static final long PAUSE_MS = 100;
+  private static final int MAX_CONNECTIONS = 200;
+  private static final long EXIT_TIMEOUT_S = 10;
+  private static final int MAX_CHECKS = 400;
+  private static final long CHECK_INTERVAL_MS = 100;
 
   private final Path folder;
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -36,40 +36,41 @@
   private final List<String> peerAddresses = new ArrayList<>();
   private final SimStore store;
   private final LoopbackFleet fleet;
-  private final String state;
-  private final String cloud;
-  private final int limit;
+  private final String storeAddress;
+  private final String cloudAddress;
+  private final int cpuLimit;
 
-  /** What a tool printed and how it ended. */
-  record Outcome(int code, String out, String err) {}
+  /** The output and the exit code of a command. */
+  record CommandResult(int exitCode, String standardOutput, String standardError) {}
 
-  /** Controllers with nothing switched on, and a cloud that has no machine to give. */
+  /** Starts controllers without an options file, and a cloud without machines. */
   LocalDeployment(Path folder, int size) throws Exception {
     this(folder, size, 0, null);
   }
 
-  /** Controllers that start with the same options, for a team without a limit. */
+  /** Starts controllers with the same options and a team without a limit. */
   LocalDeployment(Path folder, int size, int machines, String options) throws Exception {
     this(folder, size, machines, options, 0);
   }
 
   /**
-   * Controllers that start with the same options.
+   * Starts controllers with the same options.
    *
-   * @param machines that the cloud has to give
-   * @param options what to switch on, or null
-   * @param limit CPUs that the settings allow the team, or 0 for any number
+   * @param machines number of machines that the cloud can provide
+   * @param options the content of the options file, or null for none
+   * @param limit CPU limit of the team in the settings, or 0 for no limit
    */
-  LocalDeployment(Path folder, int size, int machines, String options, int limit) throws Exception {
+  LocalDeployment(Path folder, int size, int machines, String options, int cpuLimit)
+      throws Exception {
     this.folder = folder;
-    this.limit = limit;
+    this.cpuLimit = cpuLimit;
     this.controllers = new Process[size];
     var loop = group.next();
     var clock = new NettyLoop(loop);
     store = new SimStore(clock, TXN_OPS);
-    state = listen(loop, clock, store.forNode(new boolean[1]));
+    storeAddress = listen(loop, clock, store.forNode(new boolean[1]));
     fleet = new LoopbackFleet(loop, clock, addresses, machines);
-    cloud = listen(loop, clock, fleet);
+    cloudAddress = listen(loop, clock, fleet);
     for (int i = 0; i < size; i++) {
       addresses.add(freeAddress());
       peerAddresses.add(freeAddress());
@@ -79,21 +80,24 @@
     }
   }
 
-  /** Looks again and again until something holds. */
-  static void eventually(String what, Callable<Boolean> holds) throws Exception {
-    for (int i = 0; i < TRIES; i++) {
-      if (holds.call()) {
+  /** Checks a condition repeatedly until it holds. */
+  static void eventually(String description, Callable<Boolean> condition) throws Exception {
+    for (int i = 0; i < MAX_CHECKS; i++) {
+      if (condition.call()) {
         return;
       }
-      TimeUnit.MILLISECONDS.sleep(PAUSE_MS);
+      TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL_MS);
     }
-    throw new AssertionError("not after all tries: " + what);
+    throw new AssertionError("condition did not become true: " + description);
   }
 
-  /** Starts a controller's process with these options, or with nothing switched on. */
+  /**
+   * Starts the process of a controller with these options, or without an options file if they are
+   * null.
+   */
   void start(int controller, String options) throws IOException {
     Path settings = folder.resolve("m-" + controller + ".toml");
-    Files.writeString(settings, settings(controller, peerAddresses, state, cloud));
+    Files.writeString(settings, settings(controller, peerAddresses, storeAddress, cloudAddress));
     List<String> arguments = new ArrayList<>(List.of("serve"));
     if (options != null) {
       Path file = folder.resolve("options-" + controller + ".toml");
@@ -106,53 +110,59 @@
     processes.add(controllers[controller]);
   }
 
-  /** Ends a controller's process without a word. */
+  /** Kills the process of a controller. */
   void kill(int controller) throws InterruptedException {
     controllers[controller].destroyForcibly().waitFor();
   }
 
-  /** The process that runs as a controller now. */
+  /** Returns the current process of a controller. */
   Process process(int controller) {
     return controllers[controller];
   }
 
-  /** From their next start on all know the controller by new addresses. */
-  void move(int controller) throws IOException {
+  /**
+   * Assigns new addresses to a controller, which apply to each controller from its next start on.
+   */
+  void changeAddresses(int controller) throws IOException {
     addresses.set(controller, freeAddress());
     peerAddresses.set(controller, freeAddress());
   }
 
-  /** Sends a signal to a process that this deployment has started. */
+  /** Sends a signal to a process of this deployment. */
   static void signal(Process process, String name) throws IOException, InterruptedException {
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).start().waitFor();
   }
 
-  /** What a process has written to standard error, by the order of starts. */
-  String errors(int controller, int start) throws IOException {
-    return Files.readString(folder.resolve("m-" + controller + "-" + start + ".err"));
+  /**
+   * Returns the standard error of a process.
+   *
+   * @param startIndex number of processes that this deployment had started before this one
+   */
+  String standardError(int controller, int startIndex) throws IOException {
+    return Files.readString(folder.resolve("m-" + controller + "-" + startIndex + ".err"));
   }
 
   LoopbackFleet fleet() {
     return fleet;
   }
 
-  /** A stored record, or null. */
+  /** Returns a stored record, or null if there is none. */
   JsonNode stored(String key) throws Exception {
     return group.next().submit(() -> store.value(key)).get();
   }
 
-  /** The address at which a controller serves users and operators. */
+  /** Returns the API address of a controller. */
   String address(int controller) {
     return addresses.get(controller);
   }
 
-  /** Runs a tool of the command line to its end. */
-  Outcome run(String... arguments) throws IOException, InterruptedException {
+  /** Runs a command until it exits. */
+  CommandResult run(String... arguments) throws IOException, InterruptedException {
     Process tool = launch("tool", arguments);
-    if (!tool.waitFor(END_S, TimeUnit.SECONDS)) {
+    if (!tool.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
       tool.destroyForcibly();
     }
-    return new Outcome(
+    return new CommandResult(
         tool.waitFor(),
         Files.readString(folder.resolve("tool.out")),
         Files.readString(folder.resolve("tool.err")));
@@ -174,7 +184,10 @@
       io.netty.channel.EventLoop loop, NettyLoop clock, Exchange.Handler handler)
       throws InterruptedException {
     var channel =
-        new HttpServer(loop, clock, CONNECTIONS, handler).listen("127.0.0.1:0").sync().channel();
+        new HttpServer(loop, clock, MAX_CONNECTIONS, handler)
+            .listen("127.0.0.1:0")
+            .sync()
+            .channel();
     return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
   }
 
@@ -184,19 +197,20 @@
     }
   }
 
-  private String settings(int i, List<String> peerClient, String state, String cloud) {
-    StringBuilder s = new StringBuilder();
-    s.append("member = \"m-").append(i).append("\"\nzone = \"a\"\n");
-    s.append("api_addr = \"").append(addresses.get(i)).append("\"\n");
-    s.append("mesh_addr = \"").append(peerClient.get(i)).append("\"\n");
-    for (int k = 0; k < peerClient.size(); k++) {
-      if (k != i) {
-        s.append("[[peers]]\nmember = \"m-").append(k).append("\"\nzone = \"a\"\n");
-        s.append("address = \"").append(peerClient.get(k)).append("\"\n");
+  private String settings(
+      int controller, List<String> peers, String storeAddress, String cloudAddress) {
+    StringBuilder toml = new StringBuilder();
+    toml.append("member = \"m-").append(controller).append("\"\nzone = \"a\"\n");
+    toml.append("api_addr = \"").append(addresses.get(controller)).append("\"\n");
+    toml.append("mesh_addr = \"").append(peers.get(controller)).append("\"\n");
+    for (int peer = 0; peer < peers.size(); peer++) {
+      if (peer != controller) {
+        toml.append("[[peers]]\nmember = \"m-").append(peer).append("\"\nzone = \"a\"\n");
+        toml.append("address = \"").append(peers.get(peer)).append("\"\n");
       }
     }
-    s.append("[outside]\ncloud = \"").append(cloud).append("\"\n");
-    s.append("state = \"").append(state).append("\"\n");
+    toml.append("[outside]\ncloud = \"").append(cloudAddress).append("\"\n");
+    toml.append("state = \"").append(storeAddress).append("\"\n");
     String deployment =
         """
         [deployment]
@@ -225,15 +239,15 @@
         cpu_share = 0.34
         max_connections = 200
         """
-            .formatted(limit);
-    return s + deployment;
+            .formatted(cpuLimit);
+    return toml + deployment;
   }
 
   @Override
   public void close() throws Exception {
     for (Process process : processes) {
       process.destroyForcibly();
-      process.waitFor(END_S, TimeUnit.SECONDS);
+      process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
     }
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
   }
