--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.HttpClient;
 import graderelay.net.HttpServer;
 import graderelay.net.NettyLoop;
@@ -20,102 +20,109 @@
 import java.util.Set;
 
 /**
- * A cloud and its workers on loopback, written from the published protocol: machines are up at
- * once, and each task runs for a moment. It records what ran where; everything is on one event
- * loop.
+ * A simulated cloud and its workers on loopback, implemented from the published protocol. Machines
+ * are ready at once, and each task runs for a short time. Records which task ran on which machine.
+ * Runs on a single event loop.
  */
 final class LoopbackFleet implements Exchange.Handler {
   private static final double HEARTBEAT_S = 1;
   private static final double LEASE_S = 12;
-  private static final double RUN_S = 0.7;
-  private static final int CONNECTIONS = 50;
-  private final int machines;
+  private static final double TASK_RUN_TIME_S = 0.7;
+  private static final int MAX_CONNECTIONS = 50;
+  private final int machineCapacity;
 
   private final EventLoop loop;
   private final NettyLoop clock;
   private final HttpClient client;
-  private final List<String> controllers;
+  private final List<String> controllerAddresses;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
-  private final Map<String, ArrayNode> scaleOuts = new LinkedHashMap<>();
-  private final Map<String, String> runningOn = new LinkedHashMap<>();
-  private final Set<String> done = new HashSet<>();
+  private final Map<String, ArrayNode> machinesByScaleOut = new LinkedHashMap<>();
+  private final Map<String, String> machineByRunningTask = new LinkedHashMap<>();
+  private final Set<String> completedTasks = new HashSet<>();
   private final List<String> violations = new ArrayList<>();
-  private int mostRunning;
-
-  /** The addresses are read when a worker sends a heartbeat, so they may change. */
-  LoopbackFleet(EventLoop loop, NettyLoop clock, List<String> controllers, int machines) {
-    this.machines = machines;
+  private int maxRunning;
+
+  /**
+   * Creates a fleet. The addresses of the controllers may change: they are read before each
+   * heartbeat.
+   */
+  LoopbackFleet(
+      EventLoop loop, NettyLoop clock, List<String> controllerAddresses, int machineCapacity) {
+    this.machineCapacity = machineCapacity;
     this.loop = loop;
     this.clock = clock;
-    this.client = new HttpClient(loop, CONNECTIONS);
-    this.controllers = controllers;
+    this.client = new HttpClient(loop, MAX_CONNECTIONS);
+    this.controllerAddresses = controllerAddresses;
   }
 
-  /** Tasks that ran on two machines at a time, or once more after they were done. */
+  /** Tasks that ran on two machines at the same time, or again after their completion. */
   synchronized List<String> violations() {
     return List.copyOf(violations);
   }
 
-  /** Tasks that have completed. */
-  synchronized Set<String> done() {
-    return Set.copyOf(done);
+  /** Tasks that have been completed. */
+  synchronized Set<String> completedTasks() {
+    return Set.copyOf(completedTasks);
   }
 
-  /** The most tasks that have run at once. */
-  synchronized int mostRunning() {
-    return mostRunning;
+  /** Maximum number of tasks that ran at the same time. */
+  synchronized int maxRunning() {
+    return maxRunning;
   }
 
-  private synchronized void started(String task, String worker) {
-    String other = runningOn.put(task, worker);
-    mostRunning = Math.max(mostRunning, runningOn.size());
+  private synchronized void onTaskStarted(String task, String worker) {
+    String other = machineByRunningTask.put(task, worker);
+    maxRunning = Math.max(maxRunning, machineByRunningTask.size());
     if (other != null) {
       violations.add(task + " runs on " + other + " and " + worker);
     }
-    if (done.contains(task)) {
+    if (completedTasks.contains(task)) {
       violations.add(task + " runs again after it was done");
     }
   }
 
-  private synchronized void ended(String task, boolean complete) {
-    runningOn.remove(task);
+  private synchronized void onTaskEnded(String task, boolean complete) {
+    machineByRunningTask.remove(task);
     if (complete) {
-      done.add(task);
+      completedTasks.add(task);
     }
   }
 
   // ---------------------------------------------------------------- the cloud
 
   @Override
-  public void handle(Exchange e) {
-    JsonNode answer =
-        switch (e.path()) {
-          case "/machine_types" -> Json.read(types());
-          case "/machines/delete" -> delete(Json.read(e.body()));
-          default -> e.method().equals("GET") ? list() : scaleOut(Json.read(e.body()));
+  public void handle(Exchange exchange) {
+    JsonNode response =
+        switch (exchange.path()) {
+          case "/machine_types" -> Json.read(machineTypes());
+          case "/machines/delete" -> deleteMachines(Json.read(exchange.body()));
+          default ->
+              exchange.method().equals("GET")
+                  ? listMachines()
+                  : scaleOut(Json.read(exchange.body()));
         };
-    if (answer == null) {
-      e.to().accept(Answer.json(503, Json.error("no capacity")));
+    if (response == null) {
+      exchange.responder().accept(Response.json(503, Json.error("no capacity")));
     } else {
-      e.to().accept(Answer.json(200, Json.write(answer)));
+      exchange.responder().accept(Response.json(200, Json.write(response)));
     }
   }
 
-  private static byte[] types() {
+  private static byte[] machineTypes() {
     return ("{\"rigs\":[{\"sku\":\"small\",\"cpus\":4,\"cards\":0,\"mem_gb\":16,\"cache_gb\":9,"
             + "\"pull_gb_per_s\":100,\"price\":1,\"market_price\":1,\"ready_s\":1,"
             + "\"yards\":[\"a\"]}]}")
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private JsonNode list() {
+  private JsonNode listMachines() {
     ObjectNode n = Json.object().put("truncated", false);
     ArrayNode all = n.putArray("saws");
-    workers.values().forEach(w -> all.add(w.listed()));
+    workers.values().forEach(w -> all.add(w.listEntry()));
     return n;
   }
 
-  private JsonNode delete(JsonNode names) {
+  private JsonNode deleteMachines(JsonNode names) {
     for (JsonNode name : names.path("saws")) {
       Worker w = workers.remove(name.asText());
       if (w != null) {
@@ -127,12 +134,12 @@
 
   private JsonNode scaleOut(JsonNode request) {
     ArrayNode names =
-        scaleOuts.computeIfAbsent(
+        machinesByScaleOut.computeIfAbsent(
             request.path("hire").asText(),
             scaleOut -> {
               ArrayNode started = Json.array();
               int wanted = request.path("how_many").asInt();
-              for (int i = 0; i < wanted && workers.size() < machines; i++) {
+              for (int i = 0; i < wanted && workers.size() < machineCapacity; i++) {
                 Worker w = new Worker(request.path("borrowed").asBoolean());
                 workers.put(w.name, w);
                 started.add(w.name);
@@ -140,7 +147,7 @@
               return started;
             });
     if (names.isEmpty()) {
-      scaleOuts.remove(request.path("hire").asText());
+      machinesByScaleOut.remove(request.path("hire").asText());
       return null;
     }
     ObjectNode n = Json.object();
@@ -154,8 +161,8 @@
 
   private static final class Task {
     final int attempt;
-    String stage = "running";
-    String cause;
+    String state = "running";
+    String endReason;
 
     Task(int attempt) {
       this.attempt = attempt;
@@ -169,16 +176,16 @@
     private final HttpServer server;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private String address = "";
-    private long tally;
-    private long token;
-    private long shift = 1;
-    private double leaseFrom = clock.now();
+    private long heartbeatCount;
+    private long fencingToken;
+    private long sessionNumber = 1;
+    private double leaseStartS = clock.now();
     private int controller;
     private boolean closed;
 
     Worker(boolean spot) {
       this.spot = spot;
-      server = new HttpServer(loop, clock, CONNECTIONS, this::command);
+      server = new HttpServer(loop, clock, MAX_CONNECTIONS, this::handleCommands);
       server
           .listen("127.0.0.1:0")
           .addListener(
@@ -192,138 +199,145 @@
     void close() {
       closed = true;
       server.close();
-      forget();
+      dropTasks();
     }
 
-    private void forget() {
+    private void dropTasks() {
       tasks.forEach(
           (id, t) -> {
-            if (t.cause == null) {
-              ended(id, false);
+            if (t.endReason == null) {
+              onTaskEnded(id, false);
             }
           });
       tasks.clear();
     }
 
-    ObjectNode listed() {
+    ObjectNode listEntry() {
       ObjectNode n = Json.object().put("ref", name).put("address", address).put("rig", "small");
       n.put("yard", "a").put("borrowed", spot).put("stage", "running");
       return n.put("age_s", 5);
     }
 
-    private ObjectNode state() {
-      ObjectNode n = Json.object().put("saw", name).put("address", address).put("rig", "small");
-      n.put("yard", "a").put("borrowed", spot).put("shift", shift).put("tally", ++tally);
-      n.put("foreman", token);
-      ArrayNode boards = n.putArray("boards");
+    private ObjectNode heartbeatBody() {
+      ObjectNode body = Json.object().put("saw", name).put("address", address).put("rig", "small");
+      body.put("yard", "a")
+          .put("borrowed", spot)
+          .put("shift", sessionNumber)
+          .put("tally", ++heartbeatCount);
+      body.put("foreman", fencingToken);
+      ArrayNode boards = body.putArray("boards");
       tasks.forEach(
           (id, t) -> {
             ObjectNode b = boards.addObject().put("board", id).put("pass", t.attempt);
-            b.put("stage", t.stage);
-            if (t.cause != null) {
-              b.put("cause", t.cause);
+            b.put("stage", t.state);
+            if (t.endReason != null) {
+              b.put("cause", t.endReason);
             }
           });
-      return n;
+      return body;
     }
 
     private void sendHeartbeat() {
       if (closed) {
         return;
       }
-      if (clock.now() > leaseFrom + LEASE_S) {
-        forget();
-        shift++;
-        leaseFrom = clock.now();
+      if (clock.now() > leaseStartS + LEASE_S) {
+        dropTasks();
+        sessionNumber++;
+        leaseStartS = clock.now();
       }
-      double sentAt = clock.now();
-      long of = shift;
-      String to = controllers.get(controller);
+      double sentAtS = clock.now();
+      long sentInSession = sessionNumber;
+      String controllerAddress = controllerAddresses.get(controller);
       client.call(
-          to,
+          controllerAddress,
           "POST",
           "/checkin",
-          Json.write(state()),
+          Json.write(heartbeatBody()),
           4,
-          r -> {
-            JsonNode n = r.body().length == 0 ? Json.object() : Json.read(r.body());
-            if (r.status() == 200) {
-              taken(n, of, sentAt);
-              clock.after(HEARTBEAT_S, this::sendHeartbeat);
+          reply -> {
+            JsonNode body = reply.body().length == 0 ? Json.object() : Json.read(reply.body());
+            if (reply.status() == 200) {
+              onHeartbeatAccepted(body, sentInSession, sentAtS);
+              clock.schedule(HEARTBEAT_S, this::sendHeartbeat);
             } else {
-              int at = r.status() == 421 ? index(n.path("foreman_at").asText()) : -1;
-              boolean pointed = at >= 0 && at != controller;
-              controller = pointed ? at : (controller + 1) % controllers.size();
-              clock.after(pointed ? 0.1 : 1, this::sendHeartbeat);
+              int leader =
+                  reply.status() == 421 ? controllerIndex(body.path("foreman_at").asText()) : -1;
+              boolean redirected = leader >= 0 && leader != controller;
+              controller = redirected ? leader : (controller + 1) % controllerAddresses.size();
+              clock.schedule(redirected ? 0.1 : 1, this::sendHeartbeat);
             }
           });
     }
 
-    private static int index(String member) {
+    private static int controllerIndex(String member) {
       return member.matches("m-[0-9]+") ? Integer.parseInt(member.substring(2)) : -1;
     }
 
-    private void taken(JsonNode n, long of, double sentAt) {
-      long t = n.path("foreman").asLong();
-      if (of == shift && t >= token) {
-        token = t;
-        leaseFrom = Math.max(leaseFrom, sentAt);
-        n.path("orders").forEach(this::execute);
+    private void onHeartbeatAccepted(JsonNode body, long sentInSession, double sentAtS) {
+      long newToken = body.path("foreman").asLong();
+      if (sentInSession == sessionNumber && newToken >= fencingToken) {
+        fencingToken = newToken;
+        leaseStartS = Math.max(leaseStartS, sentAtS);
+        body.path("orders").forEach(this::execute);
       }
     }
 
-    private void command(Exchange e) {
-      JsonNode n = e.path().equals("/commands") ? Json.read(e.body()) : Json.object();
-      boolean good = n.path("foreman").asLong() >= token && n.path("shift").asLong() == shift;
-      if (e.path().equals("/commands") && good) {
-        token = n.path("foreman").asLong();
-        n.path("orders").forEach(this::execute);
+    private void handleCommands(Exchange exchange) {
+      JsonNode body =
+          exchange.path().equals("/commands") ? Json.read(exchange.body()) : Json.object();
+      boolean isCurrent =
+          body.path("foreman").asLong() >= fencingToken
+              && body.path("shift").asLong() == sessionNumber;
+      if (exchange.path().equals("/commands") && isCurrent) {
+        fencingToken = body.path("foreman").asLong();
+        body.path("orders").forEach(this::execute);
       }
-      int status = good || !e.path().equals("/commands") ? 200 : 409;
-      e.to().accept(Answer.json(status, Json.write(state())));
+      int status = isCurrent || !exchange.path().equals("/commands") ? 200 : 409;
+      exchange.responder().accept(Response.json(status, Json.write(heartbeatBody())));
     }
 
     private void execute(JsonNode command) {
-      String id = command.path("board").asText();
+      String taskId = command.path("board").asText();
       int attempt = command.path("pass").asInt();
-      Task t = tasks.get(id);
+      Task task = tasks.get(taskId);
       switch (command.path("order").asText()) {
         case "launch" -> {
-          if (t == null) {
-            launch(id, attempt);
+          if (task == null) {
+            launch(taskId, attempt);
           }
         }
         case "kill" -> {
-          if (t != null && t.attempt == attempt) {
-            exit(id, t, "stopped");
+          if (task != null && task.attempt == attempt) {
+            exit(taskId, task, "stopped");
           }
         }
         default -> {
-          if (t != null && t.attempt == attempt && t.cause != null) {
-            tasks.remove(id);
+          if (task != null && task.attempt == attempt && task.endReason != null) {
+            tasks.remove(taskId);
           }
         }
       }
     }
 
-    private void launch(String id, int attempt) {
-      Task t = new Task(attempt);
-      tasks.put(id, t);
-      started(id, name);
-      clock.after(
-          RUN_S,
+    private void launch(String taskId, int attempt) {
+      Task task = new Task(attempt);
+      tasks.put(taskId, task);
+      onTaskStarted(taskId, name);
+      clock.schedule(
+          TASK_RUN_TIME_S,
           () -> {
-            if (tasks.get(id) == t) {
-              exit(id, t, "done");
+            if (tasks.get(taskId) == task) {
+              exit(taskId, task, "done");
             }
           });
     }
 
-    private void exit(String id, Task t, String cause) {
-      if (t.cause == null) {
-        t.stage = "exited";
-        t.cause = cause;
-        ended(id, cause.equals("done"));
+    private void exit(String taskId, Task task, String reason) {
+      if (task.endReason == null) {
+        task.state = "exited";
+        task.endReason = reason;
+        onTaskEnded(taskId, reason.equals("done"));
       }
     }
   }
--- a/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
@@ -10,86 +10,107 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three processes on loopback that store limits, and the operators' tool for them. */
+/**
+ * Runs three controllers as processes with stored team limits. Guards against a team exceeding its
+ * limit after the leader was killed, and checks the quota command.
+ */
 class QuotaOnLoopbackTest {
   private static final String OPTIONS = "[features]\nmax_level = \"stored-limits\"\nsoak_s = 1\n";
-  private static final int LIMIT = 12;
+  private static final int CPU_LIMIT = 12;
   private static final int MACHINES = 8;
-  private static final int ROUNDS = 1500;
+  private static final int MAX_POLL_ROUNDS = 1500;
 
   @TempDir Path folder;
 
-  private static LocalDeployment.Outcome quota(
-      LocalDeployment d, int controller, String... arguments) throws Exception {
+  private static LocalDeployment.CommandResult quota(
+      LocalDeployment deployment, int controller, String... arguments) throws Exception {
     String[] all = new String[arguments.length + 3];
     all[0] = "quota";
     System.arraycopy(arguments, 0, all, 1, arguments.length);
     all[all.length - 2] = "--server";
-    all[all.length - 1] = d.address(controller);
-    return d.run(all);
+    all[all.length - 1] = deployment.address(controller);
+    return deployment.run(all);
   }
 
-  /** The controller that leads, or -1. */
-  private static int leader(LocalDeployment d) throws Exception {
+  /** Returns the index of the leader, or -1 if there is none. */
+  private static int leader(LocalDeployment deployment) throws Exception {
     for (int i = 0; i < 3; i++) {
-      var status = d.run("status", "--server", d.address(i), "--json");
-      if (status.code() == 0) {
+      var status = deployment.run("status", "--server", deployment.address(i), "--json");
+      if (status.exitCode() == 0) {
         String leader =
-            Json.read(status.out().getBytes(StandardCharsets.UTF_8)).path("owner").asText();
+            Json.read(status.standardOutput().getBytes(StandardCharsets.UTF_8))
+                .path("owner")
+                .asText();
         return leader.startsWith("m-") ? Integer.parseInt(leader.substring(2)) : -1;
       }
     }
     return -1;
   }
 
-  private static void refused(LocalDeployment.Outcome outcome, String names) {
-    assertThat(outcome.err()).contains(names);
-    assertThat(outcome.code()).isEqualTo(Main.REFUSED);
+  private static void assertRefused(LocalDeployment.CommandResult result, String message) {
+    assertThat(result.standardError()).contains(message);
+    assertThat(result.exitCode()).isEqualTo(Main.REFUSED);
   }
 
   @Test
-  void noMoreRunsThanTheLimitWhileTheLeaderEndsAndOperatorsChangeLimits() throws Exception {
-    try (LocalDeployment d = new LocalDeployment(folder, 3, MACHINES, OPTIONS, LIMIT)) {
-      eventually("limits are stored", () -> d.stored(QuotaCodec.SEEDED) != null);
-      History history = new History(3, d::address);
-      Thread user = new Thread(history);
-      user.start();
-      eventually("the limit is reached", () -> d.fleet().mostRunning() >= LIMIT - 1);
-      int leader = leader(d);
-      d.kill(leader);
-      eventually("another one leads", () -> leader(d) >= 0 && leader(d) != leader);
-      d.start(leader, OPTIONS);
-      history.stop();
-      user.join();
-      assertThat(d.fleet().mostRunning()).isLessThanOrEqualTo(LIMIT);
-      eventually("the leader shows the team", () -> quota(d, leader, "team").code() == 0);
-      toolChangesLimits(d, (leader + 1) % 3);
-      assertThat(history.settle(ROUNDS)).as(history.open().toString()).isTrue();
+  void usageStaysWithinTheLimitWhenTheLeaderIsKilled() throws Exception {
+    try (LocalDeployment deployment =
+        new LocalDeployment(folder, 3, MACHINES, OPTIONS, CPU_LIMIT)) {
+      eventually("limits are stored", () -> deployment.stored(QuotaCodec.SEEDED) != null);
+      UserSimulator user = new UserSimulator(3, deployment::address);
+      Thread userThread = new Thread(user);
+      userThread.start();
+      eventually("the limit is reached", () -> deployment.fleet().maxRunning() >= CPU_LIMIT - 1);
+      int leader = leader(deployment);
+      deployment.kill(leader);
+      eventually(
+          "another controller is the leader",
+          () -> leader(deployment) >= 0 && leader(deployment) != leader);
+      deployment.start(leader, OPTIONS);
+      user.stop();
+      userThread.join();
+      assertThat(deployment.fleet().maxRunning()).isLessThanOrEqualTo(CPU_LIMIT);
+      eventually(
+          "the leader shows the team", () -> quota(deployment, leader, "team").exitCode() == 0);
+      checkLimitChanges(deployment, (leader + 1) % 3);
+      assertThat(user.awaitAllFinished(MAX_POLL_ROUNDS))
+          .as(user.unfinishedJobs().toString())
+          .isTrue();
       System.out.printf(
           "stored limits on loopback: at most %d of %d CPUs at once, %d jobs accepted%n",
-          d.fleet().mostRunning(), LIMIT, history.accepted());
-      assertThat(d.fleet().mostRunning()).isLessThanOrEqualTo(LIMIT);
-      assertThat(history.accepted()).isGreaterThan(20);
-      assertThat(history.violations()).isEmpty();
-      assertThat(d.fleet().violations()).isEmpty();
+          deployment.fleet().maxRunning(), CPU_LIMIT, user.acceptedCount());
+      assertThat(deployment.fleet().maxRunning()).isLessThanOrEqualTo(CPU_LIMIT);
+      assertThat(user.acceptedCount()).isGreaterThan(20);
+      assertThat(user.violations()).isEmpty();
+      assertThat(deployment.fleet().violations()).isEmpty();
     }
   }
 
-  private static void toolChangesLimits(LocalDeployment d, int at) throws Exception {
-    refused(quota(d, at, "team", "--set", "cpus-max=-1"), "cpus_max");
-    refused(quota(d, at, "team", "--set", "cpus-max=many"), "cpus_max");
-    refused(quota(d, at, "team", "--set", "gpus=0.12345"), "gpus");
-    refused(quota(d, at, "team", "--set", "cpus=20"), "cpus is 20.0, above cpus_max");
-    refused(quota(d, at, "team", "--set", "colour=1"), "colour");
-    refused(quota(d, at, "nobody", "--set", "cpus=1"), "team nobody is not known");
-    refused(quota(d, at, "nobody"), "team nobody is not known");
-    refused(quota(d, at, "team", "--set", "cpus=1", "--if-version", "1"), "have changed since");
-    assertThat(quota(d, at, "--set", "cpus=1").code()).isEqualTo(Main.USAGE);
-    var changed = quota(d, at, "team", "--set", "cpus=2", "--set", "cpus-max=6.5");
-    assertThat(changed.code()).as(changed.err()).isZero();
-    assertThat(quota(d, at).out()).contains("team").contains("6.5").contains("warning: team team");
-    var shown = quota(d, at, "team", "--json");
-    var team = Json.read(shown.out().getBytes(StandardCharsets.UTF_8)).path("teams").path(0);
+  private static void checkLimitChanges(LocalDeployment deployment, int controller)
+      throws Exception {
+    assertRefused(quota(deployment, controller, "team", "--set", "cpus-max=-1"), "cpus_max");
+    assertRefused(quota(deployment, controller, "team", "--set", "cpus-max=many"), "cpus_max");
+    assertRefused(quota(deployment, controller, "team", "--set", "gpus=0.12345"), "gpus");
+    assertRefused(
+        quota(deployment, controller, "team", "--set", "cpus=20"), "cpus is 20.0, above cpus_max");
+    assertRefused(quota(deployment, controller, "team", "--set", "colour=1"), "colour");
+    assertRefused(
+        quota(deployment, controller, "nobody", "--set", "cpus=1"), "team nobody is not known");
+    assertRefused(quota(deployment, controller, "nobody"), "team nobody is not known");
+    assertRefused(
+        quota(deployment, controller, "team", "--set", "cpus=1", "--if-version", "1"),
+        "have changed since");
+    assertThat(quota(deployment, controller, "--set", "cpus=1").exitCode())
+        .isEqualTo(Main.USAGE_ERROR);
+    var changed = quota(deployment, controller, "team", "--set", "cpus=2", "--set", "cpus-max=6.5");
+    assertThat(changed.exitCode()).as(changed.standardError()).isZero();
+    assertThat(quota(deployment, controller).standardOutput())
+        .contains("team")
+        .contains("6.5")
+        .contains("warning: team team");
+    var shown = quota(deployment, controller, "team", "--json");
+    var team =
+        Json.read(shown.standardOutput().getBytes(StandardCharsets.UTF_8)).path("teams").path(0);
     assertThat(team.path("cpus_max").asDouble()).isEqualTo(6.5);
     assertThat(team.path("version").asLong()).isPositive();
     assertThat(team.path("changed_by").asText()).isEqualTo(System.getProperty("user.name"));
--- a/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
@@ -10,106 +10,114 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Processes on loopback that are upgraded in turn while a user goes on without pause. */
+/**
+ * Runs three controllers as processes and upgrades them one after the other while a user keeps
+ * submitting jobs.
+ */
 class UpgradeOnLoopbackTest {
-  private static final String OLD = "[features]\nmax_level = 0\nsoak_s = 2\n";
-  private static final String NEW = "[features]\nmax_level = 2\nsoak_s = 2\n";
-  private static final int TRIES = 400;
+  private static final String OLD_OPTIONS = "[features]\nmax_level = 0\nsoak_s = 2\n";
+  private static final String NEW_OPTIONS = "[features]\nmax_level = 2\nsoak_s = 2\n";
+  private static final int MAX_POLL_ROUNDS = 400;
   private static final int MACHINES = 8;
 
   @TempDir Path folder;
 
-  private static boolean ready(LocalDeployment d, int controller) throws Exception {
-    var status = d.run("status", "--server", d.address(controller), "--json");
-    return status.code() == 0
-        && status.out().contains("\"ready\" : true")
-        && !status.out().contains("\"owner\" : null");
+  private static boolean isReady(LocalDeployment deployment, int controller) throws Exception {
+    var status = deployment.run("status", "--server", deployment.address(controller), "--json");
+    return status.exitCode() == 0
+        && status.standardOutput().contains("\"ready\" : true")
+        && !status.standardOutput().contains("\"owner\" : null");
   }
 
-  private static int level(LocalDeployment d) throws Exception {
-    JsonNode record = d.stored(FeatureCodec.LEVEL);
+  private static int storedLevel(LocalDeployment deployment) throws Exception {
+    JsonNode record = deployment.stored(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
   @Test
-  void noJobIsLostOrRunTwiceWhileControllersAreUpgradedInTurn() throws Exception {
-    try (LocalDeployment d = new LocalDeployment(folder, 3, MACHINES, OLD)) {
+  void noJobIsLostOrRunTwiceDuringARollingUpgrade() throws Exception {
+    try (LocalDeployment deployment = new LocalDeployment(folder, 3, MACHINES, OLD_OPTIONS)) {
       for (int i = 0; i < 3; i++) {
         int controller = i;
-        eventually("m-" + i + " is ready", () -> ready(d, controller));
+        eventually("m-" + i + " is ready", () -> isReady(deployment, controller));
       }
-      History history = new History(3, d::address);
-      Thread user = new Thread(history);
-      user.start();
+      UserSimulator user = new UserSimulator(3, deployment::address);
+      Thread userThread = new Thread(user);
+      userThread.start();
       for (int i = 0; i < 3; i++) {
-        assertThat(level(d)).isZero();
-        d.kill(i);
-        d.start(i, NEW);
+        assertThat(storedLevel(deployment)).isZero();
+        deployment.kill(i);
+        deployment.start(i, NEW_OPTIONS);
         int controller = i;
-        eventually("m-" + i + " is ready", () -> ready(d, controller));
+        eventually("m-" + i + " is ready", () -> isReady(deployment, controller));
       }
-      long replaced = System.nanoTime();
-      eventually("the level is finalized", () -> level(d) == 2);
-      final double seconds = (System.nanoTime() - replaced) / 1e9;
+      long upgradedAtNanos = System.nanoTime();
+      eventually("the level is finalized", () -> storedLevel(deployment) == 2);
+      final double seconds = (System.nanoTime() - upgradedAtNanos) / 1e9;
       TimeUnit.SECONDS.sleep(2);
-      history.stop();
-      user.join();
-      assertThat(history.settle(TRIES)).as(history.open().toString()).isTrue();
+      user.stop();
+      userThread.join();
+      assertThat(user.awaitAllFinished(MAX_POLL_ROUNDS))
+          .as(user.unfinishedJobs().toString())
+          .isTrue();
       System.out.printf(
           "upgraded under load: finalized after %.1f s, %d accepted, %d refused, %d late%n",
-          seconds, history.accepted(), history.refused(), history.late());
-      assertThat(history.accepted()).isGreaterThan(20);
-      assertThat(history.violations()).isEmpty();
-      assertThat(d.fleet().violations()).isEmpty();
-      for (String job : history.doneJobs()) {
-        assertThat(d.fleet().done()).contains(job + "/0", job + "/1");
+          seconds, user.acceptedCount(), user.refusedCount(), user.lateCount());
+      assertThat(user.acceptedCount()).isGreaterThan(20);
+      assertThat(user.violations()).isEmpty();
+      assertThat(deployment.fleet().violations()).isEmpty();
+      for (String job : user.doneJobs()) {
+        assertThat(deployment.fleet().completedTasks()).contains(job + "/0", job + "/1");
       }
-      var shown = d.run("features", "--server", d.address(0));
-      assertThat(shown.code()).isZero();
-      assertThat(shown.out()).contains("compact-hints").contains("m-2");
+      var result = deployment.run("features", "--server", deployment.address(0));
+      assertThat(result.exitCode()).isZero();
+      assertThat(result.standardOutput()).contains("compact-hints").contains("m-2");
     }
   }
 
   @Test
-  void stoppedProcessThatGoesOnAfterTheSwitchEndsWithItsCodeAndMessage() throws Exception {
-    try (LocalDeployment d = new LocalDeployment(folder, 3, MACHINES, OLD)) {
+  void suspendedControllerExitsWhenResumedAfterTheUpgrade() throws Exception {
+    try (LocalDeployment deployment = new LocalDeployment(folder, 3, MACHINES, OLD_OPTIONS)) {
       for (int i = 0; i < 3; i++) {
         int controller = i;
-        eventually("m-" + i + " is ready", () -> ready(d, controller));
+        eventually("m-" + i + " is ready", () -> isReady(deployment, controller));
       }
-      Process stopped = d.process(2);
-      LocalDeployment.signal(stopped, "STOP");
-      d.move(2); // It holds its sockets; the one in its place has others.
+      Process suspended = deployment.process(2);
+      LocalDeployment.signal(suspended, "STOP");
+      deployment.changeAddresses(
+          2); // The suspended process keeps its sockets, so its replacement needs other addresses.
       for (int i = 0; i < 3; i++) {
         if (i < 2) {
-          d.kill(i);
+          deployment.kill(i);
         }
-        d.start(i, NEW);
+        deployment.start(i, NEW_OPTIONS);
         int controller = i;
-        eventually("m-" + i + " is ready", () -> ready(d, controller));
+        eventually("m-" + i + " is ready", () -> isReady(deployment, controller));
       }
-      eventually("the level is finalized", () -> level(d) == 2);
-      LocalDeployment.signal(stopped, "CONT");
-      assertThat(stopped.waitFor(30, TimeUnit.SECONDS)).isTrue();
-      assertThat(stopped.exitValue()).isEqualTo(Main.LEFT);
-      assertThat(d.errors(2, 2)).contains("this controller leaves");
-      assertThat(ready(d, 0)).isTrue();
+      eventually("the level is finalized", () -> storedLevel(deployment) == 2);
+      LocalDeployment.signal(suspended, "CONT");
+      assertThat(suspended.waitFor(30, TimeUnit.SECONDS)).isTrue();
+      assertThat(suspended.exitValue()).isEqualTo(Main.LEFT_CLUSTER);
+      assertThat(deployment.standardError(2, 2)).contains("this controller leaves");
+      assertThat(isReady(deployment, 0)).isTrue();
 
-      d.kill(1); // An older program in the place of a newer one says why it does not serve.
-      d.start(1, OLD);
+      deployment.kill(
+          1); // An older program that replaces a newer one reports why it does not take part.
+      deployment.start(1, OLD_OPTIONS);
       eventually(
-          "m-1 says why",
+          "m-1 reports why it does not take part",
           () -> {
-            var shown = d.run("features", "--server", d.address(1));
-            return shown.code() == 0 && shown.out().contains("this program supports 0 to 0");
+            var result = deployment.run("features", "--server", deployment.address(1));
+            return result.exitCode() == 0
+                && result.standardOutput().contains("this program supports 0 to 0");
           });
-      assertThat(d.process(1).isAlive()).isTrue();
+      assertThat(deployment.process(1).isAlive()).isTrue();
     }
   }
 
   @Test
-  void badOptionsAreRefusedNamingTheField() throws Exception {
-    String[][] bad = {
+  void invalidOptionsAreRejectedWithTheFieldNamed() throws Exception {
+    String[][] cases = {
       {"[features]\nmin_level = 2\nmax_level = 1\n", "features.min_level is 2, above"},
       {"[features]\nmax_level = \"telepathy\"\n", "telepathy is not a feature"},
       {"[features]\nmax_level = 9\n", "features.max_level must be a feature level from 0 to 3"},
@@ -118,13 +126,13 @@
       {"[features]\nfinalize = \"never\"\n", "features.finalize must be"},
       {"features = 1\n", "features must be a table"},
     };
-    try (LocalDeployment d = new LocalDeployment(folder, 1, 0, OLD)) {
-      for (int i = 0; i < bad.length; i++) {
-        d.kill(0);
-        d.start(0, bad[i][0]);
-        assertThat(d.process(0).waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(d.process(0).exitValue()).isEqualTo(Main.USAGE);
-        assertThat(d.errors(0, i + 1)).contains(bad[i][1]);
+    try (LocalDeployment deployment = new LocalDeployment(folder, 1, 0, OLD_OPTIONS)) {
+      for (int i = 0; i < cases.length; i++) {
+        deployment.kill(0);
+        deployment.start(0, cases[i][0]);
+        assertThat(deployment.process(0).waitFor(20, TimeUnit.SECONDS)).isTrue();
+        assertThat(deployment.process(0).exitValue()).isEqualTo(Main.USAGE_ERROR);
+        assertThat(deployment.standardError(0, i + 1)).contains(cases[i][1]);
       }
     }
   }
--- a/src/test/java/graderelay/cloud/CloudClientTest.java
+++ b/src/test/java/graderelay/cloud/CloudClientTest.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
       return 0;
     }
 
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public Timer after(double seconds, Runnable task) {
+    public Timer schedule(double seconds, Runnable task) {
       task.run();
       return () -> {};
     }
--- a/src/test/java/graderelay/quota/StoredLimitsTest.java
+++ b/src/test/java/graderelay/quota/StoredLimitsTest.java
@@ -159,7 +159,7 @@
     final List<SimJob> others = guaranteed(w, 10);
     final List<SimJob> jobs = burst(w, "team", "16", 60, 0.1, 2, 3);
     w.loop.run(5);
-    w.store.lower(RandomDay.LOWER.valueKb(), RandomDay.LOWER.txnOps());
+    w.store.lower(RandomDay.LOWER.valueKib(), RandomDay.LOWER.txnOps());
     w.loop.run(90);
     jobs.addAll(others);
     allDone(w, recorder, jobs);
--- a/src/test/java/graderelay/sim/ControllerFaults.java
+++ b/src/test/java/graderelay/sim/ControllerFaults.java
@@ -26,7 +26,7 @@
   /** The leader ends, and so does another just when it may be winning the next term. */
   void restartAmidElection(Fault f, int leader) {
     restart(leader, 0.2);
-    double lease = world.settings(0).holdS();
+    double lease = world.settings(0).sessionLeaseS();
     int next = (leader + 1) % world.size;
     world.loop.after(lease + f.pick() % 10 * 0.02, () -> restart(next, 0.1));
   }
--- a/src/test/java/graderelay/sim/ProcessSuspension.java
+++ b/src/test/java/graderelay/sim/ProcessSuspension.java
@@ -40,8 +40,8 @@
       }
 
       @Override
-      public long wallMs() {
-        return loop.wallMs();
+      public long wallClockMs() {
+        return loop.wallClockMs();
       }
 
       @Override
@@ -50,10 +50,10 @@
       }
 
       @Override
-      public Timer after(double seconds, Runnable r) {
+      public Timer schedule(double seconds, Runnable r) {
         boolean[] off = {false};
         Timer t =
-            loop.after(
+            loop.schedule(
                 seconds,
                 () ->
                     ProcessSuspension.this.run(
--- a/src/test/java/graderelay/sim/ProductionVersion.java
+++ b/src/test/java/graderelay/sim/ProductionVersion.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
 import graderelay.wire.FeatureCodec;
@@ -30,7 +30,7 @@
     JsonNode body = e.body().length == 0 ? null : Json.read(e.body());
     if (body instanceof ObjectNode submission && submission.has("awaits")) {
       submission.remove("awaits");
-      return new Exchange(e.method(), e.path(), e.query(), Json.write(submission), e.to());
+      return new Exchange(e.method(), e.path(), e.query(), Json.write(submission), e.responder());
     }
     return e;
   }
@@ -50,7 +50,7 @@
   /** A controller's request as this version understands it. */
   static void peer(Exchange e, Exchange.Handler handler) {
     if (PeerCodec.decodeRequest(e.body()) instanceof PeerRequest.Identify) {
-      e.to().accept(Answer.json(404, Json.error("no such message")));
+      e.responder().accept(Response.json(404, Json.error("no such message")));
     } else {
       handler.handle(e);
     }
--- a/src/test/java/graderelay/sim/RandomDay.java
+++ b/src/test/java/graderelay/sim/RandomDay.java
@@ -13,7 +13,7 @@
   public static final double DAY_S = 150;
 
   /** What the store allows once it has lowered its limits. */
-  public static final Settings.StateLimits LOWER = new Settings.StateLimits(200, 2, 4);
+  public static final Settings.StoreLimits LOWER = new Settings.StoreLimits(200, 2, 4);
 
   private static final double CALM_S = 150;
 
@@ -86,7 +86,7 @@
    */
   public static Verdict playLevels(long seed, List<Fault> faults) {
     boolean lowers = seed % 3 == 1;
-    Settings.StateLimits limits = lowers ? LOWER : SimWorld.SAME;
+    Settings.StoreLimits limits = lowers ? LOWER : SimWorld.SAME;
     SimWorld world =
         seed % 2 == 0
             ? SimWorld.inProduction(seed, shape(seed), limits)
@@ -128,7 +128,7 @@
 
   private void lowerLimits() {
     world.invariants.log("the state service lowers its limits");
-    world.store.lower(LOWER.valueKb(), LOWER.txnOps());
+    world.store.lower(LOWER.valueKib(), LOWER.txnOps());
   }
 
   private Verdict run() {
--- a/src/test/java/graderelay/sim/SimCloud.java
+++ b/src/test/java/graderelay/sim/SimCloud.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
-import graderelay.net.Query;
+import graderelay.net.Exchange.Response;
+import graderelay.net.QueryString;
 import graderelay.wire.Json;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -72,7 +72,7 @@
     switch (e.path()) {
       case "/machine_types" -> {
         if (noTypes) {
-          e.to().accept(Answer.json(503, Json.error("trouble")));
+          e.responder().accept(Response.json(503, Json.error("trouble")));
           return;
         }
         ArrayNode a = out.putArray("rigs");
@@ -86,7 +86,7 @@
       }
       case "/machines" -> {
         if (e.method().equals("GET")) {
-          page(out, Query.parse(e.query()));
+          page(out, QueryString.parse(e.query()));
         } else {
           scaleOut(e, Json.read(e.body()));
           return;
@@ -99,7 +99,7 @@
       }
       default -> throw new AssertionError(e.path());
     }
-    e.to().accept(Answer.json(200, Json.write(out)));
+    e.responder().accept(Response.json(200, Json.write(out)));
   }
 
   private void page(ObjectNode out, Map<String, String> query) {
@@ -133,14 +133,14 @@
             add(n.path("rig").asText(), n.path("yard").asText(), n.path("borrowed").asBoolean()));
       }
       if (names.isEmpty()) {
-        e.to().accept(Answer.json(503, Json.error("no capacity")));
+        e.responder().accept(Response.json(503, Json.error("no capacity")));
         return;
       }
       scaleOuts.put(name, names);
     }
     ObjectNode out = Json.object();
     out.set("saws", names);
-    e.to().accept(Answer.json(200, Json.write(out)));
+    e.responder().accept(Response.json(200, Json.write(out)));
   }
 
   private String add(String type, String zone, boolean spot) {
--- a/src/test/java/graderelay/sim/SimLoop.java
+++ b/src/test/java/graderelay/sim/SimLoop.java
@@ -60,17 +60,17 @@
       }
 
       @Override
-      public long wallMs() {
+      public long wallClockMs() {
         return (long) (now * 1000) + 1_700_000_000_000L;
       }
 
       @Override
       public void execute(Runnable r) {
-        after(0, r);
+        schedule(0, r);
       }
 
       @Override
-      public Timer after(double seconds, Runnable r) {
+      public Timer schedule(double seconds, Runnable r) {
         return SimLoop.this.after(
             Math.max(0, seconds) / (1 + drift),
             () -> {
--- a/src/test/java/graderelay/sim/SimNet.java
+++ b/src/test/java/graderelay/sim/SimNet.java
@@ -1,7 +1,7 @@
 package graderelay.sim;
 
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
 import java.util.ArrayList;
@@ -222,14 +222,14 @@
       boolean unheard = mute.contains(host) || (to != null && deaf.contains(to));
       if (to == null || unheard || down.contains(to) || (cutNow && newConnection)) {
         // Connecting hangs, so nothing ever leaves.
-        loop.after(Math.min(1, timeoutS), () -> once.accept(Reply.neverSent()));
+        loop.after(Math.min(1, timeoutS), () -> once.accept(Reply.notSent()));
         return;
       }
       if (!hosts.containsKey(address)) {
-        loop.after(delay(), () -> once.accept(Reply.neverSent()));
+        loop.after(delay(), () -> once.accept(Reply.notSent()));
         return;
       }
-      loop.after(timeoutS, () -> once.accept(Reply.lost()));
+      loop.after(timeoutS, () -> once.accept(Reply.noResponse()));
       String q = path.contains("?") ? path.substring(path.indexOf('?') + 1) : "";
       String p = path.contains("?") ? path.substring(0, path.indexOf('?')) : path;
       byte[] sent = body == null ? new byte[0] : body;
@@ -248,7 +248,7 @@
                     p,
                     q,
                     sent,
-                    (Answer a) -> {
+                    (Response a) -> {
                       if (random.nextDouble() < loseAnswers) {
                         return;
                       }
--- a/src/test/java/graderelay/sim/SimStore.java
+++ b/src/test/java/graderelay/sim/SimStore.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.wire.Json;
 import java.util.HashSet;
@@ -137,9 +137,9 @@
         requests++;
         watches.open(e, refused); // Its open watches wait, as in an outage.
       } else if (refused[0]) {
-        e.to().accept(Answer.json(503, Json.error("not now")));
+        e.responder().accept(Response.json(503, Json.error("not now")));
       } else if (slowS > 0) {
-        loop.after(slowS, () -> handle(e));
+        loop.schedule(slowS, () -> handle(e));
       } else {
         handle(e);
       }
@@ -151,7 +151,7 @@
     requests++;
     String p = e.path();
     if (outage) {
-      e.to().accept(Answer.json(503, Json.error("outage")));
+      e.responder().accept(Response.json(503, Json.error("outage")));
     } else if (p.equals("/store")) {
       list(e);
     } else if (p.startsWith("/store/")) {
@@ -159,7 +159,7 @@
     } else if (p.equals("/multi")) {
       JsonNode t = Json.read(e.body());
       if (delay.test(t)) {
-        loop.after(delayS, () -> multi(e, t));
+        loop.schedule(delayS, () -> multi(e, t));
       } else {
         multi(e, t);
       }
@@ -171,7 +171,7 @@
   }
 
   private void answer(Exchange e, int status, JsonNode n) {
-    e.to().accept(Answer.json(status, Json.write(n)));
+    e.responder().accept(Response.json(status, Json.write(n)));
   }
 
   /** Creates, renews or revokes a lease. */
@@ -222,7 +222,7 @@
     Map<String, String> p = StoreQuery.parameters(e);
     String under = p.getOrDefault("under", "");
     if (under.equals(refusedList)) {
-      e.to().accept(Answer.json(503, Json.error("not now")));
+      e.responder().accept(Response.json(503, Json.error("not now")));
       return;
     }
     String after = p.getOrDefault("after", "");
--- a/src/test/java/graderelay/sim/SimWorker.java
+++ b/src/test/java/graderelay/sim/SimWorker.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Reply;
 import graderelay.net.Transport;
 import graderelay.wire.Json;
@@ -148,7 +148,7 @@
     if (hung()) {
       // Taken in when it goes on, unless it has given the answer up by then.
       boolean late = hungUntil > sentAt + 4;
-      loop.at(hungUntil, () -> answered(late ? Reply.lost() : r, of, sentAt));
+      loop.at(hungUntil, () -> answered(late ? Reply.noResponse() : r, of, sentAt));
       return;
     }
     JsonNode n = r.status() == 0 ? Json.object() : Json.read(r.body());
@@ -191,21 +191,21 @@
       return;
     }
     if (e.path().equals("/status")) {
-      e.to().accept(Answer.json(200, Json.write(body())));
+      e.responder().accept(Response.json(200, Json.write(body())));
       return;
     }
     JsonNode n = Json.read(e.body());
     if (!n.has("foreman") || !n.has("shift")) {
-      e.to().accept(Answer.json(400, Json.write(Json.object())));
+      e.responder().accept(Response.json(400, Json.write(Json.object())));
       return;
     }
     if (n.get("foreman").asLong() < token || n.get("shift").asLong() != session) {
-      e.to().accept(Answer.json(409, Json.write(body())));
+      e.responder().accept(Response.json(409, Json.write(body())));
       return;
     }
     see(n.get("foreman").asLong());
     execute(n.path("orders"));
-    e.to().accept(Answer.json(200, Json.write(body())));
+    e.responder().accept(Response.json(200, Json.write(body())));
   }
 
   private void execute(JsonNode orders) {
--- a/src/test/java/graderelay/sim/SimWorld.java
+++ b/src/test/java/graderelay/sim/SimWorld.java
@@ -31,14 +31,14 @@
   public static final int TXN_OPS = 12;
 
   /** Limits that stay as they are. */
-  public static final Settings.StateLimits SAME = new Settings.StateLimits(300, 16, TXN_OPS);
+  public static final Settings.StoreLimits SAME = new Settings.StoreLimits(300, 16, TXN_OPS);
 
   private record Lost(ControllerNode process, ProcessSuspension suspension) {}
 
   public final WorldShape shape;
 
   /** What the settings say that the store will allow from some moment on. */
-  public final Settings.StateLimits next;
+  public final Settings.StoreLimits next;
 
   /** What the settings say that the store allows, for controllers that start from now on. */
   public double requestsPerS = 1000;
@@ -87,11 +87,11 @@
   }
 
   /** Creates a world whose store will allow only {@code next} from some moment on. */
-  public SimWorld(long seed, WorldShape shape, Settings.StateLimits next) {
+  public SimWorld(long seed, WorldShape shape, Settings.StoreLimits next) {
     this(seed, shape, next, false);
   }
 
-  private SimWorld(long seed, WorldShape shape, Settings.StateLimits next, boolean inProduction) {
+  private SimWorld(long seed, WorldShape shape, Settings.StoreLimits next, boolean inProduction) {
     this.next = next;
     this.shape = shape;
     this.size = shape.size();
@@ -99,7 +99,7 @@
     production = new boolean[size];
     Arrays.fill(production, inProduction);
     options = new Options[size];
-    Arrays.fill(options, Options.none());
+    Arrays.fill(options, Options.defaults());
     refused = new boolean[size][1];
     suspended = new ProcessSuspension[size];
     dead = new boolean[size][];
@@ -131,7 +131,7 @@
   }
 
   /** A world whose controllers are of the version in production, until they are replaced. */
-  public static SimWorld inProduction(long seed, WorldShape shape, Settings.StateLimits next) {
+  public static SimWorld inProduction(long seed, WorldShape shape, Settings.StoreLimits next) {
     return new SimWorld(seed, shape, next, true);
   }
 
@@ -266,13 +266,13 @@
     Transport checked =
         levelChecker == null
             ? outside
-            : levelChecker.watched(i, old == null ? options[i].supported() : null, outside);
+            : levelChecker.watched(i, old == null ? options[i].supportedLevels() : null, outside);
     ControllerNode n =
         new ControllerNode(
             still.wrap(loop.process(drift, over)),
             old == null ? checked : old.transport(checked, "state" + i + ":1"),
             settings(i),
-            old == null ? options[i] : Options.none(),
+            old == null ? options[i] : Options.defaults(),
             random.split());
     controllers[i] = n;
     n.onLeave(
@@ -299,7 +299,7 @@
               e.body(),
               a -> {
                 if (!over[0]) {
-                  e.to().accept(a);
+                  e.responder().accept(a);
                 }
               }));
     }
--- a/src/test/java/graderelay/sim/StoreLeases.java
+++ b/src/test/java/graderelay/sim/StoreLeases.java
@@ -92,6 +92,6 @@
     if (lease.timer != null) {
       lease.timer.cancel();
     }
-    lease.timer = loop.after(lease.lifeS, () -> revoke(id));
+    lease.timer = loop.schedule(lease.lifeS, () -> revoke(id));
   }
 }
--- a/src/test/java/graderelay/sim/StoreWatches.java
+++ b/src/test/java/graderelay/sim/StoreWatches.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.net.Loop;
 import graderelay.wire.Json;
 import java.util.ArrayList;
@@ -55,7 +55,7 @@
     double blockS = Integer.parseInt(parameters.getOrDefault("block_ms", "0")) / 1000.0;
     if (!answer(watch, blockS == 0)) {
       watches.add(watch);
-      loop.after(
+      loop.schedule(
           blockS,
           () -> {
             if (!store.isOut() && answer(watch, true)) {
@@ -93,7 +93,7 @@
       return false;
     }
     watch.answered = true;
-    watch.exchange.to().accept(Answer.json(200, Json.write(answer)));
+    watch.exchange.responder().accept(Response.json(200, Json.write(answer)));
     return true;
   }
 
--- a/src/test/java/graderelay/state/CacheReloadTest.java
+++ b/src/test/java/graderelay/state/CacheReloadTest.java
@@ -55,7 +55,7 @@
       Consumer<Reply> done) {
     String[] pathAndQuery = path.split("\\?", 2);
     String query = pathAndQuery.length > 1 ? pathAndQuery[1] : "";
-    Consumer<Exchange.Answer> deliverAnswer =
+    Consumer<Exchange.Response> deliverAnswer =
         answer -> {
           Runnable delivery = () -> done.accept(new Reply(answer.status(), answer.body(), true));
           if (heldPaths.test(path)) {
--- a/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
+++ b/src/test/java/graderelay/state/LoweredStoreLimitsTest.java
@@ -66,7 +66,7 @@
         new SimWorld(
             411,
             WorldShape.of(3).fleet(machines, List.of("a", "b")),
-            new Settings.StateLimits(200, 2, 4));
+            new Settings.StoreLimits(200, 2, 4));
     world.cloud.capacity = machines;
     world.loop.run(3);
     SimJob earlierJob = world.users.job("j-000780", tasks, cpus, 12, true);
@@ -94,7 +94,7 @@
         new SimWorld(
             412,
             WorldShape.of(3).fleet(30, List.of("a", "b")),
-            new Settings.StateLimits(200, 2, 4));
+            new Settings.StoreLimits(200, 2, 4));
     world.cloud.capacity = 30;
     world.loop.run(3);
     SimJob job = world.users.job("j-000780", 300, 0.4, 6, true);
--- a/src/test/java/graderelay/state/StateOutageTest.java
+++ b/src/test/java/graderelay/state/StateOutageTest.java
@@ -34,7 +34,7 @@
     world.startAll();
     // One lease, and the time for which new processes may renew leases without knowing
     // cancellations, less a heartbeat interval.
-    world.loop.run(SimWorld.LEASE_S + world.settings(0).beginnersS() - 3);
+    world.loop.run(SimWorld.LEASE_S + world.settings(0).startupRenewalS() - 3);
     world.store.outage(false);
     world.loop.run(20);
     assertThat(world.leader()).isNotNegative();
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.net.Exchange;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import graderelay.sim.SimJob;
 import graderelay.sim.SimWorld;
 import graderelay.sim.WorldAssertions;
@@ -69,9 +69,10 @@
       AnswerVariant variant, Exchange.Handler peerHandler, Exchange exchange) {
     switch (variant) {
       case UNCHANGED -> peerHandler.handle(exchange);
-      case UNKNOWN_MESSAGE -> exchange.to().accept(Answer.json(404, Json.error("no such message")));
-      case EMPTY_ANSWER -> exchange.to().accept(cbor(Json.object()));
-      case NOT_CBOR -> exchange.to().accept(Answer.json(200, new byte[] {(byte) 0xff, 0}));
+      case UNKNOWN_MESSAGE ->
+          exchange.responder().accept(Response.json(404, Json.error("no such message")));
+      case EMPTY_ANSWER -> exchange.responder().accept(cbor(Json.object()));
+      case NOT_CBOR -> exchange.responder().accept(Response.json(200, new byte[] {(byte) 0xff, 0}));
       case WITHOUT_CANCELLATIONS -> peerHandler.handle(withoutField(exchange, "cancellations"));
       default -> throw new AssertionError(variant);
     }
@@ -89,12 +90,12 @@
           if (body instanceof ObjectNode answer) {
             answer.remove(field);
           }
-          exchange.to().accept(body == null ? reply : cbor(body));
+          exchange.responder().accept(body == null ? reply : cbor(body));
         });
   }
 
-  private static Answer cbor(JsonNode body) {
-    return new Answer(200, Json.writeCbor(body), "application/cbor", 0, false);
+  private static Response cbor(JsonNode body) {
+    return new Response(200, Json.writeCbor(body), "application/cbor", 0, false);
   }
 
   @Test
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -11,7 +11,7 @@
 import graderelay.core.Priority;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -69,11 +69,11 @@
           "deputy refusal",
           new PeerAnswer.Delegated(null, KNOWLEDGE),
           "report answer",
-          new PeerAnswer.Relayed(Answer.json(200, BODY)),
+          new PeerAnswer.Relayed(Response.json(200, BODY)),
           "user answer",
-          new PeerAnswer.Relayed(Answer.later(503, Json.error("try later"))),
+          new PeerAnswer.Relayed(Response.unavailable(503, Json.error("try later"))),
           "admin answer",
-          new PeerAnswer.Relayed(Answer.json(200, BODY)));
+          new PeerAnswer.Relayed(Response.json(200, BODY)));
 
   private static JobSpec storedJob(String id) {
     return StateCodec.decodeJob(id, ProductionFormats.record(StateCodec.jobKey(id)));
@@ -192,7 +192,8 @@
     OperatorSettings defaults = OperatorSettings.defaults(500, "info");
     assertStoredAs(
         "g/settings",
-        OperatorSettings.stored(ProductionFormats.record("g/settings"), defaults, 500).json());
+        OperatorSettings.fromStored(ProductionFormats.record("g/settings"), defaults, 500)
+            .toJson());
     List<Action.Demand> demand = new ArrayList<>();
     demand.add(
         new Action.Demand(
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -84,7 +84,7 @@
         .toList()
         .forEach(w::cutOff);
     // The leader can't know whether they are dead or keep the task alive.
-    double longest = w.settings(0).grantS() + SimWorld.LEASE_S;
+    double longest = w.settings(0).delegateGrantS() + SimWorld.LEASE_S;
     assertThat(secondsToNextStart(w)).isBetween(longest - 3, longest + 15);
     fine(w);
   }
