--- a/src/main/java/graderelay/cli/WarmupCommand.java
+++ b/src/main/java/graderelay/cli/WarmupCommand.java
@@ -145,13 +145,13 @@
   private static boolean isLeader(NettyLoop loop, ControllerNode controller)
       throws InterruptedException {
     AtomicBoolean isLeader = new AtomicBoolean();
-    CountDownLatch answered = new CountDownLatch(1);
+    CountDownLatch replied = new CountDownLatch(1);
     loop.execute(
         () -> {
           isLeader.set(controller.core() != null);
-          answered.countDown();
+          replied.countDown();
         });
-    answered.await(1, TimeUnit.SECONDS);
+    replied.await(1, TimeUnit.SECONDS);
     return isLeader.get();
   }
 
@@ -159,7 +159,7 @@
   private record TestClient(NettyLoop loop, HttpClient client, String address) {
     /** Waits up to two seconds for the response, which is parsed and discarded. */
     void request(String method, String path, String body) throws InterruptedException {
-      CountDownLatch answered = new CountDownLatch(1);
+      CountDownLatch replied = new CountDownLatch(1);
       byte[] bytes = body == null ? null : body.getBytes(StandardCharsets.UTF_8);
       loop.execute(
           () ->
@@ -171,9 +171,9 @@
                   1,
                   (Reply reply) -> {
                     Json.read(reply.body());
-                    answered.countDown();
+                    replied.countDown();
                   }));
-      answered.await(2, TimeUnit.SECONDS);
+      replied.await(2, TimeUnit.SECONDS);
     }
   }
 }
--- a/src/main/java/graderelay/config/Settings.java
+++ b/src/main/java/graderelay/config/Settings.java
@@ -105,8 +105,8 @@
 
   /**
    * Maximum duration of a lease delegate's grant after the leader's last message, in worker lease
-   * durations. Network partitions of a zone last about two lease durations. Tasks of machines in
-   * the zone that have failed are restarted elsewhere later by the same time.
+   * durations. Network partitions of a zone last about two lease durations. A longer grant would
+   * further delay the restart elsewhere of tasks whose machines in the zone have failed.
    */
   private static final double MAX_DELEGATE_GRANT_LEASES = 2;
 
--- a/src/main/java/graderelay/config/SettingsParser.java
+++ b/src/main/java/graderelay/config/SettingsParser.java
@@ -32,9 +32,9 @@
 
   /** Service-level objectives by job class, in seconds; see {@link Settings}. */
   private record Objectives(
-      Map<String, Double> startS,
-      Map<String, List<Double>> startStepsS,
-      Map<String, Double> completionS) {}
+      Map<String, Double> startObjectivesS,
+      Map<String, List<Double>> startObjectiveStepsS,
+      Map<String, Double> completionObjectivesS) {}
 
   /** A team's guarantee and limit for one resource; 0 means that there is none. */
   private record GuaranteeAndLimit(double guarantee, double limit) {}
@@ -63,9 +63,9 @@
         address(outside, "cloud", "outside."),
         address(outside, "state", "outside."),
         List.copyOf(teams),
-        Map.copyOf(objectives.startS()),
-        objectives.startStepsS(),
-        Map.copyOf(objectives.completionS()),
+        Map.copyOf(objectives.startObjectivesS()),
+        objectives.startObjectiveStepsS(),
+        Map.copyOf(objectives.completionObjectivesS()),
         number(workers, "report_s", WORKERS_PREFIX, MIN_POSITIVE),
         number(workers, "lease_s", WORKERS_PREFIX, MIN_POSITIVE),
         number(workers, "cancel_s", WORKERS_PREFIX, MIN_POSITIVE),
@@ -132,9 +132,9 @@
    * class, are informative only.
    */
   private static Objectives objectives(JsonNode deployment) throws InvalidSettingsException {
-    Map<String, Double> startS = new HashMap<>();
-    Map<String, List<Double>> startStepsS = new HashMap<>();
-    Map<String, Double> completionS = new HashMap<>();
+    Map<String, Double> startObjectivesS = new HashMap<>();
+    Map<String, List<Double>> startObjectiveStepsS = new HashMap<>();
+    Map<String, Double> completionObjectivesS = new HashMap<>();
     int index = 0;
     for (JsonNode objective : list(deployment, "objectives", "deployment.objectives")) {
       String pathPrefix = "deployment.objectives[" + index++ + "].";
@@ -142,15 +142,16 @@
       if (kind.equals("wait") && objective.has("class")) {
         String jobClass = text(objective, "class", pathPrefix);
         double withinS = number(objective, "within_s", pathPrefix, 0);
-        startS.merge(jobClass, withinS, Math::min);
-        startStepsS.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(withinS);
+        startObjectivesS.merge(jobClass, withinS, Math::min);
+        startObjectiveStepsS.computeIfAbsent(jobClass, c -> new ArrayList<>()).add(withinS);
       } else if (kind.equals("finished") && objective.has("class")) {
         String jobClass = text(objective, "class", pathPrefix);
-        completionS.merge(jobClass, number(objective, "within_s", pathPrefix, 0), Math::min);
+        completionObjectivesS.merge(
+            jobClass, number(objective, "within_s", pathPrefix, 0), Math::min);
       }
     }
-    startStepsS.values().forEach(steps -> steps.sort(null));
-    return new Objectives(startS, startStepsS, completionS);
+    startObjectiveStepsS.values().forEach(steps -> steps.sort(null));
+    return new Objectives(startObjectivesS, startObjectiveStepsS, completionObjectivesS);
   }
 
   /** Returns the next value of a limit of the store; the present value if no next one is given. */
--- a/src/main/java/graderelay/net/ConnectionPool.java
+++ b/src/main/java/graderelay/net/ConnectionPool.java
@@ -20,7 +20,7 @@
   private final Map<String, Deque<ClientConnection>> idleByAddress = new HashMap<>();
 
   /** All idle connections, the one that has been idle for longest first. */
-  private final Set<ClientConnection> idleInOrder = new LinkedHashSet<>();
+  private final Set<ClientConnection> idleOldestFirst = new LinkedHashSet<>();
 
   private int openCount;
 
@@ -46,7 +46,7 @@
     Deque<ClientConnection> idle = idleByAddress.get(address);
     while (idle != null && !idle.isEmpty()) {
       ClientConnection connection = idle.pollLast();
-      idleInOrder.remove(connection);
+      idleOldestFirst.remove(connection);
       if (connection.isActive()) {
         return connection;
       }
@@ -65,9 +65,9 @@
       return false;
     }
     idle.addLast(connection);
-    idleInOrder.add(connection);
-    if (idleInOrder.size() > maxIdleConnections) {
-      idleInOrder.iterator().next().close();
+    idleOldestFirst.add(connection);
+    if (idleOldestFirst.size() > maxIdleConnections) {
+      idleOldestFirst.iterator().next().close();
     }
     return true;
   }
@@ -80,7 +80,7 @@
   /** Removes a connection that either side has closed. */
   void onConnectionClosed(ClientConnection connection) {
     openCount--;
-    idleInOrder.remove(connection);
+    idleOldestFirst.remove(connection);
     Deque<ClientConnection> idle = idleByAddress.get(connection.address());
     if (idle != null) {
       idle.remove(connection);
--- a/src/main/java/graderelay/net/HttpClient.java
+++ b/src/main/java/graderelay/net/HttpClient.java
@@ -19,9 +19,9 @@
  */
 public final class HttpClient implements Transport {
   /**
-   * Maximum size of a response body. A watch response has no size limit of its own, and its parsed
-   * tree takes several times as much heap. A client that has missed more changes than fit reloads
-   * the records page by page.
+   * Maximum size of a response body. It bounds the batch of changes in a watch response, which has
+   * no size limit of its own and whose parsed tree takes several times as much heap. A client that
+   * has missed more changes than fit reloads the records page by page.
    */
   private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -33,24 +33,24 @@
   private static CommandResult submit(
       LocalDeployment deployment, int controller, Path jobFile, String... dependencies)
       throws Exception {
-    String[] arguments = new String[4 + dependencies.length * 2];
-    arguments[0] = "submit";
-    arguments[1] = jobFile.toString();
-    arguments[2] = "--server";
-    arguments[3] = deployment.address(controller);
+    String[] allArguments = new String[4 + dependencies.length * 2];
+    allArguments[0] = "submit";
+    allArguments[1] = jobFile.toString();
+    allArguments[2] = "--server";
+    allArguments[3] = deployment.address(controller);
     for (int i = 0; i < dependencies.length; i++) {
-      arguments[4 + 2 * i] = "--needs";
-      arguments[5 + 2 * i] = dependencies[i];
+      allArguments[4 + 2 * i] = "--needs";
+      allArguments[5 + 2 * i] = dependencies[i];
     }
-    return deployment.run(arguments);
+    return deployment.run(allArguments);
   }
 
   private static CommandResult runAgainst(
       LocalDeployment deployment, int controller, String... arguments) throws Exception {
-    String[] all = java.util.Arrays.copyOf(arguments, arguments.length + 2);
-    all[arguments.length] = "--server";
-    all[arguments.length + 1] = deployment.address(controller);
-    return deployment.run(all);
+    String[] allArguments = java.util.Arrays.copyOf(arguments, arguments.length + 2);
+    allArguments[arguments.length] = "--server";
+    allArguments[arguments.length + 1] = deployment.address(controller);
+    return deployment.run(allArguments);
   }
 
   /** Waits until all controllers serve requests, which they do a short time after their start. */
--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -158,12 +158,12 @@
 
   /** Runs a command until it exits. */
   CommandResult run(String... arguments) throws IOException, InterruptedException {
-    Process tool = launch("tool", arguments);
-    if (!tool.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
-      tool.destroyForcibly();
+    Process process = launch("tool", arguments);
+    if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
+      process.destroyForcibly();
     }
     return new CommandResult(
-        tool.waitFor(),
+        process.waitFor(),
         Files.readString(folder.resolve("tool.out")),
         Files.readString(folder.resolve("tool.err")));
   }
--- a/src/test/java/graderelay/cli/LoopbackFleet.java
+++ b/src/test/java/graderelay/cli/LoopbackFleet.java
@@ -116,17 +116,17 @@
   }
 
   private JsonNode listMachines() {
-    ObjectNode n = Json.object().put("truncated", false);
-    ArrayNode all = n.putArray("saws");
-    workers.values().forEach(w -> all.add(w.listEntry()));
-    return n;
+    ObjectNode response = Json.object().put("truncated", false);
+    ArrayNode entries = response.putArray("saws");
+    workers.values().forEach(worker -> entries.add(worker.listEntry()));
+    return response;
   }
 
   private JsonNode deleteMachines(JsonNode names) {
     for (JsonNode name : names.path("saws")) {
-      Worker w = workers.remove(name.asText());
-      if (w != null) {
-        w.close();
+      Worker worker = workers.remove(name.asText());
+      if (worker != null) {
+        worker.close();
       }
     }
     return Json.object();
@@ -140,9 +140,9 @@
               ArrayNode started = Json.array();
               int wanted = request.path("how_many").asInt();
               for (int i = 0; i < wanted && workers.size() < machineCapacity; i++) {
-                Worker w = new Worker(request.path("borrowed").asBoolean());
-                workers.put(w.name, w);
-                started.add(w.name);
+                Worker worker = new Worker(request.path("borrowed").asBoolean());
+                workers.put(worker.name, worker);
+                started.add(worker.name);
               }
               return started;
             });
@@ -150,14 +150,14 @@
       machinesByScaleOut.remove(request.path("hire").asText());
       return null;
     }
-    ObjectNode n = Json.object();
-    n.set("saws", names);
-    return n;
+    ObjectNode response = Json.object();
+    response.set("saws", names);
+    return response;
   }
 
   // ---------------------------------------------------------------- the workers
 
-  private int nextWorker = 1;
+  private int nextWorkerNumber = 1;
 
   private static final class Task {
     final int attempt;
@@ -171,7 +171,7 @@
 
   /** One machine and its worker. */
   private final class Worker {
-    final String name = String.format("n-%06d", nextWorker++);
+    final String name = String.format("n-%06d", nextWorkerNumber++);
     private final boolean spot;
     private final HttpServer server;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
@@ -189,9 +189,10 @@
       server
           .listen("127.0.0.1:0")
           .addListener(
-              (io.netty.channel.ChannelFuture f) -> {
-                InetSocketAddress at = (InetSocketAddress) f.channel().localAddress();
-                address = "127.0.0.1:" + at.getPort();
+              (io.netty.channel.ChannelFuture future) -> {
+                InetSocketAddress socketAddress =
+                    (InetSocketAddress) future.channel().localAddress();
+                address = "127.0.0.1:" + socketAddress.getPort();
                 sendHeartbeat();
               });
     }
@@ -204,18 +205,18 @@
 
     private void dropTasks() {
       tasks.forEach(
-          (id, t) -> {
-            if (t.endReason == null) {
-              onTaskEnded(id, false);
+          (taskId, task) -> {
+            if (task.endReason == null) {
+              onTaskEnded(taskId, false);
             }
           });
       tasks.clear();
     }
 
     ObjectNode listEntry() {
-      ObjectNode n = Json.object().put("ref", name).put("address", address).put("rig", "small");
-      n.put("yard", "a").put("borrowed", spot).put("stage", "running");
-      return n.put("age_s", 5);
+      ObjectNode entry = Json.object().put("ref", name).put("address", address).put("rig", "small");
+      entry.put("yard", "a").put("borrowed", spot).put("stage", "running");
+      return entry.put("age_s", 5);
     }
 
     private ObjectNode heartbeatBody() {
@@ -225,13 +226,14 @@
           .put("shift", sessionNumber)
           .put("tally", ++heartbeatCount);
       body.put("foreman", fencingToken);
-      ArrayNode boards = body.putArray("boards");
+      ArrayNode taskEntries = body.putArray("boards");
       tasks.forEach(
-          (id, t) -> {
-            ObjectNode b = boards.addObject().put("board", id).put("pass", t.attempt);
-            b.put("stage", t.state);
-            if (t.endReason != null) {
-              b.put("cause", t.endReason);
+          (taskId, task) -> {
+            ObjectNode entry =
+                taskEntries.addObject().put("board", taskId).put("pass", task.attempt);
+            entry.put("stage", task.state);
+            if (task.endReason != null) {
+              entry.put("cause", task.endReason);
             }
           });
       return body;
--- a/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/QuotaOnLoopbackTest.java
@@ -24,12 +24,12 @@
 
   private static LocalDeployment.CommandResult quota(
       LocalDeployment deployment, int controller, String... arguments) throws Exception {
-    String[] all = new String[arguments.length + 3];
-    all[0] = "quota";
-    System.arraycopy(arguments, 0, all, 1, arguments.length);
-    all[all.length - 2] = "--server";
-    all[all.length - 1] = deployment.address(controller);
-    return deployment.run(all);
+    String[] allArguments = new String[arguments.length + 3];
+    allArguments[0] = "quota";
+    System.arraycopy(arguments, 0, allArguments, 1, arguments.length);
+    allArguments[allArguments.length - 2] = "--server";
+    allArguments[allArguments.length - 1] = deployment.address(controller);
+    return deployment.run(allArguments);
   }
 
   /** Returns the index of the leader, or -1 if there is none. */
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void usageStaysWithinTheLimitWhenTheLeaderIsKilled() throws Exception {
+  void usageStaysWithinTheLimitAcrossLeaderLossAndLimitChanges() throws Exception {
     try (LocalDeployment deployment =
         new LocalDeployment(folder, 3, MACHINES, OPTIONS, CPU_LIMIT)) {
       eventually("limits are stored", () -> deployment.stored(QuotaCodec.SEEDED) != null);
--- a/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
@@ -84,8 +84,8 @@
       }
       Process suspended = deployment.process(2);
       LocalDeployment.signal(suspended, "STOP");
-      deployment.changeAddresses(
-          2); // The suspended process keeps its sockets, so its replacement needs other addresses.
+      // The suspended process keeps its sockets, so its replacement needs other addresses.
+      deployment.changeAddresses(2);
       for (int i = 0; i < 3; i++) {
         if (i < 2) {
           deployment.kill(i);
@@ -101,8 +101,8 @@
       assertThat(deployment.standardError(2, 2)).contains("this controller leaves");
       assertThat(isReady(deployment, 0)).isTrue();
 
-      deployment.kill(
-          1); // An older program that replaces a newer one reports why it does not take part.
+      // An older program that replaces a newer one reports why it does not take part.
+      deployment.kill(1);
       deployment.start(1, OLD_OPTIONS);
       eventually(
           "m-1 reports why it does not take part",
--- a/src/test/java/graderelay/cli/UserSimulator.java
+++ b/src/test/java/graderelay/cli/UserSimulator.java
@@ -15,7 +15,8 @@
 
 /**
  * A simulated user that continuously submits, polls and cancels jobs on its own thread. It checks
- * the responses: no accepted job may become unknown, and no job may return to an earlier state.
+ * the responses: no accepted job may become unknown, no finished job may change its state, and no
+ * job may be cancelled without a request.
  */
 final class UserSimulator implements Runnable {
   private static final int TASKS_PER_JOB = 2;
@@ -73,16 +74,16 @@
   }
 
   int acceptedCount() {
-    return (int) jobs.values().stream().filter(j -> j.accepted).count();
+    return (int) jobs.values().stream().filter(job -> job.accepted).count();
   }
 
   /** Accepted jobs that are neither done nor cancelled, with their last known state. */
   List<String> unfinishedJobs() {
     List<String> unfinished = new ArrayList<>();
     jobs.forEach(
-        (id, j) -> {
-          if (j.accepted && !j.isFinished()) {
-            unfinished.add(id + " " + j.lastState);
+        (id, job) -> {
+          if (job.accepted && !job.isFinished()) {
+            unfinished.add(id + " " + job.lastState);
           }
         });
     return unfinished;
@@ -91,8 +92,8 @@
   List<String> doneJobs() {
     List<String> done = new ArrayList<>();
     jobs.forEach(
-        (id, j) -> {
-          if (j.lastState.equals("done")) {
+        (id, job) -> {
+          if (job.lastState.equals("done")) {
             done.add(id);
           }
         });
@@ -129,7 +130,7 @@
   }
 
   private void submit(String id) throws InterruptedException {
-    TrackedJob job = jobs.computeIfAbsent(id, x -> new TrackedJob());
+    TrackedJob job = jobs.computeIfAbsent(id, key -> new TrackedJob());
     String body =
         """
         {"ref":"%s","lot":"batch","crew":"team","cut":"array","urgency":"normal","boards":%d,
@@ -205,7 +206,7 @@
       return;
     }
     if (job.isFinished() && !state.equals(job.lastState)) {
-      violations.add(id + " returned from " + job.lastState + " to " + state);
+      violations.add(id + " was finished, but changed from " + job.lastState + " to " + state);
     }
     if (state.equals("cancelled") && !job.cancelRequested) {
       violations.add(id + " was cancelled without a request");
