--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void cancellingTheFirstJobOfAChainCancelsAllOfItsDependents() throws Exception {
+  void cancellingTheFirstJobOfChainCancelsAllOfItsDependents() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 3)) {
       waitUntilServing(deployment);
       assertThat(submit(deployment, 0, writeJobFile("j-000001")).standardOutput())
@@ -104,9 +104,12 @@
       Path malformed = writeJobFile("j-000005");
       Files.writeString(
           malformed, Files.readString(malformed).replaceFirst("\\{", "{\"awaits\":\"j-000001\","));
-      CommandResult notAList = submit(deployment, 0, malformed, "j-000002");
-      assertThat(notAList.exitCode()).isEqualTo(Main.REFUSED);
-      assertThat(notAList.standardError()).contains("400").contains("awaits").contains("list");
+      CommandResult dependenciesNotList = submit(deployment, 0, malformed, "j-000002");
+      assertThat(dependenciesNotList.exitCode()).isEqualTo(Main.REFUSED);
+      assertThat(dependenciesNotList.standardError())
+          .contains("400")
+          .contains("awaits")
+          .contains("list");
 
       CommandResult cancelled = runAgainst(deployment, 1, "cancel", "j-000001");
       assertThat(cancelled.standardOutput()).contains("j-000001 cancelled");
--- a/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/UpgradeOnLoopbackTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void noJobIsLostOrRunTwiceDuringARollingUpgrade() throws Exception {
+  void noJobIsLostOrRunTwiceDuringRollingUpgrade() throws Exception {
     try (LocalDeployment deployment = new LocalDeployment(folder, 3, MACHINES, OLD_OPTIONS)) {
       for (int i = 0; i < 3; i++) {
         int controller = i;
