--- a/src/main/java/graderelay/cli/ServeCommand.java
+++ b/src/main/java/graderelay/cli/ServeCommand.java
@@ -81,7 +81,7 @@
     var random = new SplittableRandom(ByteBuffer.wrap(seed).getLong());
     var client = new HttpClient(loop, (int) (settings.maxConnections() * IDLE_CONNECTIONS_SHARE));
     ControllerNode controller = new ControllerNode(clock, client, settings, options, random);
-    controller.onLeave(ServeCommand::exitAfterLeaving);
+    controller.onShutdownRequested(ServeCommand::exitAfterLeaving);
     int maxAccepted = (int) (settings.maxConnections() * ACCEPTED_CONNECTIONS_SHARE);
     HttpServer api = new HttpServer(loop, clock, maxAccepted, controller::handle);
     HttpServer peerServer =
@@ -93,7 +93,7 @@
       LoggerFactory.getLogger("serve").error("failed to bind a listen address: {}", e.getMessage());
       return false;
     }
-    controller.watchConnections(
+    controller.registerConnectionGauges(
         () -> api.openConnections() + peerServer.openConnections(), client::openConnections);
     clock.execute(controller::start);
     return true;
--- a/src/test/java/graderelay/cli/CommandLineTest.java
+++ b/src/test/java/graderelay/cli/CommandLineTest.java
@@ -104,9 +104,9 @@
       Path malformed = writeJobFile("j-000005");
       Files.writeString(
           malformed, Files.readString(malformed).replaceFirst("\\{", "{\"awaits\":\"j-000001\","));
-      CommandResult dependenciesNotList = submit(deployment, 0, malformed, "j-000002");
-      assertThat(dependenciesNotList.exitCode()).isEqualTo(Main.REFUSED);
-      assertThat(dependenciesNotList.standardError())
+      CommandResult malformedDependencies = submit(deployment, 0, malformed, "j-000002");
+      assertThat(malformedDependencies.exitCode()).isEqualTo(Main.REFUSED);
+      assertThat(malformedDependencies.standardError())
           .contains("400")
           .contains("awaits")
           .contains("list");
