--- a/src/main/java/graderelay/cloud/CloudClient.java
+++ b/src/main/java/graderelay/cloud/CloudClient.java
@@ -6,7 +6,7 @@
 import graderelay.net.Loop;
 import graderelay.net.Reply;
 import graderelay.net.TokenBucket;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.net.Transport;
 import graderelay.wire.CloudCodec;
 import graderelay.wire.Json;
@@ -78,7 +78,7 @@
 
   /** A response of the cloud; {@code body} is null without a response or if it is not JSON. */
   private record Response(int status, JsonNode body) {
-    static final Response NONE = new Response(Reply.NO_ANSWER, null);
+    static final Response NONE = new Response(Reply.NO_RESPONSE, null);
 
     boolean isOk() {
       return status == 200;
@@ -126,7 +126,7 @@
   /** Reads the machine types; passes null to the callback if the request fails. */
   public void listMachineTypes(Consumer<List<MachineType>> callback) {
     call(
-        Use.READ,
+        CallPriority.READ,
         "GET",
         "/machine_types",
         null,
@@ -141,7 +141,7 @@
    */
   public double listIntervalS(int machineCount) {
     double pages = 1 + machineCount / (double) MAX_MACHINES_PER_PAGE;
-    return Math.max(MIN_LIST_INTERVAL_S, pages / (tokenBucket.rate() * LIST_RATE_FRACTION));
+    return Math.max(MIN_LIST_INTERVAL_S, pages / (tokenBucket.tokensPerS() * LIST_RATE_FRACTION));
   }
 
   /** Reads the entire list of machines; passes null to the callback if a page cannot be read. */
@@ -152,7 +152,7 @@
   private void listMachinesAfter(
       String afterName, List<ListedMachine> machines, Consumer<List<ListedMachine>> callback) {
     call(
-        Use.READ,
+        CallPriority.READ,
         "GET",
         "/machines?after=" + afterName + "&most=" + MAX_MACHINES_PER_PAGE,
         null,
@@ -193,7 +193,7 @@
   private void scaleOut(
       ScaleOutRequest request, int attemptsLeft, Consumer<ScaleOutResult> callback) {
     call(
-        Use.CLAIM,
+        CallPriority.CLAIM,
         "POST",
         "/machines",
         CloudCodec.encodeScaleOut(
@@ -204,7 +204,7 @@
           } else if (response.isNoCapacity()) {
             callback.accept(ScaleOutResult.outOfCapacity());
           } else if (attemptsLeft > 1) {
-            loop.after(RETRY_DELAY_S, () -> scaleOut(request, attemptsLeft - 1, callback));
+            loop.schedule(RETRY_DELAY_S, () -> scaleOut(request, attemptsLeft - 1, callback));
           } else {
             callback.accept(ScaleOutResult.unknownOutcome());
           }
@@ -214,7 +214,7 @@
   /** Deletes machines; passes true to the callback if the cloud confirms it. */
   public void scaleIn(List<String> names, Consumer<Boolean> callback) {
     call(
-        Use.CLAIM,
+        CallPriority.CLAIM,
         "POST",
         "/machines/delete",
         CloudCodec.encodeMachineNames(names),
@@ -226,7 +226,7 @@
    * token bucket refuses it.
    */
   private void call(
-      Use use, String method, String path, JsonNode body, Consumer<Response> callback) {
+      CallPriority use, String method, String path, JsonNode body, Consumer<Response> callback) {
     tokenBucket.take(
         use,
         1,
@@ -251,9 +251,9 @@
 
   private Response onReply(String path, Reply reply) {
     if (reply.status() == TOO_MANY_REQUESTS) {
-      tokenBucket.penalty();
+      tokenBucket.onThrottled();
     }
-    boolean responded = reply.status() != Reply.NO_ANSWER;
+    boolean responded = reply.status() != Reply.NO_RESPONSE;
     String pathAndStatus = path.split("\\?", 2)[0] + " " + (responded ? reply.status() : "none");
     responseCounts.merge(pathAndStatus, 1L, Long::sum);
     return new Response(reply.status(), responded ? Json.read(reply.body()) : null);
--- a/src/main/java/graderelay/service/ControllerComponents.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -69,7 +69,7 @@
     this.loop = loop;
     this.settings = settings;
     this.random = random;
-    this.featureGate = new FeatureGate(options.supported());
+    this.featureGate = new FeatureGate(options.supportedLevels());
     this.operatorSettings = new StoredOperatorSettings(SchedulerPolicy.maxTasksPerBatch(settings));
     this.metrics = new Metrics(loop);
     this.state = newStateClient(transport);
@@ -81,7 +81,7 @@
     cancellations.setListener(leaderLifecycle::onCancelled);
     this.leadership = newLeadership();
     this.cloudClient =
-        new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRps());
+        new CloudClient(loop, transport, settings.cloudAddress(), settings.cloudRequestsPerS());
     this.machineTypePoller =
         new MachineTypePoller(loop, cloudClient, this::isLeader, this::onMachineTypes);
     this.leaderServices =
@@ -124,10 +124,10 @@
     return new StateClient(
         loop,
         transport,
-        settings.stateAddress(),
-        settings.stateRps(),
-        settings.stateChangesPerS(),
-        settings.least().changesPerS(),
+        settings.storeAddress(),
+        settings.storeRequestsPerS(),
+        settings.storeChangesPerS(),
+        settings.minStoreLimits().changesPerS(),
         settings.peers().size());
   }
 
@@ -152,7 +152,7 @@
         cache,
         settings.member(),
         settings.peerAddress(),
-        settings.holdS(),
+        settings.sessionLeaseS(),
         peerClient,
         cancellations,
         random::nextDouble,
@@ -298,7 +298,7 @@
     return new LeaderTerm(
         leaderServices,
         SchedulerPolicy.of(settings, state, operatorSettings.current()),
-        settings.least(),
+        settings.minStoreLimits(),
         operatorSettings.current(),
         random,
         currentMachineTypes());
--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -30,7 +30,7 @@
 
   /** Creates a controller with all optional features disabled. */
   public ControllerNode(Loop loop, Transport transport, Settings settings, RandomGenerator random) {
-    this(loop, transport, settings, Options.none(), random);
+    this(loop, transport, settings, Options.defaults(), random);
   }
 
   /**
@@ -118,7 +118,7 @@
       return;
     }
     components.leadership.tick();
-    tickTimer = components.loop.after(TICK_INTERVAL_S, this::tick);
+    tickTimer = components.loop.schedule(TICK_INTERVAL_S, this::tick);
   }
 
   /** Handles a request of a user, a worker, an operator or the load balancer. */
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -60,7 +60,7 @@
     this.loop = loop;
     this.featureGate = cache.features().gate();
     this.cache = cache;
-    if (options.features() == null) {
+    if (options.upgradePolicy() == null) {
       this.membershipPublisher = null;
       this.coordinator = null;
       return;
@@ -69,18 +69,18 @@
         new Member(
             settings.member(),
             programVersion(),
-            options.supported(),
+            options.supportedLevels(),
             incarnation,
-            loop.wallMs(),
+            loop.wallClockMs(),
             0);
     this.membershipPublisher =
         new MembershipPublisher(loop, state, cache, self, this::requestShutdown);
     this.coordinator =
         new UpgradeCoordinator(
             featureGate,
-            new FeatureLevelStore(state, cache, leadership, settings, loop::wallMs),
+            new FeatureLevelStore(state, cache, leadership, settings, loop::wallClockMs),
             newMemberProbe(peerClient, settings.member()),
-            options.features(),
+            options.upgradePolicy(),
             settings.member(),
             incarnation,
             peerNames(settings),
@@ -128,7 +128,7 @@
     if (coordinator != null) {
       coordinator.tick();
     }
-    timer = loop.after(CHECK_INTERVAL_S, this::start);
+    timer = loop.schedule(CHECK_INTERVAL_S, this::start);
   }
 
   /** Stops the periodic checks. */
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -6,7 +6,7 @@
 import graderelay.features.ClusterStore;
 import graderelay.features.Feature;
 import graderelay.features.Member;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.state.Cache;
 import graderelay.state.FeatureRecords;
 import graderelay.state.Leadership;
@@ -54,7 +54,7 @@
     this.state = state;
     this.cache = cache;
     this.leadership = leadership;
-    this.maxTransactionOps = settings.least().txnOps();
+    this.maxTransactionOps = settings.minStoreLimits().txnOps();
     members.add(settings.member());
     settings.peers().forEach(peer -> members.add(peer.member()));
   }
@@ -95,7 +95,7 @@
     // The cache must have caught up before the next decision is made.
     state.commit(
         txn,
-        Use.CLAIM,
+        CallPriority.CLAIM,
         result -> cache.catchUp(caughtUp -> done.accept(toOutcome(result.outcome()))));
   }
 
@@ -140,7 +140,7 @@
   public void keysOf(Feature feature, Consumer<List<String>> done) {
     state.list(
         keyPrefixOf(feature),
-        Use.CLAIM,
+        CallPriority.CLAIM,
         listing -> done.accept(listing == null ? null : listing.keys()));
   }
 
--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -153,7 +153,7 @@
   private void startTerm(long term, double electedAt) {
     if (!cache.isLoaded()) {
       if (isStillLeader(term)) {
-        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, electedAt));
+        loop.schedule(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, electedAt));
       }
       return;
     }
@@ -163,7 +163,7 @@
             return;
           }
           if (!caughtUp || machineTypes.get() == null) {
-            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, electedAt));
+            loop.schedule(StateClient.RETRY_DELAY_S, () -> startTerm(term, electedAt));
             return;
           }
           currentTerm = termFactory.get();
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -58,7 +58,7 @@
   LeaderTerm(
       LeaderServices services,
       Policy policy,
-      Settings.StateLimits minimumLimits,
+      Settings.StoreLimits minimumLimits,
       OperatorSettings operatorSettings,
       RandomGenerator random,
       List<MachineType> machineTypes) {
@@ -98,7 +98,7 @@
 
   /** The wall-clock time, in milliseconds since the epoch. */
   long wallMs() {
-    return loop.wallMs();
+    return loop.wallClockMs();
   }
 
   boolean isClosed() {
@@ -227,7 +227,7 @@
     }
     core.tick(loop.now());
     actionExecutor.execute();
-    tickTimer = loop.after(ControllerNode.TICK_INTERVAL_S, this::tick);
+    tickTimer = loop.schedule(ControllerNode.TICK_INTERVAL_S, this::tick);
   }
 
   /**
@@ -250,7 +250,7 @@
     actionExecutor.execute();
     if (delayS < SchedulerLimits.MIN_ROUND_INTERVAL_S * 2 && !isStepScheduled) {
       isStepScheduled = true;
-      stepTimer = loop.after(delayS, this::step);
+      stepTimer = loop.schedule(delayS, this::step);
     }
   }
 
@@ -271,7 +271,7 @@
           }
           int machineCount = machines == null ? 0 : machines.size();
           machineListTimer =
-              loop.after(cloudClient.listIntervalS(machineCount), this::listMachines);
+              loop.schedule(cloudClient.listIntervalS(machineCount), this::listMachines);
         });
   }
 }
--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -71,7 +71,7 @@
               machineTypes == null
                   ? CloudClient.RETRY_DELAY_S
                   : LEADER_POLL_INTERVAL_S * (isLeader.getAsBoolean() ? 1 : 5);
-          timer = loop.after(delayS, this::poll);
+          timer = loop.schedule(delayS, this::poll);
         });
   }
 }
--- a/src/main/java/graderelay/service/Metrics.java
+++ b/src/main/java/graderelay/service/Metrics.java
@@ -62,7 +62,7 @@
   /** Starts to measure the event loop's delay. */
   public void start() {
     double expectedAt = loop.now() + LOOP_DELAY_PROBE_INTERVAL_S;
-    loop.after(
+    loop.schedule(
         LOOP_DELAY_PROBE_INTERVAL_S,
         () -> {
           recordDuration("graderelay.loop.delay", Math.max(0, loop.now() - expectedAt));
@@ -112,8 +112,8 @@
   void registerTokenBucket(String name, TokenBucket bucket) {
     Tags tags = Tags.of("bucket", name);
     registerGauge("graderelay.tokens.waiting", tags, m -> bucket.waiting());
-    registerGauge("graderelay.tokens.refused", tags, m -> bucket.refused());
-    registerGauge("graderelay.tokens.waited.seconds", tags, m -> bucket.waitedSeconds());
+    registerGauge("graderelay.tokens.refused", tags, m -> bucket.refusedCount());
+    registerGauge("graderelay.tokens.waited.seconds", tags, m -> bucket.totalWaitS());
   }
 
   /**
--- a/src/main/java/graderelay/service/RecordFeed.java
+++ b/src/main/java/graderelay/service/RecordFeed.java
@@ -46,7 +46,7 @@
     hints.storedImages().forEach(core::onStoredImages);
     core.onImageShards(hints.imageShardsPerThousandMachines());
     loadJobs(now);
-    core.onStoredDemand(hints.storedDemand(loop.wallMs()), now);
+    core.onStoredDemand(hints.storedDemand(loop.wallClockMs()), now);
     onQuotaChanged();
     core.onRecordsLoaded(now);
   }
@@ -79,7 +79,7 @@
 
   /** Converts a wall-clock time in milliseconds to the event loop's time in seconds. */
   private double toLoopTime(long wallMs) {
-    return loop.now() - (loop.wallMs() - wallMs) / 1000.0;
+    return loop.now() - (loop.wallClockMs() - wallMs) / 1000.0;
   }
 
   /** Handles the cancellation of a job, which its record may not contain yet. */
--- a/src/main/java/graderelay/service/SchedulerPolicy.java
+++ b/src/main/java/graderelay/service/SchedulerPolicy.java
@@ -21,18 +21,21 @@
   static Policy of(Settings settings, StateClient state, OperatorSettings operatorSettings) {
     return new Policy(
         settings.teams(),
-        settings.delegates(),
-        settings.grantS(),
-        settings.reportS(),
+        settings.delegateZones(),
+        settings.delegateGrantS(),
+        settings.heartbeatIntervalS(),
         settings.leaseS(),
         settings.listLagS(),
-        settings.least().txnOps(),
-        (int) ((state.hasReducedLimits() ? settings.least() : settings.now()).valueKb() * 1024),
+        settings.minStoreLimits().txnOps(),
+        (int)
+            ((state.hasReducedLimits() ? settings.minStoreLimits() : settings.currentStoreLimits())
+                    .valueKib()
+                * 1024),
         state.budget().leaderChangesPerS(),
         settings.cpuShare() * DIRECT_COMMANDS_PER_CORE_PER_S,
-        settings.waits(),
-        settings.waitSteps(),
-        settings.finishes(),
+        settings.startObjectivesS(),
+        settings.startObjectiveStepsS(),
+        settings.completionObjectivesS(),
         operatorSettings.tuning());
   }
 
@@ -40,6 +43,7 @@
   static int maxTasksPerBatch(Settings settings) {
     // New records must also fit the store's future limits.
     return Math.max(
-        1, (int) (settings.least().valueKb() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
+        1,
+        (int) (settings.minStoreLimits().valueKib() * 1024 / TaskBatchRecord.MAX_BYTES_PER_TASK));
   }
 }
--- a/src/main/java/graderelay/service/StoredOperatorSettings.java
+++ b/src/main/java/graderelay/service/StoredOperatorSettings.java
@@ -1,7 +1,7 @@
 package graderelay.service;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import graderelay.config.Logs;
+import graderelay.config.Logging;
 import graderelay.config.OperatorSettings;
 
 /**
@@ -21,7 +21,8 @@
    */
   StoredOperatorSettings(int maxTasksPerBatch) {
     String level = System.getenv("LOG_LEVEL");
-    this.defaults = OperatorSettings.defaults(maxTasksPerBatch, Logs.known(level) ? level : "info");
+    this.defaults =
+        OperatorSettings.defaults(maxTasksPerBatch, Logging.isKnownLevel(level) ? level : "info");
     this.maxTasksPerBatch = maxTasksPerBatch;
     this.current = defaults;
   }
@@ -40,9 +41,9 @@
    */
   OperatorSettings reload(JsonNode stored) {
     String previousLevel = current.logLevel();
-    current = OperatorSettings.stored(stored, defaults, maxTasksPerBatch);
+    current = OperatorSettings.fromStored(stored, defaults, maxTasksPerBatch);
     if (!current.logLevel().equals(previousLevel)) {
-      Logs.level(current.logLevel());
+      Logging.setLevel(current.logLevel());
     }
     return current;
   }
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -5,7 +5,7 @@
 import graderelay.core.Scheduler;
 import graderelay.core.TransactionOutcome;
 import graderelay.net.Loop;
-import graderelay.net.TokenBucket.Use;
+import graderelay.net.TokenBucket.CallPriority;
 import graderelay.quota.AccountChange;
 import graderelay.state.Cache;
 import graderelay.state.Leadership;
@@ -34,7 +34,7 @@
   private final Cache cache;
   private final Leadership leadership;
   private final Metrics metrics;
-  private final Settings.StateLimits minimumLimits;
+  private final Settings.StoreLimits minimumLimits;
 
   /**
    * Creates the executor of one leader term, whose scheduler core must already exist.
@@ -42,7 +42,7 @@
    * @param minimumLimits the lowest limits that the key-value store has, now or in the future
    */
   TransactionExecutor(
-      LeaderTerm leaderTerm, LeaderServices services, Settings.StateLimits minimumLimits) {
+      LeaderTerm leaderTerm, LeaderServices services, Settings.StoreLimits minimumLimits) {
     this.leaderTerm = leaderTerm;
     this.core = leaderTerm.core();
     this.loop = services.loop();
@@ -58,7 +58,7 @@
    * are unchanged.
    */
   void commit(Action.Write write) {
-    state.commit(newTransaction(write), Use.CLAIM, result -> onResult(write.id(), result));
+    state.commit(newTransaction(write), CallPriority.CLAIM, result -> onResult(write.id(), result));
   }
 
   private Transaction newTransaction(Action.Write write) {
@@ -91,7 +91,7 @@
     txn.when(key, jobEnd.jobRevision()).delete(key);
     txn.put(
         StateCodec.finalStateKey(jobEnd.job()),
-        StateCodec.encodeFinalState(jobEnd.cancelled(), jobEnd.tasks(), loop.wallMs()));
+        StateCodec.encodeFinalState(jobEnd.cancelled(), jobEnd.tasks(), loop.wallClockMs()));
     jobEnd.taskBatches().forEach(deletion -> deleteTaskBatch(txn, deletion));
   }
 
@@ -124,7 +124,7 @@
       core.onStoreLimits(
           state.hasReducedLimits() ? minimumLimits.valueBytes() : Integer.MAX_VALUE,
           state.budget().leaderChangesPerS());
-      loop.after(StateClient.RETRY_DELAY_S, () -> reportOutcome(id, TransactionOutcome.REFUSED));
+      loop.schedule(StateClient.RETRY_DELAY_S, () -> reportOutcome(id, TransactionOutcome.REFUSED));
     } else {
       LOG.info(
           "transaction {} had outcome {}: {}",
@@ -149,7 +149,7 @@
           if (caughtUp) {
             reportOutcome(id, outcome);
           } else {
-            loop.after(StateClient.RETRY_DELAY_S, () -> catchUpThenReportOutcome(id, outcome));
+            loop.schedule(StateClient.RETRY_DELAY_S, () -> catchUpThenReportOutcome(id, outcome));
           }
         });
   }
--- a/src/main/java/graderelay/wire/PeerResponse.java
+++ b/src/main/java/graderelay/wire/PeerResponse.java
@@ -1,7 +1,7 @@
 package graderelay.wire;
 
 import graderelay.core.KnownCancellations;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 
 /** A response of one controller to another; {@link PeerCodec} encodes and decodes it. */
 public sealed interface PeerResponse {
@@ -51,5 +51,5 @@
   record IdentifyResponse(String incarnation) implements PeerResponse {}
 
   /** Response to a relayed request, to be returned to the original sender. */
-  record RelayedResponse(Answer response) implements PeerResponse {}
+  record RelayedResponse(Response response) implements PeerResponse {}
 }
--- a/src/main/java/graderelay/wire/PeerResponseCodec.java
+++ b/src/main/java/graderelay/wire/PeerResponseCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import graderelay.core.KnownCancellations;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -75,7 +75,7 @@
     } else if (response instanceof PeerResponse.IdentifyResponse identify) {
       return n.put(INCARNATION, identify.incarnation());
     } else if (response instanceof PeerResponse.RelayedResponse relayed) {
-      Answer relayedResponse = relayed.response();
+      Response relayedResponse = relayed.response();
       return n.put(STATUS, relayedResponse.status())
           .put(PeerCodec.BODY, relayedResponse.body())
           .put(RETRY_AFTER_S, relayedResponse.retryAfterS());
@@ -128,7 +128,7 @@
       return null;
     }
     return new PeerResponse.RelayedResponse(
-        new Answer(
+        new Response(
             n.get(STATUS).asInt(),
             PeerCodec.decodeBody(n),
             JSON_CONTENT_TYPE,
--- a/src/test/java/graderelay/wire/ProductionFormatsTest.java
+++ b/src/test/java/graderelay/wire/ProductionFormatsTest.java
@@ -11,7 +11,7 @@
 import graderelay.core.Priority;
 import graderelay.core.TaskBatchKey;
 import graderelay.core.TaskBatchRecord;
-import graderelay.net.Exchange.Answer;
+import graderelay.net.Exchange.Response;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -70,11 +70,11 @@
           "deputy refusal",
           new PeerResponse.DelegationResponse(null, CANCELLATIONS),
           "report answer",
-          new PeerResponse.RelayedResponse(Answer.json(200, BODY)),
+          new PeerResponse.RelayedResponse(Response.json(200, BODY)),
           "user answer",
-          new PeerResponse.RelayedResponse(Answer.later(503, Json.errorBody("try later"))),
+          new PeerResponse.RelayedResponse(Response.unavailable(503, Json.errorBody("try later"))),
           "admin answer",
-          new PeerResponse.RelayedResponse(Answer.json(200, BODY)));
+          new PeerResponse.RelayedResponse(Response.json(200, BODY)));
 
   private static JobSpec storedJob(String id) {
     return StateCodec.decodeJob(id, ProductionFormats.record(StateCodec.jobKey(id)));
@@ -197,7 +197,8 @@
     OperatorSettings defaults = OperatorSettings.defaults(500, "info");
     assertSameBytesAsStored(
         "g/settings",
-        OperatorSettings.stored(ProductionFormats.record("g/settings"), defaults, 500).json());
+        OperatorSettings.fromStored(ProductionFormats.record("g/settings"), defaults, 500)
+            .toJson());
     List<Action.Demand> demand = new ArrayList<>();
     demand.add(
         new Action.Demand(
