--- a/src/main/java/graderelay/config/OperatorSettings.java
+++ b/src/main/java/graderelay/config/OperatorSettings.java
@@ -82,8 +82,8 @@
   /**
    * Returns a copy with some settings changed; a null value resets a setting to its default.
    *
-   * @throws BadRequestException if a setting is unknown or its value is invalid; the message names the first
-   *     one
+   * @throws BadRequestException if a setting is unknown or its value is invalid; the message names
+   *     the first one
    */
   public OperatorSettings with(JsonNode changes, OperatorSettings defaults, int maxBatchTasks)
       throws BadRequestException {
--- a/src/main/java/graderelay/config/OperatorSettingsEditor.java
+++ b/src/main/java/graderelay/config/OperatorSettingsEditor.java
@@ -117,8 +117,7 @@
     return value.intValue();
   }
 
-  private static double number(String name, JsonNode value, double max)
-      throws BadRequestException {
+  private static double number(String name, JsonNode value, double max) throws BadRequestException {
     double min = 0;
     if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
       throw new BadRequestException(name + " must be a number from " + min + " to " + max);
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -136,7 +136,8 @@
 
   private void giveUp() {
     if (!answered) {
-      Response nobody = Response.unavailable(RequestHedger.REFUSED, Json.errorBody("nobody answered"));
+      Response nobody =
+          Response.unavailable(RequestHedger.REFUSED, Json.errorBody("nobody answered"));
       finish(refusal == null ? nobody : refusal);
     }
   }
