--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -32,9 +32,9 @@
   private final Cache cache;
   private final PeerClient peerClient;
   private final Supplier<Scheduler> scheduler;
-  private final FleetViews fleet;
-  private final JobViews jobs;
-  private final SettingsWrites settings;
+  private final FleetViews fleetViews;
+  private final JobViews jobViews;
+  private final SettingsWrites settingsWrites;
 
   /**
    * Makes the handler of the operators' requests under {@code /admin}.
@@ -46,37 +46,47 @@
    */
   public AdminApi(
       Loop loop,
-      Settings platform,
+      Settings controllerSettings,
       TeamLimits limits,
       StateClient state,
       Cache cache,
       PeerClient peerClient,
       OperatorSettings defaults,
-      int mostBatchTasks,
+      int maxBatchTasks,
       Supplier<Scheduler> scheduler,
       BooleanSupplier ready) {
     this.cache = cache;
     this.peerClient = peerClient;
     this.scheduler = scheduler;
-    this.settings = new SettingsWrites(platform, state, cache, defaults, mostBatchTasks);
-    this.fleet =
-        new FleetViews(loop, platform, limits, state, cache, scheduler, ready, settings::current);
-    this.jobs = new JobViews(cache, scheduler);
+    this.settingsWrites =
+        new SettingsWrites(controllerSettings, state, cache, defaults, maxBatchTasks);
+    this.fleetViews =
+        new FleetViews(
+            loop,
+            controllerSettings,
+            limits,
+            state,
+            cache,
+            scheduler,
+            ready,
+            settingsWrites::current);
+    this.jobViews = new JobViews(cache, scheduler);
   }
 
   /** True if the path is {@code /admin} or below it. */
-  public static boolean owns(String path) {
-    return PREFIX.covers(path);
+  public static boolean matches(String path) {
+    return PREFIX.matches(path);
   }
 
   /** Answers a request below {@code /admin}: 404 for no such path, 405 for a wrong method. */
   public void handle(Exchange exchange) {
-    String[] parts = PREFIX.rest(exchange.path()).split("/");
+    String[] parts = PREFIX.remainder(exchange.path()).split("/");
     switch (parts[0]) {
-      case "status" -> only("GET", exchange, () -> fleet.status(exchange));
+      case "status" -> requireMethod("GET", exchange, () -> fleetViews.showStatus(exchange));
       case "settings" -> handleSettings(exchange);
-      case "teams" -> only("GET", exchange, () -> atLeader(exchange, fleet::teams));
-      case "jobs" -> only("GET", exchange, () -> handleJobs(exchange, parts));
+      case "teams" ->
+          requireMethod("GET", exchange, () -> handleOnLeader(exchange, fleetViews::listTeams));
+      case "jobs" -> requireMethod("GET", exchange, () -> handleJobs(exchange, parts));
       case "machines" -> handleMachines(exchange, parts);
       case "claims" -> handleClaims(exchange, parts);
       default -> ApiError.NO_SUCH_PATH.sendTo(exchange);
@@ -85,49 +95,52 @@
 
   private void handleSettings(Exchange exchange) {
     if (exchange.method().equals("PUT")) {
-      settings.change(exchange);
+      settingsWrites.change(exchange);
     } else {
-      only("GET", exchange, () -> settings.read(exchange));
+      requireMethod("GET", exchange, () -> settingsWrites.read(exchange));
     }
   }
 
   private void handleJobs(Exchange exchange, String[] parts) {
     if (parts.length == 1) {
-      jobs.jobs(exchange);
+      jobViews.listJobs(exchange);
     } else {
-      atLeader(exchange, here -> jobs.job(here, parts[1]));
+      handleOnLeader(exchange, request -> jobViews.showJob(request, parts[1]));
     }
   }
 
   private void handleMachines(Exchange exchange, String[] parts) {
     if (parts.length == 3) {
-      only("POST", exchange, () -> settings.cordonOrDrain(exchange, parts[1], parts[2]));
+      requireMethod(
+          "POST", exchange, () -> settingsWrites.cordonOrDrain(exchange, parts[1], parts[2]));
     } else {
-      only("GET", exchange, () -> atLeader(exchange, fleet::machines));
+      requireMethod("GET", exchange, () -> handleOnLeader(exchange, fleetViews::listMachines));
     }
   }
 
   private void handleClaims(Exchange exchange, String[] parts) {
-    boolean known = parts.length == 2 && (parts[1].equals(PAUSE) || parts[1].equals(RESUME));
-    if (known) {
-      only("POST", exchange, () -> settings.pauseClaims(exchange, parts[1].equals(PAUSE)));
+    boolean isKnownAction =
+        parts.length == 2 && (parts[1].equals(PAUSE) || parts[1].equals(RESUME));
+    if (isKnownAction) {
+      requireMethod(
+          "POST", exchange, () -> settingsWrites.pauseClaims(exchange, parts[1].equals(PAUSE)));
     } else {
       NO_SUCH_CLAIMS_ACTION.sendTo(exchange);
     }
   }
 
-  private static void only(String method, Exchange exchange, Runnable then) {
+  private static void requireMethod(String method, Exchange exchange, Runnable handler) {
     if (exchange.method().equals(method)) {
-      then.run();
+      handler.run();
     } else {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     }
   }
 
   /** Answers here if this controller leads, else relays the request to the leader (503 if none). */
-  public void atLeader(Exchange exchange, Consumer<Exchange> here) {
+  public void handleOnLeader(Exchange exchange, Consumer<Exchange> localHandler) {
     if (scheduler.get() != null) {
-      here.accept(exchange);
+      localHandler.accept(exchange);
       return;
     }
     StateCodec.LeaderRecord leader = cache.leader();
--- a/src/main/java/graderelay/api/DependencyCheck.java
+++ b/src/main/java/graderelay/api/DependencyCheck.java
@@ -17,47 +17,48 @@
  */
 final class DependencyCheck {
   /** Hears how a check ended; neither is called if the check gave up with 503. */
-  interface Outcome {
+  interface Callback {
     /** The dependencies are sound; {@code spec} names those that are not done yet. */
-    void accepted(JobSpec spec);
+    void onAccepted(JobSpec spec);
 
     /** The job can't be accepted for the reason that {@code error} gives. */
-    void refused(ApiError error);
+    void onRejected(ApiError error);
   }
 
   private final Cache cache;
-  private final CancellationResolver dependencies;
-  private final JobLookup lookup;
+  private final CancellationResolver cancellationResolver;
+  private final JobLookup jobLookup;
 
-  DependencyCheck(Cache cache, CancellationResolver dependencies, JobLookup lookup) {
+  DependencyCheck(Cache cache, CancellationResolver cancellationResolver, JobLookup jobLookup) {
     this.cache = cache;
-    this.dependencies = dependencies;
-    this.lookup = lookup;
+    this.cancellationResolver = cancellationResolver;
+    this.jobLookup = jobLookup;
   }
 
   /** Checks a submission; retries while the store is busy, and answers 503 if it is unreachable. */
-  void check(PendingAnswer pending, JobSpec spec, Outcome outcome) {
+  void check(PendingAnswer pending, JobSpec spec, Callback callback) {
     if (spec.dependencies().isEmpty()) {
-      outcome.accepted(spec);
+      callback.onAccepted(spec);
       return;
     }
-    if (unseen(spec).isEmpty()) {
-      decide(pending, spec, List.of(), outcome); // Accepted once is accepted: the copy may lag.
+    if (unseenDependencies(spec).isEmpty()) {
+      decide(pending, spec, List.of(), callback); // Accepted once is accepted: the copy may lag.
       return;
     }
     cache.catchUp(
-        ok -> {
-          if (ok) {
-            dependencies.lookUpFinalStates(
-                unseen(spec), found -> decide(pending, spec, found, outcome));
+        caughtUp -> {
+          if (caughtUp) {
+            cancellationResolver.lookUpFinalStates(
+                unseenDependencies(spec),
+                lookupResults -> decide(pending, spec, lookupResults, callback));
           } else {
-            lookup.retryOrGiveUp(pending, () -> check(pending, spec, outcome));
+            jobLookup.retryOrFail(pending, () -> check(pending, spec, callback));
           }
         });
   }
 
   /** Dependencies of which this controller has seen neither the record nor the final state. */
-  private List<String> unseen(JobSpec spec) {
+  private List<String> unseenDependencies(JobSpec spec) {
     List<String> unseen = new ArrayList<>();
     for (String id : spec.dependencies()) {
       if (cache.job(id) == null && cache.finalState(id) == null) {
@@ -69,31 +70,34 @@
 
   /** Goes on once the final states of the unseen dependencies have been looked for. */
   private void decide(
-      PendingAnswer pending, JobSpec spec, List<FinalStateLookup.Result> found, Outcome outcome) {
-    if (found.contains(FinalStateLookup.Result.FAILED)) {
-      lookup.retryOrGiveUp(pending, () -> check(pending, spec, outcome));
+      PendingAnswer pending,
+      JobSpec spec,
+      List<FinalStateLookup.Result> lookupResults,
+      Callback callback) {
+    if (lookupResults.contains(FinalStateLookup.Result.FAILED)) {
+      jobLookup.retryOrFail(pending, () -> check(pending, spec, callback));
       return;
     }
-    List<String> open = new ArrayList<>();
+    List<String> unfinished = new ArrayList<>();
     for (String id : spec.dependencies()) {
-      JobEntry live = cache.job(id);
-      FinalState end = cache.finalState(id);
-      if (live == null && end == null) {
-        outcome.refused(unusable(id, "which was never accepted"));
+      JobEntry liveJob = cache.job(id);
+      FinalState finalState = cache.finalState(id);
+      if (liveJob == null && finalState == null) {
+        callback.onRejected(unusableDependency(id, "which was never accepted"));
         return;
       }
-      if (live != null && live.spec.isService()) {
-        outcome.refused(unusable(id, "a service, which is never done"));
+      if (liveJob != null && liveJob.spec.isService()) {
+        callback.onRejected(unusableDependency(id, "a service, which is never done"));
         return;
       }
-      if (end == null || end.cancelled()) {
-        open.add(id);
+      if (finalState == null || finalState.cancelled()) {
+        unfinished.add(id);
       }
     }
-    outcome.accepted(spec.withDependencies(open));
+    callback.onAccepted(spec.withDependencies(unfinished));
   }
 
-  private static ApiError unusable(String id, String why) {
-    return ApiError.unprocessable(UserCodec.DEPENDENCIES + " names " + id + ", " + why);
+  private static ApiError unusableDependency(String id, String reason) {
+    return ApiError.unprocessable(UserCodec.DEPENDENCIES + " names " + id + ", " + reason);
   }
 }
--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -18,12 +18,12 @@
 public final class FeaturesApi {
   private static final PathPrefix PREFIX = new PathPrefix("/admin/features");
 
-  private static final ApiError SWITCHED_OFF =
+  private static final ApiError FEATURE_LEVELS_DISABLED =
       ApiError.conflict("feature levels are not switched on here (serve --options)");
 
   private final FeatureGate gate;
   private final UpgradeCoordinator coordinator;
-  private final LeaderRoute leader;
+  private final LeaderRoute leaderRoute;
   private final FeaturesView view;
 
   /**
@@ -38,38 +38,38 @@
       String member,
       Cache cache,
       UpgradeCoordinator coordinator,
-      BooleanSupplier leads,
-      LeaderRoute leader) {
+      BooleanSupplier isLeader,
+      LeaderRoute leaderRoute) {
     this.gate = cache.features().gate();
     this.coordinator = coordinator;
-    this.leader = leader;
-    this.view = new FeaturesView(member, cache, coordinator, leads);
+    this.leaderRoute = leaderRoute;
+    this.view = new FeaturesView(member, cache, coordinator, isLeader);
   }
 
   /** True if the path is {@code /admin/features} or below it. */
-  public static boolean owns(String path) {
-    return PREFIX.covers(path);
+  public static boolean matches(String path) {
+    return PREFIX.matches(path);
   }
 
   /** Answers a request below {@code /admin/features}: 405 for a wrong method. */
   public void handle(Exchange exchange) {
-    String action = PREFIX.rest(exchange.path());
-    boolean read = action.isEmpty();
-    if (!exchange.method().equals(read ? "GET" : "POST")) {
+    String action = PREFIX.remainder(exchange.path());
+    boolean isRead = action.isEmpty();
+    if (!exchange.method().equals(isRead ? "GET" : "POST")) {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
-    } else if (read && gate.isShut()) {
+    } else if (isRead && gate.isShut()) {
       show(exchange); // It can't ask the leader, and has to say why it takes no part.
-    } else if (read) {
-      leader.handle(exchange, this::show);
+    } else if (isRead) {
+      leaderRoute.handle(exchange, this::show);
     } else if (coordinator == null) {
-      SWITCHED_OFF.sendTo(exchange);
+      FEATURE_LEVELS_DISABLED.sendTo(exchange);
     } else {
-      leader.handle(exchange, here -> change(here, action));
+      leaderRoute.handle(exchange, request -> change(request, action));
     }
   }
 
   private void show(Exchange exchange) {
-    Replies.json(exchange, 200, view.current());
+    Replies.json(exchange, 200, view.toJson());
   }
 
   private void change(Exchange exchange, String action) {
--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -22,7 +22,7 @@
   private final Cache cache;
   private final FeatureGate gate;
   private final UpgradeCoordinator coordinator;
-  private final BooleanSupplier leads;
+  private final BooleanSupplier isLeader;
 
   /**
    * Makes the view.
@@ -31,16 +31,17 @@
    *     levels are left alone
    * @param leads true while this controller leads
    */
-  FeaturesView(String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier leads) {
+  FeaturesView(
+      String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier isLeader) {
     this.member = member;
     this.cache = cache;
     this.gate = cache.features().gate();
     this.coordinator = coordinator;
-    this.leads = leads;
+    this.isLeader = isLeader;
   }
 
   /** The JSON body as of now. */
-  ObjectNode current() {
+  ObjectNode toJson() {
     ClusterLevel level = gate.current();
     ObjectNode body = Json.object().put("member", member).put("level", level.level());
     if (level.lowering()) {
@@ -52,7 +53,7 @@
     }
     addFeatures(body.putArray("features"));
     addMembers(body.putArray("members"));
-    if (coordinator != null && leads.getAsBoolean()) {
+    if (coordinator != null && isLeader.getAsBoolean()) {
       putNextLevel(body, level);
     }
     return body;
@@ -69,24 +70,24 @@
   }
 
   private void addMembers(ArrayNode members) {
-    for (Member each : new TreeMap<>(cache.features().members()).values()) {
+    for (Member clusterMember : new TreeMap<>(cache.features().members()).values()) {
       members
           .addObject()
-          .put("member", each.name())
-          .put("version", each.version())
-          .put("min", each.range().min())
-          .put("max", each.range().max());
+          .put("member", clusterMember.name())
+          .put("version", clusterMember.version())
+          .put("min", clusterMember.range().min())
+          .put("max", clusterMember.range().max());
     }
   }
 
   /** The level that all support and what it waits for, or what keeps the latest level away. */
   private void putNextLevel(ObjectNode body, ClusterLevel level) {
-    int common = coordinator.commonLevel();
-    int next = common > level.level() ? common : Feature.LATEST_LEVEL;
-    if (next > level.level()) {
-      body.put("next", next);
+    int commonLevel = coordinator.commonLevel();
+    int nextLevel = commonLevel > level.level() ? commonLevel : Feature.LATEST_LEVEL;
+    if (nextLevel > level.level()) {
+      body.put("next", nextLevel);
       ArrayNode waitsFor = body.putArray("waits_for");
-      for (Blocker blocker : coordinator.blockers(next)) {
+      for (Blocker blocker : coordinator.blockers(nextLevel)) {
         waitsFor.addObject().put("member", blocker.member()).put("reason", blocker.reason());
       }
     }
--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -30,10 +30,10 @@
  */
 final class FleetViews {
   /** Seconds of silence from which a machine counts as one that was never heard. */
-  private static final double NEVER_HEARD_S = 1e6;
+  private static final double NEVER_REPORTED_SILENCE_S = 1e6;
 
   private final Loop loop;
-  private final Settings platform;
+  private final Settings controllerSettings;
   private final TeamLimits limits;
   private final StateClient state;
   private final Cache cache;
@@ -50,7 +50,7 @@
    */
   FleetViews(
       Loop loop,
-      Settings platform,
+      Settings controllerSettings,
       TeamLimits limits,
       StateClient state,
       Cache cache,
@@ -58,7 +58,7 @@
       BooleanSupplier ready,
       Supplier<OperatorSettings> operatorSettings) {
     this.loop = loop;
-    this.platform = platform;
+    this.controllerSettings = controllerSettings;
     this.limits = limits;
     this.state = state;
     this.cache = cache;
@@ -68,11 +68,11 @@
   }
 
   /** This controller, who leads, and how many live jobs wait or run. */
-  void status(Exchange exchange) {
+  void showStatus(Exchange exchange) {
     StateCodec.LeaderRecord leader = cache.leader();
     ObjectNode body = Json.object();
-    body.put("member", platform.member())
-        .put("zone", platform.zone())
+    body.put("member", controllerSettings.member())
+        .put("zone", controllerSettings.zone())
         .put("ready", ready.getAsBoolean());
     body.put("owner", leader == null ? null : leader.member()).put("term", cache.term());
     body.put("state_failing_s", state.health().failingForS());
@@ -95,7 +95,7 @@
    * A page of the fleet, by name, filtered by state, type and zone: a large one would not fit the
    * line that an answer may have. Needs the leader's scheduler.
    */
-  void machines(Exchange exchange) {
+  void listMachines(Exchange exchange) {
     Optional<ListQuery> query = ListQuery.parse(exchange.query());
     if (query.isEmpty()) {
       Replies.BAD_LIST_QUERY.sendTo(exchange);
@@ -112,10 +112,10 @@
     boolean truncated = false;
     for (Scheduler.MachineView machine : machines) {
       states.merge(machine.state(), 1, Integer::sum);
-      if (!isOnPage(machine, query)) {
+      if (!matchesQuery(machine, query)) {
         continue;
       }
-      if (page.size() < query.most()) {
+      if (page.size() < query.limit()) {
         page.add(describe(machine));
       } else {
         truncated = true;
@@ -128,11 +128,11 @@
     return body;
   }
 
-  private static boolean isOnPage(Scheduler.MachineView machine, ListQuery query) {
+  private static boolean matchesQuery(Scheduler.MachineView machine, ListQuery query) {
     return machine.name().compareTo(query.after()) > 0
-        && query.asks("state", machine.state())
-        && query.asks("type", machine.type())
-        && query.asks("zone", machine.zone());
+        && query.matches("state", machine.state())
+        && query.matches("type", machine.type())
+        && query.matches("zone", machine.zone());
   }
 
   private static ObjectNode describe(Scheduler.MachineView machine) {
@@ -140,21 +140,21 @@
     entry.put("zone", machine.zone()).put("spot", machine.spot()).put("state", machine.state());
     entry.put("tasks", machine.claims()).put("cpus_used", machine.cpusUsed());
     entry.put("cpus", machine.cpus());
-    if (machine.silentS() < NEVER_HEARD_S) {
+    if (machine.silentS() < NEVER_REPORTED_SILENCE_S) {
       entry.put("silent_s", machine.silentS());
     }
     return entry;
   }
 
   /** Each team's quota beside its use. Needs the leader's scheduler. */
-  void teams(Exchange exchange) {
-    var useByTeam = scheduler.get().usageByTeam();
+  void listTeams(Exchange exchange) {
+    var usageByTeam = scheduler.get().usageByTeam();
     ArrayNode teams = Json.array();
     for (Team team : limits.teams()) {
-      var use = useByTeam.get(team.name());
+      var usage = usageByTeam.get(team.name());
       ObjectNode entry = teams.addObject().put("name", team.name());
-      entry.put("cpus_used", use == null ? 0 : use.cpus()).put("cpus", team.cpuGuarantee());
-      entry.put("cpus_max", team.cpuLimit()).put("gpus_used", use == null ? 0 : use.gpus());
+      entry.put("cpus_used", usage == null ? 0 : usage.cpus()).put("cpus", team.cpuGuarantee());
+      entry.put("cpus_max", team.cpuLimit()).put("gpus_used", usage == null ? 0 : usage.gpus());
       entry.put("gpus", team.gpuGuarantee()).put("gpus_max", team.gpuLimit());
     }
     ObjectNode body = Json.object();
--- a/src/main/java/graderelay/api/FreshRecords.java
+++ b/src/main/java/graderelay/api/FreshRecords.java
@@ -8,11 +8,11 @@
   private FreshRecords() {}
 
   /** Runs {@code then} once the records have been read anew; answers 503 if they can't be read. */
-  static void run(Cache cache, Exchange exchange, Runnable then) {
+  static void run(Cache cache, Exchange exchange, Runnable action) {
     cache.catchUp(
         caughtUp -> {
           if (caughtUp) {
-            then.run();
+            action.run();
           } else {
             ApiError.STORE_UNREACHABLE.sendTo(exchange);
           }
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -33,7 +33,7 @@
   private final Cache cache;
   private final Cancellations cancellations;
   private final Settings settings;
-  private final JobLookup lookup;
+  private final JobLookup jobLookup;
 
   JobCancellations(
       Loop loop,
@@ -41,18 +41,18 @@
       Cache cache,
       Cancellations cancellations,
       Settings settings,
-      JobLookup lookup) {
+      JobLookup jobLookup) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.cancellations = cancellations;
     this.settings = settings;
-    this.lookup = lookup;
+    this.jobLookup = jobLookup;
   }
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
   void cancel(Exchange exchange, String id) {
-    Optional<ApiError> refusal = lookup.refusal(id);
+    Optional<ApiError> refusal = jobLookup.refusal(id);
     if (refusal.isPresent()) {
       refusal.get().sendTo(exchange);
       return;
@@ -61,30 +61,30 @@
   }
 
   private void cancel(PendingAnswer pending, String id) {
-    lookup.look(
+    jobLookup.lookUp(
         pending,
         id,
-        found -> {
-          if (found == null) {
+        jobState -> {
+          if (jobState == null) {
             pending.fail(ApiError.NO_SUCH_JOB);
-          } else if (found.live() == null || found.live().isCancelled()) {
-            pending.answer(200, UserCodec.encodeStage(id, found.stage()));
-          } else if (lookup.suspendedByLeader()) {
+          } else if (jobState.liveJob() == null || jobState.liveJob().isCancelled()) {
+            pending.answer(200, UserCodec.encodeStage(id, jobState.stage()));
+          } else if (jobLookup.isSuspendedByLeader()) {
             pending.fail(SUSPENDED);
           } else {
-            writeStopRequest(pending, id, found.live());
+            writeStopRequest(pending, id, jobState.liveJob());
           }
         });
   }
 
   /** Competes with claims and with the job's end for the job's record. */
-  private void writeStopRequest(PendingAnswer pending, String id, JobEntry live) {
+  private void writeStopRequest(PendingAnswer pending, String id, JobEntry liveJob) {
     String key = StateCodec.jobKey(id);
     Transaction txn =
         new Transaction()
-            .when(key, live.revision())
+            .when(key, liveJob.revision())
             .when(cache.election().suspensionKey(settings.member()), 0)
-            .put(key, StateCodec.encodeJob(live.spec, true));
+            .put(key, StateCodec.encodeJob(liveJob.spec, true));
     state.commit(
         txn,
         Use.CLAIM,
@@ -94,7 +94,7 @@
             LOG.info("stop request for {} recorded", id);
             pending.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
           } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
-            lookup.retryOrGiveUp(pending, () -> cancel(pending, id));
+            jobLookup.retryOrFail(pending, () -> cancel(pending, id));
           } else {
             pending.retry(() -> cancel(pending, id));
           }
--- a/src/main/java/graderelay/api/JobCreation.java
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -27,7 +27,7 @@
  */
 final class JobCreation {
   /** Seconds by which a controller's copy may lag when it is taken for what was told to users. */
-  private static final double FRESH_S = 3;
+  private static final double MAX_CACHE_LAG_S = 3;
 
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
@@ -35,41 +35,41 @@
   private final StateClient state;
   private final Cache cache;
   private final Settings settings;
-  private final Supplier<Collection<MachineType>> types;
-  private final JobLookup lookup;
+  private final Supplier<Collection<MachineType>> machineTypes;
+  private final JobLookup jobLookup;
 
   JobCreation(
       Loop loop,
       StateClient state,
       Cache cache,
       Settings settings,
-      Supplier<Collection<MachineType>> types,
-      JobLookup lookup) {
+      Supplier<Collection<MachineType>> machineTypes,
+      JobLookup jobLookup) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.settings = settings;
-    this.types = types;
-    this.lookup = lookup;
+    this.machineTypes = machineTypes;
+    this.jobLookup = jobLookup;
   }
 
   /**
    * Why the job's record can't be stored, or empty if it can: it has to fit a value, also when the
    * store's limits have become smaller.
    */
-  Optional<ApiError> tooLarge(JobSpec spec) {
-    int mostBytes = settings.least().valueBytes();
-    if (Json.write(StateCodec.encodeJob(spec, true)).length <= mostBytes) {
+  Optional<ApiError> sizeError(JobSpec spec) {
+    int maxBytes = settings.least().valueBytes();
+    if (Json.write(StateCodec.encodeJob(spec, true)).length <= maxBytes) {
       return Optional.empty();
     }
     JobSpec withoutDependencies = spec.withDependencies(List.of());
-    if (Json.write(StateCodec.encodeJob(withoutDependencies, true)).length <= mostBytes) {
-      String open =
+    if (Json.write(StateCodec.encodeJob(withoutDependencies, true)).length <= maxBytes) {
+      String message =
           UserCodec.DEPENDENCIES
               + " names "
               + spec.dependencies().size()
               + " jobs that are not over";
-      return Optional.of(ApiError.badRequest(open + ", more than a job may"));
+      return Optional.of(ApiError.badRequest(message + ", more than a job may"));
     }
     return Optional.of(ApiError.badRequest("rigs names more machine types than a job may"));
   }
@@ -79,7 +79,7 @@
    * the job exists already.
    */
   void create(PendingAnswer pending, JobSpec spec, Runnable onConflict) {
-    if (types.get() == null) {
+    if (machineTypes.get() == null) {
       pending.fail(ApiError.unavailable("the machine types are not known yet"));
       return;
     }
@@ -89,7 +89,7 @@
             .when(key, 0)
             .when(StateCodec.finalStateKey(spec.id()), 0)
             .put(key, StateCodec.encodeJob(spec, false));
-    Runnable again = () -> create(pending, spec, onConflict);
+    Runnable retry = () -> create(pending, spec, onConflict);
     state.commit(
         txn,
         Use.SUBMISSION,
@@ -100,8 +100,8 @@
               answerCreated(pending, spec);
             }
             case CONDITION_FAILED -> onConflict.run();
-            case NOT_EXECUTED -> lookup.retryOrGiveUp(pending, again);
-            default -> pending.retry(again);
+            case NOT_EXECUTED -> jobLookup.retryOrFail(pending, retry);
+            default -> pending.retry(retry);
           }
         });
   }
@@ -110,7 +110,7 @@
     LOG.info(
         "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
         spec.id(),
-        Math.round((loop.now() - pending.sinceS()) * 1000),
+        Math.round((loop.now() - pending.receivedAtS()) * 1000),
         spec.jobClass(),
         spec.team(),
         spec.tasks(),
@@ -125,17 +125,18 @@
    * never saw it has to ask.
    */
   private void answerCreated(PendingAnswer pending, JobSpec spec) {
-    Set<String> unknown = new HashSet<>();
-    boolean cancelled = CancellationResolver.isCancelledByDependency(cache, spec, unknown);
-    boolean fresh = loop.now() - cache.completeAsOf() < FRESH_S;
-    if (cancelled || (fresh && unknown.isEmpty())) {
+    Set<String> unresolvedDependencies = new HashSet<>();
+    boolean cancelled =
+        CancellationResolver.isCancelledByDependency(cache, spec, unresolvedDependencies);
+    boolean isFresh = loop.now() - cache.completeAsOf() < MAX_CACHE_LAG_S;
+    if (cancelled || (isFresh && unresolvedDependencies.isEmpty())) {
       String stage = cancelled ? JobState.CANCELLED : JobState.PENDING;
       pending.answer(201, UserCodec.encodeStage(spec.id(), stage));
     } else {
-      lookup.look(
+      jobLookup.lookUp(
           pending,
           spec.id(),
-          found -> pending.answer(201, UserCodec.encodeStage(spec.id(), found.stage())));
+          jobState -> pending.answer(201, UserCodec.encodeStage(spec.id(), jobState.stage())));
     }
   }
 }
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -22,9 +22,9 @@
 
   private final Cache cache;
   private final Settings settings;
-  private final CancellationResolver dependencies;
+  private final CancellationResolver cancellationResolver;
   private final FinalStateLookup finalStates;
-  private final BooleanSupplier stateUnreachable;
+  private final BooleanSupplier storeUnreachable;
 
   /**
    * Makes a lookup.
@@ -34,14 +34,14 @@
   JobLookup(
       Cache cache,
       Settings settings,
-      CancellationResolver dependencies,
+      CancellationResolver cancellationResolver,
       FinalStateLookup finalStates,
-      BooleanSupplier stateUnreachable) {
+      BooleanSupplier storeUnreachable) {
     this.cache = cache;
     this.settings = settings;
-    this.dependencies = dependencies;
+    this.cancellationResolver = cancellationResolver;
     this.finalStates = finalStates;
-    this.stateUnreachable = stateUnreachable;
+    this.storeUnreachable = storeUnreachable;
   }
 
   /**
@@ -52,75 +52,76 @@
     if (!UserCodec.isId(id)) {
       return Optional.of(ApiError.NO_SUCH_JOB);
     }
-    if (cache.finalState(id) == null && stateUnreachable.getAsBoolean()) {
+    if (cache.finalState(id) == null && storeUnreachable.getAsBoolean()) {
       return Optional.of(ApiError.STORE_UNREACHABLE);
     }
     return Optional.empty();
   }
 
   /** Answers 503 if the store can't be reached, else runs {@code again} after a moment. */
-  void retryOrGiveUp(PendingAnswer pending, Runnable again) {
-    if (stateUnreachable.getAsBoolean()) {
+  void retryOrFail(PendingAnswer pending, Runnable retry) {
+    if (storeUnreachable.getAsBoolean()) {
       pending.fail(ApiError.STORE_UNREACHABLE);
     } else {
-      pending.retry(again);
+      pending.retry(retry);
     }
   }
 
   /** Hands {@code then} what is true of job {@code id} now, or null if nobody ever submitted it. */
-  void look(PendingAnswer pending, String id, Consumer<JobState> then) {
-    FinalState end = cache.finalState(id);
-    if (end != null) {
-      then.accept(JobState.ended(end));
+  void lookUp(PendingAnswer pending, String id, Consumer<JobState> callback) {
+    FinalState finalState = cache.finalState(id);
+    if (finalState != null) {
+      callback.accept(JobState.finished(finalState));
       return;
     }
     cache.catchUp(
-        ok -> {
-          if (ok) {
-            lookInFreshCopy(pending, id, then);
+        caughtUp -> {
+          if (caughtUp) {
+            lookUpInFreshCache(pending, id, callback);
           } else {
-            retryOrGiveUp(pending, () -> look(pending, id, then));
+            retryOrFail(pending, () -> lookUp(pending, id, callback));
           }
         });
   }
 
-  private void lookInFreshCopy(PendingAnswer pending, String id, Consumer<JobState> then) {
-    JobEntry live = cache.job(id);
-    if (live == null) {
-      lookAmongEnded(pending, id, then);
-    } else if (live.isCancelled() && suspendedByLeader()) {
+  private void lookUpInFreshCache(PendingAnswer pending, String id, Consumer<JobState> callback) {
+    JobEntry liveJob = cache.job(id);
+    if (liveJob == null) {
+      lookUpFinished(pending, id, callback);
+    } else if (liveJob.isCancelled() && isSuspendedByLeader()) {
       pending.fail(SUSPENDED);
-    } else if (!live.isCancelled() && !live.spec.dependencies().isEmpty()) {
-      lookAtDependencies(pending, live, then);
+    } else if (!liveJob.isCancelled() && !liveJob.spec.dependencies().isEmpty()) {
+      lookUpDependencies(pending, liveJob, callback);
     } else {
-      then.accept(JobState.live(live));
+      callback.accept(JobState.liveJob(liveJob));
     }
   }
 
-  private void lookAmongEnded(PendingAnswer pending, String id, Consumer<JobState> then) {
-    FinalState end = cache.finalState(id);
-    if (end != null) {
-      then.accept(JobState.ended(end));
+  private void lookUpFinished(PendingAnswer pending, String id, Consumer<JobState> callback) {
+    FinalState finalState = cache.finalState(id);
+    if (finalState != null) {
+      callback.accept(JobState.finished(finalState));
     } else {
-      lookForFinalState(pending, id, then);
+      fetchFinalState(pending, id, callback);
     }
   }
 
   /** A job may be cancelled with a DAG dependency of it, before anything says so of itself. */
-  private void lookAtDependencies(PendingAnswer pending, JobEntry live, Consumer<JobState> then) {
-    String id = live.spec.id();
-    dependencies.resolve(
-        live,
-        verdict -> {
-          FinalState end = cache.finalState(id);
-          if (end != null) {
-            then.accept(JobState.ended(end)); // It has ended while we looked.
-          } else if (verdict == CancellationResolver.Status.CANCELLED) {
-            then.accept(JobState.cancelledWithDependency());
-          } else if (verdict == CancellationResolver.Status.NOT_CANCELLED) {
-            then.accept(JobState.live(live));
+  private void lookUpDependencies(
+      PendingAnswer pending, JobEntry liveJob, Consumer<JobState> callback) {
+    String id = liveJob.spec.id();
+    cancellationResolver.resolve(
+        liveJob,
+        status -> {
+          FinalState finalState = cache.finalState(id);
+          if (finalState != null) {
+            callback.accept(JobState.finished(finalState)); // It has ended while we looked.
+          } else if (status == CancellationResolver.Status.CANCELLED) {
+            callback.accept(JobState.cancelledByDependency());
+          } else if (status == CancellationResolver.Status.NOT_CANCELLED) {
+            callback.accept(JobState.liveJob(liveJob));
           } else {
-            retryOrGiveUp(pending, () -> look(pending, id, then));
+            retryOrFail(pending, () -> lookUp(pending, id, callback));
           }
         });
   }
@@ -130,21 +131,21 @@
    * cancellation that a user is told of by reading the records, also when it can't read them any
    * more: so none is confirmed here until the leader has lifted the suspension.
    */
-  boolean suspendedByLeader() {
+  boolean isSuspendedByLeader() {
     return cache.suspension(settings.member()) != null;
   }
 
-  private void lookForFinalState(PendingAnswer pending, String id, Consumer<JobState> then) {
+  private void fetchFinalState(PendingAnswer pending, String id, Consumer<JobState> callback) {
     finalStates.lookUp(
         id,
-        found -> {
-          FinalState end = cache.finalState(id);
-          if (end != null) {
-            then.accept(JobState.ended(end));
-          } else if (found == FinalStateLookup.Result.ABSENT) {
-            then.accept(null);
+        result -> {
+          FinalState finalState = cache.finalState(id);
+          if (finalState != null) {
+            callback.accept(JobState.finished(finalState));
+          } else if (result == FinalStateLookup.Result.ABSENT) {
+            callback.accept(null);
           } else {
-            retryOrGiveUp(pending, () -> look(pending, id, then));
+            retryOrFail(pending, () -> lookUp(pending, id, callback));
           }
         });
   }
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -9,36 +9,37 @@
  * @param stage pending, running, done or cancelled
  * @param done tasks that are done
  * @param running tasks that are claimed on a machine
- * @param live the job's live record, or null if it has ended
+ * @param liveJob the job's live record, or null if it has ended
  */
-record JobState(String stage, int done, int running, JobEntry live) {
+record JobState(String stage, int done, int running, JobEntry liveJob) {
   static final String PENDING = "pending";
   static final String RUNNING = "running";
   static final String DONE = "done";
   static final String CANCELLED = "cancelled";
 
   /** The state of a job that has a final state. */
-  static JobState ended(FinalState end) {
-    return new JobState(stageOf(end), end.cancelled() ? 0 : end.tasks(), 0, null);
+  static JobState finished(FinalState finalState) {
+    return new JobState(
+        stageOf(finalState), finalState.cancelled() ? 0 : finalState.tasks(), 0, null);
   }
 
   /** The state of a live job, summed over its task batches. */
-  static JobState live(JobEntry entry) {
-    TaskCounts counts = TaskCounts.of(entry);
-    if (entry.isCancelled()) {
-      return new JobState(CANCELLED, counts.done(), 0, entry);
+  static JobState liveJob(JobEntry job) {
+    TaskCounts counts = TaskCounts.of(job);
+    if (job.isCancelled()) {
+      return new JobState(CANCELLED, counts.done(), 0, job);
     }
     String stage = counts.claimed() > 0 ? RUNNING : PENDING;
-    return new JobState(stage, counts.done(), counts.claimed(), entry);
+    return new JobState(stage, counts.done(), counts.claimed(), job);
   }
 
   /** The state of a live job that is cancelled with a DAG dependency of it. */
-  static JobState cancelledWithDependency() {
+  static JobState cancelledByDependency() {
     return new JobState(CANCELLED, 0, 0, null);
   }
 
   /** The stage that users are told of a job that has a final state. */
-  static String stageOf(FinalState end) {
-    return end.cancelled() ? CANCELLED : DONE;
+  static String stageOf(FinalState finalState) {
+    return finalState.cancelled() ? CANCELLED : DONE;
   }
 }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -28,16 +28,16 @@
  */
 final class JobSubmissions {
   /** Seconds that a submission which the leader has forwarded may have to wait for changes here. */
-  private static final double FORWARDED_WAIT_S = 0.1;
+  private static final double MAX_FORWARDED_WAIT_S = 0.1;
 
   /**
    * Seconds that a submission may have to wait for this controller's changes by their rate: one
    * that would wait longer is refused at once, and its user comes back instead of waiting in vain.
    */
-  private static final double LONGEST_SUBMISSION_WAIT_S = 2;
+  private static final double MAX_SUBMISSION_WAIT_S = 2;
 
   /** Submissions under way at once, a bound on a queue; beyond that the newest is refused. */
-  private static final int MOST_SUBMISSIONS = 400;
+  private static final int MAX_SUBMISSIONS_IN_FLIGHT = 400;
 
   private static final ApiError OVERLOADED =
       ApiError.tooManyRequests("too many submissions at once");
@@ -46,12 +46,12 @@
   private final StateClient state;
   private final Cache cache;
   private final TeamLimits limits;
-  private final Supplier<Collection<MachineType>> types;
+  private final Supplier<Collection<MachineType>> machineTypes;
   private final IntSupplier batchCapacity;
-  private final JobLookup lookup;
+  private final JobLookup jobLookup;
   private final DependencyCheck dependencyCheck;
   private final JobCreation creation;
-  private final BooleanSupplier stateUnreachable;
+  private final BooleanSupplier storeUnreachable;
   private int inFlight;
 
   /**
@@ -67,21 +67,21 @@
       Cache cache,
       Settings settings,
       TeamLimits limits,
-      Supplier<Collection<MachineType>> types,
+      Supplier<Collection<MachineType>> machineTypes,
       IntSupplier batchCapacity,
-      CancellationResolver dependencies,
-      JobLookup lookup,
-      BooleanSupplier stateUnreachable) {
+      CancellationResolver cancellationResolver,
+      JobLookup jobLookup,
+      BooleanSupplier storeUnreachable) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.limits = limits;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.batchCapacity = batchCapacity;
-    this.lookup = lookup;
-    this.dependencyCheck = new DependencyCheck(cache, dependencies, lookup);
-    this.creation = new JobCreation(loop, state, cache, settings, types, lookup);
-    this.stateUnreachable = stateUnreachable;
+    this.jobLookup = jobLookup;
+    this.dependencyCheck = new DependencyCheck(cache, cancellationResolver, jobLookup);
+    this.creation = new JobCreation(loop, state, cache, settings, machineTypes, jobLookup);
+    this.storeUnreachable = storeUnreachable;
   }
 
   /** Answers a submission: 200, 201, 400, 422, or 429 and 503 with Retry-After. */
@@ -95,27 +95,27 @@
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
       return;
     }
-    FinalState end = cache.finalState(spec.id());
-    if (end != null) {
-      Replies.json(exchange, 200, UserCodec.encodeStage(spec.id(), JobState.stageOf(end)));
-    } else if (stateUnreachable.getAsBoolean()) {
+    FinalState finalState = cache.finalState(spec.id());
+    if (finalState != null) {
+      Replies.json(exchange, 200, UserCodec.encodeStage(spec.id(), JobState.stageOf(finalState)));
+    } else if (storeUnreachable.getAsBoolean()) {
       ApiError.STORE_UNREACHABLE.sendTo(exchange);
-    } else if (wouldWaitTooLong(exchange, spec)) {
+    } else if (isOverloaded(exchange, spec)) {
       OVERLOADED.sendTo(exchange);
     } else {
-      decide(new PendingAnswer(loop, counted(exchange), RequestHedger.USER_DEADLINE_S), spec);
+      decide(new PendingAnswer(loop, countInFlight(exchange), RequestHedger.USER_DEADLINE_S), spec);
     }
   }
 
-  private boolean wouldWaitTooLong(Exchange exchange, JobSpec spec) {
-    double longestS = exchange.relayed() ? FORWARDED_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
-    boolean tooLate =
-        state.budget().changeTokens().waitingS() > longestS && cache.job(spec.id()) == null;
-    return inFlight >= MOST_SUBMISSIONS || tooLate;
+  private boolean isOverloaded(Exchange exchange, JobSpec spec) {
+    double maxWaitS = exchange.relayed() ? MAX_FORWARDED_WAIT_S : MAX_SUBMISSION_WAIT_S;
+    boolean waitsTooLong =
+        state.budget().changeTokens().waitingS() > maxWaitS && cache.job(spec.id()) == null;
+    return inFlight >= MAX_SUBMISSIONS_IN_FLIGHT || waitsTooLong;
   }
 
   /** The same request, counted among those under way until it is answered. */
-  private Exchange counted(Exchange exchange) {
+  private Exchange countInFlight(Exchange exchange) {
     inFlight++;
     return exchange.answeredTo(
         answer -> {
@@ -125,9 +125,9 @@
   }
 
   private void decide(PendingAnswer pending, JobSpec spec) {
-    if (cache.job(spec.id()) != null || whyNeverRuns(spec).isPresent()) {
+    if (cache.job(spec.id()) != null || unschedulableError(spec).isPresent()) {
       // A retry of a job that was accepted once is told so, whatever has changed since.
-      ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec));
+      runUnlessAccepted(pending, spec, () -> decideNewJob(pending, spec));
     } else {
       checkDependencies(pending, spec);
     }
@@ -135,9 +135,9 @@
 
   /** Decides a submission of a job that the records, read anew, do not know. */
   private void decideNewJob(PendingAnswer pending, JobSpec spec) {
-    Optional<ApiError> neverRuns = whyNeverRuns(spec);
-    if (neverRuns.isPresent()) {
-      pending.fail(neverRuns.get());
+    Optional<ApiError> unschedulable = unschedulableError(spec);
+    if (unschedulable.isPresent()) {
+      pending.fail(unschedulable.get());
     } else {
       checkDependencies(pending, spec);
     }
@@ -147,13 +147,13 @@
    * Why a job can never run, as far as this controller knows; empty if it can. Users take a refusal
    * for good, so none is given before the records, of limits too, have been read anew.
    */
-  private Optional<ApiError> whyNeverRuns(JobSpec spec) {
-    String forbidden = limits.rejectionReason(spec);
-    if (forbidden != null) {
-      return Optional.of(ApiError.unprocessable(forbidden));
+  private Optional<ApiError> unschedulableError(JobSpec spec) {
+    String rejectionReason = limits.rejectionReason(spec);
+    if (rejectionReason != null) {
+      return Optional.of(ApiError.unprocessable(rejectionReason));
     }
-    Collection<MachineType> known = types.get();
-    if (known != null && known.stream().noneMatch(spec::fits)) {
+    Collection<MachineType> availableTypes = machineTypes.get();
+    if (availableTypes != null && availableTypes.stream().noneMatch(spec::fits)) {
       return Optional.of(ApiError.unprocessable("a task fits no allowed machine type"));
     }
     return Optional.empty();
@@ -163,42 +163,42 @@
     dependencyCheck.check(
         pending,
         spec,
-        new DependencyCheck.Outcome() {
+        new DependencyCheck.Callback() {
           @Override
-          public void accepted(JobSpec checked) {
+          public void onAccepted(JobSpec checked) {
             create(pending, checked);
           }
 
           @Override
-          public void refused(ApiError error) {
-            refuse(pending, spec, error);
+          public void onRejected(ApiError error) {
+            rejectUnlessAccepted(pending, spec, error);
           }
         });
   }
 
   private void create(PendingAnswer pending, JobSpec spec) {
-    Optional<ApiError> tooLarge = creation.tooLarge(spec);
-    if (tooLarge.isPresent()) {
-      refuse(pending, spec, tooLarge.get());
+    Optional<ApiError> sizeError = creation.sizeError(spec);
+    if (sizeError.isPresent()) {
+      rejectUnlessAccepted(pending, spec, sizeError.get());
     } else {
       creation.create(
-          pending, spec, () -> ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec)));
+          pending, spec, () -> runUnlessAccepted(pending, spec, () -> decideNewJob(pending, spec)));
     }
   }
 
   /** A retry of a job that was accepted is told so, whatever has become of what it names. */
-  private void refuse(PendingAnswer pending, JobSpec spec, ApiError error) {
-    ifNotAccepted(pending, spec, () -> pending.fail(error));
+  private void rejectUnlessAccepted(PendingAnswer pending, JobSpec spec, ApiError error) {
+    runUnlessAccepted(pending, spec, () -> pending.fail(error));
   }
 
   /** Answers 200 for a job that was accepted before, else goes on with {@code otherwise}. */
-  private void ifNotAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
-    lookup.look(
+  private void runUnlessAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
+    jobLookup.lookUp(
         pending,
         spec.id(),
-        found -> {
-          if (found != null) {
-            pending.answer(200, UserCodec.encodeStage(spec.id(), found.stage()));
+        jobState -> {
+          if (jobState != null) {
+            pending.answer(200, UserCodec.encodeStage(spec.id(), jobState.stage()));
           } else {
             otherwise.run();
           }
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -34,7 +34,7 @@
   }
 
   /** A page of live jobs after the query's {@code after}, filtered by team and class. */
-  void jobs(Exchange exchange) {
+  void listJobs(Exchange exchange) {
     Optional<ListQuery> query = ListQuery.parse(exchange.query());
     if (query.isEmpty()) {
       Replies.BAD_LIST_QUERY.sendTo(exchange);
@@ -47,10 +47,10 @@
     ArrayNode page = Json.array();
     boolean truncated = false;
     for (JobEntry job : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
-      if (!query.asks("team", job.spec.team()) || !query.asks("class", job.spec.jobClass())) {
+      if (!query.matches("team", job.spec.team()) || !query.matches("class", job.spec.jobClass())) {
         continue;
       }
-      if (page.size() >= query.most()) {
+      if (page.size() >= query.limit()) {
         truncated = true;
         break;
       }
@@ -63,7 +63,7 @@
   }
 
   /** One live job with why it waits, what it needs, what needs it, and its claims; or 404. */
-  void job(Exchange exchange, String id) {
+  void showJob(Exchange exchange, String id) {
     JobEntry job = cache.job(id);
     if (job == null) {
       ApiError.notFound("no live job " + id).sendTo(exchange);
@@ -79,10 +79,10 @@
 
   private ObjectNode describe(JobEntry job) {
     TaskCounts counts = TaskCounts.of(job);
-    boolean stops =
+    boolean isStopping =
         job.isCancelled()
             || CancellationResolver.isCancelledByDependency(cache, job.spec, new HashSet<>());
-    String stage = stops ? "stopping" : counts.claimed() > 0 ? "running" : "waiting";
+    String stage = isStopping ? "stopping" : counts.claimed() > 0 ? "running" : "waiting";
     return Json.object()
         .put("id", job.spec.id())
         .put("class", job.spec.jobClass())
@@ -96,7 +96,7 @@
   /** Adds the live jobs that depend on this one, by id. */
   private void addDependents(ArrayNode dependents, String id) {
     for (JobEntry other : new TreeMap<>(cache.jobs()).values()) {
-      if (other.spec.dependencies().contains(id) && dependents.size() < ListQuery.MOST_LISTED) {
+      if (other.spec.dependencies().contains(id) && dependents.size() < ListQuery.MAX_ENTRIES) {
         dependents.add(other.spec.id());
       }
     }
@@ -106,7 +106,7 @@
     for (var entry : job.taskBatches.entrySet()) {
       TaskBatchRecord batch = entry.getValue().record();
       int firstTask = entry.getKey() * job.spec.batchCapacity();
-      for (int i = 0; i < batch.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
+      for (int i = 0; i < batch.size() && claims.size() < ListQuery.MAX_ENTRIES; i++) {
         if (batch.machine(i) != null) {
           claims
               .addObject()
--- a/src/main/java/graderelay/api/LeaderRoute.java
+++ b/src/main/java/graderelay/api/LeaderRoute.java
@@ -7,5 +7,5 @@
 @FunctionalInterface
 public interface LeaderRoute {
   /** Runs {@code here} if this controller leads, else relays the request to the leader. */
-  void handle(Exchange exchange, Consumer<Exchange> here);
+  void handle(Exchange exchange, Consumer<Exchange> localHandler);
 }
--- a/src/main/java/graderelay/api/OperatorWrites.java
+++ b/src/main/java/graderelay/api/OperatorWrites.java
@@ -25,26 +25,26 @@
       Exchange exchange,
       Cache cache,
       StoreResult result,
-      Supplier<ObjectNode> present,
-      String conflict) {
+      Supplier<ObjectNode> currentRecord,
+      String conflictMessage) {
     if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
       ApiError.STORE_UNREACHABLE.sendTo(exchange);
       return;
     }
     cache.catchUp(
-        ok -> {
-          if (!ok || result.outcome() == StoreOutcome.UNKNOWN) {
+        caughtUp -> {
+          if (!caughtUp || result.outcome() == StoreOutcome.UNKNOWN) {
             OUTCOME_UNKNOWN.sendTo(exchange);
           } else if (result.succeeded()) {
-            Replies.json(exchange, 200, present.get());
+            Replies.json(exchange, 200, currentRecord.get());
           } else {
-            conflict(exchange, present.get(), conflict);
+            conflict(exchange, currentRecord.get(), conflictMessage);
           }
         });
   }
 
   /** Answers 409 with the record as it is and the reason why it is not changed. */
-  static void conflict(Exchange exchange, ObjectNode present, String why) {
-    Replies.json(exchange, CONFLICT, present.put("error", why));
+  static void conflict(Exchange exchange, ObjectNode currentRecord, String reason) {
+    Replies.json(exchange, CONFLICT, currentRecord.put("error", reason));
   }
 }
--- a/src/main/java/graderelay/api/PathPrefix.java
+++ b/src/main/java/graderelay/api/PathPrefix.java
@@ -7,12 +7,12 @@
  */
 record PathPrefix(String root) {
   /** True if the path is the prefix itself or below it. */
-  boolean covers(String path) {
+  boolean matches(String path) {
     return path.equals(root) || path.startsWith(root + "/");
   }
 
   /** What follows the prefix and a slash in a path that it covers; empty for the prefix itself. */
-  String rest(String path) {
+  String remainder(String path) {
     return path.length() <= root.length() ? "" : path.substring(root.length() + 1);
   }
 }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -16,12 +16,13 @@
 
 /** Answers the other controllers' requests. Runs on the event loop. */
 public final class PeerApi {
-  private static final ApiError OTHER_FEATURE_LEVEL = ApiError.notFound("of another feature level");
+  private static final ApiError FEATURE_LEVEL_MISMATCH =
+      ApiError.notFound("of another feature level");
   private static final ApiError NO_SUCH_MESSAGE = ApiError.notFound("no such message");
 
   /** Takes a worker's heartbeat that came to another controller. */
   @FunctionalInterface
-  public interface RelayedHeartbeats {
+  public interface RelayedHeartbeatHandler {
     /**
      * Answers a relayed heartbeat.
      *
@@ -29,7 +30,7 @@
      * @param body the heartbeat as the worker wrote it
      * @param to takes the answer for the worker
      */
-    void accept(String relayedBy, byte[] body, Consumer<Answer> to);
+    void accept(String relayingMember, byte[] body, Consumer<Answer> to);
   }
 
   private final Leadership leadership;
@@ -38,9 +39,9 @@
   private final String incarnation;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final RelayedHeartbeats heartbeats;
-  private final Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations;
-  private final Exchange.Handler requests;
+  private final RelayedHeartbeatHandler heartbeatHandler;
+  private final Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegationHandler;
+  private final Exchange.Handler requestHandler;
 
   /**
    * Makes the interface.
@@ -58,45 +59,46 @@
       String incarnation,
       StateClient state,
       Cancellations cancellations,
-      RelayedHeartbeats heartbeats,
-      Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegations,
-      Exchange.Handler requests) {
+      RelayedHeartbeatHandler heartbeatHandler,
+      Function<PeerRequest.Delegation, PeerAnswer.Delegated> delegationHandler,
+      Exchange.Handler requestHandler) {
     this.leadership = leadership;
     this.features = features;
     this.catchUp = catchUp;
     this.incarnation = incarnation;
     this.state = state;
     this.cancellations = cancellations;
-    this.heartbeats = heartbeats;
-    this.delegations = delegations;
-    this.requests = requests;
+    this.heartbeatHandler = heartbeatHandler;
+    this.delegationHandler = delegationHandler;
+    this.requestHandler = requestHandler;
   }
 
   /** Answers one request; one of a kind that this version does not know is refused. */
   public void handle(Exchange exchange) {
     PeerCodec.Envelope envelope = decode(exchange);
     PeerRequest request = envelope.request();
-    int theirLevel = envelope.featureLevel();
-    int ourLevel = features.gate().current().level();
-    if (theirLevel > ourLevel) {
+    int senderLevel = envelope.featureLevel();
+    int localLevel = features.gate().current().level();
+    if (senderLevel > localLevel) {
       catchUp.run(); // We have missed a change of the level.
     }
-    if (actsForTheLeader(request) && theirLevel != ourLevel) {
-      OTHER_FEATURE_LEVEL.sendTo(exchange);
-    } else if (!answerBetweenMembers(exchange, request, theirLevel < ourLevel)
-        && !answerRelayed(exchange, request)) {
+    if (requiresSameFeatureLevel(request) && senderLevel != localLevel) {
+      FEATURE_LEVEL_MISMATCH.sendTo(exchange);
+    } else if (!answerMemberRequest(exchange, request, senderLevel < localLevel)
+        && !answerRelayedRequest(exchange, request)) {
       NO_SUCH_MESSAGE.sendTo(exchange);
     }
   }
 
   private static PeerCodec.Envelope decode(Exchange exchange) {
-    boolean message = exchange.method().equals("POST") && exchange.path().equals(PeerClient.PATH);
-    return message
+    boolean isPeerMessage =
+        exchange.method().equals("POST") && exchange.path().equals(PeerClient.PATH);
+    return isPeerMessage
         ? PeerCodec.decodeEnvelope(exchange.body())
         : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
   }
 
-  private static boolean actsForTheLeader(PeerRequest request) {
+  private static boolean requiresSameFeatureLevel(PeerRequest request) {
     return request instanceof PeerRequest.Handover
         || request instanceof PeerRequest.Delegation
         || request instanceof PeerRequest.RelayedReport;
@@ -111,12 +113,15 @@
    *
    * @param behind true if the sender has missed a change of the feature level
    */
-  private boolean answerBetweenMembers(Exchange exchange, PeerRequest request, boolean behind) {
+  private boolean answerMemberRequest(
+      Exchange exchange, PeerRequest request, boolean senderIsBehind) {
     if (request instanceof PeerRequest.Pledge pledge) {
-      boolean granted = !behind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
-      answer(exchange, pledged(granted));
+      boolean granted =
+          !senderIsBehind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
+      answer(exchange, pledgeAnswer(granted));
     } else if (request instanceof PeerRequest.KeepPledge pledge) {
-      answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
+      answer(
+          exchange, pledgeAnswer(!senderIsBehind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(exchange, new PeerAnswer.Identified(incarnation));
     } else if (request instanceof PeerRequest.Share share) {
@@ -126,7 +131,7 @@
       leadership.acceptHandover(handover.member(), handover.term(), handover.sessionLease());
       answer(exchange, new PeerAnswer.Received());
     } else if (request instanceof PeerRequest.Delegation delegation) {
-      answer(exchange, delegations.apply(delegation));
+      answer(exchange, delegationHandler.apply(delegation));
     } else {
       return false;
     }
@@ -134,21 +139,22 @@
   }
 
   /** Answers what a controller passes on for others; false if the request is none of that. */
-  private boolean answerRelayed(Exchange exchange, PeerRequest request) {
+  private boolean answerRelayedRequest(Exchange exchange, PeerRequest request) {
     if (request instanceof PeerRequest.RelayedReport heartbeat) {
-      heartbeats.accept(heartbeat.member(), heartbeat.body(), relayedTo(exchange));
+      heartbeatHandler.accept(heartbeat.member(), heartbeat.body(), relayedAnswerSender(exchange));
     } else if (request instanceof PeerRequest.UserRequest user) {
-      requests.handle(
-          new Exchange(user.method(), user.path(), "", user.body(), true, relayedTo(exchange)));
+      requestHandler.handle(
+          new Exchange(
+              user.method(), user.path(), "", user.body(), true, relayedAnswerSender(exchange)));
     } else if (request instanceof PeerRequest.AdminRequest admin) {
-      requests.handle(
+      requestHandler.handle(
           new Exchange(
               admin.method(),
               admin.path(),
               admin.query(),
               admin.body(),
               true,
-              relayedTo(exchange)));
+              relayedAnswerSender(exchange)));
     } else {
       return false;
     }
@@ -156,13 +162,13 @@
   }
 
   /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
-  private PeerAnswer.Pledged pledged(boolean granted) {
+  private PeerAnswer.Pledged pledgeAnswer(boolean granted) {
     return new PeerAnswer.Pledged(
         granted, state.health().isReachable(), cancellations.ownKnowledge());
   }
 
   /** Sends an answer back to the controller that has passed the request on. */
-  private static Consumer<Answer> relayedTo(Exchange exchange) {
+  private static Consumer<Answer> relayedAnswerSender(Exchange exchange) {
     return answer -> answer(exchange, new PeerAnswer.Relayed(answer));
   }
 
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -18,21 +18,21 @@
 
   private final Loop loop;
   private final Consumer<Answer> to;
-  private final double sinceS;
+  private final double receivedAtS;
   private final Loop.Timer deadline;
   private boolean answered;
 
   /** Starts the deadline of {@code seconds} on the loop's clock. */
-  PendingAnswer(Loop loop, Exchange exchange, double seconds) {
+  PendingAnswer(Loop loop, Exchange exchange, double deadlineS) {
     this.loop = loop;
-    this.sinceS = loop.now();
+    this.receivedAtS = loop.now();
     this.to = exchange.to();
-    this.deadline = loop.after(seconds, () -> fail(TIMED_OUT));
+    this.deadline = loop.after(deadlineS, () -> fail(TIMED_OUT));
   }
 
   /** The loop's time, in seconds, at which the request came. */
-  double sinceS() {
-    return sinceS;
+  double receivedAtS() {
+    return receivedAtS;
   }
 
   /** Answers {@code status} with {@code body} as JSON. */
@@ -54,12 +54,12 @@
   }
 
   /** Runs {@code step} again after a moment, unless the request has been answered by then. */
-  void retry(Runnable step) {
+  void retry(Runnable action) {
     loop.after(
         StateClient.RETRY_DELAY_S / 2,
         () -> {
           if (!answered) {
-            step.run();
+            action.run();
           }
         });
   }
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -21,7 +21,7 @@
   private static final PathPrefix PREFIX = new PathPrefix("/admin/quota");
   private static final String RECOMPUTE = "/recompute";
 
-  private static final ApiError NOT_STORED =
+  private static final ApiError LIMITS_NOT_STORED =
       ApiError.conflict("limits are not stored: the feature level of stored-limits is not reached");
 
   /** A request on the stored limits as they are now. */
@@ -31,7 +31,7 @@
 
   private final Cache cache;
   private final TeamLimits limits;
-  private final LeaderRoute leader;
+  private final LeaderRoute leaderRoute;
   private final Predicate<String> replaceAccount;
   private final QuotaViews views;
   private final QuotaWrites writes;
@@ -49,28 +49,29 @@
       StateClient state,
       Cache cache,
       TeamLimits limits,
-      Supplier<Scheduler> core,
-      LeaderRoute leader,
+      Supplier<Scheduler> scheduler,
+      LeaderRoute leaderRoute,
       Predicate<String> replaceAccount,
       String member) {
     this.cache = cache;
     this.limits = limits;
-    this.leader = leader;
+    this.leaderRoute = leaderRoute;
     this.replaceAccount = replaceAccount;
-    this.views = new QuotaViews(cache, limits, core);
+    this.views = new QuotaViews(cache, limits, scheduler);
     this.writes = new QuotaWrites(loop, state, cache, views, member);
   }
 
   /** True if the path is {@code /admin/quota} or below it. */
-  public static boolean owns(String path) {
-    return PREFIX.covers(path);
+  public static boolean matches(String path) {
+    return PREFIX.matches(path);
   }
 
   /** Answers a request below {@code /admin/quota}: 405 for a wrong method. */
   public void handle(Exchange exchange) {
-    String rest = PREFIX.rest(exchange.path());
-    boolean recompute = rest.endsWith(RECOMPUTE);
-    String name = recompute ? rest.substring(0, rest.length() - RECOMPUTE.length()) : rest;
+    String remainder = PREFIX.remainder(exchange.path());
+    boolean isRecompute = remainder.endsWith(RECOMPUTE);
+    String name =
+        isRecompute ? remainder.substring(0, remainder.length() - RECOMPUTE.length()) : remainder;
     String team;
     try {
       team = URLDecoder.decode(name, StandardCharsets.UTF_8);
@@ -79,14 +80,15 @@
       return;
     }
     switch (exchange.method()) {
-      case "GET" -> leader.handle(exchange, here -> views.show(here, team));
-      case "PUT" -> onRecords(exchange, () -> writes.change(exchange, team));
-      case "DELETE" -> onRecords(exchange, () -> writes.remove(exchange, team));
+      case "GET" -> leaderRoute.handle(exchange, request -> views.show(request, team));
+      case "PUT" -> runOnFreshRecords(exchange, () -> writes.change(exchange, team));
+      case "DELETE" -> runOnFreshRecords(exchange, () -> writes.remove(exchange, team));
       case "POST" -> {
-        if (recompute) {
-          leader.handle(exchange, here -> onRecords(here, () -> recompute(here, team)));
+        if (isRecompute) {
+          leaderRoute.handle(
+              exchange, request -> runOnFreshRecords(request, () -> recompute(request, team)));
         } else {
-          onRecords(exchange, () -> writes.add(exchange, team, PREFIX));
+          runOnFreshRecords(exchange, () -> writes.add(exchange, team, PREFIX));
         }
       }
       default -> ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
@@ -94,20 +96,20 @@
   }
 
   /** Goes on once the records as they are now have been read, if stored limits are in force. */
-  private void onRecords(Exchange exchange, StoredLimitsRequest then) {
+  private void runOnFreshRecords(Exchange exchange, StoredLimitsRequest request) {
     FreshRecords.run(
         cache,
         exchange,
         () -> {
           if (limits.usesStoredLimits()) {
-            runOrRefuse(exchange, then);
+            runOrReject(exchange, request);
           } else {
-            NOT_STORED.sendTo(exchange);
+            LIMITS_NOT_STORED.sendTo(exchange);
           }
         });
   }
 
-  private static void runOrRefuse(Exchange exchange, StoredLimitsRequest request) {
+  private static void runOrReject(Exchange exchange, StoredLimitsRequest request) {
     try {
       request.run();
     } catch (BadRequest malformed) {
--- a/src/main/java/graderelay/api/QuotaViews.java
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -40,9 +40,9 @@
     ArrayNode differences = body.putArray("settings_differ");
     limits.settingsDifferences().forEach(differences::add);
     ArrayNode teams = body.putArray("teams");
-    for (Map.Entry<String, LimitRecord> each : limitsInForce().entrySet()) {
-      if (team.isEmpty() || team.equals(each.getKey())) {
-        teams.add(view(each.getKey(), each.getValue()));
+    for (Map.Entry<String, LimitRecord> entry : limitsInForce().entrySet()) {
+      if (team.isEmpty() || team.equals(entry.getKey())) {
+        teams.add(view(entry.getKey(), entry.getValue()));
       }
     }
     if (!team.isEmpty() && teams.isEmpty()) {
@@ -53,7 +53,7 @@
   }
 
   /** The record of a team's limits as it is now, or a message that there is none. */
-  ObjectNode present(String team) {
+  ObjectNode currentLimits(String team) {
     LimitRecord record = cache.quota().limits(team);
     ObjectNode body = Json.object().put("team", team);
     if (record == null) {
@@ -81,7 +81,7 @@
     ObjectNode body = Json.object().put("team", team);
     putQuota(body, record);
     Scheduler.TeamUsage usage = scheduler.get().teamUsage(team);
-    putUse(body, team, record, usage);
+    putUsage(body, team, record, usage);
     body.put("tasks_waiting", usage.waitingTasks());
     body.put("cpus_waiting", usage.waitingAmount().cpus())
         .put("gpus_waiting", usage.waitingAmount().gpus());
@@ -103,7 +103,8 @@
   }
 
   /** What a team's claims take, and how much of it is beyond the guarantee. */
-  private void putUse(ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
+  private void putUsage(
+      ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
     boolean stored = limits.usesStoredLimits();
     Amount claims = stored ? usage.standing().claims() : scheduler.get().claimedAmount(team);
     body.put("cpus_used", claims.cpus()).put("gpus_used", claims.gpus());
--- a/src/main/java/graderelay/api/QuotaWrites.java
+++ b/src/main/java/graderelay/api/QuotaWrites.java
@@ -24,7 +24,7 @@
  */
 final class QuotaWrites {
   /** The revision of a record that does not exist. */
-  private static final long ABSENT = 0;
+  private static final long ABSENT_REVISION = 0;
 
   private final Loop loop;
   private final StateClient state;
@@ -52,48 +52,55 @@
 
   /** Changes the limits of a team that exists. */
   void change(Exchange exchange, String team) throws BadRequest {
-    QuotaRequests.Change asked = decode(exchange);
-    LimitRecord before = records().limits(team);
-    if (before == null) {
+    QuotaRequests.Change request = decode(exchange);
+    LimitRecord current = records().limits(team);
+    if (current == null) {
       unknownTeam(team).sendTo(exchange);
-    } else if (asked.onVersion() >= 0 && asked.onVersion() != before.revision()) {
+    } else if (request.onVersion() >= 0 && request.onVersion() != current.revision()) {
       conflict(exchange, team, "the limits of team " + team + " have changed since");
-    } else if (!before.isReadable() && !asked.limits().isComplete()) {
-      String why = "the stored limits of team " + team + " are malformed: " + before.malformed();
-      ApiError.conflict(why + "; give cpus, cpus_max, gpus and gpus_max").sendTo(exchange);
+    } else if (!current.isReadable() && !request.limits().isComplete()) {
+      String message =
+          "the stored limits of team " + team + " are malformed: " + current.malformed();
+      ApiError.conflict(message + "; give cpus, cpus_max, gpus and gpus_max").sendTo(exchange);
     } else {
-      TeamQuota base = before.isReadable() ? before.quota() : TeamQuota.UNLIMITED;
-      put(exchange, team, asked.limits().applyTo(base), before.revision(), asked.by());
+      TeamQuota base = current.isReadable() ? current.quota() : TeamQuota.UNLIMITED;
+      put(exchange, team, request.limits().applyTo(base), current.revision(), request.by());
     }
   }
 
   /** Adds a team with its limits; {@code prefix} is what the path has before the team's name. */
   void add(Exchange exchange, String team, PathPrefix prefix) throws BadRequest {
-    QuotaRequests.Change asked = decode(exchange);
+    QuotaRequests.Change request = decode(exchange);
     if (team.isEmpty()) {
       ApiError.badRequest("the path must name the team: " + prefix.root() + "/TEAM")
           .sendTo(exchange);
     } else if (records().limits(team) != null) {
       conflict(exchange, team, "team " + team + " is there already");
     } else {
-      put(exchange, team, asked.limits().applyTo(TeamQuota.UNLIMITED), ABSENT, asked.by());
+      put(
+          exchange,
+          team,
+          request.limits().applyTo(TeamQuota.UNLIMITED),
+          ABSENT_REVISION,
+          request.by());
     }
   }
 
   /** Removes a team; one that has work, or whose claims may still be counted, can't be removed. */
   void remove(Exchange exchange, String team) {
-    LimitRecord before = records().limits(team);
+    LimitRecord current = records().limits(team);
     Account account = records().account(team);
-    long jobs = cache.jobs().values().stream().filter(j -> j.spec.team().equals(team)).count();
-    if (before == null) {
+    long liveJobs =
+        cache.jobs().values().stream().filter(job -> job.spec.team().equals(team)).count();
+    if (current == null) {
       unknownTeam(team).sendTo(exchange);
-    } else if (jobs > 0) {
-      ApiError.conflict("team " + team + " has " + jobs + " live jobs").sendTo(exchange);
+    } else if (liveJobs > 0) {
+      ApiError.conflict("team " + team + " has " + liveJobs + " live jobs").sendTo(exchange);
     } else if (account.isReadable() && !account.use().equals(Amount.NONE)) {
       ApiError.unavailable("the account of team " + team + " still counts what has just ended")
           .sendTo(exchange);
     } else {
-      drop(exchange, team, before, account);
+      deleteLimits(exchange, team, current, account);
     }
   }
 
@@ -121,28 +128,29 @@
     commit(exchange, team, txn);
   }
 
-  private void drop(Exchange exchange, String team, LimitRecord limits, Account account) {
+  private void deleteLimits(Exchange exchange, String team, LimitRecord limits, Account account) {
     Transaction txn =
         new Transaction()
             .when(QuotaCodec.limitKey(team), limits.revision())
             .when(QuotaCodec.accountKey(team), account.revision())
             .delete(QuotaCodec.limitKey(team));
-    if (account.revision() > ABSENT) {
+    if (account.revision() > ABSENT_REVISION) {
       txn.delete(QuotaCodec.accountKey(team));
     }
     commit(exchange, team, txn);
   }
 
   private void commit(Exchange exchange, String team, Transaction txn) {
-    String conflict = "somebody else changed the limits of team " + team + " meanwhile";
+    String conflictMessage = "somebody else changed the limits of team " + team + " meanwhile";
     state.commit(
         txn,
         Use.SUBMISSION,
         result ->
-            OperatorWrites.answer(exchange, cache, result, () -> views.present(team), conflict));
+            OperatorWrites.answer(
+                exchange, cache, result, () -> views.currentLimits(team), conflictMessage));
   }
 
-  private void conflict(Exchange exchange, String team, String why) {
-    OperatorWrites.conflict(exchange, views.present(team), why);
+  private void conflict(Exchange exchange, String team, String reason) {
+    OperatorWrites.conflict(exchange, views.currentLimits(team), reason);
   }
 }
--- a/src/main/java/graderelay/api/SettingsChange.java
+++ b/src/main/java/graderelay/api/SettingsChange.java
@@ -26,8 +26,9 @@
       throw new BadRequest("mark must be the integer that reading the settings gave");
     }
     // A negative revision asks for none, as it always has.
-    boolean any = revision.isMissingNode() || revision.longValue() < 0;
+    boolean isAnyRevision = revision.isMissingNode() || revision.longValue() < 0;
     return new SettingsChange(
-        body.get("values"), any ? OptionalLong.empty() : OptionalLong.of(revision.longValue()));
+        body.get("values"),
+        isAnyRevision ? OptionalLong.empty() : OptionalLong.of(revision.longValue()));
   }
 }
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -23,11 +23,11 @@
  * loop.
  */
 final class SettingsWrites {
-  private final Settings platform;
+  private final Settings controllerSettings;
   private final StateClient state;
   private final Cache cache;
   private final OperatorSettings defaults;
-  private final int mostBatchTasks;
+  private final int maxBatchTasks;
 
   /**
    * Makes the handler of settings.
@@ -37,28 +37,28 @@
    * @param mostBatchTasks the most tasks in one task batch
    */
   SettingsWrites(
-      Settings platform,
+      Settings controllerSettings,
       StateClient state,
       Cache cache,
       OperatorSettings defaults,
-      int mostBatchTasks) {
-    this.platform = platform;
+      int maxBatchTasks) {
+    this.controllerSettings = controllerSettings;
     this.state = state;
     this.cache = cache;
     this.defaults = defaults;
-    this.mostBatchTasks = mostBatchTasks;
+    this.maxBatchTasks = maxBatchTasks;
   }
 
   /** The settings as this controller's copy of the record has them. */
   OperatorSettings current() {
-    return OperatorSettings.stored(cache.settings(), defaults, mostBatchTasks);
+    return OperatorSettings.stored(cache.settings(), defaults, maxBatchTasks);
   }
 
   /**
    * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
    */
   void read(Exchange exchange) {
-    FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, view()));
+    FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, toJson()));
   }
 
   /** {@code PUT /admin/settings}; see {@link SettingsChange#decode} for the body. */
@@ -103,7 +103,7 @@
     write(exchange, new SettingsChange(values, OptionalLong.of(cache.settingsRevision())));
   }
 
-  private ObjectNode view() {
+  private ObjectNode toJson() {
     ObjectNode body = Json.object().put("mark", cache.settingsRevision());
     body.set("values", current().json());
     body.set("defaults", defaults.json());
@@ -118,17 +118,17 @@
   private void writeOnFreshRecord(Exchange exchange, SettingsChange change) {
     long revision = cache.settingsRevision();
     if (change.ifRevision().orElse(revision) != revision) {
-      OperatorWrites.conflict(exchange, view(), "the settings have changed since");
+      OperatorWrites.conflict(exchange, toJson(), "the settings have changed since");
       return;
     }
     OperatorSettings next;
     try {
-      next = current().with(change.values(), defaults, mostBatchTasks);
+      next = current().with(change.values(), defaults, maxBatchTasks);
     } catch (BadRequest invalid) {
       ApiError.badRequest(invalid.getMessage()).sendTo(exchange);
       return;
     }
-    if (Json.write(next.json()).length > platform.least().valueBytes()) {
+    if (Json.write(next.json()).length > controllerSettings.least().valueBytes()) {
       ApiError.badRequest("the settings are too large for the state service").sendTo(exchange);
       return;
     }
@@ -140,10 +140,10 @@
         new Transaction()
             .when(StateCodec.SETTINGS, ifRevision)
             .put(StateCodec.SETTINGS, next.json());
-    String conflict = "somebody else changed the settings meanwhile";
+    String conflictMessage = "somebody else changed the settings meanwhile";
     state.commit(
         txn,
         Use.SUBMISSION,
-        result -> OperatorWrites.answer(exchange, cache, result, this::view, conflict));
+        result -> OperatorWrites.answer(exchange, cache, result, this::toJson, conflictMessage));
   }
 }
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -26,7 +26,7 @@
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
-  private final JobLookup lookup;
+  private final JobLookup jobLookup;
   private final JobSubmissions submissions;
   private final JobCancellations cancellations;
 
@@ -43,15 +43,16 @@
       Cancellations cancellations,
       Settings settings,
       TeamLimits limits,
-      Supplier<Collection<MachineType>> types,
+      Supplier<Collection<MachineType>> machineTypes,
       IntSupplier batchCapacity) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     FinalStateLookup finalStates =
         new FinalStateLookup(loop, state, cache, settings.least().txnOps());
-    CancellationResolver dependencies = new CancellationResolver(cache, finalStates);
-    this.lookup = new JobLookup(cache, settings, dependencies, finalStates, this::stateAway);
+    CancellationResolver cancellationResolver = new CancellationResolver(cache, finalStates);
+    this.jobLookup =
+        new JobLookup(cache, settings, cancellationResolver, finalStates, this::isStoreUnreachable);
     this.submissions =
         new JobSubmissions(
             loop,
@@ -59,16 +60,17 @@
             cache,
             settings,
             limits,
-            types,
+            machineTypes,
             batchCapacity,
-            dependencies,
-            lookup,
-            this::stateAway);
-    this.cancellations = new JobCancellations(loop, state, cache, cancellations, settings, lookup);
+            cancellationResolver,
+            jobLookup,
+            this::isStoreUnreachable);
+    this.cancellations =
+        new JobCancellations(loop, state, cache, cancellations, settings, jobLookup);
   }
 
   /** True while calls to the store fail: then nothing can be decided here. */
-  public boolean stateAway() {
+  public boolean isStoreUnreachable() {
     return !cache.isLoaded() || state.health().failingForS() > StateClient.CALL_TIMEOUT_S;
   }
 
@@ -79,21 +81,22 @@
 
   /** Answers a poll of job {@code id}: 200 with its status, 404, or 503 with Retry-After. */
   public void poll(Exchange exchange, String id) {
-    Optional<ApiError> refusal = lookup.refusal(id);
+    Optional<ApiError> refusal = jobLookup.refusal(id);
     if (refusal.isPresent()) {
       refusal.get().sendTo(exchange);
       return;
     }
     PendingAnswer pending = new PendingAnswer(loop, exchange, RequestHedger.POLL_DEADLINE_S);
-    lookup.look(
+    jobLookup.lookUp(
         pending,
         id,
-        found -> {
-          if (found == null) {
+        jobState -> {
+          if (jobState == null) {
             pending.fail(ApiError.NO_SUCH_JOB);
           } else {
             pending.answer(
-                200, UserCodec.encodeStatus(id, found.stage(), found.done(), found.running()));
+                200,
+                UserCodec.encodeStatus(id, jobState.stage(), jobState.done(), jobState.running()));
           }
         });
   }
--- a/src/main/java/graderelay/peer/ForwardedRequest.java
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -14,14 +14,14 @@
    * Seconds for which a submission that the leader has forwarded may stay with a peer before the
    * leader decides it itself: a few usual answers of the store.
    */
-  private static final double FORWARDED_S = 0.15;
+  private static final double FORWARD_TIMEOUT_S = 0.15;
 
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private final Loop loop;
   private final PeerForwarder forwarder;
   private final Exchange exchange;
-  private boolean settled;
+  private boolean completed;
 
   ForwardedRequest(Loop loop, PeerForwarder forwarder, Exchange exchange) {
     this.loop = loop;
@@ -30,33 +30,33 @@
   }
 
   /** Forwards the request to {@code peer}; runs {@code here} if the peer does not decide it. */
-  void run(Settings.Peer peer, Runnable here) {
-    Loop.Timer slow = loop.after(FORWARDED_S, () -> settleHere(here));
+  void run(Settings.Peer peer, Runnable localHandler) {
+    Loop.Timer timeout = loop.after(FORWARD_TIMEOUT_S, () -> handleLocally(localHandler));
     forwarder.forward(
         exchange,
         peer,
-        FORWARDED_S,
+        FORWARD_TIMEOUT_S,
         answer -> {
-          slow.cancel();
-          if (isDecision(answer) && !settled) {
-            settled = true;
+          timeout.cancel();
+          if (isDefinitive(answer) && !completed) {
+            completed = true;
             exchange.to().accept(answer);
           } else {
-            settleHere(here);
+            handleLocally(localHandler);
           }
         });
   }
 
-  private void settleHere(Runnable here) {
-    if (!settled) {
-      settled = true;
-      here.run();
+  private void handleLocally(Runnable localHandler) {
+    if (!completed) {
+      completed = true;
+      localHandler.run();
     }
   }
 
-  private static boolean isDecision(Answer answer) {
+  private static boolean isDefinitive(Answer answer) {
     return answer != null
-        && answer.status() != RequestHedger.REFUSED
-        && answer.status() != TOO_MANY;
+        && answer.status() != RequestHedger.SERVICE_UNAVAILABLE
+        && answer.status() != TOO_MANY_REQUESTS;
   }
 }
--- a/src/main/java/graderelay/peer/HedgePolicy.java
+++ b/src/main/java/graderelay/peer/HedgePolicy.java
@@ -11,12 +11,12 @@
    * Requests that are with peers at once: enough for a controller that the store refuses alone, and
    * no more, since in a storm of requests each would be put to two or three controllers.
    */
-  private static final int MOST_HEDGES_OUT = 64;
+  private static final int MAX_HEDGES_IN_FLIGHT = 64;
 
-  private final BooleanSupplier stuck;
-  private final BooleanSupplier awayForAll;
-  private int underWay;
-  private double lastHelp = Double.NEGATIVE_INFINITY;
+  private final BooleanSupplier storeStalled;
+  private final BooleanSupplier storeUnavailableToAll;
+  private int hedgesInFlight;
+  private double lastPeerAnswerTime = Double.NEGATIVE_INFINITY;
 
   /**
    * Makes the policy.
@@ -24,9 +24,9 @@
    * @param stuck whether the store lets this controller wait
    * @param awayForAll whether peers say that they are no better off
    */
-  HedgePolicy(BooleanSupplier stuck, BooleanSupplier awayForAll) {
-    this.stuck = stuck;
-    this.awayForAll = awayForAll;
+  HedgePolicy(BooleanSupplier storeStalled, BooleanSupplier storeUnavailableToAll) {
+    this.storeStalled = storeStalled;
+    this.storeUnavailableToAll = storeUnavailableToAll;
   }
 
   /**
@@ -36,31 +36,31 @@
    * all were waiting for.
    */
   boolean mayHedgeSlow() {
-    return stuck.getAsBoolean() && underWay < MOST_HEDGES_OUT;
+    return storeStalled.getAsBoolean() && hedgesInFlight < MAX_HEDGES_IN_FLIGHT;
   }
 
   /** True if a request that was refused may be put to a peer, which may be better off. */
   boolean mayHedgeRefused() {
-    return underWay < MOST_HEDGES_OUT && !awayForAll.getAsBoolean();
+    return hedgesInFlight < MAX_HEDGES_IN_FLIGHT && !storeUnavailableToAll.getAsBoolean();
   }
 
   /** Counts a request that goes to a peer. */
-  void started() {
-    underWay++;
+  void onHedgeSent() {
+    hedgesInFlight++;
   }
 
   /** Counts the end of a request that went to a peer. */
-  void ended() {
-    underWay--;
+  void onHedgeCompleted() {
+    hedgesInFlight--;
   }
 
   /** Notes that a peer has decided a request for us at time {@code now}, in seconds. */
-  void helped(double now) {
-    lastHelp = now;
+  void onDefinitiveAnswer(double now) {
+    lastPeerAnswerTime = now;
   }
 
   /** The time in seconds at which a peer last decided a request for us. */
-  double lastHelp() {
-    return lastHelp;
+  double lastPeerAnswerTime() {
+    return lastPeerAnswerTime;
   }
 }
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -53,14 +53,14 @@
         PATH,
         PeerCodec.encodeRequest(request, gate.current().level()),
         timeoutS,
-        r -> done.accept(r.ok() ? decoder.apply(r.body()) : null));
+        response -> done.accept(response.ok() ? decoder.apply(response.body()) : null));
   }
 
   /** The address of a member, or null if it is not a peer. */
   public String addressOf(String member) {
-    for (Settings.Peer p : peers) {
-      if (p.member().equals(member)) {
-        return p.address();
+    for (Settings.Peer peer : peers) {
+      if (peer.member().equals(member)) {
+        return peer.address();
       }
     }
     return null;
--- a/src/main/java/graderelay/peer/PeerForwarder.java
+++ b/src/main/java/graderelay/peer/PeerForwarder.java
@@ -18,30 +18,30 @@
  */
 final class PeerForwarder {
   /** Seconds for which no request is forwarded to a peer that gave no answer to one. */
-  private static final double PASS_OVER_S = 5;
+  private static final double UNRESPONSIVE_BACKOFF_S = 5;
 
   private final Loop loop;
   private final PeerClient peerClient;
-  private final Predicate<String> hears;
+  private final Predicate<String> answeredRecently;
 
   /** The time in seconds until which a peer is passed over, by its address. */
-  private final Map<String, Double> passedOverUntil = new HashMap<>();
+  private final Map<String, Double> unresponsiveUntil = new HashMap<>();
 
   /** Counts the turns of the round robin. */
-  private int turn;
+  private int roundRobinCounter;
 
   /** Index of the peer that hedged requests go to first. */
-  private int preferred;
+  private int preferredIndex;
 
   /**
    * Makes a forwarder.
    *
    * @param hears whether a member has answered this leader a moment ago
    */
-  PeerForwarder(Loop loop, PeerClient peerClient, Predicate<String> hears) {
+  PeerForwarder(Loop loop, PeerClient peerClient, Predicate<String> answeredRecently) {
     this.loop = loop;
     this.peerClient = peerClient;
-    this.hears = hears;
+    this.answeredRecently = answeredRecently;
   }
 
   /** The number of peers. */
@@ -55,8 +55,8 @@
    */
   Settings.Peer nextResponsive() {
     for (int i = 0; i < peerCount(); i++) {
-      Settings.Peer peer = peerClient.peers().get(turn++ % peerCount());
-      if (!isPassedOver(peer) && hears.test(peer.member())) {
+      Settings.Peer peer = peerClient.peers().get(roundRobinCounter++ % peerCount());
+      if (!isUnresponsive(peer) && answeredRecently.test(peer.member())) {
         return peer;
       }
     }
@@ -64,8 +64,8 @@
   }
 
   /** The index of the peer for a request's next hedge, after {@code hedges} earlier ones. */
-  int hedgeIndex(int hedges) {
-    return (preferred + hedges) % peerCount();
+  int hedgeIndex(int hedgesSent) {
+    return (preferredIndex + hedgesSent) % peerCount();
   }
 
   /** The peer of that index, in the order of the settings. */
@@ -74,26 +74,26 @@
   }
 
   /** True if the peer gave no answer a moment ago. */
-  boolean isPassedOver(Settings.Peer peer) {
-    return passedOverUntil.getOrDefault(peer.address(), 0.0) > loop.now();
+  boolean isUnresponsive(Settings.Peer peer) {
+    return unresponsiveUntil.getOrDefault(peer.address(), 0.0) > loop.now();
   }
 
   /** Makes the peer of that index the first for hedged requests. */
   void prefer(int index) {
-    preferred = index;
+    preferredIndex = index;
   }
 
   /** Prefers the peer after this one, if this one was the first for hedged requests. */
-  void preferOtherThan(int index) {
-    if (preferred == index) {
-      preferred = (index + 1) % peerCount();
+  void deprioritize(int index) {
+    if (preferredIndex == index) {
+      preferredIndex = (index + 1) % peerCount();
     }
   }
 
   /**
    * Forwards a user's request to a peer; calls back with the peer's answer, or with null if none
    * came within {@code timeoutS} seconds, and then the peer is passed over for {@link
-   * #PASS_OVER_S}.
+   * #UNRESPONSIVE_BACKOFF_S}.
    */
   void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
     peerClient.send(
@@ -104,7 +104,7 @@
         relayed -> {
           Answer answer = relayed == null ? null : relayed.answer();
           if (answer == null) {
-            passedOverUntil.put(peer.address(), loop.now() + PASS_OVER_S);
+            unresponsiveUntil.put(peer.address(), loop.now() + UNRESPONSIVE_BACKOFF_S);
           }
           done.accept(answer);
         });
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -22,10 +22,10 @@
    * Seconds after which a request that the store has not answered is put to a peer too: usual
    * answers take 10 ms. Both carry the same conditions, so the first answer is as good.
    */
-  public static final double HEDGE_S = 0.08;
+  public static final double HEDGE_DELAY_S = 0.08;
 
   /** The status by which a controller says that it can't decide a request now. */
-  static final int REFUSED = 503;
+  static final int SERVICE_UNAVAILABLE = 503;
 
   private final Loop loop;
   private final PeerForwarder forwarder;
@@ -41,25 +41,25 @@
   public RequestHedger(
       Loop loop,
       PeerClient peerClient,
-      BooleanSupplier stuck,
-      BooleanSupplier awayForAll,
-      Predicate<String> hears) {
+      BooleanSupplier storeStalled,
+      BooleanSupplier storeUnavailableToAll,
+      Predicate<String> answeredRecently) {
     this.loop = loop;
-    this.forwarder = new PeerForwarder(loop, peerClient, hears);
-    this.policy = new HedgePolicy(stuck, awayForAll);
+    this.forwarder = new PeerForwarder(loop, peerClient, answeredRecently);
+    this.policy = new HedgePolicy(storeStalled, storeUnavailableToAll);
   }
 
   /** The time in seconds at which a peer last decided a request for us. */
-  public double lastHelp() {
-    return policy.lastHelp();
+  public double lastPeerAnswerTime() {
+    return policy.lastPeerAnswerTime();
   }
 
   /**
    * Handles a request here, and puts it to a peer as well if it is slow or refused here; the first
    * answer that is not a refusal goes to the user.
    */
-  public void handle(Exchange exchange, Exchange.Handler here) {
-    new HedgedRequest(loop, forwarder, policy, exchange).run(here);
+  public void handle(Exchange exchange, Exchange.Handler localHandler) {
+    new HedgedRequest(loop, forwarder, policy, exchange).run(localHandler);
   }
 
   /**
@@ -67,12 +67,13 @@
    * can do: a peer is asked first, and one that doesn't answer at once or can't take it either
    * leaves it to us.
    */
-  public void handleAtPeerFirst(Exchange exchange, Exchange.Handler here) {
+  public void handleAtPeerFirst(Exchange exchange, Exchange.Handler localHandler) {
     Settings.Peer peer = forwarder.nextResponsive();
     if (peer == null) {
-      handle(exchange, here);
+      handle(exchange, localHandler);
     } else {
-      new ForwardedRequest(loop, forwarder, exchange).run(peer, () -> handle(exchange, here));
+      new ForwardedRequest(loop, forwarder, exchange)
+          .run(peer, () -> handle(exchange, localHandler));
     }
   }
 }
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerParts.java
@@ -182,7 +182,7 @@
             cache,
             features.coordinator(),
             leadership::isLeader,
-            adminApi::atLeader);
+            adminApi::handleOnLeader);
     return new RequestRouter(
         new RequestRouter.Targets(
             newUserApi(), workerApi, adminApi, featuresApi, newQuotaApi(adminApi)),
@@ -226,7 +226,7 @@
         cache,
         teamLimits,
         this::core,
-        adminApi::atLeader,
+        adminApi::handleOnLeader,
         leaderLifecycle::replaceAccount,
         settings.member());
   }
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -47,7 +47,7 @@
     // While the store refuses this controller alone, a peer decides on its requests; while the
     // store is away for all, what can be answered is, and the rest is told when to come back.
     return storeAnswers
-        || loop.now() - requestHedger.lastHelp() < STORE_SILENT_S
+        || loop.now() - requestHedger.lastPeerAnswerTime() < STORE_SILENT_S
         || (hasRecords() && leadership.isStoreUnavailableToAll());
   }
 
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -83,11 +83,11 @@
   /** Hands an operators' request to its interface; false if the request is none. */
   private boolean routedToOperatorApis(Exchange exchange) {
     String path = exchange.path();
-    if (FeaturesApi.owns(path)) {
+    if (FeaturesApi.matches(path)) {
       targets.features().handle(exchange);
-    } else if (QuotaApi.owns(path)) {
+    } else if (QuotaApi.matches(path)) {
       targets.quota().handle(exchange);
-    } else if (AdminApi.owns(path)) {
+    } else if (AdminApi.matches(path)) {
       targets.admin().handle(exchange);
     } else {
       return false;
--- a/src/main/java/graderelay/state/StoreHealth.java
+++ b/src/main/java/graderelay/state/StoreHealth.java
@@ -79,6 +79,6 @@
     return failingForS() > 0
         || (!unansweredSentAt.isEmpty()
             && loop.now() - unansweredSentAt.values().iterator().next()
-                > RequestHedger.HEDGE_S / 2);
+                > RequestHedger.HEDGE_DELAY_S / 2);
   }
 }
--- a/src/test/java/graderelay/api/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -21,16 +21,16 @@
   }
 
   private static JsonNode put(SimWorld w, int controller, String values, Long revision) {
-    ObjectNode n = Json.object();
-    n.set("values", Json.read(values.getBytes()));
+    ObjectNode body = Json.object();
+    body.set("values", Json.read(values.getBytes()));
     if (revision != null) {
-      n.put("mark", revision);
+      body.put("mark", revision);
     }
-    return w.users.answer(controller, "PUT", "/admin/settings", Json.write(n));
+    return w.users.answer(controller, "PUT", "/admin/settings", Json.write(body));
   }
 
   @Test
-  void invalidSettingIsRefusedWithItsNameAndRange() {
+  void invalidSettingIsRejectedWithItsNameAndRange() {
     SimWorld w = world(1);
     JsonNode a = put(w, 0, "{\"sample_size\":0}", null);
     assertThat(a.path("http").asInt()).isEqualTo(400);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void settingChangedOnOneControllerHoldsOnAllAndLostRaceIsConflict() {
+  void settingChangeAppliesToAllControllersAndStaleRevisionConflicts() {
     SimWorld w = world(2);
     long revision = w.users.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
     assertThat(put(w, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void pausedClaimsStartNothingUntilTheyAreResumed() {
+  void noTaskStartsWhileClaimsArePaused() {
     SimWorld w = world(3);
     assertThat(w.users.answer(1, "POST", "/admin/claims/pause", null).path("http").asInt())
         .isEqualTo(200);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void drainedMachineIsEmptiedAndStaysSoOverFailover() {
+  void drainedMachineStaysEmptyAcrossLeaderFailover() {
     SimWorld w = world(4);
     SimJob j = w.users.job("j-000002", 2, 2, 0, false);
     w.users.submit(0, j);
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void anyControllerAnswersWhatOnlyTheLeaderKnows() {
+  void anyControllerAnswersRequestsThatNeedTheLeader() {
     SimWorld w = world(5);
     SimJob j = w.users.job("j-000003", 30, 4, 50, true);
     w.users.submit(0, j);
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void theMetricsTellOfCallsTasksAndTheFleet() {
+  void metricsReportStoreCallsTasksAndFleet() {
     SimWorld w = world(6);
     w.users.submit(0, w.users.job("j-000004", 2, 1, 2, true));
     w.loop.run(20);
@@ -126,8 +126,8 @@
   }
 
   @Test
-  void invalidSettingsFileIsRefusedByFieldAndUnknownFieldsAreIgnored() throws Exception {
-    String good =
+  void invalidSettingsFileIsRejectedByFieldAndUnknownFieldsAreIgnored() throws Exception {
+    String validFile =
         """
         member = "m"
         zone = "a"
@@ -165,24 +165,26 @@
         cpu_share = 0.34
         max_connections = 900
         """;
-    assertThat(Settings.parse(new TomlMapper().readTree(good)).txnOps()).isEqualTo(12);
+    assertThat(Settings.parse(new TomlMapper().readTree(validFile)).txnOps()).isEqualTo(12);
     Assertions.assertThatThrownBy(
-            () -> Settings.parse(new TomlMapper().readTree(good.replace("lease_s = 12", ""))))
+            () -> Settings.parse(new TomlMapper().readTree(validFile.replace("lease_s = 12", ""))))
         .hasMessageContaining("deployment.workers.lease_s");
     Assertions.assertThatThrownBy(
-            () -> Settings.parse(new TomlMapper().readTree(good.replace(".1:80", ""))))
+            () -> Settings.parse(new TomlMapper().readTree(validFile.replace(".1:80", ""))))
         .hasMessageContaining("api_addr");
-    String[][] wrongTeams = {
+    String[][] invalidTeams = {
       {"cpus = 1\n", "cpus = 3\n", "deployment.teams[0].cpus must be at most cpus_max"},
       {"cpus = 1\n", "cpus = -1\n", "deployment.teams[0].cpus"},
       {"gpus_max = 0\n[[", "[[", "deployment.teams[0].gpus_max"},
       {"\"guest\"", "\"t\"", "deployment.teams[1].name"},
     };
-    for (String[] wrong : wrongTeams) {
-      assertThat(good).contains(wrong[0]);
+    for (String[] invalid : invalidTeams) {
+      assertThat(validFile).contains(invalid[0]);
       Assertions.assertThatThrownBy(
-              () -> Settings.parse(new TomlMapper().readTree(good.replace(wrong[0], wrong[1]))))
-          .hasMessageContaining(wrong[2]);
+              () ->
+                  Settings.parse(
+                      new TomlMapper().readTree(validFile.replace(invalid[0], invalid[1]))))
+          .hasMessageContaining(invalid[2]);
     }
   }
 
--- a/src/test/java/graderelay/api/RequestStormTest.java
+++ b/src/test/java/graderelay/api/RequestStormTest.java
@@ -21,12 +21,12 @@
   }
 
   @Test
-  void stormOfPollsForUnknownAndOldJobsCostsFewRequestsAndAllAreAnswered() {
+  void burstOfPollsForUnknownAndFinishedJobsIsAnsweredWithFewStoreRequests() {
     SimWorld w = world(81, 3);
-    List<SimJob> old = new ArrayList<>();
+    List<SimJob> finishedJobs = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      old.add(w.users.job(String.format("j-%06d", 810 + i), 1, 1, 1, false));
-      w.users.submit(i % 3, old.get(i));
+      finishedJobs.add(w.users.job(String.format("j-%06d", 810 + i), 1, 1, 1, false));
+      w.users.submit(i % 3, finishedJobs.get(i));
     }
     w.loop.run(60);
     int controller = (w.leader() + 1) % 3;
@@ -36,14 +36,14 @@
     final int before = w.store.requests;
     int[] answered = {0, 0};
     for (int i = 0; i < 400; i++) {
-      String id = i < 20 ? old.get(i).id : String.format("j-%06d", 900000 + i);
-      int wanted = i < 20 ? 200 : 404;
+      String id = i < 20 ? finishedJobs.get(i).id : String.format("j-%06d", 900000 + i);
+      int expectedStatus = i < 20 ? 200 : 404;
       w.users.ask(
           controller,
           "GET",
           "/v1/jobs/" + id,
           null,
-          (r, n) -> answered[r.status() == wanted ? 0 : 1]++);
+          (r, n) -> answered[r.status() == expectedStatus ? 0 : 1]++);
     }
     w.loop.run(2);
     assertThat(answered).containsExactly(400, 0);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void swarmOfSubmissionsIsWrittenOnceEach() {
+  void eachSubmissionOfBurstIsWrittenOnce() {
     SimWorld w = world(82, 3);
     int leader = w.leader();
     final long before = w.store.revision();
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void swarmOfSingleTaskJobsOneQuarterCancelledIsAnsweredAndServed() {
+  void burstOfSingleTaskJobsWithCancellationsIsCompleted() {
     SimWorld w = world(351, 3);
     w.cloud.capacity = 8;
     List<SimJob> jobs = new ArrayList<>();
--- a/src/test/java/graderelay/api/SubmissionBurstTest.java
+++ b/src/test/java/graderelay/api/SubmissionBurstTest.java
@@ -13,14 +13,14 @@
 
 /** Submissions that come to one follower in a burst, of which it may write only a few at once. */
 class SubmissionBurstTest {
-  private static final int JOBS = 60;
+  private static final int JOB_COUNT = 60;
 
   /** Seconds that a follower alone would need, by its share of the changes, are about two. */
-  private static final double SOON_S = 0.7;
+  private static final double ACCEPTED_WITHIN_S = 0.7;
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void burstAtOneFollowerIsWrittenByItsPeersAsWell(boolean onePeerIsDown) {
+  void burstAtOneFollowerIsSharedWithItsPeers(boolean onePeerIsDown) {
     SimWorld w = world(461, 5);
     w.loop.run(10);
     int follower = (w.leader() + 1) % w.size;
@@ -28,12 +28,12 @@
       w.crash((w.leader() + 2) % w.size);
     }
     List<SimJob> burst = new ArrayList<>();
-    for (int i = 0; i < JOBS; i++) {
+    for (int i = 0; i < JOB_COUNT; i++) {
       SimJob job = w.users.job(String.format("j-%06d", i), 1, 1, 1, true);
       burst.add(job);
       w.users.submit(follower, job);
     }
-    w.loop.run(SOON_S);
+    w.loop.run(ACCEPTED_WITHIN_S);
     assertThat(burst).allMatch(job -> job.accepted);
     w.loop.run(90);
     burst.forEach(job -> assertThat(w.users.stage(follower, job.id)).isEqualTo("done"));
--- a/src/test/java/graderelay/api/UserAnswersTest.java
+++ b/src/test/java/graderelay/api/UserAnswersTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void pollAfterAnotherControllerSaidDoneIsNeverOlder() {
+  void pollNeverReturnsOlderStateThanAnotherController() {
     SimWorld w = world(13);
     SimJob j = w.users.job("j-000015", 2, 1, 2, true);
     w.users.submit(0, j);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void retryOfAcceptedJobWhoseMachineTypeVanishedIsStillKnown() {
+  void retryOfAcceptedJobIsConfirmedAfterMachineTypeIsGone() {
     SimWorld w = world(14);
     SimJob j = w.users.job("j-000016", 1, 1, 2, true);
     w.users.submit(0, j);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void unknownJobsPathsAndMethodsAreToldApart() {
+  void unknownJobPathAndMethodHaveDistinctStatuses() {
     SimWorld w = world(15);
     assertThat(w.users.answer(0, "GET", "/v1/jobs/j-999999", null).path("http").asInt())
         .isEqualTo(404);
@@ -72,13 +72,13 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"nothing", "refused", "lostAnswers", "slowState", "ownerEnds", "handover", "late"})
-  void noControllerAnswersAnythingOlderHoweverSoonItIsAsked(String trouble) {
+  void noControllerReturnsStaleAnswersUnderFailure(String failure) {
     SimWorld w = world(311, 3);
     w.users.lookClosely();
     final List<SimJob> jobs = arrays(w, 24, 0.7, 2);
     w.loop.run(6);
     int leader = w.leader();
-    switch (trouble) {
+    switch (failure) {
       case "refused" -> refuse(w, other(w, leader), true);
       case "lostAnswers" -> w.store.loseAnswer = t -> w.random.nextInt(3) == 0;
       case "slowState" -> w.store.slowS = 0.7;
@@ -106,8 +106,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, false", "0.002, false", "0.01, false", "0.5, false", "0, true"})
-  void cancellationThatMeetsTheEndOfTheLastTaskIsAnsweredAlikeByAll(
-      double after, boolean leaderEnds) {
+  void cancellationRacingWithLastTaskIsAnsweredConsistently(double delayS, boolean leaderCrashes) {
     SimWorld w = world(312, 3);
     w.users.lookClosely();
     List<SimJob> jobs = new ArrayList<>();
@@ -119,12 +118,12 @@
     w.invariants.onComplete =
         j ->
             w.loop.after(
-                after,
+                delayS,
                 () -> {
                   w.users.cancel(w.random.nextInt(3), j);
                   w.users.resubmit(w.random.nextInt(3), j);
                   w.users.poll(w.random.nextInt(3), j);
-                  if (leaderEnds && w.leader() >= 0) {
+                  if (leaderCrashes && w.leader() >= 0) {
                     int leader = w.leader();
                     w.crash(leader);
                     w.loop.after(0.2, () -> w.start(leader));
@@ -135,7 +134,7 @@
   }
 
   @Test
-  void transactionWhoseAnswerIsLostCountsForItsSenderAsForAllWhoReadIt() {
+  void transactionWithLostAnswerIsSeenAlikeByAllControllers() {
     SimWorld w = world(313, 3);
     w.users.lookClosely();
     w.store.loseAnswer = t -> w.random.nextInt(2) == 0;
@@ -147,13 +146,13 @@
   }
 
   @Test
-  void jobsThatCannotRunOrLackFieldsAreRefusedByEveryControllerInEveryState() {
+  void invalidSubmissionIsRejectedByEveryControllerInEveryState() {
     SimWorld w = world(314, 3);
     running(w, 1);
     byte[] tooBig =
         Json.write(w.users.body(w.users.job("j-000491", 1, 1, 2, true)).put("cpus", 512.0));
-    ObjectNode lacks = w.users.body(w.users.job("j-000492", 1, 1, 2, true));
-    lacks.remove("mem_gb");
+    ObjectNode incomplete = w.users.body(w.users.job("j-000492", 1, 1, 2, true));
+    incomplete.remove("mem_gb");
     List<Runnable> states =
         List.of(
             () -> {},
@@ -171,7 +170,11 @@
         for (int i = 0; i < 3; i++) {
           assertThat(w.users.answer(i, "POST", "/v1/jobs", tooBig).path("http").asInt())
               .isIn(422, 503);
-          assertThat(w.users.answer(i, "POST", "/v1/jobs", Json.write(lacks)).path("http").asInt())
+          assertThat(
+                  w.users
+                      .answer(i, "POST", "/v1/jobs", Json.write(incomplete))
+                      .path("http")
+                      .asInt())
               .isIn(400, 503);
         }
       }
