--- a/src/main/java/graderelay/api/AdminApi.java
+++ b/src/main/java/graderelay/api/AdminApi.java
@@ -17,9 +17,9 @@
 import java.util.function.Supplier;
 
 /**
- * What operators may see and change under {@code /admin}: this routes each path to its handler.
- * Settings are one record in the store, written by compare-and-swap; every controller follows it.
- * What only the leader knows is asked of the leader. Runs on the event loop.
+ * The administration API under {@code /admin}: routes each path to its handler. Settings are one
+ * record in the store that is written by compare-and-swap and applied by every controller. Requests
+ * that need the scheduler's state are relayed to the leader. Runs on the event loop.
  */
 public final class AdminApi {
   private static final PathPrefix PREFIX = new PathPrefix("/admin");
@@ -27,7 +27,7 @@
   private static final String RESUME = "resume";
 
   private static final ApiError NO_SUCH_CLAIMS_ACTION =
-      ApiError.notFound("there are /admin/claims/pause and /admin/claims/resume");
+      ApiError.notFound("unknown path; use /admin/claims/pause or /admin/claims/resume");
 
   private final Cache cache;
   private final PeerClient peerClient;
@@ -37,12 +37,12 @@
   private final SettingsWrites settingsWrites;
 
   /**
-   * Makes the handler of the operators' requests under {@code /admin}.
+   * Creates the handler of the operators' requests under {@code /admin}.
    *
-   * @param platform this controller's settings of the deploy file
-   * @param mostBatchTasks the most tasks in one task batch
-   * @param scheduler the scheduler while this controller leads, else null
-   * @param ready true once this controller may answer
+   * @param controllerSettings this controller's settings from the configuration file
+   * @param maxBatchTasks the maximum number of tasks in a task batch
+   * @param scheduler the scheduler while this controller is the leader, else null
+   * @param ready true once this controller is ready to serve requests
    */
   public AdminApi(
       Loop loop,
@@ -78,7 +78,9 @@
     return PREFIX.matches(path);
   }
 
-  /** Answers a request below {@code /admin}: 404 for no such path, 405 for a wrong method. */
+  /**
+   * Answers a request under {@code /admin}: 404 for an unknown path, 405 for an unsupported method.
+   */
   public void handle(Exchange exchange) {
     String[] parts = PREFIX.remainder(exchange.path()).split("/");
     switch (parts[0]) {
@@ -137,7 +139,10 @@
     }
   }
 
-  /** Answers here if this controller leads, else relays the request to the leader (503 if none). */
+  /**
+   * Handles the request if this controller is the leader, else relays it to the leader; answers 503
+   * if there is none.
+   */
   public void handleOnLeader(Exchange exchange, Consumer<Exchange> localHandler) {
     if (scheduler.get() != null) {
       localHandler.accept(exchange);
@@ -146,7 +151,7 @@
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
     if (address == null || exchange.relayed()) {
-      ApiError.unavailable("nobody owns the fleet at the moment").sendTo(exchange);
+      ApiError.unavailable("there is no leader at the moment").sendTo(exchange);
     } else {
       relay(exchange, leader.member(), address);
     }
@@ -161,7 +166,7 @@
         peerClient.timeoutS(),
         relayed -> {
           if (relayed == null) {
-            ApiError.unavailable("the owner " + leaderName + " did not answer").sendTo(exchange);
+            ApiError.unavailable("the leader " + leaderName + " did not answer").sendTo(exchange);
           } else {
             exchange.to().accept(relayed.answer());
           }
--- a/src/main/java/graderelay/api/ApiError.java
+++ b/src/main/java/graderelay/api/ApiError.java
@@ -5,36 +5,37 @@
 import graderelay.wire.Json;
 
 /**
- * An error that a user or an operator is answered with: the JSON body {@code {"error": message}}.
+ * An error response to a user or an operator, with the JSON body {@code {"error": message}}.
  *
  * @param status the HTTP status
- * @param message what was wrong, for people
- * @param retryable true if the same request may succeed later: the answer carries Retry-After
+ * @param message a human-readable description
+ * @param retryable true if the same request may succeed later; the response then has a Retry-After
+ *     header
  */
 public record ApiError(int status, String message, boolean retryable) {
-  /** No interface has this path. */
+  /** 404: no API has this path. */
   public static final ApiError NO_SUCH_PATH = notFound("no such path");
 
-  /** The path exists, but not for this HTTP method. */
+  /** 405: the path exists, but not for this HTTP method. */
   public static final ApiError METHOD_NOT_ALLOWED = new ApiError(405, "method not allowed", false);
 
-  /** Nobody ever submitted a job of this id. */
+  /** 404: no job with this id was ever accepted. */
   static final ApiError NO_SUCH_JOB = notFound("no such job");
 
-  /** The key-value store does not answer this controller. */
-  static final ApiError STORE_UNREACHABLE = unavailable("the state service can't be reached");
+  /** 503: this controller can't reach the key-value store. */
+  static final ApiError STORE_UNREACHABLE = unavailable("the state service is unreachable");
 
-  /** 400: the request has to be changed. */
+  /** 400: the request is invalid and must not be retried unchanged. */
   static ApiError badRequest(String message) {
     return new ApiError(400, message, false);
   }
 
-  /** 404: what the path names does not exist. */
+  /** 404: the path names something that does not exist. */
   static ApiError notFound(String message) {
     return new ApiError(404, message, false);
   }
 
-  /** 409: the request contradicts what is stored. */
+  /** 409: the request conflicts with the stored records. */
   static ApiError conflict(String message) {
     return new ApiError(409, message, false);
   }
@@ -44,17 +45,17 @@
     return new ApiError(422, message, false);
   }
 
-  /** 429 with Retry-After: too many requests of this kind are under way. */
+  /** 429 with Retry-After: too many requests of this kind are in flight. */
   static ApiError tooManyRequests(String message) {
     return new ApiError(429, message, true);
   }
 
-  /** 503 with Retry-After: nothing can be decided now. */
+  /** 503 with Retry-After: the request can't be handled at the moment. */
   public static ApiError unavailable(String message) {
     return new ApiError(503, message, true);
   }
 
-  /** The answer that tells of this error. */
+  /** The HTTP answer for this error. */
   Answer toAnswer() {
     byte[] body = Json.error(message);
     return retryable ? Answer.later(status, body) : Answer.json(status, body);
--- a/src/main/java/graderelay/api/DependencyCheck.java
+++ b/src/main/java/graderelay/api/DependencyCheck.java
@@ -11,17 +11,17 @@
 import java.util.List;
 
 /**
- * Checks the DAG dependencies of a submitted job against the store: each was accepted, which is so
- * for good, by whichever controller and version. Those that are done need not be kept. Runs on the
- * event loop.
+ * Checks the DAG dependencies of a submitted job against the store: each has to be a job that was
+ * accepted. An accepted job stays accepted, whichever controller and version accepted it.
+ * Dependencies that are done are dropped from the job's record. Runs on the event loop.
  */
 final class DependencyCheck {
-  /** Hears how a check ended; neither is called if the check gave up with 503. */
+  /** Receives the result of a check; neither method is called if the check answered 503. */
   interface Callback {
-    /** The dependencies are sound; {@code spec} names those that are not done yet. */
+    /** The dependencies are valid; {@code spec} keeps those that are not done yet. */
     void onAccepted(JobSpec spec);
 
-    /** The job can't be accepted for the reason that {@code error} gives. */
+    /** The job can't be accepted, for the reason in {@code error}. */
     void onRejected(ApiError error);
   }
 
@@ -35,21 +35,24 @@
     this.jobLookup = jobLookup;
   }
 
-  /** Checks a submission; retries while the store is busy, and answers 503 if it is unreachable. */
+  /**
+   * Checks a submission; retries while the store is overloaded, and answers 503 if it is
+   * unreachable.
+   */
   void check(PendingAnswer pending, JobSpec spec, Callback callback) {
     if (spec.dependencies().isEmpty()) {
       callback.onAccepted(spec);
       return;
     }
-    if (unseenDependencies(spec).isEmpty()) {
-      decide(pending, spec, List.of(), callback); // Accepted once is accepted: the copy may lag.
+    if (uncachedDependencies(spec).isEmpty()) {
+      decide(pending, spec, List.of(), callback); // Acceptance is permanent; the cache may lag.
       return;
     }
     cache.catchUp(
         caughtUp -> {
           if (caughtUp) {
             cancellationResolver.lookUpFinalStates(
-                unseenDependencies(spec),
+                uncachedDependencies(spec),
                 lookupResults -> decide(pending, spec, lookupResults, callback));
           } else {
             jobLookup.retryOrFail(pending, () -> check(pending, spec, callback));
@@ -57,18 +60,21 @@
         });
   }
 
-  /** Dependencies of which this controller has seen neither the record nor the final state. */
-  private List<String> unseenDependencies(JobSpec spec) {
-    List<String> unseen = new ArrayList<>();
+  /** Dependencies for which the cache has neither a job record nor a final state. */
+  private List<String> uncachedDependencies(JobSpec spec) {
+    List<String> uncached = new ArrayList<>();
     for (String id : spec.dependencies()) {
       if (cache.job(id) == null && cache.finalState(id) == null) {
-        unseen.add(id);
+        uncached.add(id);
       }
     }
-    return unseen;
+    return uncached;
   }
 
-  /** Goes on once the final states of the unseen dependencies have been looked for. */
+  /**
+   * Completes the check once the final states of the dependencies missing in the cache were looked
+   * up.
+   */
   private void decide(
       PendingAnswer pending,
       JobSpec spec,
@@ -83,11 +89,11 @@
       JobEntry liveJob = cache.job(id);
       FinalState finalState = cache.finalState(id);
       if (liveJob == null && finalState == null) {
-        callback.onRejected(unusableDependency(id, "which was never accepted"));
+        callback.onRejected(unusableDependency(id, "which is not an accepted job"));
         return;
       }
       if (liveJob != null && liveJob.spec.isService()) {
-        callback.onRejected(unusableDependency(id, "a service, which is never done"));
+        callback.onRejected(unusableDependency(id, "a service, which never finishes"));
         return;
       }
       if (finalState == null || finalState.cancelled()) {
--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -12,14 +12,15 @@
 import java.util.function.Consumer;
 
 /**
- * Operators' requests under {@code /admin/features}. Any controller shows what is stored; the
- * leader alone knows what a higher level waits for, and changes the level. Runs on the event loop.
+ * Operators' requests under {@code /admin/features}. Any controller can show the stored records;
+ * only the leader tracks what blocks a higher level, and only it changes the level. Runs on the
+ * event loop.
  */
 public final class FeaturesApi {
   private static final PathPrefix PREFIX = new PathPrefix("/admin/features");
 
   private static final ApiError FEATURE_LEVELS_DISABLED =
-      ApiError.conflict("feature levels are not switched on here (serve --options)");
+      ApiError.conflict("feature levels are not enabled on this controller (serve --options)");
 
   private final FeatureGate gate;
   private final UpgradeCoordinator coordinator;
@@ -27,12 +28,12 @@
   private final FeaturesView view;
 
   /**
-   * Makes the interface.
+   * Creates the handler.
    *
    * @param member this controller's name
-   * @param coordinator changes the level while this controller leads, or null where feature levels
-   *     are left alone
-   * @param leads true while this controller leads
+   * @param coordinator changes the level while this controller is the leader, or null if feature
+   *     levels are disabled
+   * @param isLeader true while this controller is the leader
    */
   public FeaturesApi(
       String member,
@@ -51,14 +52,14 @@
     return PREFIX.matches(path);
   }
 
-  /** Answers a request below {@code /admin/features}: 405 for a wrong method. */
+  /** Answers a request under {@code /admin/features}: 405 for an unsupported method. */
   public void handle(Exchange exchange) {
     String action = PREFIX.remainder(exchange.path());
     boolean isRead = action.isEmpty();
     if (!exchange.method().equals(isRead ? "GET" : "POST")) {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     } else if (isRead && gate.isShut()) {
-      show(exchange); // It can't ask the leader, and has to say why it takes no part.
+      show(exchange); // A shut gate bars requests to the leader; the answer shows the reason.
     } else if (isRead) {
       leaderRoute.handle(exchange, this::show);
     } else if (coordinator == null) {
@@ -81,7 +82,8 @@
         case "hold" -> coordinator.hold(true, done);
         case "release" -> coordinator.hold(false, done);
         default ->
-            ApiError.notFound("there are finalize, downgrade, hold and release").sendTo(exchange);
+            ApiError.notFound("unknown action; use finalize, downgrade, hold or release")
+                .sendTo(exchange);
       }
     } catch (BadRequest malformed) {
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -14,8 +14,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What operators see of feature levels: the cluster's level, its features, the members, and on the
- * leader what a higher level waits for. Used on the event loop only.
+ * JSON view of the feature levels for operators: the cluster's level, its features, the members
+ * and, on the leader, what blocks a higher level. Used on the event loop only.
  */
 final class FeaturesView {
   private final String member;
@@ -25,11 +25,11 @@
   private final BooleanSupplier isLeader;
 
   /**
-   * Makes the view.
+   * Creates the view.
    *
-   * @param coordinator knows on the leader what a higher level waits for, or null where feature
-   *     levels are left alone
-   * @param leads true while this controller leads
+   * @param coordinator provides on the leader what blocks a higher level, or null if feature levels
+   *     are disabled
+   * @param isLeader true while this controller is the leader
    */
   FeaturesView(
       String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier isLeader) {
@@ -40,7 +40,7 @@
     this.isLeader = isLeader;
   }
 
-  /** The JSON body as of now. */
+  /** The current state as a JSON body. */
   ObjectNode toJson() {
     ClusterLevel level = gate.current();
     ObjectNode body = Json.object().put("member", member).put("level", level.level());
@@ -80,7 +80,10 @@
     }
   }
 
-  /** The level that all support and what it waits for, or what keeps the latest level away. */
+  /**
+   * Adds the next level with what blocks it: the highest level that all members support if it is
+   * above the current one, else the latest level.
+   */
   private void putNextLevel(ObjectNode body, ClusterLevel level) {
     int commonLevel = coordinator.commonLevel();
     int nextLevel = commonLevel > level.level() ? commonLevel : Feature.LATEST_LEVEL;
--- a/src/main/java/graderelay/api/FleetViews.java
+++ b/src/main/java/graderelay/api/FleetViews.java
@@ -24,12 +24,12 @@
 import java.util.function.Supplier;
 
 /**
- * What operators see of this controller and of the fleet: {@code /admin/status} on any controller,
- * {@code /admin/machines} and {@code /admin/teams} on the leader only, whose scheduler knows them.
- * Runs on the event loop.
+ * JSON views of this controller and of the fleet for operators: {@code /admin/status} on any
+ * controller, {@code /admin/machines} and {@code /admin/teams} on the leader only, since they need
+ * its scheduler. Runs on the event loop.
  */
 final class FleetViews {
-  /** Seconds of silence from which a machine counts as one that was never heard. */
+  /** Seconds of silence from which a machine counts as one that never sent a heartbeat. */
   private static final double NEVER_REPORTED_SILENCE_S = 1e6;
 
   private final Loop loop;
@@ -42,11 +42,11 @@
   private final Supplier<OperatorSettings> operatorSettings;
 
   /**
-   * Makes the views.
+   * Creates the views.
    *
-   * @param platform this controller's settings of the deploy file
-   * @param scheduler the scheduler while this controller leads, else null
-   * @param ready true once this controller may answer
+   * @param controllerSettings this controller's settings from the configuration file
+   * @param scheduler the scheduler while this controller is the leader, else null
+   * @param ready true once this controller is ready to serve requests
    */
   FleetViews(
       Loop loop,
@@ -67,7 +67,9 @@
     this.operatorSettings = operatorSettings;
   }
 
-  /** This controller, who leads, and how many live jobs wait or run. */
+  /**
+   * Answers with this controller's state, the leader, and the numbers of waiting and running jobs.
+   */
   void showStatus(Exchange exchange) {
     StateCodec.LeaderRecord leader = cache.leader();
     ObjectNode body = Json.object();
@@ -92,8 +94,9 @@
   }
 
   /**
-   * A page of the fleet, by name, filtered by state, type and zone: a large one would not fit the
-   * line that an answer may have. Needs the leader's scheduler.
+   * Answers with a page of the machines, sorted by name and filtered by state, type and zone. The
+   * list is paged since a large fleet would exceed the size limit of an answer. Needs the leader's
+   * scheduler.
    */
   void listMachines(Exchange exchange) {
     Optional<ListQuery> query = ListQuery.parse(exchange.query());
@@ -146,7 +149,7 @@
     return entry;
   }
 
-  /** Each team's quota beside its use. Needs the leader's scheduler. */
+  /** Answers with the quota and the usage of each team. Needs the leader's scheduler. */
   void listTeams(Exchange exchange) {
     var usageByTeam = scheduler.get().usageByTeam();
     ArrayNode teams = Json.array();
--- a/src/main/java/graderelay/api/FreshRecords.java
+++ b/src/main/java/graderelay/api/FreshRecords.java
@@ -3,11 +3,11 @@
 import graderelay.net.Exchange;
 import graderelay.state.Cache;
 
-/** Has operators' requests decided on the records as they are now. */
+/** Runs operators' requests on a cache that is up to date. */
 final class FreshRecords {
   private FreshRecords() {}
 
-  /** Runs {@code then} once the records have been read anew; answers 503 if they can't be read. */
+  /** Runs {@code action} once the cache has caught up with the store; answers 503 if it can't. */
   static void run(Cache cache, Exchange exchange, Runnable action) {
     cache.catchUp(
         caughtUp -> {
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -18,15 +18,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Job cancellations: the stop request is written into the job's record by a compare-and-swap that
- * competes with claims and with the job's end, and only while the leader has not suspended this
- * controller. Runs on the event loop.
+ * Handles job cancellations. The stop request is written to the job's record by a compare-and-swap
+ * that conflicts with concurrent claims and with the job's completion. It is written only while the
+ * leader has not suspended this controller. Runs on the event loop.
  */
 final class JobCancellations {
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
   private static final ApiError SUSPENDED =
-      ApiError.unavailable("this controller may not cancel before the owner hears it again");
+      ApiError.unavailable("the leader has suspended cancellations on this controller");
 
   private final Loop loop;
   private final StateClient state;
@@ -52,9 +52,9 @@
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
   void cancel(Exchange exchange, String id) {
-    Optional<ApiError> refusal = jobLookup.refusal(id);
-    if (refusal.isPresent()) {
-      refusal.get().sendTo(exchange);
+    Optional<ApiError> error = jobLookup.immediateError(id);
+    if (error.isPresent()) {
+      error.get().sendTo(exchange);
       return;
     }
     cancel(new PendingAnswer(loop, exchange, RequestHedger.USER_DEADLINE_S), id);
@@ -77,7 +77,10 @@
         });
   }
 
-  /** Competes with claims and with the job's end for the job's record. */
+  /**
+   * Writes the stop request to the job's record; conflicts with concurrent claims and with
+   * completion.
+   */
   private void writeStopRequest(PendingAnswer pending, String id, JobEntry liveJob) {
     String key = StateCodec.jobKey(id);
     Transaction txn =
@@ -91,7 +94,7 @@
         result -> {
           if (result.succeeded()) {
             cancellations.onCommitted(id);
-            LOG.info("stop request for {} recorded", id);
+            LOG.info("recorded stop request for job {}", id);
             pending.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
           } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
             jobLookup.retryOrFail(pending, () -> cancel(pending, id));
--- a/src/main/java/graderelay/api/JobCreation.java
+++ b/src/main/java/graderelay/api/JobCreation.java
@@ -22,11 +22,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Creates the record of a submitted job, by a compare-and-swap on the absence of the job's record
- * and final state, and answers 201. Runs on the event loop.
+ * Creates the record of a submitted job, on the condition that neither a record nor a final state
+ * of the job exists, and answers 201. Runs on the event loop.
  */
 final class JobCreation {
-  /** Seconds by which a controller's copy may lag when it is taken for what was told to users. */
+  /** Maximum lag of the cache, in seconds, at which a new job is answered from it. */
   private static final double MAX_CACHE_LAG_S = 3;
 
   private static final Logger LOG = LoggerFactory.getLogger("users");
@@ -54,8 +54,9 @@
   }
 
   /**
-   * Why the job's record can't be stored, or empty if it can: it has to fit a value, also when the
-   * store's limits have become smaller.
+   * The error if the job's record exceeds the maximum size of a value, else empty. The lower of the
+   * store's present and announced limits applies, so that the record still fits after a change of
+   * the limits.
    */
   Optional<ApiError> sizeError(JobSpec spec) {
     int maxBytes = settings.least().valueBytes();
@@ -65,22 +66,21 @@
     JobSpec withoutDependencies = spec.withDependencies(List.of());
     if (Json.write(StateCodec.encodeJob(withoutDependencies, true)).length <= maxBytes) {
       String message =
-          UserCodec.DEPENDENCIES
-              + " names "
-              + spec.dependencies().size()
-              + " jobs that are not over";
-      return Optional.of(ApiError.badRequest(message + ", more than a job may"));
+          UserCodec.DEPENDENCIES + " names " + spec.dependencies().size() + " unfinished jobs";
+      return Optional.of(ApiError.badRequest(message + ", more than fit into its record"));
     }
-    return Optional.of(ApiError.badRequest("rigs names more machine types than a job may"));
+    return Optional.of(
+        ApiError.badRequest("rigs names more machine types than fit into the job's record"));
   }
 
   /**
-   * Writes the job's record, and answers; runs {@code onConflict} if a record or a final state of
-   * the job exists already.
+   * Writes the job's record and answers the request; runs {@code onConflict} if a record or a final
+   * state of the job already exists.
    */
   void create(PendingAnswer pending, JobSpec spec, Runnable onConflict) {
     if (machineTypes.get() == null) {
-      pending.fail(ApiError.unavailable("the machine types are not known yet"));
+      pending.fail(
+          ApiError.unavailable("the machine types have not been loaded from the cloud yet"));
       return;
     }
     String key = StateCodec.jobKey(spec.id());
@@ -108,7 +108,7 @@
 
   private void logAccepted(PendingAnswer pending, JobSpec spec) {
     LOG.info(
-        "accepted {} after {} ms: {} of {}, {} tasks of {} CPUs, estimate {} s, due in {} s",
+        "accepted job {} in {} ms: class {}, team {}, {} tasks of {} CPUs, est. {} s, due in {} s",
         spec.id(),
         Math.round((loop.now() - pending.receivedAtS()) * 1000),
         spec.jobClass(),
@@ -120,9 +120,10 @@
   }
 
   /**
-   * It may be cancelled already, with a job that it names. That one was cancelled a moment ago if
-   * this controller's copy doesn't say so, since it lags by little; only of final states that it
-   * never saw it has to ask.
+   * Answers 201 with the job's stage. The new job may already be cancelled, because a dependency
+   * was cancelled. If the cache is recent and has the state of every dependency, a cancellation
+   * that it misses is only a moment old, and the job counts as pending. Otherwise the store is
+   * read.
    */
   private void answerCreated(PendingAnswer pending, JobSpec spec) {
     Set<String> unresolvedDependencies = new HashSet<>();
--- a/src/main/java/graderelay/api/JobLookup.java
+++ b/src/main/java/graderelay/api/JobLookup.java
@@ -12,13 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * Finds what is true of a job, after a read of the store that no earlier answer is newer than.
- * Gives up with 503 while the store can't be reached, and retries while it is only busy. Runs on
- * the event loop.
+ * Looks up the state of a job after a read of the store, so that the result is never older than an
+ * earlier answer of any controller. Answers 503 while the store is unreachable, and retries while
+ * it is only overloaded. Runs on the event loop.
  */
 final class JobLookup {
   private static final ApiError SUSPENDED =
-      ApiError.unavailable("the owner may not know that the job is cancelled; ask again");
+      ApiError.unavailable(
+          "the leader may not have received the cancellation of the job yet; retry");
 
   private final Cache cache;
   private final Settings settings;
@@ -27,9 +28,9 @@
   private final BooleanSupplier storeUnreachable;
 
   /**
-   * Makes a lookup.
+   * Creates a lookup.
    *
-   * @param stateUnreachable true while calls to the store fail
+   * @param storeUnreachable true while calls to the store fail
    */
   JobLookup(
       Cache cache,
@@ -45,10 +46,11 @@
   }
 
   /**
-   * Why a request about job {@code id} is refused without a look at the records: it is no job's id,
-   * or the store can't be reached and the job's final state is not known here. Empty if neither.
+   * The error for a request about job {@code id} that is refused without reading the store: the id
+   * is malformed, or the store is unreachable and the cache has no final state of the job. Empty
+   * otherwise.
    */
-  Optional<ApiError> refusal(String id) {
+  Optional<ApiError> immediateError(String id) {
     if (!UserCodec.isId(id)) {
       return Optional.of(ApiError.NO_SUCH_JOB);
     }
@@ -58,7 +60,7 @@
     return Optional.empty();
   }
 
-  /** Answers 503 if the store can't be reached, else runs {@code again} after a moment. */
+  /** Answers 503 if the store is unreachable, else runs {@code retry} after a short delay. */
   void retryOrFail(PendingAnswer pending, Runnable retry) {
     if (storeUnreachable.getAsBoolean()) {
       pending.fail(ApiError.STORE_UNREACHABLE);
@@ -67,7 +69,7 @@
     }
   }
 
-  /** Hands {@code then} what is true of job {@code id} now, or null if nobody ever submitted it. */
+  /** Calls back with the present state of job {@code id}, or with null if it was never accepted. */
   void lookUp(PendingAnswer pending, String id, Consumer<JobState> callback) {
     FinalState finalState = cache.finalState(id);
     if (finalState != null) {
@@ -106,7 +108,10 @@
     }
   }
 
-  /** A job may be cancelled with a DAG dependency of it, before anything says so of itself. */
+  /**
+   * Checks the DAG dependencies of a job: if one was cancelled, so is the job, even before its own
+   * record says so.
+   */
   private void lookUpDependencies(
       PendingAnswer pending, JobEntry liveJob, Consumer<JobState> callback) {
     String id = liveJob.spec.id();
@@ -115,7 +120,7 @@
         status -> {
           FinalState finalState = cache.finalState(id);
           if (finalState != null) {
-            callback.accept(JobState.finished(finalState)); // It has ended while we looked.
+            callback.accept(JobState.finished(finalState)); // The job ended during the lookup.
           } else if (status == CancellationResolver.Status.CANCELLED) {
             callback.accept(JobState.cancelledByDependency());
           } else if (status == CancellationResolver.Status.NOT_CANCELLED) {
@@ -127,9 +132,10 @@
   }
 
   /**
-   * True if the leader has suspended this controller. The leader then counts on hearing of every
-   * cancellation that a user is told of by reading the records, also when it can't read them any
-   * more: so none is confirmed here until the leader has lifted the suspension.
+   * True if the leader has suspended this controller. The leader then no longer queries this
+   * controller for cancellations, not even after it loses access to the store. So this controller
+   * confirms no cancellation that it reads from the records until the leader has lifted the
+   * suspension.
    */
   boolean isSuspendedByLeader() {
     return cache.suspension(settings.member()) != null;
--- a/src/main/java/graderelay/api/JobState.java
+++ b/src/main/java/graderelay/api/JobState.java
@@ -4,12 +4,12 @@
 import graderelay.wire.FinalState;
 
 /**
- * What is true of a job now, as users are told it.
+ * The state of a job as returned to users.
  *
  * @param stage pending, running, done or cancelled
- * @param done tasks that are done
- * @param running tasks that are claimed on a machine
- * @param liveJob the job's live record, or null if it has ended
+ * @param done number of tasks that are done
+ * @param running number of tasks that are claimed on a machine
+ * @param liveJob the job's live record, or null if the job has ended
  */
 record JobState(String stage, int done, int running, JobEntry liveJob) {
   static final String PENDING = "pending";
@@ -33,12 +33,12 @@
     return new JobState(stage, counts.done(), counts.claimed(), job);
   }
 
-  /** The state of a live job that is cancelled with a DAG dependency of it. */
+  /** The state of a live job that is cancelled because one of its DAG dependencies was. */
   static JobState cancelledByDependency() {
     return new JobState(CANCELLED, 0, 0, null);
   }
 
-  /** The stage that users are told of a job that has a final state. */
+  /** The stage of a job that has a final state. */
   static String stageOf(FinalState finalState) {
     return finalState.cancelled() ? CANCELLED : DONE;
   }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -21,26 +21,33 @@
 import java.util.function.Supplier;
 
 /**
- * Job submissions, as idempotent requests: the job's record is created by a compare-and-swap on its
- * absence, so a repeated submission of an accepted job is told what became of it (200), a new one
- * is accepted (201), and one that can never run is refused (422) only after the records have been
- * read anew. Runs on the event loop.
+ * Handles job submissions, which are idempotent. The job's record is created on the condition that
+ * it does not exist: a new job is accepted (201), and a repeated submission of an accepted job
+ * returns its stage (200). A job that can never run is rejected (422), but only after a read of the
+ * latest records. Runs on the event loop.
  */
 final class JobSubmissions {
-  /** Seconds that a submission which the leader has forwarded may have to wait for changes here. */
+  /**
+   * Longest expected wait in seconds for the write rate limit, for a submission that the leader has
+   * forwarded.
+   */
   private static final double MAX_FORWARDED_WAIT_S = 0.1;
 
   /**
-   * Seconds that a submission may have to wait for this controller's changes by their rate: one
-   * that would wait longer is refused at once, and its user comes back instead of waiting in vain.
+   * Longest expected wait in seconds for this controller's write rate limit. A submission that
+   * would wait longer is rejected at once with 429, so that the user retries instead of waiting
+   * until the deadline.
    */
   private static final double MAX_SUBMISSION_WAIT_S = 2;
 
-  /** Submissions under way at once, a bound on a queue; beyond that the newest is refused. */
+  /**
+   * Limit of the submissions in flight, which bounds their queue; further submissions are rejected
+   * with 429.
+   */
   private static final int MAX_SUBMISSIONS_IN_FLIGHT = 400;
 
   private static final ApiError OVERLOADED =
-      ApiError.tooManyRequests("too many submissions at once");
+      ApiError.tooManyRequests("too many submissions in flight");
 
   private final Loop loop;
   private final StateClient state;
@@ -55,11 +62,12 @@
   private int inFlight;
 
   /**
-   * Makes the handler of submissions.
+   * Creates the handler of submissions.
    *
-   * @param types the machine types that the cloud offers, or null while they are not known yet
-   * @param batchCapacity tasks in one task batch of a job submitted now
-   * @param stateUnreachable true while calls to the store fail
+   * @param machineTypes the machine types that the cloud offers, or null until they have been
+   *     loaded
+   * @param batchCapacity number of tasks in a task batch of a job that is submitted now
+   * @param storeUnreachable true while calls to the store fail
    */
   JobSubmissions(
       Loop loop,
@@ -84,7 +92,7 @@
     this.storeUnreachable = storeUnreachable;
   }
 
-  /** Answers a submission: 200, 201, 400, 422, or 429 and 503 with Retry-After. */
+  /** Answers a submission: 200, 201, 400 or 422, or 429 or 503 with Retry-After. */
   void submit(Exchange exchange) {
     JobSpec spec;
     try {
@@ -114,7 +122,7 @@
     return inFlight >= MAX_SUBMISSIONS_IN_FLIGHT || waitsTooLong;
   }
 
-  /** The same request, counted among those under way until it is answered. */
+  /** Returns the request as one that counts as in flight until it is answered. */
   private Exchange countInFlight(Exchange exchange) {
     inFlight++;
     return exchange.answeredTo(
@@ -126,14 +134,15 @@
 
   private void decide(PendingAnswer pending, JobSpec spec) {
     if (cache.job(spec.id()) != null || unschedulableError(spec).isPresent()) {
-      // A retry of a job that was accepted once is told so, whatever has changed since.
+      // A retry of an accepted submission has to be confirmed, even if the job would be rejected
+      // now.
       runUnlessAccepted(pending, spec, () -> decideNewJob(pending, spec));
     } else {
       checkDependencies(pending, spec);
     }
   }
 
-  /** Decides a submission of a job that the records, read anew, do not know. */
+  /** Handles a submission after a read of the latest records has found no such job. */
   private void decideNewJob(PendingAnswer pending, JobSpec spec) {
     Optional<ApiError> unschedulable = unschedulableError(spec);
     if (unschedulable.isPresent()) {
@@ -144,8 +153,9 @@
   }
 
   /**
-   * Why a job can never run, as far as this controller knows; empty if it can. Users take a refusal
-   * for good, so none is given before the records, of limits too, have been read anew.
+   * The error if a job can never run, as far as this controller knows; else empty. A rejection is
+   * final for the user, so it may be returned only after the latest records, including the limits,
+   * have been read.
    */
   private Optional<ApiError> unschedulableError(JobSpec spec) {
     String rejectionReason = limits.rejectionReason(spec);
@@ -186,12 +196,15 @@
     }
   }
 
-  /** A retry of a job that was accepted is told so, whatever has become of what it names. */
+  /**
+   * Rejects a submission, unless it is a retry of an accepted one: that is confirmed even if its
+   * dependencies have changed since.
+   */
   private void rejectUnlessAccepted(PendingAnswer pending, JobSpec spec, ApiError error) {
     runUnlessAccepted(pending, spec, () -> pending.fail(error));
   }
 
-  /** Answers 200 for a job that was accepted before, else goes on with {@code otherwise}. */
+  /** Answers 200 if the job was accepted before, else runs {@code otherwise}. */
   private void runUnlessAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
     jobLookup.lookUp(
         pending,
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -15,25 +15,27 @@
 import java.util.function.Supplier;
 
 /**
- * What operators see of live jobs: {@code /admin/jobs}, a page by id from this controller's copy,
- * and {@code /admin/jobs/ID}, with why it waits, its DAG dependencies and its claims, on the
- * leader. Runs on the event loop.
+ * JSON views of live jobs for operators: {@code /admin/jobs} is a page of jobs from this
+ * controller's cache, sorted by id; {@code /admin/jobs/ID} is one job with the reason why it waits,
+ * its DAG dependencies and its claims, on the leader only. Runs on the event loop.
  */
 final class JobViews {
   private final Cache cache;
   private final Supplier<Scheduler> scheduler;
 
   /**
-   * Makes the views.
+   * Creates the views.
    *
-   * @param scheduler the scheduler while this controller leads, else null
+   * @param scheduler the scheduler while this controller is the leader, else null
    */
   JobViews(Cache cache, Supplier<Scheduler> scheduler) {
     this.cache = cache;
     this.scheduler = scheduler;
   }
 
-  /** A page of live jobs after the query's {@code after}, filtered by team and class. */
+  /**
+   * Answers with a page of live jobs after the query's {@code after}, filtered by team and class.
+   */
   void listJobs(Exchange exchange) {
     Optional<ListQuery> query = ListQuery.parse(exchange.query());
     if (query.isEmpty()) {
@@ -62,7 +64,10 @@
     return body;
   }
 
-  /** One live job with why it waits, what it needs, what needs it, and its claims; or 404. */
+  /**
+   * Answers with one live job, why it waits, its dependencies, its dependents and its claims; or
+   * 404.
+   */
   void showJob(Exchange exchange, String id) {
     JobEntry job = cache.job(id);
     if (job == null) {
@@ -93,7 +98,7 @@
         .put("claimed", counts.claimed());
   }
 
-  /** Adds the live jobs that depend on this one, by id. */
+  /** Adds the live jobs that depend on job {@code id}, sorted by id. */
   private void addDependents(ArrayNode dependents, String id) {
     for (JobEntry other : new TreeMap<>(cache.jobs()).values()) {
       if (other.spec.dependencies().contains(id) && dependents.size() < ListQuery.MAX_ENTRIES) {
--- a/src/main/java/graderelay/api/ListQuery.java
+++ b/src/main/java/graderelay/api/ListQuery.java
@@ -5,21 +5,25 @@
 import java.util.Optional;
 
 /**
- * The query of an operators' listing: at most {@code most} entries whose names come after {@code
- * after}, filtered by the other parameters of the query.
+ * The query of a paged list for operators: at most {@code limit} entries whose names come after
+ * {@code after}, filtered by the other parameters.
  *
- * @param limit at least 1 and at most {@link #MOST_LISTED}
+ * @param limit maximum number of entries (the parameter {@code most}), from 1 to {@link
+ *     #MAX_ENTRIES}
  * @param after the name after which the page begins; empty for the first page
  * @param parameters all parameters of the query, by name
  */
 record ListQuery(int limit, String after, Map<String, String> parameters) {
   /**
-   * Entries in one answer of the administration API, a batch: some 150 bytes each, on a line of 64
-   * KiB. Tools ask for page after page.
+   * Maximum number of entries in an answer of the administration API. An entry has some 150 bytes,
+   * and an answer has to fit into 64 KiB. Clients request one page after the other.
    */
   static final int MAX_ENTRIES = 250;
 
-  /** The query, or empty if {@code most} is given and is no number of at least 1. */
+  /**
+   * Parses a query; empty if the parameter {@code most} is given but is not an integer of at least
+   * 1.
+   */
   static Optional<ListQuery> parse(String rawQuery) {
     Map<String, String> parameters = Query.parse(rawQuery);
     int limit;
@@ -35,7 +39,7 @@
     return Optional.of(new ListQuery(Math.min(limit, MAX_ENTRIES), after, parameters));
   }
 
-  /** True if the query does not filter by {@code name}, or asks for {@code value}. */
+  /** True if the query has no filter {@code name}, or if that filter is {@code value}. */
   boolean matches(String name, String value) {
     return !parameters.containsKey(name) || parameters.get(name).equals(value);
   }
--- a/src/main/java/graderelay/api/OperatorWrites.java
+++ b/src/main/java/graderelay/api/OperatorWrites.java
@@ -7,19 +7,19 @@
 import graderelay.state.StoreResult;
 import java.util.function.Supplier;
 
-/** How operators are told what became of a compare-and-swap that they have asked for. */
+/** Answers operators' requests with the result of their compare-and-swap. */
 final class OperatorWrites {
   private static final int CONFLICT = 409;
   private static final ApiError OUTCOME_UNKNOWN =
-      ApiError.unavailable("it is not known whether the change was made; read it again");
+      ApiError.unavailable("it is not known whether the change was made; read the record again");
 
   private OperatorWrites() {}
 
   /**
-   * Answers with the record as it is once the write has been seen.
+   * Answers with the current record once the cache contains the write.
    *
-   * @param present the record, asked for after the records have been read anew
-   * @param conflict what is said if somebody else's write came first
+   * @param currentRecord provides the record after the cache has caught up
+   * @param conflictMessage the error message if a concurrent write came first
    */
   static void answer(
       Exchange exchange,
@@ -43,7 +43,7 @@
         });
   }
 
-  /** Answers 409 with the record as it is and the reason why it is not changed. */
+  /** Answers 409 with the current record and the reason for the conflict. */
   static void conflict(Exchange exchange, ObjectNode currentRecord, String reason) {
     Replies.json(exchange, CONFLICT, currentRecord.put("error", reason));
   }
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -14,21 +14,21 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Answers the other controllers' requests. Runs on the event loop. */
+/** Handles the requests of the other controllers. Runs on the event loop. */
 public final class PeerApi {
   private static final ApiError FEATURE_LEVEL_MISMATCH =
-      ApiError.notFound("of another feature level");
+      ApiError.notFound("the sender has a different feature level");
   private static final ApiError NO_SUCH_MESSAGE = ApiError.notFound("no such message");
 
-  /** Takes a worker's heartbeat that came to another controller. */
+  /** Handles worker heartbeats that other controllers relay. */
   @FunctionalInterface
   public interface RelayedHeartbeatHandler {
     /**
      * Answers a relayed heartbeat.
      *
-     * @param relayedBy the member that the worker sent it to
-     * @param body the heartbeat as the worker wrote it
-     * @param to takes the answer for the worker
+     * @param relayingMember the member that received it from the worker
+     * @param body the heartbeat as the worker sent it
+     * @param to receives the answer for the worker
      */
     void accept(String relayingMember, byte[] body, Consumer<Answer> to);
   }
@@ -44,13 +44,13 @@
   private final Exchange.Handler requestHandler;
 
   /**
-   * Makes the interface.
+   * Creates the handler.
    *
-   * @param catchUp reads what has changed in the records
-   * @param incarnation tells this process from others of the same member
-   * @param heartbeats takes workers' heartbeats that another controller relays
-   * @param delegations decides as the leader whether a member becomes a lease delegate
-   * @param requests takes users' and operators' requests that another controller passes on
+   * @param catchUp brings the cache up to date with the store
+   * @param incarnation distinguishes this process from earlier ones of the same member
+   * @param heartbeatHandler handles worker heartbeats that another controller relays
+   * @param delegationHandler decides on the leader whether a member becomes a lease delegate
+   * @param requestHandler handles users' and operators' requests that another controller relays
    */
   public PeerApi(
       Leadership leadership,
@@ -73,14 +73,14 @@
     this.requestHandler = requestHandler;
   }
 
-  /** Answers one request; one of a kind that this version does not know is refused. */
+  /** Answers a request; answers 404 if this version does not support it. */
   public void handle(Exchange exchange) {
     PeerCodec.Envelope envelope = decode(exchange);
     PeerRequest request = envelope.request();
     int senderLevel = envelope.featureLevel();
     int localLevel = features.gate().current().level();
     if (senderLevel > localLevel) {
-      catchUp.run(); // We have missed a change of the level.
+      catchUp.run(); // The cache has missed a change of the feature level.
     }
     if (requiresSameFeatureLevel(request) && senderLevel != localLevel) {
       FEATURE_LEVEL_MISMATCH.sendTo(exchange);
@@ -105,13 +105,14 @@
   }
 
   /**
-   * Answers what controllers ask for themselves; false if the request is none of that.
+   * Answers a request that a controller sends on its own behalf; returns false for any other
+   * request.
    *
-   * <p>Whoever has missed a change of the feature level must neither act for the controllers nor be
-   * trusted with leases. A pledge to somebody who knows more than we do is safe: our own election
-   * would fail.
+   * <p>A controller that has missed a change of the feature level must neither lead nor renew
+   * leases, so no pledge is granted to it. A pledge to a sender with a higher level is safe, since
+   * an election of this controller would fail.
    *
-   * @param behind true if the sender has missed a change of the feature level
+   * @param senderIsBehind true if the sender has missed a change of the feature level
    */
   private boolean answerMemberRequest(
       Exchange exchange, PeerRequest request, boolean senderIsBehind) {
@@ -138,7 +139,10 @@
     return true;
   }
 
-  /** Answers what a controller passes on for others; false if the request is none of that. */
+  /**
+   * Answers a request that a controller relays for a worker, a user or an operator; returns false
+   * for any other request.
+   */
   private boolean answerRelayedRequest(Exchange exchange, PeerRequest request) {
     if (request instanceof PeerRequest.RelayedReport heartbeat) {
       heartbeatHandler.accept(heartbeat.member(), heartbeat.body(), relayedAnswerSender(exchange));
@@ -161,13 +165,16 @@
     return true;
   }
 
-  /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
+  /**
+   * The answer to a pledge request. The sender renews worker leases, so the answer carries the
+   * cancellations that this controller has learned of, whether or not the pledge is granted.
+   */
   private PeerAnswer.Pledged pledgeAnswer(boolean granted) {
     return new PeerAnswer.Pledged(
         granted, state.health().isReachable(), cancellations.ownKnowledge());
   }
 
-  /** Sends an answer back to the controller that has passed the request on. */
+  /** Returns a consumer that sends an answer to the controller that relayed the request. */
   private static Consumer<Answer> relayedAnswerSender(Exchange exchange) {
     return answer -> answer(exchange, new PeerAnswer.Relayed(answer));
   }
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * A user's request that is answered exactly once: by the first answer given, or with 503 when its
- * deadline passes first. Used on the event loop only.
+ * Answers a user's request exactly once: with the first answer given, or with 503 once the deadline
+ * has passed. Used on the event loop only.
  */
 final class PendingAnswer {
   private static final ApiError TIMED_OUT =
@@ -22,7 +22,7 @@
   private final Loop.Timer deadline;
   private boolean answered;
 
-  /** Starts the deadline of {@code seconds} on the loop's clock. */
+  /** Starts the deadline, {@code deadlineS} seconds from now. */
   PendingAnswer(Loop loop, Exchange exchange, double deadlineS) {
     this.loop = loop;
     this.receivedAtS = loop.now();
@@ -30,7 +30,7 @@
     this.deadline = loop.after(deadlineS, () -> fail(TIMED_OUT));
   }
 
-  /** The loop's time, in seconds, at which the request came. */
+  /** The event loop's time, in seconds, at which the request was received. */
   double receivedAtS() {
     return receivedAtS;
   }
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Runs {@code step} again after a moment, unless the request has been answered by then. */
+  /** Runs {@code action} after a short delay, unless the request has been answered by then. */
   void retry(Runnable action) {
     loop.after(
         StateClient.RETRY_DELAY_S / 2,
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -13,18 +13,19 @@
 import java.util.function.Supplier;
 
 /**
- * Operators' requests under {@code /admin/quota}. Any controller changes a limit, by a
- * compare-and-swap on the record as it is; what the leader alone knows is asked of the leader. Runs
- * on the event loop.
+ * Operators' requests under {@code /admin/quota}. Any controller can change limits, by a
+ * compare-and-swap on the latest record; requests that need the scheduler's state are relayed to
+ * the leader. Runs on the event loop.
  */
 public final class QuotaApi {
   private static final PathPrefix PREFIX = new PathPrefix("/admin/quota");
   private static final String RECOMPUTE = "/recompute";
 
   private static final ApiError LIMITS_NOT_STORED =
-      ApiError.conflict("limits are not stored: the feature level of stored-limits is not reached");
+      ApiError.conflict(
+          "limits are not stored: the cluster has not reached the feature level of stored-limits");
 
-  /** A request on the stored limits as they are now. */
+  /** A request that runs on the latest stored limits. */
   private interface StoredLimitsRequest {
     void run() throws BadRequest;
   }
@@ -37,11 +38,11 @@
   private final QuotaWrites writes;
 
   /**
-   * Makes the interface.
+   * Creates the handler.
    *
-   * @param core what the leader knows, or null on other controllers
-   * @param replaceAccount has the leader write a team's account anew; false if this controller does
-   *     not lead any more
+   * @param scheduler the scheduler while this controller is the leader, else null
+   * @param replaceAccount rewrites a team's account on the leader; false if this controller is no
+   *     longer the leader
    * @param member this controller's name
    */
   public QuotaApi(
@@ -61,12 +62,12 @@
     this.writes = new QuotaWrites(loop, state, cache, views, member);
   }
 
-  /** True if the path is {@code /admin/quota} or below it. */
+  /** True if the path is {@code /admin/quota} or is under it. */
   public static boolean matches(String path) {
     return PREFIX.matches(path);
   }
 
-  /** Answers a request below {@code /admin/quota}: 405 for a wrong method. */
+  /** Answers a request under {@code /admin/quota}: 405 for an unsupported method. */
   public void handle(Exchange exchange) {
     String remainder = PREFIX.remainder(exchange.path());
     boolean isRecompute = remainder.endsWith(RECOMPUTE);
@@ -95,7 +96,7 @@
     }
   }
 
-  /** Goes on once the records as they are now have been read, if stored limits are in force. */
+  /** Runs the request once the cache is up to date, if stored limits are in force. */
   private void runOnFreshRecords(Exchange exchange, StoredLimitsRequest request) {
     FreshRecords.run(
         cache,
@@ -121,10 +122,11 @@
     if (cache.quota().limits(team) == null) {
       QuotaWrites.unknownTeam(team).sendTo(exchange);
     } else if (!replaceAccount.test(team)) {
-      // While the records were read.
-      ApiError.unavailable("the lead has changed meanwhile").sendTo(exchange);
+      // The leader changed while the cache was catching up.
+      ApiError.unavailable("the leader has changed during the request").sendTo(exchange);
     } else {
-      Replies.message(exchange, "the account of team " + team + " is written anew from its claims");
+      Replies.message(
+          exchange, "the account of team " + team + " is being rewritten from its claims");
     }
   }
 }
--- a/src/main/java/graderelay/api/QuotaViews.java
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -14,16 +14,16 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** What operators see of stored limits, beside what teams use. Runs on the event loop. */
+/** JSON views of the teams' limits and usage for operators. Runs on the event loop. */
 final class QuotaViews {
   private final Cache cache;
   private final TeamLimits limits;
   private final Supplier<Scheduler> scheduler;
 
   /**
-   * Makes the views.
+   * Creates the views.
    *
-   * @param scheduler the scheduler while this controller leads, else null
+   * @param scheduler the scheduler while this controller is the leader, else null
    */
   QuotaViews(Cache cache, TeamLimits limits, Supplier<Scheduler> scheduler) {
     this.cache = cache;
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Answers with one team's limits and use, or those of all teams if {@code team} is empty; 404 for
-   * an unknown team. Needs the leader's scheduler.
+   * Answers with one team's limits and usage, or with those of all teams if {@code team} is empty;
+   * 404 for an unknown team. Needs the leader's scheduler.
    */
   void show(Exchange exchange, String team) {
     ObjectNode body = Json.object().put("stored", limits.usesStoredLimits());
@@ -52,7 +52,7 @@
     Replies.json(exchange, 200, body);
   }
 
-  /** The record of a team's limits as it is now, or a message that there is none. */
+  /** The current record of a team's limits, or a message that there is none. */
   ObjectNode currentLimits(String team) {
     LimitRecord record = cache.quota().limits(team);
     ObjectNode body = Json.object().put("team", team);
@@ -64,7 +64,7 @@
     return body;
   }
 
-  /** The limits in force; those of the settings have no version. */
+  /** The limits in force by team name; limits from the configuration have version 0. */
   private Map<String, LimitRecord> limitsInForce() {
     Map<String, LimitRecord> all = new TreeMap<>();
     if (limits.usesStoredLimits()) {
@@ -93,7 +93,7 @@
     return body;
   }
 
-  /** Guarantee and limit, unless the record is malformed. */
+  /** Adds guarantee and limit, unless the record is malformed. */
   private static void putQuota(ObjectNode body, LimitRecord record) {
     if (record.isReadable()) {
       TeamQuota quota = record.quota();
@@ -102,7 +102,7 @@
     }
   }
 
-  /** What a team's claims take, and how much of it is beyond the guarantee. */
+  /** Adds the resources that a team's claims use, and how much of them is beyond the guarantee. */
   private void putUsage(
       ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
     boolean stored = limits.usesStoredLimits();
--- a/src/main/java/graderelay/api/QuotaWrites.java
+++ b/src/main/java/graderelay/api/QuotaWrites.java
@@ -19,8 +19,8 @@
 import java.util.Optional;
 
 /**
- * Changes of stored limits, each a compare-and-swap on the record that the request was checked
- * against. The caller has read the records anew. Runs on the event loop.
+ * Changes stored limits. Each change is a compare-and-swap on the record that the request was
+ * checked against. The caller makes sure that the cache is up to date. Runs on the event loop.
  */
 final class QuotaWrites {
   /** The revision of a record that does not exist. */
@@ -33,7 +33,7 @@
   private final String member;
 
   /**
-   * Makes the handler of changes.
+   * Creates the handler of changes.
    *
    * @param member this controller's name, stored as the author of a change that names none
    */
@@ -57,7 +57,7 @@
     if (current == null) {
       unknownTeam(team).sendTo(exchange);
     } else if (request.onVersion() >= 0 && request.onVersion() != current.revision()) {
-      conflict(exchange, team, "the limits of team " + team + " have changed since");
+      conflict(exchange, team, "the limits of team " + team + " have changed since they were read");
     } else if (!current.isReadable() && !request.limits().isComplete()) {
       String message =
           "the stored limits of team " + team + " are malformed: " + current.malformed();
@@ -68,14 +68,14 @@
     }
   }
 
-  /** Adds a team with its limits; {@code prefix} is what the path has before the team's name. */
+  /** Adds a team with its limits; {@code prefix} is the part of the path before the team's name. */
   void add(Exchange exchange, String team, PathPrefix prefix) throws BadRequest {
     QuotaRequests.Change request = decode(exchange);
     if (team.isEmpty()) {
       ApiError.badRequest("the path must name the team: " + prefix.root() + "/TEAM")
           .sendTo(exchange);
     } else if (records().limits(team) != null) {
-      conflict(exchange, team, "team " + team + " is there already");
+      conflict(exchange, team, "team " + team + " already exists");
     } else {
       put(
           exchange,
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Removes a team; one that has work, or whose claims may still be counted, can't be removed. */
+  /** Removes a team, unless it has live jobs or its account still contains claims. */
   void remove(Exchange exchange, String team) {
     LimitRecord current = records().limits(team);
     Account account = records().account(team);
@@ -97,7 +97,8 @@
     } else if (liveJobs > 0) {
       ApiError.conflict("team " + team + " has " + liveJobs + " live jobs").sendTo(exchange);
     } else if (account.isReadable() && !account.use().equals(Amount.NONE)) {
-      ApiError.unavailable("the account of team " + team + " still counts what has just ended")
+      ApiError.unavailable(
+              "the account of team " + team + " still contains claims of ended tasks; retry")
           .sendTo(exchange);
     } else {
       deleteLimits(exchange, team, current, account);
@@ -141,7 +142,7 @@
   }
 
   private void commit(Exchange exchange, String team, Transaction txn) {
-    String conflictMessage = "somebody else changed the limits of team " + team + " meanwhile";
+    String conflictMessage = "a concurrent change modified the limits of team " + team + " first";
     state.commit(
         txn,
         Use.SUBMISSION,
--- a/src/main/java/graderelay/api/Replies.java
+++ b/src/main/java/graderelay/api/Replies.java
@@ -5,9 +5,9 @@
 import graderelay.net.Exchange.Answer;
 import graderelay.wire.Json;
 
-/** Answers that the operators' handlers share. */
+/** Helpers for answers, shared by the handlers of operators' requests. */
 final class Replies {
-  /** What a listing is refused with whose {@code most} is no number of at least 1. */
+  /** 400: the parameter {@code most} of a list query is not an integer of at least 1. */
   static final ApiError BAD_LIST_QUERY = ApiError.badRequest("most must be a number of at least 1");
 
   private Replies() {}
--- a/src/main/java/graderelay/api/SettingsChange.java
+++ b/src/main/java/graderelay/api/SettingsChange.java
@@ -5,27 +5,27 @@
 import java.util.OptionalLong;
 
 /**
- * A change of the operators' settings, as a request asks for it.
+ * A requested change of the operators' settings.
  *
- * @param values the settings to change, by name; the others stay
- * @param ifRevision the revision that the record must still have, or empty for any
+ * @param values the settings to change, by name; the others are kept
+ * @param ifRevision the revision that the record must have, or empty for any
  */
 record SettingsChange(JsonNode values, OptionalLong ifRevision) {
-  /** A change on the record as it is, whatever its revision. */
+  /** A change that applies to the record at any revision. */
   static SettingsChange ofAnyRevision(JsonNode values) {
     return new SettingsChange(values, OptionalLong.empty());
   }
 
-  /** Reads {@code {"values": {...}, "mark": N}}, where the mark (the revision) is optional. */
+  /** Decodes {@code {"values": {...}, "mark": N}}, where the mark (the revision) is optional. */
   static SettingsChange decode(JsonNode body) throws BadRequest {
     if (body == null || !body.isObject() || !body.path("values").isObject()) {
       throw new BadRequest("values must be an object with the settings to change");
     }
     JsonNode revision = body.path("mark");
     if (!revision.isMissingNode() && !revision.isIntegralNumber()) {
-      throw new BadRequest("mark must be the integer that reading the settings gave");
+      throw new BadRequest("mark must be the integer that GET /admin/settings returned");
     }
-    // A negative revision asks for none, as it always has.
+    // A negative revision means any revision, for compatibility with existing clients.
     boolean isAnyRevision = revision.isMissingNode() || revision.longValue() < 0;
     return new SettingsChange(
         body.get("values"),
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -17,10 +17,10 @@
 import java.util.OptionalLong;
 
 /**
- * The operators' settings: one record in the store that every controller follows, read with its
- * revision (on the wire: mark) and changed by compare-and-swap on it. Pausing claims, cordoning a
- * machine and draining it (graceful eviction) are changes of that record too. Runs on the event
- * loop.
+ * Reads and writes the operators' settings: one record in the store that every controller applies.
+ * It is read with its revision (in the protocol: mark) and changed by a compare-and-swap on that.
+ * Pausing claims, cordoning a machine and draining it (graceful eviction) are changes of the same
+ * record. Runs on the event loop.
  */
 final class SettingsWrites {
   private final Settings controllerSettings;
@@ -30,11 +30,11 @@
   private final int maxBatchTasks;
 
   /**
-   * Makes the handler of settings.
+   * Creates the handler of settings.
    *
-   * @param platform this controller's settings of the deploy file
-   * @param defaults what counts for a setting that the record does not have
-   * @param mostBatchTasks the most tasks in one task batch
+   * @param controllerSettings this controller's settings from the configuration file
+   * @param defaults the values of settings that the record does not have
+   * @param maxBatchTasks the maximum number of tasks in a task batch
    */
   SettingsWrites(
       Settings controllerSettings,
@@ -49,14 +49,12 @@
     this.maxBatchTasks = maxBatchTasks;
   }
 
-  /** The settings as this controller's copy of the record has them. */
+  /** The settings according to the cached record. */
   OperatorSettings current() {
     return OperatorSettings.stored(cache.settings(), defaults, maxBatchTasks);
   }
 
-  /**
-   * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
-   */
+  /** {@code GET /admin/settings}: revision, values and defaults, once the cache is up to date. */
   void read(Exchange exchange) {
     FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, toJson()));
   }
@@ -70,7 +68,7 @@
     }
   }
 
-  /** {@code POST /admin/claims/pause} and {@code /resume}, on the record as it is now. */
+  /** {@code POST /admin/claims/pause} and {@code /resume}, on the latest record. */
   void pauseClaims(Exchange exchange, boolean paused) {
     ObjectNode values = Json.object().put("claims_paused", paused);
     write(exchange, SettingsChange.ofAnyRevision(values));
@@ -91,7 +89,7 @@
       case "drain" -> drained.add(machine);
       case "uncordon" -> {}
       default -> {
-        ApiError.notFound("there are cordon, drain and uncordon").sendTo(exchange);
+        ApiError.notFound("unknown action; use cordon, drain or uncordon").sendTo(exchange);
         return;
       }
     }
@@ -110,7 +108,9 @@
     return body;
   }
 
-  /** Makes a change once the records are read anew; 409 if its revision is no longer there. */
+  /**
+   * Writes a change once the cache is up to date; answers 409 if the record has another revision.
+   */
   private void write(Exchange exchange, SettingsChange change) {
     FreshRecords.run(cache, exchange, () -> writeOnFreshRecord(exchange, change));
   }
@@ -118,7 +118,7 @@
   private void writeOnFreshRecord(Exchange exchange, SettingsChange change) {
     long revision = cache.settingsRevision();
     if (change.ifRevision().orElse(revision) != revision) {
-      OperatorWrites.conflict(exchange, toJson(), "the settings have changed since");
+      OperatorWrites.conflict(exchange, toJson(), "the settings have changed since they were read");
       return;
     }
     OperatorSettings next;
@@ -140,7 +140,7 @@
         new Transaction()
             .when(StateCodec.SETTINGS, ifRevision)
             .put(StateCodec.SETTINGS, next.json());
-    String conflictMessage = "somebody else changed the settings meanwhile";
+    String conflictMessage = "a concurrent change modified the settings first";
     state.commit(
         txn,
         Use.SUBMISSION,
--- a/src/main/java/graderelay/api/TaskCounts.java
+++ b/src/main/java/graderelay/api/TaskCounts.java
@@ -4,13 +4,13 @@
 import graderelay.state.TaskBatchEntry;
 
 /**
- * How far the tasks of a live job are, summed over its task batches.
+ * Task counts of a live job, summed over its task batches.
  *
- * @param done tasks that are done
- * @param claimed tasks that are claimed on a machine
+ * @param done number of tasks that are done
+ * @param claimed number of tasks that are claimed on a machine
  */
 record TaskCounts(int done, int claimed) {
-  /** The counts as this controller's copy of the records has them. */
+  /** The counts according to the cached records. */
   static TaskCounts of(JobEntry job) {
     int done = 0;
     int claimed = 0;
--- a/src/main/java/graderelay/api/UserApi.java
+++ b/src/main/java/graderelay/api/UserApi.java
@@ -18,9 +18,10 @@
 import java.util.function.Supplier;
 
 /**
- * Submissions, polls and cancellations, on any controller. A submission and a cancellation are
- * compare-and-swap writes; an answer about a job follows a read that no earlier answer is newer
- * than. Answers are JSON; 429 and 503 answers carry Retry-After. Runs on the event loop.
+ * Handles users' submissions, polls and cancellations, on any controller. Submissions and
+ * cancellations are compare-and-swap writes. An answer about a job is preceded by a read of the
+ * store, so it is never older than an earlier answer of any controller. Answers are JSON; 429 and
+ * 503 answers have a Retry-After header. Runs on the event loop.
  */
 public final class UserApi {
   private final Loop loop;
@@ -31,10 +32,11 @@
   private final JobCancellations cancellations;
 
   /**
-   * Makes the handler of the users' requests: submissions, polls and cancellations.
+   * Creates the handler of users' requests.
    *
-   * @param types the machine types that the cloud offers, or null while they are not known yet
-   * @param batchCapacity tasks in one task batch of a job submitted now
+   * @param machineTypes the machine types that the cloud offers, or null until they have been
+   *     loaded
+   * @param batchCapacity number of tasks in a task batch of a job that is submitted now
    */
   public UserApi(
       Loop loop,
@@ -69,7 +71,10 @@
         new JobCancellations(loop, state, cache, cancellations, settings, jobLookup);
   }
 
-  /** True while calls to the store fail: then nothing can be decided here. */
+  /**
+   * True while calls to the store fail, so that this controller can't handle requests that need the
+   * store.
+   */
   public boolean isStoreUnreachable() {
     return !cache.isLoaded() || state.health().failingForS() > StateClient.CALL_TIMEOUT_S;
   }
@@ -81,9 +86,9 @@
 
   /** Answers a poll of job {@code id}: 200 with its status, 404, or 503 with Retry-After. */
   public void poll(Exchange exchange, String id) {
-    Optional<ApiError> refusal = jobLookup.refusal(id);
-    if (refusal.isPresent()) {
-      refusal.get().sendTo(exchange);
+    Optional<ApiError> error = jobLookup.immediateError(id);
+    if (error.isPresent()) {
+      error.get().sendTo(exchange);
       return;
     }
     PendingAnswer pending = new PendingAnswer(loop, exchange, RequestHedger.POLL_DEADLINE_S);
--- a/src/main/java/graderelay/peer/ForwardedRequest.java
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -6,13 +6,14 @@
 import graderelay.net.Loop;
 
 /**
- * One user's request that a peer is asked to decide in this controller's place. It is decided here
- * after all if the peer refuses it or does not answer at once. Used on the event loop only.
+ * A user's request that is forwarded to a peer before this controller handles it. This controller
+ * handles the request itself if the peer rejects it or does not answer within {@link
+ * #FORWARD_TIMEOUT_S}. Used on the event loop only.
  */
 final class ForwardedRequest {
   /**
-   * Seconds for which a submission that the leader has forwarded may stay with a peer before the
-   * leader decides it itself: a few usual answers of the store.
+   * Seconds after which the leader handles a forwarded submission itself: a few times the usual
+   * response time of the store.
    */
   private static final double FORWARD_TIMEOUT_S = 0.15;
 
@@ -29,7 +30,10 @@
     this.exchange = exchange;
   }
 
-  /** Forwards the request to {@code peer}; runs {@code here} if the peer does not decide it. */
+  /**
+   * Forwards the request to {@code peer}; runs {@code localHandler} if the peer gives no definitive
+   * answer.
+   */
   void run(Settings.Peer peer, Runnable localHandler) {
     Loop.Timer timeout = loop.after(FORWARD_TIMEOUT_S, () -> handleLocally(localHandler));
     forwarder.forward(
--- a/src/main/java/graderelay/peer/HedgePolicy.java
+++ b/src/main/java/graderelay/peer/HedgePolicy.java
@@ -3,13 +3,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides whether one more hedged request may go to a peer, from how many are under way and how the
- * store serves this controller. Used on the event loop only.
+ * Decides whether another hedged request may be sent to a peer, depending on the number in flight
+ * and on whether the store responds to this controller. Used on the event loop only.
  */
 final class HedgePolicy {
   /**
-   * Requests that are with peers at once: enough for a controller that the store refuses alone, and
-   * no more, since in a storm of requests each would be put to two or three controllers.
+   * Limit of the hedged requests in flight. It suffices for a controller that alone can't reach the
+   * store. It is bounded because during a burst each request would be handled by two or three
+   * controllers.
    */
   private static final int MAX_HEDGES_IN_FLIGHT = 64;
 
@@ -19,10 +20,10 @@
   private double lastPeerAnswerTime = Double.NEGATIVE_INFINITY;
 
   /**
-   * Makes the policy.
+   * Creates the policy.
    *
-   * @param stuck whether the store lets this controller wait
-   * @param awayForAll whether peers say that they are no better off
+   * @param storeStalled whether the store responds slowly or not at all to this controller
+   * @param storeUnavailableToAll whether the peers report that they can't reach the store either
    */
   HedgePolicy(BooleanSupplier storeStalled, BooleanSupplier storeUnavailableToAll) {
     this.storeStalled = storeStalled;
@@ -30,36 +31,39 @@
   }
 
   /**
-   * True if a request that has waited for a while may be put to a peer. If it only waits for this
-   * controller's own tokens or processor, it would wait at the others as well: in a burst of
-   * submissions each was carried out up to three times, and each time counted against the rate that
-   * all were waiting for.
+   * True if a slow request may be hedged. A request that only waits for this controller's own rate
+   * limit tokens or CPU is not hedged, since it would wait at the peers as well: in a burst, each
+   * submission was executed up to three times, and each execution used up the shared rate limit
+   * that all of them were waiting for.
    */
   boolean mayHedgeSlow() {
     return storeStalled.getAsBoolean() && hedgesInFlight < MAX_HEDGES_IN_FLIGHT;
   }
 
-  /** True if a request that was refused may be put to a peer, which may be better off. */
+  /**
+   * True if a request that this controller could not handle (503) may be hedged, since a peer may
+   * still reach the store.
+   */
   boolean mayHedgeRefused() {
     return hedgesInFlight < MAX_HEDGES_IN_FLIGHT && !storeUnavailableToAll.getAsBoolean();
   }
 
-  /** Counts a request that goes to a peer. */
+  /** Counts a hedged request that is sent to a peer. */
   void onHedgeSent() {
     hedgesInFlight++;
   }
 
-  /** Counts the end of a request that went to a peer. */
+  /** Counts a hedged request that was answered or timed out. */
   void onHedgeCompleted() {
     hedgesInFlight--;
   }
 
-  /** Notes that a peer has decided a request for us at time {@code now}, in seconds. */
+  /** Records that a peer gave a definitive answer at time {@code now}, in seconds. */
   void onDefinitiveAnswer(double now) {
     lastPeerAnswerTime = now;
   }
 
-  /** The time in seconds at which a peer last decided a request for us. */
+  /** The time in seconds of the last definitive answer of a peer. */
   double lastPeerAnswerTime() {
     return lastPeerAnswerTime;
   }
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -7,18 +7,21 @@
 import graderelay.wire.Json;
 
 /**
- * One user's request put to this controller and, as a hedged request, to up to {@link
- * #MAX_HEDGES_PER_REQUEST} peers. The first answer that is not a refusal goes to the user. Used on
- * the event loop only.
+ * A user's request that this controller handles and may also send, as a hedged request, to up to
+ * {@link #MAX_HEDGES_PER_REQUEST} peers. The first answer other than 503 is returned to the user.
+ * Used on the event loop only.
  */
 final class HedgedRequest {
-  /** Seconds before a hedge of a poll: it waits for a read that many share; its user waits 2 s. */
+  /**
+   * Seconds until a poll is hedged. Polls share reads of the store, so they take longer than other
+   * requests; users wait 2 s for a poll.
+   */
   private static final double POLL_HEDGE_DELAY_S = 0.7;
 
-  /** Seconds beyond its own deadline that a request may have for an answer of a peer. */
+  /** Seconds added to the deadline of a request, for the answer of a peer to arrive. */
   private static final double PEER_ANSWER_GRACE_S = 0.15;
 
-  /** Peers that one request is forwarded to at most. */
+  /** Maximum number of peers that one request is sent to. */
   private static final int MAX_HEDGES_PER_REQUEST = 2;
 
   private final Loop loop;
@@ -26,13 +29,13 @@
   private final HedgePolicy policy;
   private final Exchange exchange;
 
-  /** The answer to give if nobody has a better one, or null. */
-  private Answer refusal;
+  /** The 503 answer that is returned if no controller gives a definitive answer, or null. */
+  private Answer unavailableAnswer;
 
   private boolean answered;
   private int hedgesSent;
 
-  /** Answers that are still to come, of this controller and of peers. */
+  /** Number of outstanding answers, of this controller and of peers. */
   private int pendingAnswers = 1;
 
   private Loop.Timer hedgeTimer;
@@ -45,10 +48,11 @@
     this.exchange = exchange;
   }
 
-  /** Puts the request to {@code here}, and to peers once that takes long or refuses it. */
+  /** Runs {@code localHandler}, and hedges the request if that is slow or fails with 503. */
   void run(Exchange.Handler localHandler) {
     hedgeTimer = loop.after(hedgeDelayS(), this::onHedgeTimer);
-    // Its user must hear of it before giving up: a peer that is away would take longer.
+    // The user has to get an answer before its own timeout; waiting for an unreachable peer would
+    // take longer.
     deadlineTimer = loop.after(deadlineS(), this::onDeadline);
     localHandler.handle(exchange.answeredTo(answer -> onAnswer(answer, true)));
   }
@@ -62,12 +66,15 @@
         + (isPoll() ? RequestHedger.POLL_DEADLINE_S : RequestHedger.USER_DEADLINE_S);
   }
 
-  /** A poll waits for a read that many share, so it is slow without being stuck. */
+  /**
+   * Polls wait for a shared read of the store, so a slow poll does not mean that the store is
+   * stalled.
+   */
   private double hedgeDelayS() {
     return isPoll() ? POLL_HEDGE_DELAY_S : RequestHedger.HEDGE_DELAY_S;
   }
 
-  /** Not everybody: in an outage each request would become one for every controller. */
+  /** Limits the fan-out: during an outage every request would otherwise go to every controller. */
   private int maxHedges() {
     return Math.min(forwarder.peerCount(), MAX_HEDGES_PER_REQUEST);
   }
@@ -97,7 +104,7 @@
         exchange, peer, RequestHedger.POLL_DEADLINE_S, answer -> onPeerAnswer(peerIndex, answer));
   }
 
-  /** Takes a peer's answer, or null for none. */
+  /** Handles a peer's answer; null if the peer did not answer. */
   private void onPeerAnswer(int peerIndex, Answer answer) {
     policy.onHedgeCompleted();
     if (isDefinitive(answer)) {
@@ -118,17 +125,17 @@
       finish(answer);
       return;
     }
-    if (answer != null && (refusal == null || isLocal)) {
-      refusal = answer;
+    if (answer != null && (unavailableAnswer == null || isLocal)) {
+      unavailableAnswer = answer;
     }
     boolean mayHedge = policy.mayHedgeRefused();
     if (mayHedge && (pendingAnswers == 0 || (isLocal && hedgesSent == 0))) {
-      // Refused here at once: a peer may be better off.
+      // This controller can't handle the request; a peer may still reach the store.
       hedgeTimer.cancel();
       hedge();
     }
-    if (pendingAnswers == 0 && refusal != null) {
-      finish(refusal);
+    if (pendingAnswers == 0 && unavailableAnswer != null) {
+      finish(unavailableAnswer);
     }
   }
 
@@ -139,8 +146,9 @@
   private void onDeadline() {
     if (!answered) {
       Answer noAnswer =
-          Answer.later(RequestHedger.SERVICE_UNAVAILABLE, Json.error("nobody answered"));
-      finish(refusal == null ? noAnswer : refusal);
+          Answer.later(
+              RequestHedger.SERVICE_UNAVAILABLE, Json.error("no controller answered in time"));
+      finish(unavailableAnswer == null ? noAnswer : unavailableAnswer);
     }
   }
 
--- a/src/main/java/graderelay/peer/PeerClient.java
+++ b/src/main/java/graderelay/peer/PeerClient.java
@@ -9,12 +9,15 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The client of the other controllers (the peers): one POST of CBOR to {@link #PATH} each. */
+/** Client for the other controllers (the peers). Each request is one CBOR POST to {@link #PATH}. */
 public final class PeerClient {
-  /** Seconds to wait for another controller. */
+  /** Default timeout of a request to a peer, in seconds. */
   private static final double PEER_TIMEOUT_S = 1.0;
 
-  /** The one path that messages between controllers go to; a wire name, so it stays. */
+  /**
+   * The HTTP path for all messages between controllers. It is part of the protocol and must not
+   * change.
+   */
   public static final String PATH = "/mesh";
 
   private final Transport transport;
@@ -22,9 +25,9 @@
   private final FeatureGate gate;
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param gate knows the feature level that goes with each request
+   * @param gate provides the feature level that is sent with each request
    */
   public PeerClient(Transport transport, List<Settings.Peer> peers, FeatureGate gate) {
     this.transport = transport;
@@ -32,14 +35,14 @@
     this.gate = gate;
   }
 
-  /** The other controllers, in the order of the settings. */
+  /** The other controllers, in the order of the configuration. */
   public List<Settings.Peer> peers() {
     return peers;
   }
 
   /**
-   * Asks a peer; calls back with its answer, or with null if there was none or the peer does not
-   * know the request.
+   * Sends a request to a peer; calls back with the decoded answer, or with null if there was none
+   * or the peer does not support the request.
    */
   public <T> void send(
       String address,
@@ -66,7 +69,7 @@
     return null;
   }
 
-  /** How long to wait for a peer's answer, in seconds. */
+  /** The default timeout of a request to a peer, in seconds. */
   public double timeoutS() {
     return PEER_TIMEOUT_S;
   }
--- a/src/main/java/graderelay/peer/PeerForwarder.java
+++ b/src/main/java/graderelay/peer/PeerForwarder.java
@@ -12,31 +12,31 @@
 import java.util.function.Predicate;
 
 /**
- * Forwards users' requests to peers and chooses the peer: one that gave no answer is passed over
- * for some seconds, and the one that last decided a request is preferred for hedged requests. Used
- * on the event loop only.
+ * Selects peers and forwards users' requests to them. A peer that did not answer is skipped for
+ * {@link #UNRESPONSIVE_BACKOFF_S}; the peer that last gave a definitive answer is preferred for
+ * hedged requests. Used on the event loop only.
  */
 final class PeerForwarder {
-  /** Seconds for which no request is forwarded to a peer that gave no answer to one. */
+  /** Seconds for which no request is forwarded to a peer that did not answer one. */
   private static final double UNRESPONSIVE_BACKOFF_S = 5;
 
   private final Loop loop;
   private final PeerClient peerClient;
   private final Predicate<String> answeredRecently;
 
-  /** The time in seconds until which a peer is passed over, by its address. */
+  /** The time in seconds until which a peer is skipped, by its address. */
   private final Map<String, Double> unresponsiveUntil = new HashMap<>();
 
-  /** Counts the turns of the round robin. */
+  /** Number of selections so far, for the round robin. */
   private int roundRobinCounter;
 
-  /** Index of the peer that hedged requests go to first. */
+  /** Index of the peer that hedged requests are sent to first. */
   private int preferredIndex;
 
   /**
-   * Makes a forwarder.
+   * Creates a forwarder.
    *
-   * @param hears whether a member has answered this leader a moment ago
+   * @param answeredRecently whether a member has recently answered this leader
    */
   PeerForwarder(Loop loop, PeerClient peerClient, Predicate<String> answeredRecently) {
     this.loop = loop;
@@ -50,8 +50,8 @@
   }
 
   /**
-   * The peers in turn, without those that gave no answer a moment ago; null if none is left. What
-   * is forwarded to one that is down comes back too late.
+   * The next responsive peer in round-robin order; null if there is none. A request that is
+   * forwarded to an unreachable peer would return too late to be handled in time.
    */
   Settings.Peer nextResponsive() {
     for (int i = 0; i < peerCount(); i++) {
@@ -63,27 +63,31 @@
     return null;
   }
 
-  /** The index of the peer for a request's next hedge, after {@code hedges} earlier ones. */
+  /**
+   * The index of the peer for the next hedge of a request, after {@code hedgesSent} earlier ones.
+   */
   int hedgeIndex(int hedgesSent) {
     return (preferredIndex + hedgesSent) % peerCount();
   }
 
-  /** The peer of that index, in the order of the settings. */
+  /** The peer with the given index, in the order of the configuration. */
   Settings.Peer peer(int index) {
     return peerClient.peers().get(index);
   }
 
-  /** True if the peer gave no answer a moment ago. */
+  /** True if the peer did not answer a request within the last {@link #UNRESPONSIVE_BACKOFF_S}. */
   boolean isUnresponsive(Settings.Peer peer) {
     return unresponsiveUntil.getOrDefault(peer.address(), 0.0) > loop.now();
   }
 
-  /** Makes the peer of that index the first for hedged requests. */
+  /** Makes the peer with the given index the first for hedged requests. */
   void prefer(int index) {
     preferredIndex = index;
   }
 
-  /** Prefers the peer after this one, if this one was the first for hedged requests. */
+  /**
+   * Prefers the next peer for hedged requests, if the one with the given index is preferred now.
+   */
   void deprioritize(int index) {
     if (preferredIndex == index) {
       preferredIndex = (index + 1) % peerCount();
@@ -91,8 +95,8 @@
   }
 
   /**
-   * Forwards a user's request to a peer; calls back with the peer's answer, or with null if none
-   * came within {@code timeoutS} seconds, and then the peer is passed over for {@link
+   * Forwards a user's request to a peer; calls back with the peer's answer, or with null if there
+   * was none within {@code timeoutS} seconds. In that case the peer is skipped for {@link
    * #UNRESPONSIVE_BACKOFF_S}.
    */
   void forward(Exchange exchange, Settings.Peer peer, double timeoutS, Consumer<Answer> done) {
--- a/src/main/java/graderelay/peer/RequestHedger.java
+++ b/src/main/java/graderelay/peer/RequestHedger.java
@@ -7,24 +7,26 @@
 import java.util.function.Predicate;
 
 /**
- * Asks a peer as well when this controller can't decide a user's request quickly: the store may
- * refuse, or be slow to, this controller alone. Every decision is a compare-and-swap or a fresh
- * read, so whichever answer comes first is right. Runs on the event loop.
+ * Hedges users' requests that this controller can't handle quickly: the store may be slow or
+ * unreachable for this controller alone. Every request is a compare-and-swap or a read of the
+ * latest records, so the first answer is correct whichever controller gives it. Runs on the event
+ * loop.
  */
 public final class RequestHedger {
-  /** Seconds after which a request that could not be decided is answered with 503. */
+  /** Deadline of a submission or cancellation in seconds; after that the answer is 503. */
   public static final double USER_DEADLINE_S = 3.5;
 
-  /** Seconds for a poll; its user waits for two. */
+  /** Deadline of a poll in seconds; users wait 2 s for it. */
   public static final double POLL_DEADLINE_S = 1.7;
 
   /**
-   * Seconds after which a request that the store has not answered is put to a peer too: usual
-   * answers take 10 ms. Both carry the same conditions, so the first answer is as good.
+   * Seconds after which a request that the store has not answered is also sent to a peer; a usual
+   * answer of the store takes 10 ms. Both controllers write with the same transaction conditions,
+   * so either answer is valid.
    */
   public static final double HEDGE_DELAY_S = 0.08;
 
-  /** The status by which a controller says that it can't decide a request now. */
+  /** HTTP status of a controller that can't handle a request at the moment. */
   static final int SERVICE_UNAVAILABLE = 503;
 
   private final Loop loop;
@@ -32,11 +34,11 @@
   private final HedgePolicy policy;
 
   /**
-   * Makes the hedger.
+   * Creates the hedger.
    *
-   * @param stuck whether the store lets this controller wait
-   * @param awayForAll whether peers say that they are no better off
-   * @param hears whether a member has answered this leader a moment ago
+   * @param storeStalled whether the store responds slowly or not at all to this controller
+   * @param storeUnavailableToAll whether the peers report that they can't reach the store either
+   * @param answeredRecently whether a member has recently answered this leader
    */
   public RequestHedger(
       Loop loop,
@@ -49,23 +51,23 @@
     this.policy = new HedgePolicy(storeStalled, storeUnavailableToAll);
   }
 
-  /** The time in seconds at which a peer last decided a request for us. */
+  /** The time in seconds of the last definitive answer of a peer to a hedged request. */
   public double lastPeerAnswerTime() {
     return policy.lastPeerAnswerTime();
   }
 
   /**
-   * Handles a request here, and puts it to a peer as well if it is slow or refused here; the first
-   * answer that is not a refusal goes to the user.
+   * Handles a request, and also sends it to a peer if that is slow or fails with 503. The first
+   * answer other than 503 is returned to the user.
    */
   public void handle(Exchange exchange, Exchange.Handler localHandler) {
     new HedgedRequest(loop, forwarder, policy, exchange).run(localHandler);
   }
 
   /**
-   * The same for what this controller could decide, but would have to let wait behind what only it
-   * can do: a peer is asked first, and one that doesn't answer at once or can't take it either
-   * leaves it to us.
+   * Forwards a request to a peer first, and handles it like {@link #handle} if the peer does not
+   * answer in time or can't handle it. For requests that would wait at this controller behind work
+   * that only the leader can do.
    */
   public void handleAtPeerFirst(Exchange exchange, Exchange.Handler localHandler) {
     Settings.Peer peer = forwarder.nextResponsive();
--- a/src/main/java/graderelay/peer/package-info.java
+++ b/src/main/java/graderelay/peer/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The client side of controllers' messages to each other: sends typed requests to peers, and
- * forwards or hedges users' requests that this controller can't decide quickly. Everything here
- * runs on the event loop.
+ * Client side of the messages between controllers: sends typed requests to peers, and forwards or
+ * hedges users' requests that this controller can't handle quickly. Everything here runs on the
+ * event loop.
  */
 package graderelay.peer;
--- a/src/test/java/graderelay/api/AdminTest.java
+++ b/src/test/java/graderelay/api/AdminTest.java
@@ -12,111 +12,116 @@
 import org.assertj.core.api.Assertions;
 import org.junit.jupiter.api.Test;
 
-/** The administration API and the settings, as an operator meets them. */
+/** Tests the administration API and the validation of settings. */
 class AdminTest {
   private static SimWorld world(long seed) {
-    SimWorld w = new SimWorld(seed);
-    w.loop.run(3);
-    return w;
+    SimWorld world = new SimWorld(seed);
+    world.loop.run(3);
+    return world;
   }
 
-  private static JsonNode put(SimWorld w, int controller, String values, Long revision) {
+  private static JsonNode put(SimWorld world, int controller, String values, Long revision) {
     ObjectNode body = Json.object();
     body.set("values", Json.read(values.getBytes()));
     if (revision != null) {
       body.put("mark", revision);
     }
-    return w.users.answer(controller, "PUT", "/admin/settings", Json.write(body));
+    return world.users.answer(controller, "PUT", "/admin/settings", Json.write(body));
   }
 
   @Test
   void invalidSettingIsRejectedWithItsNameAndRange() {
-    SimWorld w = world(1);
-    JsonNode a = put(w, 0, "{\"sample_size\":0}", null);
-    assertThat(a.path("http").asInt()).isEqualTo(400);
-    assertThat(a.path("error").asText()).contains("sample_size").contains("1 to 64");
-    JsonNode b = put(w, 0, "{\"colour\":1}", null);
-    assertThat(b.path("http").asInt()).isEqualTo(400);
-    assertThat(b.path("error").asText()).contains("colour").contains("spare_factor");
-    JsonNode c = put(w, 0, "{\"log_level\":\"loud\"}", null);
-    assertThat(c.path("error").asText()).contains("error, info or debug");
+    SimWorld world = world(1);
+    JsonNode outOfRange = put(world, 0, "{\"sample_size\":0}", null);
+    assertThat(outOfRange.path("http").asInt()).isEqualTo(400);
+    assertThat(outOfRange.path("error").asText()).contains("sample_size").contains("1 to 64");
+    JsonNode unknownSetting = put(world, 0, "{\"colour\":1}", null);
+    assertThat(unknownSetting.path("http").asInt()).isEqualTo(400);
+    assertThat(unknownSetting.path("error").asText()).contains("colour").contains("spare_factor");
+    JsonNode invalidLogLevel = put(world, 0, "{\"log_level\":\"loud\"}", null);
+    assertThat(invalidLogLevel.path("error").asText()).contains("error, info or debug");
   }
 
   @Test
   void settingChangeAppliesToAllControllersAndStaleRevisionConflicts() {
-    SimWorld w = world(2);
-    long revision = w.users.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
-    assertThat(put(w, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
-    w.loop.run(1);
-    JsonNode late = put(w, 1, "{\"idle_s\":9}", revision);
+    SimWorld world = world(2);
+    long revision = world.users.answer(0, "GET", "/admin/settings", null).path("mark").asLong();
+    assertThat(put(world, 0, "{\"idle_s\":7.5}", revision).path("http").asInt()).isEqualTo(200);
+    world.loop.run(1);
+    JsonNode late = put(world, 1, "{\"idle_s\":9}", revision);
     assertThat(late.path("http").asInt()).isEqualTo(409);
     assertThat(late.path("values").path("idle_s").asDouble()).isEqualTo(7.5);
-    JsonNode back = put(w, 2, "{\"idle_s\":null}", null);
+    JsonNode back = put(world, 2, "{\"idle_s\":null}", null);
     assertThat(back.path("values").path("idle_s").asDouble()).isEqualTo(30);
   }
 
   @Test
   void noTaskStartsWhileClaimsArePaused() {
-    SimWorld w = world(3);
-    assertThat(w.users.answer(1, "POST", "/admin/claims/pause", null).path("http").asInt())
+    SimWorld world = world(3);
+    assertThat(world.users.answer(1, "POST", "/admin/claims/pause", null).path("http").asInt())
         .isEqualTo(200);
-    SimJob j = w.users.job("j-000001", 2, 1, 2, true);
-    w.users.submit(0, j);
-    w.loop.run(20);
-    assertThat(w.invariants.starts).isZero();
-    w.users.answer(2, "POST", "/admin/claims/resume", null);
-    w.loop.run(20);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
+    SimJob job = world.users.job("j-000001", 2, 1, 2, true);
+    world.users.submit(0, job);
+    world.loop.run(20);
+    assertThat(world.invariants.starts).isZero();
+    world.users.answer(2, "POST", "/admin/claims/resume", null);
+    world.loop.run(20);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("done");
   }
 
   @Test
   void drainedMachineStaysEmptyAcrossLeaderFailover() {
-    SimWorld w = world(4);
-    SimJob j = w.users.job("j-000002", 2, 2, 0, false);
-    w.users.submit(0, j);
-    w.loop.run(15);
+    SimWorld world = world(4);
+    SimJob job = world.users.job("j-000002", 2, 2, 0, false);
+    world.users.submit(0, job);
+    world.loop.run(15);
     String machine =
-        w.workers.values().stream().filter(x -> !x.running().isEmpty()).findFirst().get().name;
-    w.users.answer(1, "POST", "/admin/machines/" + machine + "/drain", null);
-    w.crash(w.leader());
-    w.loop.run(30);
-    assertThat(w.workers.get(machine).running()).isEmpty();
-    assertThat(w.users.stage(w.leader(), j.id)).isEqualTo("running");
-    assertThat(w.invariants.violations).isEmpty();
+        world.workers.values().stream()
+            .filter(worker -> !worker.running().isEmpty())
+            .findFirst()
+            .get()
+            .name;
+    world.users.answer(1, "POST", "/admin/machines/" + machine + "/drain", null);
+    world.crash(world.leader());
+    world.loop.run(30);
+    assertThat(world.workers.get(machine).running()).isEmpty();
+    assertThat(world.users.stage(world.leader(), job.id)).isEqualTo("running");
+    assertThat(world.invariants.violations).isEmpty();
   }
 
   @Test
   void anyControllerAnswersRequestsThatNeedTheLeader() {
-    SimWorld w = world(5);
-    SimJob j = w.users.job("j-000003", 30, 4, 50, true);
-    w.users.submit(0, j);
-    w.loop.run(20);
+    SimWorld world = world(5);
+    SimJob job = world.users.job("j-000003", 30, 4, 50, true);
+    world.users.submit(0, job);
+    world.loop.run(20);
     for (int i = 0; i < 3; i++) {
-      JsonNode a = w.users.answer(i, "GET", "/admin/jobs/" + j.id, null);
-      assertThat(a.path("waits_because").asText()).isNotEmpty();
-      assertThat(a.path("claims").size()).isPositive();
-      assertThat(w.users.answer(i, "GET", "/admin/machines", null).path("machines").size())
+      JsonNode view = world.users.answer(i, "GET", "/admin/jobs/" + job.id, null);
+      assertThat(view.path("waits_because").asText()).isNotEmpty();
+      assertThat(view.path("claims").size()).isPositive();
+      assertThat(world.users.answer(i, "GET", "/admin/machines", null).path("machines").size())
           .isPositive();
-      JsonNode team = w.users.answer(i, "GET", "/admin/teams", null).path("teams").path(0);
+      JsonNode team = world.users.answer(i, "GET", "/admin/teams", null).path("teams").path(0);
       assertThat(team.path("cpus_used").asDouble()).isBetween(4.0, SimWorld.LIMIT);
-      assertThat(w.users.answer(i, "GET", "/admin/status", null).path("owner").asText())
-          .isEqualTo("m-" + w.leader());
+      assertThat(world.users.answer(i, "GET", "/admin/status", null).path("owner").asText())
+          .isEqualTo("m-" + world.leader());
     }
   }
 
   @Test
   void metricsReportStoreCallsTasksAndFleet() {
-    SimWorld w = world(6);
-    w.users.submit(0, w.users.job("j-000004", 2, 1, 2, true));
-    w.loop.run(20);
+    SimWorld world = world(6);
+    world.users.submit(0, world.users.job("j-000004", 2, 1, 2, true));
+    world.loop.run(20);
     String[] text = {""};
-    w.controllers[w.leader()].handle(
+    world.controllers[world.leader()].handle(
         new graderelay.net.Exchange(
             "GET",
             "/metrics",
             "",
             new byte[0],
-            a -> text[0] = new String(a.body(), java.nio.charset.StandardCharsets.UTF_8)));
+            answer ->
+                text[0] = new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8)));
     assertThat(text[0])
         .contains("graderelay_tasks{outcome=\"done\"} 2.0")
         .contains("graderelay_fleet{kind=")
@@ -190,33 +195,33 @@
 
   @Test
   void fleetIsListedInPagesAndByStateFromAnyController() {
-    SimWorld w = world(8);
-    w.users.submit(0, w.users.job("j-000090", 5, 4, 0, false));
-    w.loop.run(15);
-    int known = w.workers.size();
+    SimWorld world = world(8);
+    world.users.submit(0, world.users.job("j-000090", 5, 4, 0, false));
+    world.loop.run(15);
+    int known = world.workers.size();
     assertThat(known).isGreaterThan(3);
     for (int controller = 0; controller < 3; controller++) {
       String after = "";
       int seen = 0;
       JsonNode page;
       do {
-        page = w.users.answer(controller, "GET", "/admin/machines?most=2&after=" + after, null);
+        page = world.users.answer(controller, "GET", "/admin/machines?most=2&after=" + after, null);
         assertThat(page.path("machines").size()).isBetween(1, 2);
-        for (JsonNode m : page.path("machines")) {
-          assertThat(m.path("name").asText()).isGreaterThan(after);
-          after = m.path("name").asText();
+        for (JsonNode machine : page.path("machines")) {
+          assertThat(machine.path("name").asText()).isGreaterThan(after);
+          after = machine.path("name").asText();
           seen++;
         }
       } while (page.path("truncated").asBoolean());
       assertThat(seen).isEqualTo(page.path("known").asInt()).isGreaterThanOrEqualTo(known);
     }
-    JsonNode up = w.users.answer(1, "GET", "/admin/machines?state=up", null);
+    JsonNode up = world.users.answer(1, "GET", "/admin/machines?state=up", null);
     assertThat(up.path("machines").size()).isEqualTo(up.path("states").path("up").asInt());
-    JsonNode none = w.users.answer(1, "GET", "/admin/machines?zone=nowhere", null);
+    JsonNode none = world.users.answer(1, "GET", "/admin/machines?zone=nowhere", null);
     assertThat(none.path("machines").size()).isZero();
-    assertThat(w.users.answer(1, "GET", "/admin/machines?most=x", null).path("http").asInt())
+    assertThat(world.users.answer(1, "GET", "/admin/machines?most=x", null).path("http").asInt())
         .isEqualTo(400);
-    assertThat(w.users.answer(0, "GET", "/admin/jobs?team=nobody", null).path("jobs").size())
+    assertThat(world.users.answer(0, "GET", "/admin/jobs?team=nobody", null).path("jobs").size())
         .isZero();
   }
 }
--- a/src/test/java/graderelay/api/BadDependenciesTest.java
+++ b/src/test/java/graderelay/api/BadDependenciesTest.java
@@ -17,12 +17,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a submission may name as its dependencies, at every controller in every state. */
+/**
+ * Tests the validation of a submission's dependencies on a leader, a follower, a controller that
+ * has just started, during a store outage, and on a controller that is cut off from the store.
+ */
 class BadDependenciesTest {
   private static final String OWN_ID = "j-000700";
   private static final String NEVER_ACCEPTED = "j-999999";
 
-  /** The state of the controller that is asked. */
+  /** The state of the controller that receives the submission. */
   private enum ControllerState {
     LEADER,
     FOLLOWER,
@@ -31,7 +34,7 @@
     CUT_OFF_FROM_STORE
   }
 
-  /** A world with an array that is done, one that runs and a service. */
+  /** A simulated cluster with a finished array, a running array and a service. */
   private static final class Fixture {
     final SimWorld world = world(451, 3);
     final SimJob finished = world.users.job("j-000601", 1, 1, 1, true);
@@ -45,7 +48,7 @@
       assertThat(world.users.stage(1, live.id)).isEqualTo("running");
     }
 
-    /** Brings a controller into that state and returns which it is. */
+    /** Brings a controller into the given state and returns its index. */
     int bringControllerInto(ControllerState state) {
       int leader = world.leader();
       int follower = (leader + 1) % world.size;
@@ -192,22 +195,26 @@
     fine(fixture.world);
   }
 
-  /** What is done need not be kept; of what is not over yet, a record holds only so many names. */
+  /**
+   * Dependencies that are done are not stored; the ids of unfinished ones have to fit into the
+   * record.
+   */
   @Test
   void moreLiveDependenciesThanOneRecordHoldsAreRejectedWithReason() {
-    SimWorld w = new SimWorld(452, WorldShape.of(3), RandomDay.LOWER);
-    w.loop.run(3);
-    w.users.answer(0, "POST", "/admin/claims/pause", null);
-    ObjectNode body = w.users.body(w.users.job(OWN_ID, 1, 1, 2, true));
+    SimWorld world = new SimWorld(452, WorldShape.of(3), RandomDay.LOWER);
+    world.loop.run(3);
+    world.users.answer(0, "POST", "/admin/claims/pause", null);
+    ObjectNode body = world.users.body(world.users.job(OWN_ID, 1, 1, 2, true));
     for (int i = 0; i < 180; i++) {
-      SimJob dependency = w.users.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
-      w.users.submit(i % 3, dependency);
+      SimJob dependency = world.users.job(String.format("j-%06d", 8000 + i), 1, 1, 2, true);
+      world.users.submit(i % 3, dependency);
       body.withArray("awaits").add(dependency.id);
     }
-    w.loop.run(10);
-    for (int i = 0; i < w.size; i++) {
-      assertRejected(w.users.answer(i, "POST", "/v1/jobs", Json.write(body)), 400, "not over");
+    world.loop.run(10);
+    for (int i = 0; i < world.size; i++) {
+      assertRejected(
+          world.users.answer(i, "POST", "/v1/jobs", Json.write(body)), 400, "unfinished jobs");
     }
-    fine(w);
+    fine(world);
   }
 }
