--- a/src/main/java/graderelay/peer/HedgePolicy.java
+++ b/src/main/java/graderelay/peer/HedgePolicy.java
@@ -44,7 +44,7 @@
    * True if a request that this controller could not handle (503) may be hedged, since a peer may
    * still reach the store.
    */
-  boolean mayHedgeRefused() {
+  boolean mayHedgeUnavailable() {
     return hedgesInFlight < MAX_HEDGES_IN_FLIGHT && !storeUnavailableToAll.getAsBoolean();
   }
 
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -128,7 +128,7 @@
     if (answer != null && (unavailableAnswer == null || isLocal)) {
       unavailableAnswer = answer;
     }
-    boolean mayHedge = policy.mayHedgeRefused();
+    boolean mayHedge = policy.mayHedgeUnavailable();
     if (mayHedge && (pendingAnswers == 0 || (isLocal && hedgesSent == 0))) {
       // This controller can't handle the request; a peer may still reach the store.
       hedgeTimer.cancel();
