--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -153,7 +153,7 @@
   }
 
   /**
-   * The error if a job can never run, as far as this controller knows; else empty. A rejection is
+   * The error if a job can never run according to the cached records; else empty. A rejection is
    * final for the user, so it may be returned only after the latest records, including the limits,
    * have been read.
    */
