--- a/src/main/java/graderelay/api/DependencyCheck.java
+++ b/src/main/java/graderelay/api/DependencyCheck.java
@@ -89,7 +89,7 @@
       JobEntry liveJob = cache.job(id);
       FinalState finalState = cache.finalState(id);
       if (liveJob == null && finalState == null) {
-        callback.onRejected(unusableDependency(id, "which is not an accepted job"));
+        callback.onRejected(unusableDependency(id, "which was never accepted"));
         return;
       }
       if (liveJob != null && liveJob.spec.isService()) {
