--- a/src/main/java/graderelay/api/DependencyCheck.java
+++ b/src/main/java/graderelay/api/DependencyCheck.java
@@ -11,89 +11,99 @@
 import java.util.List;
 
 /**
- * Checks the DAG dependencies of a submitted job against the store: each was accepted, which is so
- * for good, by whichever controller and version. Those that are done need not be kept. Runs on the
- * event loop.
+ * Checks the DAG dependencies of a submitted job against the store: each has to be a job that was
+ * accepted. An accepted job stays accepted, whichever controller and version accepted it.
+ * Dependencies that are done are dropped from the job's record. Runs on the event loop.
  */
 final class DependencyCheck {
-  /** Hears how a check ended; neither is called if the check gave up with 503. */
-  interface Outcome {
-    /** The dependencies are sound; {@code spec} names those that are not done yet. */
-    void accepted(JobSpec spec);
+  /** Receives the result of a check; neither method is called if the check answered 503. */
+  interface Callback {
+    /** The dependencies are valid; {@code spec} keeps those that are not done yet. */
+    void onAccepted(JobSpec spec);
 
-    /** The job can't be accepted for the reason that {@code error} gives. */
-    void refused(ApiError error);
+    /** The job can't be accepted, for the reason in {@code error}. */
+    void onRejected(ApiError error);
   }
 
   private final Cache cache;
-  private final CancellationResolver dependencies;
-  private final JobLookup lookup;
+  private final CancellationResolver cancellationResolver;
+  private final JobLookup jobLookup;
 
-  DependencyCheck(Cache cache, CancellationResolver dependencies, JobLookup lookup) {
+  DependencyCheck(Cache cache, CancellationResolver cancellationResolver, JobLookup jobLookup) {
     this.cache = cache;
-    this.dependencies = dependencies;
-    this.lookup = lookup;
+    this.cancellationResolver = cancellationResolver;
+    this.jobLookup = jobLookup;
   }
 
-  /** Checks a submission; retries while the store is busy, and answers 503 if it is unreachable. */
-  void check(PendingAnswer pending, JobSpec spec, Outcome outcome) {
+  /**
+   * Checks a submission; retries while the store is overloaded, and answers 503 if it is
+   * unreachable.
+   */
+  void check(PendingAnswer pending, JobSpec spec, Callback callback) {
     if (spec.dependencies().isEmpty()) {
-      outcome.accepted(spec);
+      callback.onAccepted(spec);
       return;
     }
-    if (unseen(spec).isEmpty()) {
-      decide(pending, spec, List.of(), outcome); // Accepted once is accepted: the copy may lag.
+    if (uncachedDependencies(spec).isEmpty()) {
+      decide(pending, spec, List.of(), callback); // Acceptance is permanent; the cache may lag.
       return;
     }
     cache.catchUp(
-        ok -> {
-          if (ok) {
-            dependencies.lookUpFinalStates(
-                unseen(spec), found -> decide(pending, spec, found, outcome));
+        caughtUp -> {
+          if (caughtUp) {
+            cancellationResolver.lookUpFinalStates(
+                uncachedDependencies(spec),
+                lookupResults -> decide(pending, spec, lookupResults, callback));
           } else {
-            lookup.retryOrGiveUp(pending, () -> check(pending, spec, outcome));
+            jobLookup.retryOrFail(pending, () -> check(pending, spec, callback));
           }
         });
   }
 
-  /** Dependencies of which this controller has seen neither the record nor the final state. */
-  private List<String> unseen(JobSpec spec) {
-    List<String> unseen = new ArrayList<>();
+  /** Dependencies for which the cache has neither a job record nor a final state. */
+  private List<String> uncachedDependencies(JobSpec spec) {
+    List<String> uncached = new ArrayList<>();
     for (String id : spec.dependencies()) {
       if (cache.job(id) == null && cache.finalState(id) == null) {
-        unseen.add(id);
+        uncached.add(id);
       }
     }
-    return unseen;
+    return uncached;
   }
 
-  /** Goes on once the final states of the unseen dependencies have been looked for. */
+  /**
+   * Completes the check once the final states of the dependencies missing in the cache were looked
+   * up.
+   */
   private void decide(
-      PendingAnswer pending, JobSpec spec, List<FinalStateLookup.Result> found, Outcome outcome) {
-    if (found.contains(FinalStateLookup.Result.FAILED)) {
-      lookup.retryOrGiveUp(pending, () -> check(pending, spec, outcome));
+      PendingAnswer pending,
+      JobSpec spec,
+      List<FinalStateLookup.Result> lookupResults,
+      Callback callback) {
+    if (lookupResults.contains(FinalStateLookup.Result.FAILED)) {
+      jobLookup.retryOrFail(pending, () -> check(pending, spec, callback));
       return;
     }
-    List<String> open = new ArrayList<>();
+    List<String> unfinished = new ArrayList<>();
     for (String id : spec.dependencies()) {
-      JobEntry live = cache.job(id);
-      FinalState end = cache.finalState(id);
-      if (live == null && end == null) {
-        outcome.refused(unusable(id, "which was never accepted"));
+      JobEntry liveJob = cache.job(id);
+      FinalState finalState = cache.finalState(id);
+      if (liveJob == null && finalState == null) {
+        callback.onRejected(unusableDependency(id, "which was never accepted"));
         return;
       }
-      if (live != null && live.spec.isService()) {
-        outcome.refused(unusable(id, "a service, which is never done"));
+      if (liveJob != null && liveJob.spec.isService()) {
+        callback.onRejected(unusableDependency(id, "a service, which never finishes"));
         return;
       }
-      if (end == null || end.cancelled()) {
-        open.add(id);
+      if (finalState == null || finalState.cancelled()) {
+        unfinished.add(id);
       }
     }
-    outcome.accepted(spec.withDependencies(open));
+    callback.onAccepted(spec.withDependencies(unfinished));
   }
 
-  private static ApiError unusable(String id, String why) {
-    return ApiError.unprocessable(UserCodec.DEPENDENCIES + " names " + id + ", " + why);
+  private static ApiError unusableDependency(String id, String reason) {
+    return ApiError.unprocessable(UserCodec.DEPENDENCIES + " names " + id + ", " + reason);
   }
 }
--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -14,33 +14,34 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What operators see of feature levels: the cluster's level, its features, the members, and on the
- * leader what a higher level waits for. Used on the event loop only.
+ * JSON view of the feature levels for operators: the cluster's level, its features, the members
+ * and, on the leader, what blocks a higher level. Used on the event loop only.
  */
 final class FeaturesView {
   private final String member;
   private final Cache cache;
   private final FeatureGate gate;
   private final UpgradeCoordinator coordinator;
-  private final BooleanSupplier leads;
+  private final BooleanSupplier isLeader;
 
   /**
-   * Makes the view.
+   * Creates the view.
    *
-   * @param coordinator knows on the leader what a higher level waits for, or null where feature
-   *     levels are left alone
-   * @param leads true while this controller leads
+   * @param coordinator provides on the leader what blocks a higher level, or null if feature levels
+   *     are disabled
+   * @param isLeader true while this controller is the leader
    */
-  FeaturesView(String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier leads) {
+  FeaturesView(
+      String member, Cache cache, UpgradeCoordinator coordinator, BooleanSupplier isLeader) {
     this.member = member;
     this.cache = cache;
     this.gate = cache.features().gate();
     this.coordinator = coordinator;
-    this.leads = leads;
+    this.isLeader = isLeader;
   }
 
-  /** The JSON body as of now. */
-  ObjectNode current() {
+  /** The current state as a JSON body. */
+  ObjectNode toJson() {
     ClusterLevel level = gate.current();
     ObjectNode body = Json.object().put("member", member).put("level", level.level());
     if (level.lowering()) {
@@ -52,7 +53,7 @@
     }
     addFeatures(body.putArray("features"));
     addMembers(body.putArray("members"));
-    if (coordinator != null && leads.getAsBoolean()) {
+    if (coordinator != null && isLeader.getAsBoolean()) {
       putNextLevel(body, level);
     }
     return body;
@@ -69,24 +70,27 @@
   }
 
   private void addMembers(ArrayNode members) {
-    for (Member each : new TreeMap<>(cache.features().members()).values()) {
+    for (Member clusterMember : new TreeMap<>(cache.features().members()).values()) {
       members
           .addObject()
-          .put("member", each.name())
-          .put("version", each.version())
-          .put("min", each.range().min())
-          .put("max", each.range().max());
+          .put("member", clusterMember.name())
+          .put("version", clusterMember.version())
+          .put("min", clusterMember.range().min())
+          .put("max", clusterMember.range().max());
     }
   }
 
-  /** The level that all support and what it waits for, or what keeps the latest level away. */
+  /**
+   * Adds the next level with what blocks it: the highest level that all members support if it is
+   * above the current one, else the latest level.
+   */
   private void putNextLevel(ObjectNode body, ClusterLevel level) {
-    int common = coordinator.commonLevel();
-    int next = common > level.level() ? common : Feature.LATEST_LEVEL;
-    if (next > level.level()) {
-      body.put("next", next);
+    int commonLevel = coordinator.commonLevel();
+    int nextLevel = commonLevel > level.level() ? commonLevel : Feature.LATEST_LEVEL;
+    if (nextLevel > level.level()) {
+      body.put("next", nextLevel);
       ArrayNode waitsFor = body.putArray("waits_for");
-      for (Blocker blocker : coordinator.blockers(next)) {
+      for (Blocker blocker : coordinator.blockers(nextLevel)) {
         waitsFor.addObject().put("member", blocker.member()).put("reason", blocker.reason());
       }
     }
--- a/src/main/java/graderelay/api/JobCancellations.java
+++ b/src/main/java/graderelay/api/JobCancellations.java
@@ -18,22 +18,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Job cancellations: the stop request is written into the job's record by a compare-and-swap that
- * competes with claims and with the job's end, and only while the leader has not suspended this
- * controller. Runs on the event loop.
+ * Handles job cancellations. The stop request is written to the job's record by a compare-and-swap
+ * that conflicts with concurrent claims and with the job's completion. It is written only while the
+ * leader has not suspended this controller. Runs on the event loop.
  */
 final class JobCancellations {
   private static final Logger LOG = LoggerFactory.getLogger("users");
 
   private static final ApiError SUSPENDED =
-      ApiError.unavailable("this controller may not cancel before the owner hears it again");
+      ApiError.unavailable("the leader has suspended cancellations on this controller");
 
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
   private final Cancellations cancellations;
   private final Settings settings;
-  private final JobLookup lookup;
+  private final JobLookup jobLookup;
 
   JobCancellations(
       Loop loop,
@@ -41,60 +41,63 @@
       Cache cache,
       Cancellations cancellations,
       Settings settings,
-      JobLookup lookup) {
+      JobLookup jobLookup) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.cancellations = cancellations;
     this.settings = settings;
-    this.lookup = lookup;
+    this.jobLookup = jobLookup;
   }
 
   /** Answers a cancellation of job {@code id}: 200 with its stage, 404, or 503 with Retry-After. */
   void cancel(Exchange exchange, String id) {
-    Optional<ApiError> refusal = lookup.refusal(id);
-    if (refusal.isPresent()) {
-      refusal.get().sendTo(exchange);
+    Optional<ApiError> error = jobLookup.immediateError(id);
+    if (error.isPresent()) {
+      error.get().sendTo(exchange);
       return;
     }
     cancel(new PendingAnswer(loop, exchange, RequestHedger.USER_DEADLINE_S), id);
   }
 
   private void cancel(PendingAnswer pending, String id) {
-    lookup.look(
+    jobLookup.lookUp(
         pending,
         id,
-        found -> {
-          if (found == null) {
+        jobState -> {
+          if (jobState == null) {
             pending.fail(ApiError.NO_SUCH_JOB);
-          } else if (found.live() == null || found.live().isCancelled()) {
-            pending.answer(200, UserCodec.encodeStage(id, found.stage()));
-          } else if (lookup.suspendedByLeader()) {
+          } else if (jobState.liveJob() == null || jobState.liveJob().isCancelled()) {
+            pending.answer(200, UserCodec.encodeStage(id, jobState.stage()));
+          } else if (jobLookup.isSuspendedByLeader()) {
             pending.fail(SUSPENDED);
           } else {
-            writeStopRequest(pending, id, found.live());
+            writeStopRequest(pending, id, jobState.liveJob());
           }
         });
   }
 
-  /** Competes with claims and with the job's end for the job's record. */
-  private void writeStopRequest(PendingAnswer pending, String id, JobEntry live) {
+  /**
+   * Writes the stop request to the job's record; conflicts with concurrent claims and with
+   * completion.
+   */
+  private void writeStopRequest(PendingAnswer pending, String id, JobEntry liveJob) {
     String key = StateCodec.jobKey(id);
     Transaction txn =
         new Transaction()
-            .when(key, live.revision())
+            .when(key, liveJob.revision())
             .when(cache.election().suspensionKey(settings.member()), 0)
-            .put(key, StateCodec.encodeJob(live.spec, true));
+            .put(key, StateCodec.encodeJob(liveJob.spec, true));
     state.commit(
         txn,
         CallPriority.CLAIM,
         result -> {
           if (result.succeeded()) {
             cancellations.onCommitted(id);
-            LOG.info("stop request for {} recorded", id);
+            LOG.info("recorded stop request for job {}", id);
             pending.answer(200, UserCodec.encodeStage(id, JobState.CANCELLED));
           } else if (result.outcome() == StoreOutcome.NOT_EXECUTED) {
-            lookup.retryOrGiveUp(pending, () -> cancel(pending, id));
+            jobLookup.retryOrFail(pending, () -> cancel(pending, id));
           } else {
             pending.retry(() -> cancel(pending, id));
           }
--- a/src/main/java/graderelay/api/JobSubmissions.java
+++ b/src/main/java/graderelay/api/JobSubmissions.java
@@ -21,45 +21,53 @@
 import java.util.function.Supplier;
 
 /**
- * Job submissions, as idempotent requests: the job's record is created by a compare-and-swap on its
- * absence, so a repeated submission of an accepted job is told what became of it (200), a new one
- * is accepted (201), and one that can never run is refused (422) only after the records have been
- * read anew. Runs on the event loop.
+ * Handles job submissions, which are idempotent. The job's record is created on the condition that
+ * it does not exist: a new job is accepted (201), and a repeated submission of an accepted job
+ * returns its stage (200). A job that can never run is rejected (422), but only after a read of the
+ * latest records. Runs on the event loop.
  */
 final class JobSubmissions {
-  /** Seconds that a submission which the leader has forwarded may have to wait for changes here. */
-  private static final double FORWARDED_WAIT_S = 0.1;
+  /**
+   * Longest expected wait in seconds for the write rate limit, for a submission that the leader has
+   * forwarded.
+   */
+  private static final double MAX_FORWARDED_WAIT_S = 0.1;
 
   /**
-   * Seconds that a submission may have to wait for this controller's changes by their rate: one
-   * that would wait longer is refused at once, and its user comes back instead of waiting in vain.
+   * Longest expected wait in seconds for this controller's write rate limit. A submission that
+   * would wait longer is rejected at once with 429, so that the user retries instead of waiting
+   * until the deadline.
    */
-  private static final double LONGEST_SUBMISSION_WAIT_S = 2;
+  private static final double MAX_SUBMISSION_WAIT_S = 2;
 
-  /** Submissions under way at once, a bound on a queue; beyond that the newest is refused. */
-  private static final int MOST_SUBMISSIONS = 400;
+  /**
+   * Limit of the submissions in flight, which bounds their queue; further submissions are rejected
+   * with 429.
+   */
+  private static final int MAX_SUBMISSIONS_IN_FLIGHT = 400;
 
   private static final ApiError OVERLOADED =
-      ApiError.tooManyRequests("too many submissions at once");
+      ApiError.tooManyRequests("too many submissions in flight");
 
   private final Loop loop;
   private final StateClient state;
   private final Cache cache;
   private final TeamLimits limits;
-  private final Supplier<Collection<MachineType>> types;
+  private final Supplier<Collection<MachineType>> machineTypes;
   private final IntSupplier batchCapacity;
-  private final JobLookup lookup;
+  private final JobLookup jobLookup;
   private final DependencyCheck dependencyCheck;
   private final JobCreation creation;
-  private final BooleanSupplier stateUnreachable;
+  private final BooleanSupplier storeUnreachable;
   private int inFlight;
 
   /**
-   * Makes the handler of submissions.
+   * Creates the handler of submissions.
    *
-   * @param types the machine types that the cloud offers, or null while they are not known yet
-   * @param batchCapacity tasks in one task batch of a job submitted now
-   * @param stateUnreachable true while calls to the store fail
+   * @param machineTypes the machine types that the cloud offers, or null until they have been
+   *     loaded
+   * @param batchCapacity number of tasks in a task batch of a job that is submitted now
+   * @param storeUnreachable true while calls to the store fail
    */
   JobSubmissions(
       Loop loop,
@@ -67,24 +75,24 @@
       Cache cache,
       Settings settings,
       TeamLimits limits,
-      Supplier<Collection<MachineType>> types,
+      Supplier<Collection<MachineType>> machineTypes,
       IntSupplier batchCapacity,
-      CancellationResolver dependencies,
-      JobLookup lookup,
-      BooleanSupplier stateUnreachable) {
+      CancellationResolver cancellationResolver,
+      JobLookup jobLookup,
+      BooleanSupplier storeUnreachable) {
     this.loop = loop;
     this.state = state;
     this.cache = cache;
     this.limits = limits;
-    this.types = types;
+    this.machineTypes = machineTypes;
     this.batchCapacity = batchCapacity;
-    this.lookup = lookup;
-    this.dependencyCheck = new DependencyCheck(cache, dependencies, lookup);
-    this.creation = new JobCreation(loop, state, cache, settings, types, lookup);
-    this.stateUnreachable = stateUnreachable;
+    this.jobLookup = jobLookup;
+    this.dependencyCheck = new DependencyCheck(cache, cancellationResolver, jobLookup);
+    this.creation = new JobCreation(loop, state, cache, settings, machineTypes, jobLookup);
+    this.storeUnreachable = storeUnreachable;
   }
 
-  /** Answers a submission: 200, 201, 400, 422, or 429 and 503 with Retry-After. */
+  /** Answers a submission: 200, 201, 400 or 422, or 429 or 503 with Retry-After. */
   void submit(Exchange exchange) {
     JobSpec spec;
     try {
@@ -95,27 +103,27 @@
       ApiError.badRequest(malformed.getMessage()).sendTo(exchange);
       return;
     }
-    FinalState end = cache.finalState(spec.id());
-    if (end != null) {
-      Replies.json(exchange, 200, UserCodec.encodeStage(spec.id(), JobState.stageOf(end)));
-    } else if (stateUnreachable.getAsBoolean()) {
+    FinalState finalState = cache.finalState(spec.id());
+    if (finalState != null) {
+      Replies.json(exchange, 200, UserCodec.encodeStage(spec.id(), JobState.stageOf(finalState)));
+    } else if (storeUnreachable.getAsBoolean()) {
       ApiError.STORE_UNREACHABLE.sendTo(exchange);
-    } else if (wouldWaitTooLong(exchange, spec)) {
+    } else if (isOverloaded(exchange, spec)) {
       OVERLOADED.sendTo(exchange);
     } else {
-      decide(new PendingAnswer(loop, counted(exchange), RequestHedger.USER_DEADLINE_S), spec);
+      decide(new PendingAnswer(loop, countInFlight(exchange), RequestHedger.USER_DEADLINE_S), spec);
     }
   }
 
-  private boolean wouldWaitTooLong(Exchange exchange, JobSpec spec) {
-    double longestS = exchange.forwarded() ? FORWARDED_WAIT_S : LONGEST_SUBMISSION_WAIT_S;
-    boolean tooLate =
-        state.budget().changeTokens().estimatedWaitS() > longestS && cache.job(spec.id()) == null;
-    return inFlight >= MOST_SUBMISSIONS || tooLate;
+  private boolean isOverloaded(Exchange exchange, JobSpec spec) {
+    double maxWaitS = exchange.forwarded() ? MAX_FORWARDED_WAIT_S : MAX_SUBMISSION_WAIT_S;
+    boolean waitsTooLong =
+        state.budget().changeTokens().estimatedWaitS() > maxWaitS && cache.job(spec.id()) == null;
+    return inFlight >= MAX_SUBMISSIONS_IN_FLIGHT || waitsTooLong;
   }
 
-  /** The same request, counted among those under way until it is answered. */
-  private Exchange counted(Exchange exchange) {
+  /** Returns the request as one that counts as in flight until it is answered. */
+  private Exchange countInFlight(Exchange exchange) {
     inFlight++;
     return exchange.withResponder(
         answer -> {
@@ -125,35 +133,37 @@
   }
 
   private void decide(PendingAnswer pending, JobSpec spec) {
-    if (cache.job(spec.id()) != null || whyNeverRuns(spec).isPresent()) {
-      // A retry of a job that was accepted once is told so, whatever has changed since.
-      ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec));
+    if (cache.job(spec.id()) != null || unschedulableError(spec).isPresent()) {
+      // A retry of an accepted submission has to be confirmed, even if the job would be rejected
+      // now.
+      runUnlessAccepted(pending, spec, () -> decideNewJob(pending, spec));
     } else {
       checkDependencies(pending, spec);
     }
   }
 
-  /** Decides a submission of a job that the records, read anew, do not know. */
+  /** Handles a submission after a read of the latest records has found no such job. */
   private void decideNewJob(PendingAnswer pending, JobSpec spec) {
-    Optional<ApiError> neverRuns = whyNeverRuns(spec);
-    if (neverRuns.isPresent()) {
-      pending.fail(neverRuns.get());
+    Optional<ApiError> unschedulable = unschedulableError(spec);
+    if (unschedulable.isPresent()) {
+      pending.fail(unschedulable.get());
     } else {
       checkDependencies(pending, spec);
     }
   }
 
   /**
-   * Why a job can never run, as far as this controller knows; empty if it can. Users take a refusal
-   * for good, so none is given before the records, of limits too, have been read anew.
+   * The error if a job can never run according to the cached records; else empty. A rejection is
+   * final for the user, so it may be returned only after the latest records, including the limits,
+   * have been read.
    */
-  private Optional<ApiError> whyNeverRuns(JobSpec spec) {
-    String forbidden = limits.rejectionReason(spec);
-    if (forbidden != null) {
-      return Optional.of(ApiError.unprocessable(forbidden));
+  private Optional<ApiError> unschedulableError(JobSpec spec) {
+    String rejectionReason = limits.rejectionReason(spec);
+    if (rejectionReason != null) {
+      return Optional.of(ApiError.unprocessable(rejectionReason));
     }
-    Collection<MachineType> known = types.get();
-    if (known != null && known.stream().noneMatch(spec::fits)) {
+    Collection<MachineType> availableTypes = machineTypes.get();
+    if (availableTypes != null && availableTypes.stream().noneMatch(spec::fits)) {
       return Optional.of(ApiError.unprocessable("a task fits no allowed machine type"));
     }
     return Optional.empty();
@@ -163,42 +173,45 @@
     dependencyCheck.check(
         pending,
         spec,
-        new DependencyCheck.Outcome() {
+        new DependencyCheck.Callback() {
           @Override
-          public void accepted(JobSpec checked) {
+          public void onAccepted(JobSpec checked) {
             create(pending, checked);
           }
 
           @Override
-          public void refused(ApiError error) {
-            refuse(pending, spec, error);
+          public void onRejected(ApiError error) {
+            rejectUnlessAccepted(pending, spec, error);
           }
         });
   }
 
   private void create(PendingAnswer pending, JobSpec spec) {
-    Optional<ApiError> tooLarge = creation.tooLarge(spec);
-    if (tooLarge.isPresent()) {
-      refuse(pending, spec, tooLarge.get());
+    Optional<ApiError> sizeError = creation.sizeError(spec);
+    if (sizeError.isPresent()) {
+      rejectUnlessAccepted(pending, spec, sizeError.get());
     } else {
       creation.create(
-          pending, spec, () -> ifNotAccepted(pending, spec, () -> decideNewJob(pending, spec)));
+          pending, spec, () -> runUnlessAccepted(pending, spec, () -> decideNewJob(pending, spec)));
     }
   }
 
-  /** A retry of a job that was accepted is told so, whatever has become of what it names. */
-  private void refuse(PendingAnswer pending, JobSpec spec, ApiError error) {
-    ifNotAccepted(pending, spec, () -> pending.fail(error));
+  /**
+   * Rejects a submission, unless it is a retry of an accepted one: that is confirmed even if its
+   * dependencies have changed since.
+   */
+  private void rejectUnlessAccepted(PendingAnswer pending, JobSpec spec, ApiError error) {
+    runUnlessAccepted(pending, spec, () -> pending.fail(error));
   }
 
-  /** Answers 200 for a job that was accepted before, else goes on with {@code otherwise}. */
-  private void ifNotAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
-    lookup.look(
+  /** Answers 200 if the job was accepted before, else runs {@code otherwise}. */
+  private void runUnlessAccepted(PendingAnswer pending, JobSpec spec, Runnable otherwise) {
+    jobLookup.lookUp(
         pending,
         spec.id(),
-        found -> {
-          if (found != null) {
-            pending.answer(200, UserCodec.encodeStage(spec.id(), found.stage()));
+        jobState -> {
+          if (jobState != null) {
+            pending.answer(200, UserCodec.encodeStage(spec.id(), jobState.stage()));
           } else {
             otherwise.run();
           }
--- a/src/main/java/graderelay/api/JobViews.java
+++ b/src/main/java/graderelay/api/JobViews.java
@@ -15,26 +15,28 @@
 import java.util.function.Supplier;
 
 /**
- * What operators see of live jobs: {@code /admin/jobs}, a page by id from this controller's copy,
- * and {@code /admin/jobs/ID}, with why it waits, its DAG dependencies and its claims, on the
- * leader. Runs on the event loop.
+ * JSON views of live jobs for operators: {@code /admin/jobs} is a page of jobs from this
+ * controller's cache, sorted by id; {@code /admin/jobs/ID} is one job with the reason why it waits,
+ * its DAG dependencies and its claims, on the leader only. Runs on the event loop.
  */
 final class JobViews {
   private final Cache cache;
   private final Supplier<Scheduler> scheduler;
 
   /**
-   * Makes the views.
+   * Creates the views.
    *
-   * @param scheduler the scheduler while this controller leads, else null
+   * @param scheduler the scheduler while this controller is the leader, else null
    */
   JobViews(Cache cache, Supplier<Scheduler> scheduler) {
     this.cache = cache;
     this.scheduler = scheduler;
   }
 
-  /** A page of live jobs after the query's {@code after}, filtered by team and class. */
-  void jobs(Exchange exchange) {
+  /**
+   * Answers with a page of live jobs after the query's {@code after}, filtered by team and class.
+   */
+  void listJobs(Exchange exchange) {
     Optional<ListQuery> query = ListQuery.parse(exchange.query());
     if (query.isEmpty()) {
       Replies.BAD_LIST_QUERY.sendTo(exchange);
@@ -47,10 +49,10 @@
     ArrayNode page = Json.array();
     boolean truncated = false;
     for (JobEntry job : new TreeMap<>(cache.jobs()).tailMap(query.after(), false).values()) {
-      if (!query.asks("team", job.spec.team()) || !query.asks("class", job.spec.jobClass())) {
+      if (!query.matches("team", job.spec.team()) || !query.matches("class", job.spec.jobClass())) {
         continue;
       }
-      if (page.size() >= query.most()) {
+      if (page.size() >= query.limit()) {
         truncated = true;
         break;
       }
@@ -62,8 +64,11 @@
     return body;
   }
 
-  /** One live job with why it waits, what it needs, what needs it, and its claims; or 404. */
-  void job(Exchange exchange, String id) {
+  /**
+   * Answers with one live job, why it waits, its dependencies, its dependents and its claims; or
+   * 404.
+   */
+  void showJob(Exchange exchange, String id) {
     JobEntry job = cache.job(id);
     if (job == null) {
       ApiError.notFound("no live job " + id).sendTo(exchange);
@@ -79,10 +84,10 @@
 
   private ObjectNode describe(JobEntry job) {
     TaskCounts counts = TaskCounts.of(job);
-    boolean stops =
+    boolean isStopping =
         job.isCancelled()
             || CancellationResolver.isCancelledByDependency(cache, job.spec, new HashSet<>());
-    String stage = stops ? "stopping" : counts.claimed() > 0 ? "running" : "waiting";
+    String stage = isStopping ? "stopping" : counts.claimed() > 0 ? "running" : "waiting";
     return Json.object()
         .put("id", job.spec.id())
         .put("class", job.spec.jobClass())
@@ -93,10 +98,10 @@
         .put("claimed", counts.claimed());
   }
 
-  /** Adds the live jobs that depend on this one, by id. */
+  /** Adds the live jobs that depend on job {@code id}, sorted by id. */
   private void addDependents(ArrayNode dependents, String id) {
     for (JobEntry other : new TreeMap<>(cache.jobs()).values()) {
-      if (other.spec.dependencies().contains(id) && dependents.size() < ListQuery.MOST_LISTED) {
+      if (other.spec.dependencies().contains(id) && dependents.size() < ListQuery.MAX_ENTRIES) {
         dependents.add(other.spec.id());
       }
     }
@@ -106,7 +111,7 @@
     for (var entry : job.taskBatches.entrySet()) {
       TaskBatchRecord batch = entry.getValue().record();
       int firstTask = entry.getKey() * job.spec.batchCapacity();
-      for (int i = 0; i < batch.size() && claims.size() < ListQuery.MOST_LISTED; i++) {
+      for (int i = 0; i < batch.size() && claims.size() < ListQuery.MAX_ENTRIES; i++) {
         if (batch.machine(i) != null) {
           claims
               .addObject()
--- a/src/main/java/graderelay/api/PeerApi.java
+++ b/src/main/java/graderelay/api/PeerApi.java
@@ -14,22 +14,23 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** Answers the other controllers' requests. Runs on the event loop. */
+/** Handles the requests of the other controllers. Runs on the event loop. */
 public final class PeerApi {
-  private static final ApiError OTHER_FEATURE_LEVEL = ApiError.notFound("of another feature level");
+  private static final ApiError FEATURE_LEVEL_MISMATCH =
+      ApiError.notFound("the sender has a different feature level");
   private static final ApiError NO_SUCH_MESSAGE = ApiError.notFound("no such message");
 
-  /** Takes a worker's heartbeat that came to another controller. */
+  /** Handles worker heartbeats that other controllers relay. */
   @FunctionalInterface
-  public interface RelayedHeartbeats {
+  public interface RelayedHeartbeatHandler {
     /**
      * Answers a relayed heartbeat.
      *
-     * @param relayedBy the member that the worker sent it to
-     * @param body the heartbeat as the worker wrote it
-     * @param to takes the answer for the worker
+     * @param relayingMember the member that received it from the worker
+     * @param body the heartbeat as the worker sent it
+     * @param to receives the answer for the worker
      */
-    void accept(String relayedBy, byte[] body, Consumer<Response> to);
+    void accept(String relayingMember, byte[] body, Consumer<Response> to);
   }
 
   private final Leadership leadership;
@@ -38,18 +39,18 @@
   private final String incarnation;
   private final StateClient state;
   private final Cancellations cancellations;
-  private final RelayedHeartbeats heartbeats;
-  private final Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegations;
-  private final Exchange.Handler requests;
+  private final RelayedHeartbeatHandler heartbeatHandler;
+  private final Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegationHandler;
+  private final Exchange.Handler requestHandler;
 
   /**
-   * Makes the interface.
+   * Creates the handler.
    *
-   * @param catchUp reads what has changed in the records
-   * @param incarnation tells this process from others of the same member
-   * @param heartbeats takes workers' heartbeats that another controller relays
-   * @param delegations decides as the leader whether a member becomes a lease delegate
-   * @param requests takes users' and operators' requests that another controller passes on
+   * @param catchUp brings the cache up to date with the store
+   * @param incarnation distinguishes this process from earlier ones of the same member
+   * @param heartbeatHandler handles worker heartbeats that another controller relays
+   * @param delegationHandler decides on the leader whether a member becomes a lease delegate
+   * @param requestHandler handles users' and operators' requests that another controller relays
    */
   public PeerApi(
       Leadership leadership,
@@ -58,65 +59,70 @@
       String incarnation,
       StateClient state,
       Cancellations cancellations,
-      RelayedHeartbeats heartbeats,
-      Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegations,
-      Exchange.Handler requests) {
+      RelayedHeartbeatHandler heartbeatHandler,
+      Function<PeerRequest.Delegation, PeerResponse.DelegationResponse> delegationHandler,
+      Exchange.Handler requestHandler) {
     this.leadership = leadership;
     this.features = features;
     this.catchUp = catchUp;
     this.incarnation = incarnation;
     this.state = state;
     this.cancellations = cancellations;
-    this.heartbeats = heartbeats;
-    this.delegations = delegations;
-    this.requests = requests;
+    this.heartbeatHandler = heartbeatHandler;
+    this.delegationHandler = delegationHandler;
+    this.requestHandler = requestHandler;
   }
 
-  /** Answers one request; one of a kind that this version does not know is refused. */
+  /** Answers a request; answers 404 if this version does not support it. */
   public void handle(Exchange exchange) {
     PeerCodec.Envelope envelope = decode(exchange);
     PeerRequest request = envelope.request();
-    int theirLevel = envelope.featureLevel();
-    int ourLevel = features.gate().current().level();
-    if (theirLevel > ourLevel) {
-      catchUp.run(); // We have missed a change of the level.
+    int senderLevel = envelope.featureLevel();
+    int localLevel = features.gate().current().level();
+    if (senderLevel > localLevel) {
+      catchUp.run(); // The cache has missed a change of the feature level.
     }
-    if (actsForTheLeader(request) && theirLevel != ourLevel) {
-      OTHER_FEATURE_LEVEL.sendTo(exchange);
-    } else if (!answerBetweenMembers(exchange, request, theirLevel < ourLevel)
-        && !answerRelayed(exchange, request)) {
+    if (requiresSameFeatureLevel(request) && senderLevel != localLevel) {
+      FEATURE_LEVEL_MISMATCH.sendTo(exchange);
+    } else if (!answerMemberRequest(exchange, request, senderLevel < localLevel)
+        && !answerRelayedRequest(exchange, request)) {
       NO_SUCH_MESSAGE.sendTo(exchange);
     }
   }
 
   private static PeerCodec.Envelope decode(Exchange exchange) {
-    boolean message = exchange.method().equals("POST") && exchange.path().equals(PeerClient.PATH);
-    return message
+    boolean isPeerMessage =
+        exchange.method().equals("POST") && exchange.path().equals(PeerClient.PATH);
+    return isPeerMessage
         ? PeerCodec.decodeEnvelope(exchange.body())
         : new PeerCodec.Envelope(null, Feature.BASE_LEVEL);
   }
 
-  private static boolean actsForTheLeader(PeerRequest request) {
+  private static boolean requiresSameFeatureLevel(PeerRequest request) {
     return request instanceof PeerRequest.Handover
         || request instanceof PeerRequest.Delegation
         || request instanceof PeerRequest.RelayedHeartbeat;
   }
 
   /**
-   * Answers what controllers ask for themselves; false if the request is none of that.
+   * Answers a request that a controller sends on its own behalf; returns false for any other
+   * request.
    *
-   * <p>Whoever has missed a change of the feature level must neither act for the controllers nor be
-   * trusted with leases. A pledge to somebody who knows more than we do is safe: our own election
-   * would fail.
+   * <p>A controller that has missed a change of the feature level must neither lead nor renew
+   * leases, so no pledge is granted to it. A pledge to a sender with a higher level is safe, since
+   * an election of this controller would fail.
    *
-   * @param behind true if the sender has missed a change of the feature level
+   * @param senderIsBehind true if the sender has missed a change of the feature level
    */
-  private boolean answerBetweenMembers(Exchange exchange, PeerRequest request, boolean behind) {
+  private boolean answerMemberRequest(
+      Exchange exchange, PeerRequest request, boolean senderIsBehind) {
     if (request instanceof PeerRequest.Pledge pledge) {
-      boolean granted = !behind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
-      answer(exchange, pledged(granted));
+      boolean granted =
+          !senderIsBehind && leadership.pledgeToLeader(pledge.term(), pledge.seconds());
+      answer(exchange, pledgeAnswer(granted));
     } else if (request instanceof PeerRequest.LeaderlessPledge pledge) {
-      answer(exchange, pledged(!behind && leadership.pledgeLeaderless(pledge.seconds())));
+      answer(
+          exchange, pledgeAnswer(!senderIsBehind && leadership.pledgeLeaderless(pledge.seconds())));
     } else if (request instanceof PeerRequest.Identify) {
       answer(exchange, new PeerResponse.IdentifyResponse(incarnation));
     } else if (request instanceof PeerRequest.LendWriteCapacity share) {
@@ -127,43 +133,50 @@
       leadership.acceptHandover(handover.member(), handover.term(), handover.sessionLease());
       answer(exchange, new PeerResponse.HandoverResponse());
     } else if (request instanceof PeerRequest.Delegation delegation) {
-      answer(exchange, delegations.apply(delegation));
+      answer(exchange, delegationHandler.apply(delegation));
     } else {
       return false;
     }
     return true;
   }
 
-  /** Answers what a controller passes on for others; false if the request is none of that. */
-  private boolean answerRelayed(Exchange exchange, PeerRequest request) {
+  /**
+   * Answers a request that a controller relays for a worker, a user or an operator; returns false
+   * for any other request.
+   */
+  private boolean answerRelayedRequest(Exchange exchange, PeerRequest request) {
     if (request instanceof PeerRequest.RelayedHeartbeat heartbeat) {
-      heartbeats.accept(heartbeat.member(), heartbeat.body(), relayedTo(exchange));
+      heartbeatHandler.accept(heartbeat.member(), heartbeat.body(), relayedAnswerSender(exchange));
     } else if (request instanceof PeerRequest.RelayedUserRequest user) {
-      requests.handle(
-          new Exchange(user.method(), user.path(), "", user.body(), true, relayedTo(exchange)));
+      requestHandler.handle(
+          new Exchange(
+              user.method(), user.path(), "", user.body(), true, relayedAnswerSender(exchange)));
     } else if (request instanceof PeerRequest.RelayedAdminRequest admin) {
-      requests.handle(
+      requestHandler.handle(
           new Exchange(
               admin.method(),
               admin.path(),
               admin.query(),
               admin.body(),
               true,
-              relayedTo(exchange)));
+              relayedAnswerSender(exchange)));
     } else {
       return false;
     }
     return true;
   }
 
-  /** The asker renews leases: what we know of cancellations goes with it, granted or not. */
-  private PeerResponse.PledgeResponse pledged(boolean granted) {
+  /**
+   * The answer to a pledge request. The sender renews worker leases, so the answer carries the
+   * cancellations that this controller has learned of, whether or not the pledge is granted.
+   */
+  private PeerResponse.PledgeResponse pledgeAnswer(boolean granted) {
     return new PeerResponse.PledgeResponse(
         granted, state.health().isReachable(), cancellations.ownKnowledge());
   }
 
-  /** Sends an answer back to the controller that has passed the request on. */
-  private static Consumer<Response> relayedTo(Exchange exchange) {
+  /** Returns a consumer that sends an answer to the controller that relayed the request. */
+  private static Consumer<Response> relayedAnswerSender(Exchange exchange) {
     return answer -> answer(exchange, new PeerResponse.RelayedResponse(answer));
   }
 
--- a/src/main/java/graderelay/api/PendingAnswer.java
+++ b/src/main/java/graderelay/api/PendingAnswer.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * A user's request that is answered exactly once: by the first answer given, or with 503 when its
- * deadline passes first. Used on the event loop only.
+ * Answers a user's request exactly once: with the first answer given, or with 503 once the deadline
+ * has passed. Used on the event loop only.
  */
 final class PendingAnswer {
   private static final ApiError TIMED_OUT =
@@ -18,21 +18,21 @@
 
   private final Loop loop;
   private final Consumer<Response> to;
-  private final double sinceS;
+  private final double receivedAtS;
   private final Loop.Timer deadline;
   private boolean answered;
 
-  /** Starts the deadline of {@code seconds} on the loop's clock. */
-  PendingAnswer(Loop loop, Exchange exchange, double seconds) {
+  /** Starts the deadline, {@code deadlineS} seconds from now. */
+  PendingAnswer(Loop loop, Exchange exchange, double deadlineS) {
     this.loop = loop;
-    this.sinceS = loop.now();
+    this.receivedAtS = loop.now();
     this.to = exchange.responder();
-    this.deadline = loop.schedule(seconds, () -> fail(TIMED_OUT));
+    this.deadline = loop.schedule(deadlineS, () -> fail(TIMED_OUT));
   }
 
-  /** The loop's time, in seconds, at which the request came. */
-  double sinceS() {
-    return sinceS;
+  /** The event loop's time, in seconds, at which the request was received. */
+  double receivedAtS() {
+    return receivedAtS;
   }
 
   /** Answers {@code status} with {@code body} as JSON. */
@@ -53,13 +53,13 @@
     }
   }
 
-  /** Runs {@code step} again after a moment, unless the request has been answered by then. */
-  void retry(Runnable step) {
+  /** Runs {@code action} after a short delay, unless the request has been answered by then. */
+  void retry(Runnable action) {
     loop.schedule(
         StateClient.RETRY_DELAY_S / 2,
         () -> {
           if (!answered) {
-            step.run();
+            action.run();
           }
         });
   }
--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -13,35 +13,36 @@
 import java.util.function.Supplier;
 
 /**
- * Operators' requests under {@code /admin/quota}. Any controller changes a limit, by a
- * compare-and-swap on the record as it is; what the leader alone knows is asked of the leader. Runs
- * on the event loop.
+ * Operators' requests under {@code /admin/quota}. Any controller can change limits, by a
+ * compare-and-swap on the latest record; requests that need the scheduler's state are relayed to
+ * the leader. Runs on the event loop.
  */
 public final class QuotaApi {
   private static final PathPrefix PREFIX = new PathPrefix("/admin/quota");
   private static final String RECOMPUTE = "/recompute";
 
-  private static final ApiError NOT_STORED =
-      ApiError.conflict("limits are not stored: the feature level of stored-limits is not reached");
+  private static final ApiError LIMITS_NOT_STORED =
+      ApiError.conflict(
+          "limits are not stored: the cluster has not reached the feature level of stored-limits");
 
-  /** A request on the stored limits as they are now. */
+  /** A request that runs on the latest stored limits. */
   private interface StoredLimitsRequest {
     void run() throws BadRequestException;
   }
 
   private final Cache cache;
   private final TeamLimits limits;
-  private final LeaderRoute leader;
+  private final LeaderRoute leaderRoute;
   private final Predicate<String> replaceAccount;
   private final QuotaViews views;
   private final QuotaWrites writes;
 
   /**
-   * Makes the interface.
+   * Creates the handler.
    *
-   * @param core what the leader knows, or null on other controllers
-   * @param replaceAccount has the leader write a team's account anew; false if this controller does
-   *     not lead any more
+   * @param scheduler the scheduler while this controller is the leader, else null
+   * @param replaceAccount rewrites a team's account on the leader; false if this controller is no
+   *     longer the leader
    * @param member this controller's name
    */
   public QuotaApi(
@@ -49,28 +50,29 @@
       StateClient state,
       Cache cache,
       TeamLimits limits,
-      Supplier<Scheduler> core,
-      LeaderRoute leader,
+      Supplier<Scheduler> scheduler,
+      LeaderRoute leaderRoute,
       Predicate<String> replaceAccount,
       String member) {
     this.cache = cache;
     this.limits = limits;
-    this.leader = leader;
+    this.leaderRoute = leaderRoute;
     this.replaceAccount = replaceAccount;
-    this.views = new QuotaViews(cache, limits, core);
+    this.views = new QuotaViews(cache, limits, scheduler);
     this.writes = new QuotaWrites(loop, state, cache, views, member);
   }
 
-  /** True if the path is {@code /admin/quota} or below it. */
-  public static boolean owns(String path) {
-    return PREFIX.covers(path);
+  /** True if the path is {@code /admin/quota} or is under it. */
+  public static boolean matches(String path) {
+    return PREFIX.matches(path);
   }
 
-  /** Answers a request below {@code /admin/quota}: 405 for a wrong method. */
+  /** Answers a request under {@code /admin/quota}: 405 for an unsupported method. */
   public void handle(Exchange exchange) {
-    String rest = PREFIX.rest(exchange.path());
-    boolean recompute = rest.endsWith(RECOMPUTE);
-    String name = recompute ? rest.substring(0, rest.length() - RECOMPUTE.length()) : rest;
+    String remainder = PREFIX.remainder(exchange.path());
+    boolean isRecompute = remainder.endsWith(RECOMPUTE);
+    String name =
+        isRecompute ? remainder.substring(0, remainder.length() - RECOMPUTE.length()) : remainder;
     String team;
     try {
       team = URLDecoder.decode(name, StandardCharsets.UTF_8);
@@ -79,35 +81,36 @@
       return;
     }
     switch (exchange.method()) {
-      case "GET" -> leader.handle(exchange, here -> views.show(here, team));
-      case "PUT" -> onRecords(exchange, () -> writes.change(exchange, team));
-      case "DELETE" -> onRecords(exchange, () -> writes.remove(exchange, team));
+      case "GET" -> leaderRoute.handle(exchange, request -> views.show(request, team));
+      case "PUT" -> runOnFreshRecords(exchange, () -> writes.change(exchange, team));
+      case "DELETE" -> runOnFreshRecords(exchange, () -> writes.remove(exchange, team));
       case "POST" -> {
-        if (recompute) {
-          leader.handle(exchange, here -> onRecords(here, () -> recompute(here, team)));
+        if (isRecompute) {
+          leaderRoute.handle(
+              exchange, request -> runOnFreshRecords(request, () -> recompute(request, team)));
         } else {
-          onRecords(exchange, () -> writes.add(exchange, team, PREFIX));
+          runOnFreshRecords(exchange, () -> writes.add(exchange, team, PREFIX));
         }
       }
       default -> ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
     }
   }
 
-  /** Goes on once the records as they are now have been read, if stored limits are in force. */
-  private void onRecords(Exchange exchange, StoredLimitsRequest then) {
+  /** Runs the request once the cache is up to date, if stored limits are in force. */
+  private void runOnFreshRecords(Exchange exchange, StoredLimitsRequest request) {
     FreshRecords.run(
         cache,
         exchange,
         () -> {
           if (limits.usesStoredLimits()) {
-            runOrRefuse(exchange, then);
+            runOrReject(exchange, request);
           } else {
-            NOT_STORED.sendTo(exchange);
+            LIMITS_NOT_STORED.sendTo(exchange);
           }
         });
   }
 
-  private static void runOrRefuse(Exchange exchange, StoredLimitsRequest request) {
+  private static void runOrReject(Exchange exchange, StoredLimitsRequest request) {
     try {
       request.run();
     } catch (BadRequestException malformed) {
@@ -119,10 +122,11 @@
     if (cache.quota().limits(team) == null) {
       QuotaWrites.unknownTeam(team).sendTo(exchange);
     } else if (!replaceAccount.test(team)) {
-      // While the records were read.
-      ApiError.unavailable("the lead has changed meanwhile").sendTo(exchange);
+      // The leader changed while the cache was catching up.
+      ApiError.unavailable("the leader has changed during the request").sendTo(exchange);
     } else {
-      Replies.message(exchange, "the account of team " + team + " is written anew from its claims");
+      Replies.message(
+          exchange, "the account of team " + team + " is being rewritten from its claims");
     }
   }
 }
--- a/src/main/java/graderelay/api/QuotaViews.java
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -14,16 +14,16 @@
 import java.util.TreeMap;
 import java.util.function.Supplier;
 
-/** What operators see of stored limits, beside what teams use. Runs on the event loop. */
+/** JSON views of the teams' limits and usage for operators. Runs on the event loop. */
 final class QuotaViews {
   private final Cache cache;
   private final TeamLimits limits;
   private final Supplier<Scheduler> scheduler;
 
   /**
-   * Makes the views.
+   * Creates the views.
    *
-   * @param scheduler the scheduler while this controller leads, else null
+   * @param scheduler the scheduler while this controller is the leader, else null
    */
   QuotaViews(Cache cache, TeamLimits limits, Supplier<Scheduler> scheduler) {
     this.cache = cache;
@@ -32,17 +32,17 @@
   }
 
   /**
-   * Answers with one team's limits and use, or those of all teams if {@code team} is empty; 404 for
-   * an unknown team. Needs the leader's scheduler.
+   * Answers with one team's limits and usage, or with those of all teams if {@code team} is empty;
+   * 404 for an unknown team. Needs the leader's scheduler.
    */
   void show(Exchange exchange, String team) {
     ObjectNode body = Json.object().put("stored", limits.usesStoredLimits());
     ArrayNode differences = body.putArray("settings_differ");
     limits.settingsDifferences().forEach(differences::add);
     ArrayNode teams = body.putArray("teams");
-    for (Map.Entry<String, LimitRecord> each : limitsInForce().entrySet()) {
-      if (team.isEmpty() || team.equals(each.getKey())) {
-        teams.add(view(each.getKey(), each.getValue()));
+    for (Map.Entry<String, LimitRecord> entry : limitsInForce().entrySet()) {
+      if (team.isEmpty() || team.equals(entry.getKey())) {
+        teams.add(view(entry.getKey(), entry.getValue()));
       }
     }
     if (!team.isEmpty() && teams.isEmpty()) {
@@ -52,8 +52,8 @@
     Replies.json(exchange, 200, body);
   }
 
-  /** The record of a team's limits as it is now, or a message that there is none. */
-  ObjectNode present(String team) {
+  /** The current record of a team's limits, or a message that there is none. */
+  ObjectNode currentLimits(String team) {
     LimitRecord record = cache.quota().limits(team);
     ObjectNode body = Json.object().put("team", team);
     if (record == null) {
@@ -64,7 +64,7 @@
     return body;
   }
 
-  /** The limits in force; those of the settings have no version. */
+  /** The limits in force by team name; limits from the configuration have version 0. */
   private Map<String, LimitRecord> limitsInForce() {
     Map<String, LimitRecord> all = new TreeMap<>();
     if (limits.usesStoredLimits()) {
@@ -81,7 +81,7 @@
     ObjectNode body = Json.object().put("team", team);
     putQuota(body, record);
     Scheduler.TeamUsage usage = scheduler.get().teamUsage(team);
-    putUse(body, team, record, usage);
+    putUsage(body, team, record, usage);
     body.put("tasks_waiting", usage.waitingTasks());
     body.put("cpus_waiting", usage.waitingAmount().cpus())
         .put("gpus_waiting", usage.waitingAmount().gpus());
@@ -93,7 +93,7 @@
     return body;
   }
 
-  /** Guarantee and limit, unless the record is malformed. */
+  /** Adds guarantee and limit, unless the record is malformed. */
   private static void putQuota(ObjectNode body, LimitRecord record) {
     if (record.isReadable()) {
       TeamQuota quota = record.quota();
@@ -102,8 +102,9 @@
     }
   }
 
-  /** What a team's claims take, and how much of it is beyond the guarantee. */
-  private void putUse(ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
+  /** Adds the resources that a team's claims use, and how much of them is beyond the guarantee. */
+  private void putUsage(
+      ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
     boolean stored = limits.usesStoredLimits();
     Amount claims = stored ? usage.standing().claims() : scheduler.get().claimedAmount(team);
     body.put("cpus_used", claims.cpus()).put("gpus_used", claims.gpus());
--- a/src/main/java/graderelay/api/SettingsWrites.java
+++ b/src/main/java/graderelay/api/SettingsWrites.java
@@ -17,48 +17,46 @@
 import java.util.OptionalLong;
 
 /**
- * The operators' settings: one record in the store that every controller follows, read with its
- * revision (on the wire: mark) and changed by compare-and-swap on it. Pausing claims, cordoning a
- * machine and draining it (graceful eviction) are changes of that record too. Runs on the event
- * loop.
+ * Reads and writes the operators' settings: one record in the store that every controller applies.
+ * It is read with its revision (in the protocol: mark) and changed by a compare-and-swap on that.
+ * Pausing claims, cordoning a machine and draining it (graceful eviction) are changes of the same
+ * record. Runs on the event loop.
  */
 final class SettingsWrites {
-  private final Settings platform;
+  private final Settings controllerSettings;
   private final StateClient state;
   private final Cache cache;
   private final OperatorSettings defaults;
-  private final int mostBatchTasks;
+  private final int maxBatchTasks;
 
   /**
-   * Makes the handler of settings.
+   * Creates the handler of settings.
    *
-   * @param platform this controller's settings of the deploy file
-   * @param defaults what counts for a setting that the record does not have
-   * @param mostBatchTasks the most tasks in one task batch
+   * @param controllerSettings this controller's settings from the configuration file
+   * @param defaults the values of settings that the record does not have
+   * @param maxBatchTasks the maximum number of tasks in a task batch
    */
   SettingsWrites(
-      Settings platform,
+      Settings controllerSettings,
       StateClient state,
       Cache cache,
       OperatorSettings defaults,
-      int mostBatchTasks) {
-    this.platform = platform;
+      int maxBatchTasks) {
+    this.controllerSettings = controllerSettings;
     this.state = state;
     this.cache = cache;
     this.defaults = defaults;
-    this.mostBatchTasks = mostBatchTasks;
+    this.maxBatchTasks = maxBatchTasks;
   }
 
-  /** The settings as this controller's copy of the record has them. */
+  /** The settings according to the cached record. */
   OperatorSettings current() {
-    return OperatorSettings.fromStored(cache.settings(), defaults, mostBatchTasks);
+    return OperatorSettings.fromStored(cache.settings(), defaults, maxBatchTasks);
   }
 
-  /**
-   * {@code GET /admin/settings}: revision, values and defaults, after the records are read anew.
-   */
+  /** {@code GET /admin/settings}: revision, values and defaults, once the cache is up to date. */
   void read(Exchange exchange) {
-    FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, view()));
+    FreshRecords.run(cache, exchange, () -> Replies.json(exchange, 200, toJson()));
   }
 
   /** {@code PUT /admin/settings}; see {@link SettingsChange#decode} for the body. */
@@ -70,7 +68,7 @@
     }
   }
 
-  /** {@code POST /admin/claims/pause} and {@code /resume}, on the record as it is now. */
+  /** {@code POST /admin/claims/pause} and {@code /resume}, on the latest record. */
   void pauseClaims(Exchange exchange, boolean paused) {
     ObjectNode values = Json.object().put("claims_paused", paused);
     write(exchange, SettingsChange.ofAnyRevision(values));
@@ -91,7 +89,7 @@
       case "drain" -> drained.add(machine);
       case "uncordon" -> {}
       default -> {
-        ApiError.notFound("there are cordon, drain and uncordon").sendTo(exchange);
+        ApiError.notFound("unknown action; use cordon, drain or uncordon").sendTo(exchange);
         return;
       }
     }
@@ -103,14 +101,16 @@
     write(exchange, new SettingsChange(values, OptionalLong.of(cache.settingsRevision())));
   }
 
-  private ObjectNode view() {
+  private ObjectNode toJson() {
     ObjectNode body = Json.object().put("mark", cache.settingsRevision());
     body.set("values", current().toJson());
     body.set("defaults", defaults.toJson());
     return body;
   }
 
-  /** Makes a change once the records are read anew; 409 if its revision is no longer there. */
+  /**
+   * Writes a change once the cache is up to date; answers 409 if the record has another revision.
+   */
   private void write(Exchange exchange, SettingsChange change) {
     FreshRecords.run(cache, exchange, () -> writeOnFreshRecord(exchange, change));
   }
@@ -118,17 +118,17 @@
   private void writeOnFreshRecord(Exchange exchange, SettingsChange change) {
     long revision = cache.settingsRevision();
     if (change.ifRevision().orElse(revision) != revision) {
-      OperatorWrites.conflict(exchange, view(), "the settings have changed since");
+      OperatorWrites.conflict(exchange, toJson(), "the settings have changed since they were read");
       return;
     }
     OperatorSettings next;
     try {
-      next = current().with(change.values(), defaults, mostBatchTasks);
+      next = current().with(change.values(), defaults, maxBatchTasks);
     } catch (BadRequestException invalid) {
       ApiError.badRequest(invalid.getMessage()).sendTo(exchange);
       return;
     }
-    if (Json.write(next.toJson()).length > platform.minStoreLimits().valueBytes()) {
+    if (Json.write(next.toJson()).length > controllerSettings.minStoreLimits().valueBytes()) {
       ApiError.badRequest("the settings are too large for the state service").sendTo(exchange);
       return;
     }
@@ -140,10 +140,10 @@
         new Transaction()
             .when(StateCodec.SETTINGS, ifRevision)
             .put(StateCodec.SETTINGS, next.toJson());
-    String conflict = "somebody else changed the settings meanwhile";
+    String conflictMessage = "a concurrent change modified the settings first";
     state.commit(
         txn,
         CallPriority.SUBMISSION,
-        result -> OperatorWrites.answer(exchange, cache, result, this::view, conflict));
+        result -> OperatorWrites.answer(exchange, cache, result, this::toJson, conflictMessage));
   }
 }
--- a/src/main/java/graderelay/peer/ForwardedRequest.java
+++ b/src/main/java/graderelay/peer/ForwardedRequest.java
@@ -6,22 +6,23 @@
 import graderelay.net.Loop;
 
 /**
- * One user's request that a peer is asked to decide in this controller's place. It is decided here
- * after all if the peer refuses it or does not answer at once. Used on the event loop only.
+ * A user's request that is forwarded to a peer before this controller handles it. This controller
+ * handles the request itself if the peer rejects it or does not answer within {@link
+ * #FORWARD_TIMEOUT_S}. Used on the event loop only.
  */
 final class ForwardedRequest {
   /**
-   * Seconds for which a submission that the leader has forwarded may stay with a peer before the
-   * leader decides it itself: a few usual answers of the store.
+   * Seconds after which the leader handles a forwarded submission itself: a few times the usual
+   * response time of the store.
    */
-  private static final double FORWARDED_S = 0.15;
+  private static final double FORWARD_TIMEOUT_S = 0.15;
 
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private final Loop loop;
   private final PeerForwarder forwarder;
   private final Exchange exchange;
-  private boolean settled;
+  private boolean completed;
 
   ForwardedRequest(Loop loop, PeerForwarder forwarder, Exchange exchange) {
     this.loop = loop;
@@ -29,34 +30,37 @@
     this.exchange = exchange;
   }
 
-  /** Forwards the request to {@code peer}; runs {@code here} if the peer does not decide it. */
-  void run(Settings.Peer peer, Runnable here) {
-    Loop.Timer slow = loop.schedule(FORWARDED_S, () -> settleHere(here));
+  /**
+   * Forwards the request to {@code peer}; runs {@code localHandler} if the peer gives no definitive
+   * answer.
+   */
+  void run(Settings.Peer peer, Runnable localHandler) {
+    Loop.Timer timeout = loop.schedule(FORWARD_TIMEOUT_S, () -> handleLocally(localHandler));
     forwarder.forward(
         exchange,
         peer,
-        FORWARDED_S,
+        FORWARD_TIMEOUT_S,
         answer -> {
-          slow.cancel();
-          if (isDecision(answer) && !settled) {
-            settled = true;
+          timeout.cancel();
+          if (isDefinitive(answer) && !completed) {
+            completed = true;
             exchange.responder().accept(answer);
           } else {
-            settleHere(here);
+            handleLocally(localHandler);
           }
         });
   }
 
-  private void settleHere(Runnable here) {
-    if (!settled) {
-      settled = true;
-      here.run();
+  private void handleLocally(Runnable localHandler) {
+    if (!completed) {
+      completed = true;
+      localHandler.run();
     }
   }
 
-  private static boolean isDecision(Response answer) {
+  private static boolean isDefinitive(Response answer) {
     return answer != null
-        && answer.status() != RequestHedger.REFUSED
-        && answer.status() != TOO_MANY;
+        && answer.status() != RequestHedger.SERVICE_UNAVAILABLE
+        && answer.status() != TOO_MANY_REQUESTS;
   }
 }
--- a/src/main/java/graderelay/peer/HedgedRequest.java
+++ b/src/main/java/graderelay/peer/HedgedRequest.java
@@ -7,32 +7,36 @@
 import graderelay.wire.Json;
 
 /**
- * One user's request put to this controller and, as a hedged request, to up to {@link #MOST_HEDGES}
- * peers. The first answer that is not a refusal goes to the user. Used on the event loop only.
+ * A user's request that this controller handles and may also send, as a hedged request, to up to
+ * {@link #MAX_HEDGES_PER_REQUEST} peers. The first answer other than 503 is returned to the user.
+ * Used on the event loop only.
  */
 final class HedgedRequest {
-  /** Seconds before a hedge of a poll: it waits for a read that many share; its user waits 2 s. */
-  private static final double POLL_HEDGE_S = 0.7;
+  /**
+   * Seconds until a poll is hedged. Polls share reads of the store, so they take longer than other
+   * requests; users wait 2 s for a poll.
+   */
+  private static final double POLL_HEDGE_DELAY_S = 0.7;
 
-  /** Seconds beyond its own deadline that a request may have for an answer of a peer. */
-  private static final double HEDGED_S = 0.15;
+  /** Seconds added to the deadline of a request, for the answer of a peer to arrive. */
+  private static final double PEER_ANSWER_GRACE_S = 0.15;
 
-  /** Peers that one request is forwarded to at most. */
-  private static final int MOST_HEDGES = 2;
+  /** Maximum number of peers that one request is sent to. */
+  private static final int MAX_HEDGES_PER_REQUEST = 2;
 
   private final Loop loop;
   private final PeerForwarder forwarder;
   private final HedgePolicy policy;
   private final Exchange exchange;
 
-  /** The answer to give if nobody has a better one, or null. */
-  private Response refusal;
+  /** The 503 answer that is returned if no controller gives a definitive answer, or null. */
+  private Response unavailableAnswer;
 
   private boolean answered;
-  private int hedges;
+  private int hedgesSent;
 
-  /** Answers that are still to come, of this controller and of peers. */
-  private int pending = 1;
+  /** Number of outstanding answers, of this controller and of peers. */
+  private int pendingAnswers = 1;
 
   private Loop.Timer hedgeTimer;
   private Loop.Timer deadlineTimer;
@@ -44,12 +48,13 @@
     this.exchange = exchange;
   }
 
-  /** Puts the request to {@code here}, and to peers once that takes long or refuses it. */
-  void run(Exchange.Handler here) {
-    hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
-    // Its user must hear of it before giving up: a peer that is away would take longer.
-    deadlineTimer = loop.schedule(deadlineS(), this::giveUp);
-    here.handle(exchange.withResponder(answer -> onAnswer(answer, true)));
+  /** Runs {@code localHandler}, and hedges the request if that is slow or fails with 503. */
+  void run(Exchange.Handler localHandler) {
+    hedgeTimer = loop.schedule(hedgeDelayS(), this::onHedgeTimer);
+    // The user has to get an answer before its own timeout; waiting for an unreachable peer would
+    // take longer.
+    deadlineTimer = loop.schedule(deadlineS(), this::onDeadline);
+    localHandler.handle(exchange.withResponder(answer -> onAnswer(answer, true)));
   }
 
   private boolean isPoll() {
@@ -57,88 +62,93 @@
   }
 
   private double deadlineS() {
-    return HEDGED_S + (isPoll() ? RequestHedger.POLL_DEADLINE_S : RequestHedger.USER_DEADLINE_S);
+    return PEER_ANSWER_GRACE_S
+        + (isPoll() ? RequestHedger.POLL_DEADLINE_S : RequestHedger.USER_DEADLINE_S);
   }
 
-  /** A poll waits for a read that many share, so it is slow without being stuck. */
+  /**
+   * Polls wait for a shared read of the store, so a slow poll does not mean that the store is
+   * stalled.
+   */
   private double hedgeDelayS() {
-    return isPoll() ? POLL_HEDGE_S : RequestHedger.HEDGE_S;
+    return isPoll() ? POLL_HEDGE_DELAY_S : RequestHedger.HEDGE_DELAY_S;
   }
 
-  /** Not everybody: in an outage each request would become one for every controller. */
-  private int mostHedges() {
-    return Math.min(forwarder.peerCount(), MOST_HEDGES);
+  /** Limits the fan-out: during an outage every request would otherwise go to every controller. */
+  private int maxHedges() {
+    return Math.min(forwarder.peerCount(), MAX_HEDGES_PER_REQUEST);
   }
 
-  private void onSlow() {
+  private void onHedgeTimer() {
     if (policy.mayHedgeSlow()) {
       hedge();
     } else if (!answered) {
-      hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
+      hedgeTimer = loop.schedule(hedgeDelayS(), this::onHedgeTimer);
     }
   }
 
   private void hedge() {
-    if (answered || hedges >= mostHedges()) {
+    if (answered || hedgesSent >= maxHedges()) {
       return;
     }
-    int index = forwarder.hedgeIndex(hedges++);
-    Settings.Peer peer = forwarder.peer(index);
-    if (forwarder.isPassedOver(peer)) {
+    int peerIndex = forwarder.hedgeIndex(hedgesSent++);
+    Settings.Peer peer = forwarder.peer(peerIndex);
+    if (forwarder.isUnresponsive(peer)) {
       hedge();
       return;
     }
-    pending++;
-    policy.started();
-    hedgeTimer = loop.schedule(hedgeDelayS(), this::onSlow);
+    pendingAnswers++;
+    policy.onHedgeSent();
+    hedgeTimer = loop.schedule(hedgeDelayS(), this::onHedgeTimer);
     forwarder.forward(
-        exchange, peer, RequestHedger.POLL_DEADLINE_S, answer -> onPeerAnswer(index, answer));
+        exchange, peer, RequestHedger.POLL_DEADLINE_S, answer -> onPeerAnswer(peerIndex, answer));
   }
 
-  /** Takes a peer's answer, or null for none. */
-  private void onPeerAnswer(int index, Response answer) {
-    policy.ended();
-    if (isDecision(answer)) {
-      forwarder.prefer(index);
-      policy.helped(loop.now());
+  /** Handles a peer's answer; null if the peer did not answer. */
+  private void onPeerAnswer(int peerIndex, Response answer) {
+    policy.onHedgeCompleted();
+    if (isDefinitive(answer)) {
+      forwarder.prefer(peerIndex);
+      policy.onDefinitiveAnswer(loop.now());
     } else {
-      forwarder.preferOtherThan(index);
+      forwarder.deprioritize(peerIndex);
     }
     onAnswer(answer, false);
   }
 
-  private void onAnswer(Response answer, boolean fromHere) {
+  private void onAnswer(Response answer, boolean isLocal) {
     if (answered) {
       return;
     }
-    pending--;
-    if (isDecision(answer)) {
+    pendingAnswers--;
+    if (isDefinitive(answer)) {
       finish(answer);
       return;
     }
-    if (answer != null && (refusal == null || fromHere)) {
-      refusal = answer;
+    if (answer != null && (unavailableAnswer == null || isLocal)) {
+      unavailableAnswer = answer;
     }
-    boolean mayHedge = policy.mayHedgeRefused();
-    if (mayHedge && (pending == 0 || (fromHere && hedges == 0))) {
-      // Refused here at once: a peer may be better off.
+    boolean mayHedge = policy.mayHedgeUnavailable();
+    if (mayHedge && (pendingAnswers == 0 || (isLocal && hedgesSent == 0))) {
+      // This controller can't handle the request; a peer may still reach the store.
       hedgeTimer.cancel();
       hedge();
     }
-    if (pending == 0 && refusal != null) {
-      finish(refusal);
+    if (pendingAnswers == 0 && unavailableAnswer != null) {
+      finish(unavailableAnswer);
     }
   }
 
-  private static boolean isDecision(Response answer) {
-    return answer != null && answer.status() != RequestHedger.REFUSED;
+  private static boolean isDefinitive(Response answer) {
+    return answer != null && answer.status() != RequestHedger.SERVICE_UNAVAILABLE;
   }
 
-  private void giveUp() {
+  private void onDeadline() {
     if (!answered) {
-      Response nobody =
-          Response.unavailable(RequestHedger.REFUSED, Json.errorBody("nobody answered"));
-      finish(refusal == null ? nobody : refusal);
+      Response noAnswer =
+          Response.unavailable(
+              RequestHedger.SERVICE_UNAVAILABLE, Json.errorBody("no controller answered in time"));
+      finish(unavailableAnswer == null ? noAnswer : unavailableAnswer);
     }
   }
 
--- a/src/main/java/graderelay/service/ControllerComponents.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -188,7 +188,7 @@
             cache,
             featureLevelManager.coordinator(),
             leadership::isLeader,
-            adminApi::atLeader);
+            adminApi::handleOnLeader);
     return new RequestRouter(
         new RequestRouter.Handlers(
             newUserApi(), workerApi, adminApi, featuresApi, newQuotaApi(adminApi)),
@@ -232,7 +232,7 @@
         cache,
         teamLimits,
         this::core,
-        adminApi::atLeader,
+        adminApi::handleOnLeader,
         leaderLifecycle::replaceAccount,
         settings.member());
   }
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -51,7 +51,7 @@
     // is unavailable to all controllers, requests that need no store access are answered, and the
     // others get a response that says when to retry.
     return isStoreResponsive
-        || loop.now() - requestHedger.lastHelp() < STORE_RESPONSE_TIMEOUT_S
+        || loop.now() - requestHedger.lastPeerAnswerTime() < STORE_RESPONSE_TIMEOUT_S
         || (isStateLoaded() && leadership.isStoreUnavailableToAll());
   }
 
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -85,11 +85,11 @@
   /** Routes an operator's request to its API; returns false if the request is not an operator's. */
   private boolean routeToOperatorApis(Exchange exchange) {
     String path = exchange.path();
-    if (FeaturesApi.owns(path)) {
+    if (FeaturesApi.matches(path)) {
       handlers.features().handle(exchange);
-    } else if (QuotaApi.owns(path)) {
+    } else if (QuotaApi.matches(path)) {
       handlers.quota().handle(exchange);
-    } else if (AdminApi.owns(path)) {
+    } else if (AdminApi.matches(path)) {
       handlers.admin().handle(exchange);
     } else {
       return false;
