--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -57,7 +57,7 @@
     boolean read = action.isEmpty();
     if (!exchange.method().equals(read ? "GET" : "POST")) {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
-    } else if (read && gate.isShut()) {
+    } else if (read && gate.isClosed()) {
       show(exchange); // It can't ask the leader, and has to say why it takes no part.
     } else if (read) {
       leader.handle(exchange, this::show);
@@ -73,7 +73,7 @@
   }
 
   private void change(Exchange exchange, String action) {
-    Consumer<UpgradeCoordinator.Answer> done = answer -> reply(exchange, answer);
+    Consumer<UpgradeCoordinator.Result> done = answer -> reply(exchange, answer);
     try {
       switch (action) {
         case "finalize" -> coordinator.finalizeLevel(requestedLevel(exchange), done);
@@ -97,12 +97,12 @@
     return level.intValue();
   }
 
-  private static void reply(Exchange exchange, UpgradeCoordinator.Answer answer) {
-    if (answer instanceof UpgradeCoordinator.Answer.Accepted accepted) {
+  private static void reply(Exchange exchange, UpgradeCoordinator.Result answer) {
+    if (answer instanceof UpgradeCoordinator.Result.Accepted accepted) {
       Replies.message(exchange, accepted.message());
-    } else if (answer instanceof UpgradeCoordinator.Answer.Refused refused) {
+    } else if (answer instanceof UpgradeCoordinator.Result.Refused refused) {
       ApiError.conflict(refused.message()).sendTo(exchange);
-    } else if (answer instanceof UpgradeCoordinator.Answer.Unavailable unavailable) {
+    } else if (answer instanceof UpgradeCoordinator.Result.Unavailable unavailable) {
       ApiError.unavailable(unavailable.message()).sendTo(exchange);
     }
   }
--- a/src/main/java/graderelay/api/FeaturesView.java
+++ b/src/main/java/graderelay/api/FeaturesView.java
@@ -43,12 +43,12 @@
   ObjectNode current() {
     ClusterLevel level = gate.current();
     ObjectNode body = Json.object().put("member", member).put("level", level.level());
-    if (level.lowering()) {
+    if (level.isLowering()) {
       body.put("lowering_to", level.target());
     }
     body.put("held", cache.features().isOnHold());
-    if (gate.closedBecause() != null) {
-      body.put("out_of_service", gate.closedBecause());
+    if (gate.notOpenReason() != null) {
+      body.put("out_of_service", gate.notOpenReason());
     }
     addFeatures(body.putArray("features"));
     addMembers(body.putArray("members"));
@@ -64,7 +64,7 @@
           .addObject()
           .put("name", feature.externalName())
           .put("level", feature.level())
-          .put("used", gate.enabled(feature));
+          .put("used", gate.isEnabled(feature));
     }
   }
 
--- a/src/main/java/graderelay/api/QuotaViews.java
+++ b/src/main/java/graderelay/api/QuotaViews.java
@@ -105,14 +105,14 @@
   /** What a team's claims take, and how much of it is beyond the guarantee. */
   private void putUse(ObjectNode body, String team, LimitRecord record, Scheduler.TeamUsage usage) {
     boolean stored = limits.usesStoredLimits();
-    Amount claims = stored ? usage.standing().claims() : scheduler.get().claimedAmount(team);
+    Amount claims = stored ? usage.standing().used() : scheduler.get().claimedAmount(team);
     body.put("cpus_used", claims.cpus()).put("gpus_used", claims.gpus());
     if (stored) {
-      Amount reserved = usage.standing().account();
+      Amount reserved = usage.standing().reserved();
       body.put("cpus_reserved", reserved.cpus()).put("gpus_reserved", reserved.gpus());
     }
     if (record.isReadable()) {
-      Amount beyond = claims.beyond(record.quota().guarantee());
+      Amount beyond = claims.excessOver(record.quota().guarantee());
       body.put("cpus_beyond", beyond.cpus()).put("gpus_beyond", beyond.gpus());
     }
   }
--- a/src/main/java/graderelay/api/QuotaWrites.java
+++ b/src/main/java/graderelay/api/QuotaWrites.java
@@ -107,7 +107,7 @@
 
   private void put(
       Exchange exchange, String team, TeamQuota quota, long ifRevision, String changedBy) {
-    Optional<String> contradiction = LimitChange.contradiction(quota);
+    Optional<String> contradiction = LimitChange.findInconsistency(quota);
     if (contradiction.isPresent()) {
       ApiError.badRequest(contradiction.get()).sendTo(exchange);
       return;
--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -68,7 +68,7 @@
         waiting = waiting.plus(job.taskAmount.times(job.openTasks.cardinality()));
       }
     }
-    return new Scheduler.TeamUsage(cluster.admission.standing(team), waitingTasks, waiting);
+    return new Scheduler.TeamUsage(cluster.admission.status(team), waitingTasks, waiting);
   }
 
   /** Why tasks of the job are waiting; null if the job is unknown or has no waiting tasks. */
--- a/src/main/java/graderelay/core/ClusterState.java
+++ b/src/main/java/graderelay/core/ClusterState.java
@@ -150,7 +150,7 @@
     claimCountByPriority.add(claim.priority);
     quotas.allocate(claim.job.spec.team(), claim.resources());
     if (claim.phase == Claim.Phase.CLAIMING) {
-      admission.placed(claim.job.spec.team(), claim.job.taskAmount);
+      admission.onClaimPlaced(claim.job.spec.team(), claim.job.taskAmount);
     }
     claim.job.claims.put(claim.task, claim);
     claim.job.openTasks.clear(claim.task);
@@ -163,7 +163,7 @@
   /** Records that the transaction of a claim has committed. */
   void markCommitted(Claim claim) {
     claim.phase = Claim.Phase.COMMITTED;
-    admission.noLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
+    admission.onClaimNoLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
   }
 
   /** Removes a claim from every total; does nothing if it was removed already. */
@@ -182,7 +182,7 @@
     }
     quotas.release(claim.job.spec.team(), claim.resources());
     if (claim.phase == Claim.Phase.CLAIMING) {
-      admission.noLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
+      admission.onClaimNoLongerPlaced(claim.job.spec.team(), claim.job.taskAmount);
     }
     claim.job.claims.remove(claim.task, claim);
     if (claim.zone != null) {
--- a/src/main/java/graderelay/core/CompareAndSwapWriter.java
+++ b/src/main/java/graderelay/core/CompareAndSwapWriter.java
@@ -136,13 +136,13 @@
 
   /** Fences accounts that block a team, and lowers accounts that reserve more than is claimed. */
   private void writeAccounts(double now) {
-    if (!cluster.admission.enabled()) {
+    if (!cluster.admission.isEnabled()) {
       return;
     }
     int maxAccounts = Math.max(1, cluster.policy.txnOps());
-    sendAccounts(cluster.admission.fences(maxAccounts));
+    sendAccounts(cluster.admission.fenceWrites(maxAccounts));
     sendAccounts(
-        cluster.admission.releases(Math.min(maxAccounts, inFlight.remainingChanges()), now));
+        cluster.admission.releaseWrites(Math.min(maxAccounts, inFlight.remainingChanges()), now));
   }
 
   private void sendAccounts(List<AccountChange> accounts) {
@@ -171,7 +171,7 @@
       change.taskBatch().inFlight = true;
     }
     List<AccountChange> accounts = new ArrayList<>();
-    teams.forEach(team -> accounts.add(cluster.admission.claim(team)));
+    teams.forEach(team -> accounts.add(cluster.admission.changeForClaims(team)));
     inFlight.send(
         new Action.Write(inFlight.nextId(), List.copyOf(puts), List.of(), List.of(), accounts),
         claimed,
--- a/src/main/java/graderelay/core/QuotaGate.java
+++ b/src/main/java/graderelay/core/QuotaGate.java
@@ -26,13 +26,13 @@
    */
   void reserveForStarvedJobs(double now) {
     reservedFor.clear();
-    if (!cluster.admission.enabled()) {
+    if (!cluster.admission.isEnabled()) {
       return;
     }
     for (Job job : cluster.jobs.values()) {
       if (job.isWaiting()
           && QueueOrder.isStarved(job, now)
-          && cluster.admission.allows(job.spec.team(), job.taskAmount)) {
+          && cluster.admission.limitAllows(job.spec.team(), job.taskAmount)) {
         reservedFor.merge(job.spec.team(), job, QuotaGate::firstInQueue);
       }
     }
@@ -58,7 +58,7 @@
   /** The wait reason of a job for which {@link #limitAllows} was false. */
   String limitWaitReason(Job job) {
     String team = job.spec.team();
-    if (!cluster.admission.allows(team, job.taskAmount)) {
+    if (!cluster.admission.limitAllows(team, job.taskAmount)) {
       return "a task needs "
           + job.taskAmount
           + ", which the stored limits of team "
@@ -75,7 +75,7 @@
       return false;
     }
     if (refusal.temporary()) {
-      cluster.admission.wantSettled(job.spec.team());
+      cluster.admission.requestSettling(job.spec.team());
     }
     job.waitReason = refusal.reason();
     return true;
--- a/src/main/java/graderelay/core/QuotaUpdates.java
+++ b/src/main/java/graderelay/core/QuotaUpdates.java
@@ -31,13 +31,13 @@
   void onQuota(StoredQuota stored) {
     cluster.roundNeeded = true;
     if (stored == null) {
-      if (cluster.admission.enabled()) {
+      if (cluster.admission.isEnabled()) {
         cluster.admission.disable();
         cluster.policy = cluster.policy.with(settingsTeams);
       }
       return;
     }
-    if (!cluster.admission.enabled()) {
+    if (!cluster.admission.isEnabled()) {
       cluster.admission.enable();
       records.trackAllUsage();
     }
@@ -68,7 +68,7 @@
 
   /** Rewrites a team's account from its committed claims, at an operator's request. */
   void replaceAccount(String team) {
-    cluster.admission.replaceAccount(team);
+    cluster.admission.requestAccountRewrite(team);
     cluster.roundNeeded = true;
   }
 }
--- a/src/main/java/graderelay/core/Resources.java
+++ b/src/main/java/graderelay/core/Resources.java
@@ -36,7 +36,7 @@
 
   /** CPUs and GPUs as an exact amount, in which stored limits are counted. */
   Amount amount() {
-    return Amount.needed(cpus, gpus);
+    return Amount.roundedUp(cpus, gpus);
   }
 
   Resources plus(Resources other) {
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -2,7 +2,7 @@
 
 import graderelay.quota.Amount;
 import graderelay.quota.StoredQuota;
-import graderelay.quota.TeamStanding;
+import graderelay.quota.TeamQuotaStatus;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -374,7 +374,7 @@
    * @param waitingTasks number of the team's tasks that wait for a claim
    * @param waitingAmount resources that those tasks need
    */
-  public record TeamUsage(TeamStanding standing, long waitingTasks, Amount waitingAmount) {}
+  public record TeamUsage(TeamQuotaStatus standing, long waitingTasks, Amount waitingAmount) {}
 
   /** Resources taken by a team's claims; used while stored limits are disabled. */
   public Amount claimedAmount(String team) {
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -61,7 +61,7 @@
     planIfDue(now);
     if (now - lastAccountCheckAt >= ACCOUNT_CHECK_INTERVAL_S) {
       lastAccountCheckAt = now;
-      cluster.admission.check();
+      cluster.admission.checkAccounts();
     }
     if (now - lastRoundAt >= MAX_ROUND_INTERVAL_S) {
       cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -145,7 +145,7 @@
       cluster.removeClaim(claim, now);
     }
     cluster.jobs.remove(job.spec.id());
-    cluster.admission.committed().removeJob(job.spec.id());
+    cluster.admission.committedUse().removeJob(job.spec.id());
     cluster.dependencies.remove(job);
     cluster.cancelledJobs.remove(job);
     cluster.possiblyEndedJobs.remove(job);
@@ -169,11 +169,11 @@
 
   /** Updates the usage of a task batch's committed claims if stored limits are enabled. */
   void trackUsage(Job job, TaskBatchKey key, TaskBatchRecord record, long revision) {
-    if (cluster.admission.enabled()) {
+    if (cluster.admission.isEnabled()) {
       Amount usage = job.taskAmount.times(record.claimedCount());
       cluster
           .admission
-          .committed()
+          .committedUse()
           .put(job.spec.id(), key.index(), job.spec.team(), revision, usage);
     }
   }
@@ -193,7 +193,7 @@
       }
       for (Claim claim : job.claims.values()) {
         if (claim.phase == Claim.Phase.CLAIMING) {
-          cluster.admission.placed(job.spec.team(), job.taskAmount);
+          cluster.admission.onClaimPlaced(job.spec.team(), job.taskAmount);
         }
       }
     }
--- a/src/main/java/graderelay/core/Team.java
+++ b/src/main/java/graderelay/core/Team.java
@@ -24,6 +24,6 @@
   /** The guarantee and limit in the form in which they are stored. */
   public TeamQuota quota() {
     return new TeamQuota(
-        Amount.granted(cpuGuarantee, gpuGuarantee), Amount.granted(cpuLimit, gpuLimit));
+        Amount.roundedDown(cpuGuarantee, gpuGuarantee), Amount.roundedDown(cpuLimit, gpuLimit));
   }
 }
--- a/src/main/java/graderelay/core/TeamQuotas.java
+++ b/src/main/java/graderelay/core/TeamQuotas.java
@@ -38,7 +38,7 @@
   /** True if the team stays within its limit with these additional resources. */
   boolean withinLimit(String team, Resources extra) {
     // Called for each task that is placed, so the stored limits are skipped if there are none.
-    if (cluster.admission.enabled() && !cluster.admission.fits(team, extra.amount())) {
+    if (cluster.admission.isEnabled() && !cluster.admission.fitsLimit(team, extra.amount())) {
       return false;
     }
     Team quota = cluster.policy.team(team);
--- a/src/main/java/graderelay/core/TransactionOutcomeHandler.java
+++ b/src/main/java/graderelay/core/TransactionOutcomeHandler.java
@@ -85,11 +85,11 @@
   private void onAccountsOutcome(
       List<AccountChange> accounts, TransactionOutcome outcome, long revision) {
     if (outcome == TransactionOutcome.COMMITTED) {
-      cluster.admission.committed(accounts, revision);
+      cluster.admission.onCommitted(accounts, revision);
     } else if (outcome == TransactionOutcome.REFUSED) {
-      cluster.admission.refused(accounts);
+      cluster.admission.onRefused(accounts);
     } else {
-      cluster.admission.unanswered(accounts);
+      cluster.admission.onOutcomeUnknown(accounts);
     }
   }
 
--- a/src/main/java/graderelay/core/TransactionPacker.java
+++ b/src/main/java/graderelay/core/TransactionPacker.java
@@ -63,9 +63,9 @@
   /** Adds a change; returns false if a transaction sent before raises the account of its team. */
   boolean add(TaskBatchChange change) {
     String team = change.job().spec.team();
-    boolean addsClaims = admission.enabled() && !change.claimed().isEmpty();
+    boolean addsClaims = admission.isEnabled() && !change.claimed().isEmpty();
     boolean isNewTeam = addsClaims && !teams.contains(team);
-    boolean raisesAccount = isNewTeam && admission.mustRaise(team);
+    boolean raisesAccount = isNewTeam && admission.needsRaise(team);
     if (!changes.isEmpty() && !fits(change, isNewTeam, raisesAccount)) {
       flush();
       isNewTeam = addsClaims;
@@ -76,7 +76,7 @@
     if (isNewTeam) {
       teams.add(team);
     }
-    if (isNewTeam && admission.mustRaise(team)) {
+    if (isNewTeam && admission.needsRaise(team)) {
       teamsToRaise.add(team);
     }
     changes.add(change);
--- a/src/main/java/graderelay/features/ClusterLevel.java
+++ b/src/main/java/graderelay/features/ClusterLevel.java
@@ -23,12 +23,12 @@
   }
 
   /** True if forms of the feature may be stored at this level. */
-  public boolean has(Feature feature) {
+  public boolean includes(Feature feature) {
     return feature.level() <= level;
   }
 
   /** True while a downgrade is under way: what is above the target is read, but not used anew. */
-  public boolean lowering() {
+  public boolean isLowering() {
     return target < level;
   }
 }
--- a/src/main/java/graderelay/features/ClusterStore.java
+++ b/src/main/java/graderelay/features/ClusterStore.java
@@ -16,17 +16,17 @@
     /** A condition failed: somebody has changed a record meanwhile. */
     CONFLICT,
     /** Not carried out, or nobody knows whether it was. */
-    UNANSWERED
+    UNKNOWN
   }
 
   /** True while this controller leads and its copy of the records is complete. */
-  boolean leads();
+  boolean isLeader();
 
   /** What the controllers have published of themselves, by name. */
-  Map<String, Member> published();
+  Map<String, Member> publishedMembers();
 
   /** True if operators have asked to stay at the present level. */
-  boolean held();
+  boolean isLevelHeld();
 
   /**
    * Changes the level by one conditional write, with the election records in the layout of the new
@@ -34,25 +34,26 @@
    *
    * @param on records of members that must not have changed meanwhile
    */
-  void changeLevel(ClusterLevel to, Collection<Member> on, Consumer<Outcome> done);
+  void changeLevel(
+      ClusterLevel newLevel, Collection<Member> expectedMembers, Consumer<Outcome> done);
 
   /** Begins a downgrade, and asks to stay there: from then on nothing above the target is used. */
-  void beginLowering(ClusterLevel to, Consumer<Outcome> done);
+  void beginDowngrade(ClusterLevel newLevel, Consumer<Outcome> done);
 
   /** Asks to stay at the present level, or takes that back. */
-  void hold(boolean on, Consumer<Outcome> done);
+  void setLevelHeld(boolean held, Consumer<Outcome> done);
 
   /**
    * Reads which keys only a feature uses, as they are in the store now; null if it can't be read.
    */
-  void keysOf(Feature feature, Consumer<List<String>> done);
+  void readKeys(Feature feature, Consumer<List<String>> done);
 
   /** Removes some of those keys, as many as one transaction may. */
-  void remove(List<String> keys, Consumer<Outcome> done);
+  void removeKeys(List<String> keys, Consumer<Outcome> done);
 
   /**
    * Writes what a feature needs beside the change of the level, where that did not fit one
    * transaction; calls back with true once nothing is missing.
    */
-  void complete(Feature feature, Consumer<Boolean> done);
+  void completeRecords(Feature feature, Consumer<Boolean> done);
 }
--- a/src/main/java/graderelay/features/Downgrade.java
+++ b/src/main/java/graderelay/features/Downgrade.java
@@ -2,7 +2,7 @@
 
 import graderelay.features.ClusterStore.Outcome;
 import graderelay.features.LevelTransition.Phase;
-import graderelay.features.UpgradeCoordinator.Answer;
+import graderelay.features.UpgradeCoordinator.Result;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -14,7 +14,8 @@
  * new leader goes on where the one before has stopped.
  */
 final class Downgrade {
-  private static final String CHANGED_MEANWHILE = "somebody else has changed the level meanwhile";
+  private static final String CHANGED_CONCURRENTLY =
+      "somebody else has changed the level meanwhile";
 
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
@@ -29,47 +30,47 @@
   }
 
   /** An operator asks to go down to a level. */
-  void request(int target, Consumer<Answer> done) {
+  void request(int target, Consumer<Result> done) {
     ClusterLevel current = gate.current();
-    List<Blocker> blockers = membersAbove(target);
+    List<Blocker> blockers = membersNotSupporting(target);
     if (target < Feature.BASE_LEVEL || target >= current.level()) {
       done.accept(
-          new Answer.Refused(
+          new Result.Refused(
               "level must be from " + Feature.BASE_LEVEL + " to " + (current.level() - 1)));
-    } else if (current.lowering() && target != current.target()) {
-      done.accept(new Answer.Refused("a downgrade to " + current.target() + " is under way"));
+    } else if (current.isLowering() && target != current.target()) {
+      done.accept(new Result.Refused("a downgrade to " + current.target() + " is under way"));
     } else if (!blockers.isEmpty()) {
-      done.accept(new Answer.Refused("level " + target + ": " + Blocker.describe(blockers)));
+      done.accept(new Result.Refused("level " + target + ": " + Blocker.describe(blockers)));
     } else if (transition.isInFlight()) {
-      done.accept(new Answer.Unavailable("another change of the level is under way"));
-    } else if (current.lowering()) {
-      done.accept(new Answer.Accepted("the downgrade to " + target + " is under way"));
+      done.accept(new Result.Unavailable("another change of the level is under way"));
+    } else if (current.isLowering()) {
+      done.accept(new Result.Accepted("the downgrade to " + target + " is under way"));
     } else {
       start(new ClusterLevel(current.level(), target), done);
     }
   }
 
   /** Controllers whose program does not support so low a level any more. */
-  private List<Blocker> membersAbove(int target) {
+  private List<Blocker> membersNotSupporting(int target) {
     List<Blocker> blockers = new ArrayList<>();
-    store.published().values().stream()
+    store.publishedMembers().values().stream()
         .filter(member -> !member.range().supports(target))
         .map(member -> new Blocker(member.name(), "supports feature levels " + member.range()))
         .forEach(blockers::add);
     return blockers;
   }
 
-  private void start(ClusterLevel to, Consumer<Answer> done) {
+  private void start(ClusterLevel newLevel, Consumer<Result> done) {
     transition.enter(Phase.STARTING_DOWNGRADE);
-    store.beginLowering(
-        to,
+    store.beginDowngrade(
+        newLevel,
         outcome -> {
           transition.enter(Phase.STEADY);
           if (outcome == Outcome.DONE) {
-            LOG.info("the cluster's feature level is being lowered to {}", to.target());
+            LOG.info("the cluster's feature level is being lowered to {}", newLevel.target());
           }
-          String onDone = "the downgrade to " + to.target() + " is under way";
-          done.accept(Answer.of(outcome, onDone, CHANGED_MEANWHILE));
+          String onDone = "the downgrade to " + newLevel.target() + " is under way";
+          done.accept(Result.of(outcome, onDone, CHANGED_CONCURRENTLY));
         });
   }
 
@@ -89,7 +90,7 @@
   private List<Feature> featuresAbove(int target) {
     List<Feature> above = new ArrayList<>();
     for (Feature feature : Feature.values()) {
-      if (feature.level() > target && gate.present(feature)) {
+      if (feature.level() > target && gate.mayHaveRecords(feature)) {
         above.add(0, feature);
       }
     }
@@ -100,10 +101,10 @@
   private void removeRecords(List<Feature> features, int index, int target) {
     if (index == features.size()) {
       transition.changeLevel(
-          Phase.LOWERING, ClusterLevel.of(target), List.of(), CHANGED_MEANWHILE, answer -> {});
+          Phase.LOWERING, ClusterLevel.of(target), List.of(), CHANGED_CONCURRENTLY, answer -> {});
       return;
     }
-    store.keysOf(
+    store.readKeys(
         features.get(index),
         keys -> {
           if (keys == null) {
@@ -111,7 +112,7 @@
           } else if (keys.isEmpty()) {
             removeRecords(features, index + 1, target);
           } else {
-            store.remove(keys, outcome -> transition.enter(Phase.STEADY));
+            store.removeKeys(keys, outcome -> transition.enter(Phase.STEADY));
           }
         });
   }
--- a/src/main/java/graderelay/features/Feature.java
+++ b/src/main/java/graderelay/features/Feature.java
@@ -5,7 +5,7 @@
 
 /**
  * New behaviour that starts only once every controller supports it. Each feature begins with a
- * feature level; code asks {@link FeatureGate#enabled} by the feature's name and never compares
+ * feature level; code asks {@link FeatureGate#isEnabled} by the feature's name and never compares
  * levels.
  */
 public enum Feature {
@@ -46,9 +46,9 @@
 
   /** The feature that operators call so. */
   public static Optional<Feature> byExternalName(String name) {
-    for (Feature f : values()) {
-      if (f.externalName().equals(name)) {
-        return Optional.of(f);
+    for (Feature feature : values()) {
+      if (feature.externalName().equals(name)) {
+        return Optional.of(feature);
       }
     }
     return Optional.empty();
--- a/src/main/java/graderelay/features/FeatureGate.java
+++ b/src/main/java/graderelay/features/FeatureGate.java
@@ -6,13 +6,13 @@
  * be, or can't be read, or once this process has left.
  */
 public final class FeatureGate {
-  private static final String NOT_READ = "the cluster's feature level has not been read yet";
+  private static final String LEVEL_NOT_READ = "the cluster's feature level has not been read yet";
 
   private final FeatureRange supported;
   private ClusterLevel current = ClusterLevel.BASE;
-  private boolean known;
-  private String shutBecause;
-  private String leftBecause;
+  private boolean levelKnown;
+  private String closedReason;
+  private String shutdownReason;
   private boolean wasOpen;
 
   /** A gate before the cluster's level is known: neither open nor shut. */
@@ -33,12 +33,12 @@
   /** Takes the level that is stored. */
   public void onLevel(ClusterLevel level) {
     current = level;
-    known = true;
+    levelKnown = true;
     if (supported.supports(level.level())) {
-      shutBecause = null;
+      closedReason = null;
       wasOpen = true;
     } else {
-      shutBecause =
+      closedReason =
           "the cluster's feature level is "
               + level.level()
               + ", and this program supports "
@@ -47,19 +47,19 @@
   }
 
   /** The stored record is no level: nothing may be assumed. */
-  public void onMalformed(String why) {
-    known = true;
-    shutBecause = "the record of the cluster's feature level is malformed: " + why;
+  public void onMalformed(String reason) {
+    levelKnown = true;
+    closedReason = "the record of the cluster's feature level is malformed: " + reason;
   }
 
   /** This process leaves for good. */
-  public void leave(String why) {
-    leftBecause = why;
+  public void closePermanently(String reason) {
+    shutdownReason = reason;
   }
 
   /** True if this program may act in the cluster. */
   public boolean isOpen() {
-    return known && !isShut();
+    return levelKnown && !isClosed();
   }
 
   /**
@@ -67,33 +67,33 @@
    * neither open nor shut: what needs no level, like renewing leases with the pledges of all peers,
    * may be done.
    */
-  public boolean isShut() {
-    return shutBecause != null || leftBecause != null;
+  public boolean isClosed() {
+    return closedReason != null || shutdownReason != null;
   }
 
   /** Why this program may not act, or null if it may. */
-  public String closedBecause() {
-    if (leftBecause != null) {
-      return leftBecause;
+  public String notOpenReason() {
+    if (shutdownReason != null) {
+      return shutdownReason;
     }
-    return known ? shutBecause : NOT_READ;
+    return levelKnown ? closedReason : LEVEL_NOT_READ;
   }
 
   /**
    * True if the cluster was switched to a level that this program does not support while it ran, as
    * happens to a process that was suspended meanwhile.
    */
-  public boolean overtaken() {
+  public boolean isOutdated() {
     return wasOpen && !supported.supports(current.level());
   }
 
   /** True if the feature may be used: new forms may be written. */
-  public boolean enabled(Feature feature) {
+  public boolean isEnabled(Feature feature) {
     return isOpen() && feature.level() <= current.target();
   }
 
   /** True if forms of the feature may be stored, also while they are being removed. */
-  public boolean present(Feature feature) {
-    return current.has(feature);
+  public boolean mayHaveRecords(Feature feature) {
+    return current.includes(feature);
   }
 }
--- a/src/main/java/graderelay/features/Finalization.java
+++ b/src/main/java/graderelay/features/Finalization.java
@@ -16,12 +16,13 @@
 
   /** The highest level that all configured controllers have published support for. */
   static int commonLevel(Collection<String> configured, Map<String, Member> published) {
-    int common = Feature.LATEST_LEVEL;
+    int commonLevel = Feature.LATEST_LEVEL;
     for (String name : configured) {
       Member member = published.get(name);
-      common = Math.min(common, member == null ? Feature.BASE_LEVEL : member.range().max());
+      commonLevel =
+          Math.min(commonLevel, member == null ? Feature.BASE_LEVEL : member.range().max());
     }
-    return common;
+    return commonLevel;
   }
 
   /**
@@ -43,7 +44,7 @@
       String reason =
           member == null
               ? "has published no feature levels: it is of a version before them"
-              : reason(level, member, liveness, soakS, now);
+              : blockingReason(level, member, liveness, soakS, now);
       if (reason != null) {
         blockers.add(new Blocker(name, reason));
       }
@@ -52,19 +53,19 @@
   }
 
   /** Why a member keeps the cluster from a level, or null if it does not. */
-  private static String reason(
+  private static String blockingReason(
       int level, Member member, MemberLiveness liveness, double soakS, double now) {
     if (!member.range().supports(level)) {
       return "supports feature levels " + member.range();
     }
-    double steadyS = liveness.steadyS(member.name(), member.incarnation(), now);
-    if (Double.isNaN(steadyS)) {
-      return liveness.hears(member.name(), now)
+    double uptimeS = liveness.uninterruptedUptimeS(member.name(), member.incarnation(), now);
+    if (Double.isNaN(uptimeS)) {
+      return liveness.isResponding(member.name(), now)
           ? "was restarted and has not published its feature levels since"
           : "gives no answer";
     }
-    return steadyS >= soakS
+    return uptimeS >= soakS
         ? null
-        : String.format(Locale.ROOT, "has been up for %.0f of %.0f s", Math.floor(steadyS), soakS);
+        : String.format(Locale.ROOT, "has been up for %.0f of %.0f s", Math.floor(uptimeS), soakS);
   }
 }
--- a/src/main/java/graderelay/features/LevelTransition.java
+++ b/src/main/java/graderelay/features/LevelTransition.java
@@ -1,7 +1,7 @@
 package graderelay.features;
 
 import graderelay.features.ClusterStore.Outcome;
-import graderelay.features.UpgradeCoordinator.Answer;
+import graderelay.features.UpgradeCoordinator.Result;
 import java.util.Collection;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -57,23 +57,24 @@
    * @param onConflict the answer if a condition fails
    */
   void changeLevel(
-      Phase during,
-      ClusterLevel to,
-      Collection<Member> on,
+      Phase transitionPhase,
+      ClusterLevel newLevel,
+      Collection<Member> expectedMembers,
       String onConflict,
-      Consumer<Answer> done) {
-    enter(during);
-    int from = gate.current().level();
+      Consumer<Result> done) {
+    enter(transitionPhase);
+    int previousLevel = gate.current().level();
     store.changeLevel(
-        to,
-        on,
+        newLevel,
+        expectedMembers,
         outcome -> {
           enter(Phase.STEADY);
           if (outcome == Outcome.DONE) {
-            LOG.info("the cluster's feature level goes from {} to {}", from, to.level());
+            LOG.info(
+                "the cluster's feature level goes from {} to {}", previousLevel, newLevel.level());
           }
-          String onDone = "the cluster's feature level is " + to.level();
-          done.accept(Answer.of(outcome, onDone, onConflict));
+          String onDone = "the cluster's feature level is " + newLevel.level();
+          done.accept(Result.of(outcome, onDone, onConflict));
         });
   }
 }
--- a/src/main/java/graderelay/features/Member.java
+++ b/src/main/java/graderelay/features/Member.java
@@ -7,7 +7,7 @@
  * @param version the program's version, for people
  * @param range the feature levels that it supports
  * @param incarnation tells the process that published it from earlier and later ones
- * @param beganMs the time of day at which that process began, in milliseconds since the epoch
+ * @param startedAtMs the time of day at which that process began, in milliseconds since the epoch
  * @param revision the version of the record, the condition of a finalization
  */
 public record Member(
@@ -15,5 +15,5 @@
     String version,
     FeatureRange range,
     String incarnation,
-    long beganMs,
+    long startedAtMs,
     long revision) {}
--- a/src/main/java/graderelay/features/MemberLiveness.java
+++ b/src/main/java/graderelay/features/MemberLiveness.java
@@ -10,50 +10,51 @@
  */
 final class MemberLiveness {
   /** The process that answered last, and the seconds of the first and last answer it gave. */
-  private record Heard(String incarnation, double since, double last) {}
+  private record ResponseHistory(
+      String incarnation, double firstProbeSentAt, double lastProbeSentAt) {}
 
-  private final double mostSilentS;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final double maxSilenceS;
+  private final Map<String, ResponseHistory> histories = new HashMap<>();
 
   /**
    * Knows nobody yet.
    *
    * @param mostSilentS seconds without an answer after which a controller counts as not heard
    */
-  MemberLiveness(double mostSilentS) {
-    this.mostSilentS = mostSilentS;
+  MemberLiveness(double maxSilenceS) {
+    this.maxSilenceS = maxSilenceS;
   }
 
   /** A controller has answered a question that was sent at {@code sentAt}. */
-  void heard(String member, String incarnation, double sentAt) {
-    Heard before = heard.get(member);
-    boolean goesOn =
-        before != null
-            && before.incarnation().equals(incarnation)
-            && sentAt - before.last() <= mostSilentS;
-    double since = goesOn ? before.since() : sentAt;
-    double last = goesOn ? Math.max(before.last(), sentAt) : sentAt;
-    heard.put(member, new Heard(incarnation, since, last));
+  void onResponse(String member, String incarnation, double sentAt) {
+    ResponseHistory history = histories.get(member);
+    boolean uninterrupted =
+        history != null
+            && history.incarnation().equals(incarnation)
+            && sentAt - history.lastProbeSentAt() <= maxSilenceS;
+    double firstProbeSentAt = uninterrupted ? history.firstProbeSentAt() : sentAt;
+    double lastProbeSentAt = uninterrupted ? Math.max(history.lastProbeSentAt(), sentAt) : sentAt;
+    histories.put(member, new ResponseHistory(incarnation, firstProbeSentAt, lastProbeSentAt));
   }
 
   /** Seconds for which that process has been heard, or NaN if it is not heard now. */
-  double steadyS(String member, String incarnation, double now) {
-    Heard latest = heard.get(member);
-    boolean here =
-        latest != null
-            && latest.incarnation().equals(incarnation)
-            && now - latest.last() <= mostSilentS;
-    return here ? now - latest.since() : Double.NaN;
+  double uninterruptedUptimeS(String member, String incarnation, double now) {
+    ResponseHistory history = histories.get(member);
+    boolean responding =
+        history != null
+            && history.incarnation().equals(incarnation)
+            && now - history.lastProbeSentAt() <= maxSilenceS;
+    return responding ? now - history.firstProbeSentAt() : Double.NaN;
   }
 
   /** True if a process of the controller is heard, though perhaps another one. */
-  boolean hears(String member, double now) {
-    Heard latest = heard.get(member);
-    return latest != null && now - latest.last() <= mostSilentS;
+  boolean isResponding(String member, double now) {
+    ResponseHistory history = histories.get(member);
+    return history != null && now - history.lastProbeSentAt() <= maxSilenceS;
   }
 
   /** Forgets every answer. */
   void clear() {
-    heard.clear();
+    histories.clear();
   }
 }
--- a/src/main/java/graderelay/features/MemberProbe.java
+++ b/src/main/java/graderelay/features/MemberProbe.java
@@ -5,5 +5,5 @@
 /** Asks another controller which process it is. */
 public interface MemberProbe {
   /** Calls back with the answering process's incarnation, or with null if there is no answer. */
-  void incarnation(String member, Consumer<String> done);
+  void fetchIncarnation(String member, Consumer<String> done);
 }
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -16,25 +16,25 @@
  */
 public final class UpgradeCoordinator {
   /** Seconds without an answer after which a controller's soak time begins anew. */
-  private static final double MEMBER_SILENT_S = 3.2;
+  private static final double MAX_MEMBER_SILENCE_S = 3.2;
 
   /** What an operator is told. */
-  public sealed interface Answer {
+  public sealed interface Result {
     /** Done, or under way if it takes several steps. */
-    record Accepted(String message) implements Answer {}
+    record Accepted(String message) implements Result {}
 
     /** It can't be done as things are; the message names the field or the controller. */
-    record Refused(String message) implements Answer {}
+    record Refused(String message) implements Result {}
 
     /** It may be asked again later. */
-    record Unavailable(String message) implements Answer {}
+    record Unavailable(String message) implements Result {}
 
     /** The answer to a request that ended in a write to the store. */
-    static Answer of(ClusterStore.Outcome outcome, String onDone, String onConflict) {
+    static Result of(ClusterStore.Outcome outcome, String onDone, String onConflict) {
       return switch (outcome) {
         case DONE -> new Accepted(onDone);
         case CONFLICT -> new Refused(onConflict);
-        case UNANSWERED -> new Unavailable("the state service gave no answer");
+        case UNKNOWN -> new Unavailable("the state service gave no answer");
       };
     }
   }
@@ -52,9 +52,9 @@
   private final Downgrade downgrade;
 
   /** Features whose records are known to be complete, in this time of leadership. */
-  private final Set<Feature> completed = new HashSet<>();
+  private final Set<Feature> completedFeatures = new HashSet<>();
 
-  private boolean leading;
+  private boolean wasLeader;
 
   /**
    * Makes the coordinator.
@@ -81,7 +81,7 @@
     this.selfIncarnation = selfIncarnation;
     this.peers = List.copyOf(peers);
     this.clock = clock;
-    this.liveness = new MemberLiveness(MEMBER_SILENT_S);
+    this.liveness = new MemberLiveness(MAX_MEMBER_SILENCE_S);
     this.transition = new LevelTransition(gate, store);
     this.downgrade = new Downgrade(gate, store, transition);
   }
@@ -90,19 +90,19 @@
 
   /** Takes the next step of a change of the level, if one is due; to be called once a second. */
   public void tick() {
-    if (!store.leads() || !gate.isOpen()) {
-      leading = false;
+    if (!store.isLeader() || !gate.isOpen()) {
+      wasLeader = false;
       return;
     }
-    if (!leading) {
-      leading = true;
+    if (!wasLeader) {
+      wasLeader = true;
       liveness.clear(); // Members may have been restarted unseen since an earlier term.
-      completed.clear();
+      completedFeatures.clear();
     }
     if (transition.isInFlight()) {
       return;
     }
-    if (gate.current().lowering()) {
+    if (gate.current().isLowering()) {
       downgrade.advance();
     } else {
       completeFeatures();
@@ -113,12 +113,12 @@
   /** Writes the records of enabled features that did not fit the raising transaction. */
   private void completeFeatures() {
     for (Feature feature : Feature.values()) {
-      if (gate.enabled(feature) && !completed.contains(feature)) {
-        store.complete(
+      if (gate.isEnabled(feature) && !completedFeatures.contains(feature)) {
+        store.completeRecords(
             feature,
             complete -> {
               if (complete) {
-                completed.add(feature);
+                completedFeatures.add(feature);
               }
             });
       }
@@ -126,26 +126,26 @@
   }
 
   private void raiseIfDue() {
-    int common = commonLevel();
-    if (common <= gate.current().level()) {
+    int commonLevel = commonLevel();
+    if (commonLevel <= gate.current().level()) {
       return;
     }
     probeMembers();
-    if (policy.automatic() && !store.held() && blockers(common).isEmpty()) {
-      raise(common, answer -> {});
+    if (policy.automatic() && !store.isLevelHeld() && blockers(commonLevel).isEmpty()) {
+      raise(commonLevel, answer -> {});
     }
   }
 
   /** Asks every controller which process it is. */
   private void probeMembers() {
     double sentAt = clock.getAsDouble();
-    liveness.heard(self, selfIncarnation, sentAt);
+    liveness.onResponse(self, selfIncarnation, sentAt);
     for (String peer : peers) {
-      probe.incarnation(
+      probe.fetchIncarnation(
           peer,
           incarnation -> {
             if (incarnation != null) {
-              liveness.heard(peer, incarnation, sentAt);
+              liveness.onResponse(peer, incarnation, sentAt);
             }
           });
     }
@@ -155,63 +155,68 @@
 
   /** The level that all configured controllers have published support for. */
   public int commonLevel() {
-    return Finalization.commonLevel(configured(), store.published());
+    return Finalization.commonLevel(configuredMembers(), store.publishedMembers());
   }
 
   /** The controllers that keep the cluster from a level, as far as this leader has probed them. */
   public List<Blocker> blockers(int level) {
     return Finalization.blockers(
-        level, configured(), store.published(), liveness, policy.soakS(), clock.getAsDouble());
+        level,
+        configuredMembers(),
+        store.publishedMembers(),
+        liveness,
+        policy.soakS(),
+        clock.getAsDouble());
   }
 
-  private List<String> configured() {
-    List<String> all = new ArrayList<>(peers);
-    all.add(self);
-    return all;
+  private List<String> configuredMembers() {
+    List<String> names = new ArrayList<>(peers);
+    names.add(self);
+    return names;
   }
 
   // ---------------------------------------------------------------- operators' requests
 
   /** An operator asks to go to a higher level. */
-  public void finalizeLevel(int level, Consumer<Answer> done) {
+  public void finalizeLevel(int level, Consumer<Result> done) {
     int current = gate.current().level();
-    if (gate.current().lowering()) {
-      done.accept(new Answer.Refused("a downgrade is under way"));
+    if (gate.current().isLowering()) {
+      done.accept(new Result.Refused("a downgrade is under way"));
     } else if (level == current) {
-      done.accept(new Answer.Accepted("the cluster's feature level is " + current));
+      done.accept(new Result.Accepted("the cluster's feature level is " + current));
     } else if (level < current) {
       done.accept(
-          new Answer.Refused("level " + level + " is below " + current + "; that is a downgrade"));
+          new Result.Refused("level " + level + " is below " + current + "; that is a downgrade"));
     } else if (!blockers(level).isEmpty()) {
-      done.accept(new Answer.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
+      done.accept(new Result.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
     } else if (transition.isInFlight()) {
-      done.accept(new Answer.Unavailable("another change of the level is under way"));
+      done.accept(new Result.Unavailable("another change of the level is under way"));
     } else {
       raise(level, done);
     }
   }
 
-  private void raise(int level, Consumer<Answer> done) {
-    Map<String, Member> published = store.published();
-    List<Member> on = new ArrayList<>();
-    configured().forEach(name -> on.add(published.get(name)));
+  private void raise(int level, Consumer<Result> done) {
+    Map<String, Member> published = store.publishedMembers();
+    List<Member> expectedMembers = new ArrayList<>();
+    configuredMembers().forEach(name -> expectedMembers.add(published.get(name)));
     transition.changeLevel(
         LevelTransition.Phase.RAISING,
         ClusterLevel.of(level),
-        on,
+        expectedMembers,
         "a controller has published other feature levels meanwhile",
         done);
   }
 
   /** An operator asks to stay at the present level, or to go on. */
-  public void hold(boolean on, Consumer<Answer> done) {
-    String onDone = on ? "the present level is held" : "the hold is taken back";
+  public void hold(boolean held, Consumer<Result> done) {
+    String onDone = held ? "the present level is held" : "the hold is taken back";
     String onConflict = "somebody else has changed the hold meanwhile";
-    store.hold(on, outcome -> done.accept(Answer.of(outcome, onDone, onConflict)));
+    store.setLevelHeld(held, outcome -> done.accept(Result.of(outcome, onDone, onConflict)));
   }
 
   /** An operator asks to go down to a level. */
-  public void downgrade(int level, Consumer<Answer> done) {
+  public void downgrade(int level, Consumer<Result> done) {
     downgrade.request(level, done);
   }
 }
--- a/src/main/java/graderelay/quota/AccountDiscrepancy.java
+++ b/src/main/java/graderelay/quota/AccountDiscrepancy.java
@@ -4,25 +4,25 @@
  * An account that does not agree with its team's claims, limit or last known record. It is logged
  * and counted, and never mended silently.
  *
- * @param found what the account says
- * @param claims what the committed claims of the team use
+ * @param reserved what the account says
+ * @param used what the committed claims of the team use
  */
-public record AccountDiscrepancy(String team, Kind kind, Amount found, Amount claims) {
+public record AccountDiscrepancy(String team, Kind kind, Amount reserved, Amount used) {
   /** What is wrong. */
   public enum Kind {
     /** The account says less than the committed claims take. */
-    BELOW_CLAIMS("says less than its committed claims take"),
+    BELOW_COMMITTED_CLAIMS("says less than its committed claims take"),
     /** Somebody other than this leader has changed the account. */
-    CHANGED_BY_OTHERS("was changed by somebody else"),
+    CHANGED_EXTERNALLY("was changed by somebody else"),
     /** The record can't be read. */
     MALFORMED("can't be read"),
     /** The claims take more than the limit, as happens after the limit was lowered. */
     ABOVE_LIMIT("is above the team's limit");
 
-    private final String text;
+    private final String description;
 
-    Kind(String text) {
-      this.text = text;
+    Kind(String description) {
+      this.description = description;
     }
   }
 
@@ -31,10 +31,10 @@
     return "the account of team "
         + team
         + " "
-        + kind.text
+        + kind.description
         + ": it says "
-        + found
+        + reserved
         + ", the claims take "
-        + claims;
+        + used;
   }
 }
--- a/src/main/java/graderelay/quota/AccountWriter.java
+++ b/src/main/java/graderelay/quota/AccountWriter.java
@@ -9,12 +9,12 @@
  */
 final class AccountWriter {
   /** An account may reserve so many times what is admitted before it is lowered. */
-  private static final int EXCESSIVE_RATIO = 2;
+  private static final int MAX_RESERVED_TO_ADMITTED_RATIO = 2;
 
   private final String name;
   private final double releaseAfterS;
   private final TeamAccounts accounts;
-  private long nextWrite = 1;
+  private long nextWriteNumber = 1;
 
   /**
    * Makes the writer of one leader term.
@@ -29,14 +29,14 @@
   }
 
   /** True if the account has to be raised for what has been placed. */
-  boolean mustRaise(String team) {
+  boolean needsRaise(String team) {
     return !accounts.account(team).stored().use().covers(accounts.admitted(team));
   }
 
   /** The condition or write of the team's account in a transaction with claims of the team. */
-  AccountChange claim(String team) {
+  AccountChange changeForClaims(String team) {
     long limitsRevision = accounts.limits(team).revision();
-    if (mustRaise(team)) {
+    if (needsRaise(team)) {
       return write(team, reservation(team), limitsRevision);
     }
     long accountRevision = accounts.account(team).stored().revision();
@@ -54,16 +54,16 @@
   }
 
   private static long reservation(long admitted, long limit) {
-    long wanted = admitted + admitted / 2;
-    return limit == 0 ? wanted : Math.max(admitted, Math.min(limit, wanted));
+    long withHeadroom = admitted + admitted / 2;
+    return limit == 0 ? withHeadroom : Math.max(admitted, Math.min(limit, withHeadroom));
   }
 
   /** Fences of accounts that something waits for, at most so many. */
-  List<AccountChange> fences(int most) {
+  List<AccountChange> fenceWrites(int maxCount) {
     List<AccountChange> changes = new ArrayList<>();
     accounts.forEach(
         (team, account) -> {
-          if (changes.size() < most && account.needsFence() && accounts.limits(team) != null) {
+          if (changes.size() < maxCount && account.needsFence() && accounts.limits(team) != null) {
             changes.add(fence(team));
           }
         });
@@ -75,12 +75,12 @@
    * account below the known claims is reported: something went wrong before.
    */
   private AccountChange fence(String team) {
-    Account found = accounts.account(team).stored();
-    boolean exists = found.revision() > 0 && found.isReadable();
-    if (exists && !found.use().covers(accounts.committed().of(team))) {
-      accounts.report(team, AccountDiscrepancy.Kind.BELOW_CLAIMS, found.use());
+    Account stored = accounts.account(team).stored();
+    boolean exists = stored.revision() > 0 && stored.isReadable();
+    if (exists && !stored.use().covers(accounts.committedUse().of(team))) {
+      accounts.report(team, AccountDiscrepancy.Kind.BELOW_COMMITTED_CLAIMS, stored.use());
     }
-    return write(team, found.use().orMore(reservation(team)), AccountChange.ANY_LIMITS);
+    return write(team, stored.use().max(reservation(team)), AccountChange.ANY_LIMITS_REVISION);
   }
 
   /**
@@ -88,15 +88,15 @@
    *
    * @param now seconds on the loop's clock
    */
-  List<AccountChange> releases(int most, double now) {
+  List<AccountChange> releaseWrites(int maxCount, double now) {
     List<AccountChange> changes = new ArrayList<>();
     accounts.forEach(
         (team, account) -> {
-          boolean due = account.releaseIsDue(isExcessive(team), releaseAfterS, now);
+          boolean due = account.isReleaseDue(isExcessive(team), releaseAfterS, now);
           if (due && !account.isSettled()) {
             account.requestSettling();
-          } else if (due && changes.size() < most) {
-            changes.add(write(team, reservation(team), AccountChange.ANY_LIMITS));
+          } else if (due && changes.size() < maxCount) {
+            changes.add(write(team, reservation(team), AccountChange.ANY_LIMITS_REVISION));
           }
         });
     return changes;
@@ -107,15 +107,15 @@
     Amount reserved = accounts.account(team).stored().use();
     Amount admitted = accounts.admitted(team);
     boolean aboveLimit = !accounts.limitAllows(team, reserved) && !admitted.covers(reserved);
-    return aboveLimit || !admitted.times(EXCESSIVE_RATIO).covers(reserved);
+    return aboveLimit || !admitted.times(MAX_RESERVED_TO_ADMITTED_RATIO).covers(reserved);
   }
 
-  private AccountChange write(String team, Amount use, long onLimits) {
+  private AccountChange write(String team, Amount use, long expectedLimitsRevision) {
     TeamAccount account = accounts.account(team);
-    String writer = name + "-" + nextWrite++;
+    String writeId = name + "-" + nextWriteNumber++;
     AccountChange change =
-        new AccountChange(team, account.stored().revision(), use, writer, onLimits);
-    account.sent(change);
+        new AccountChange(team, account.stored().revision(), use, writeId, expectedLimitsRevision);
+    account.onSent(change);
     return change;
   }
 }
--- a/src/main/java/graderelay/quota/AdmissionControl.java
+++ b/src/main/java/graderelay/quota/AdmissionControl.java
@@ -13,11 +13,11 @@
  * version, and every claim since is its own.
  */
 public final class AdmissionControl {
-  private static final String NOT_STORED = "no limits are stored for team ";
+  private static final String NOT_STORED_PREFIX = "no limits are stored for team ";
 
   private final TeamAccounts accounts = new TeamAccounts();
   private final AccountWriter writer;
-  private boolean enabled;
+  private boolean isEnabled;
 
   /**
    * Makes the control, which is off.
@@ -30,19 +30,19 @@
   }
 
   /** True while the stored limits count. */
-  public boolean enabled() {
-    return enabled;
+  public boolean isEnabled() {
+    return isEnabled;
   }
 
   /** Stored limits do not count any more. */
   public void disable() {
-    enabled = false;
+    isEnabled = false;
     accounts.clear();
   }
 
   /** From now on the stored limits count; every account has to be settled first. */
   public void enable() {
-    enabled = true;
+    isEnabled = true;
   }
 
   /**
@@ -62,31 +62,33 @@
 
   /** Why nothing of the team may be claimed now, or null if something may. */
   public AdmissionRefusal refusal(String team) {
-    if (!enabled) {
+    if (!isEnabled) {
       return null;
     }
-    AdmissionRefusal ofLimits = refusalByLimits(team);
-    return ofLimits == null ? refusalByAccount(team) : ofLimits;
+    AdmissionRefusal limitsRefusal = refusalDueToLimits(team);
+    return limitsRefusal == null ? refusalDueToAccount(team) : limitsRefusal;
   }
 
-  private AdmissionRefusal refusalByLimits(String team) {
+  private AdmissionRefusal refusalDueToLimits(String team) {
     LimitRecord record = accounts.limits(team);
     if (record == null) {
-      boolean seeded = accounts.areSeeded();
-      return new AdmissionRefusal(seeded ? NOT_STORED + team : "limits are being stored", !seeded);
+      boolean seeded = accounts.isSeeded();
+      return new AdmissionRefusal(
+          seeded ? NOT_STORED_PREFIX + team : "limits are being stored", !seeded);
     }
     if (!record.isReadable()) {
-      String why = "the stored limits of team " + team + " are malformed: " + record.malformed();
-      return new AdmissionRefusal(why, false);
+      String reason = "the stored limits of team " + team + " are malformed: " + record.malformed();
+      return new AdmissionRefusal(reason, false);
     }
     return null;
   }
 
-  private AdmissionRefusal refusalByAccount(String team) {
+  private AdmissionRefusal refusalDueToAccount(String team) {
     TeamAccount account = accounts.account(team);
     if (account.isMalformed()) {
-      String why = account.stored().malformed();
-      return new AdmissionRefusal("the account of team " + team + " is malformed: " + why, false);
+      String reason = account.stored().malformed();
+      return new AdmissionRefusal(
+          "the account of team " + team + " is malformed: " + reason, false);
     }
     if (account.isWriteInFlight()) {
       return new AdmissionRefusal("its team's account is being changed", true);
@@ -98,7 +100,7 @@
   }
 
   /** Something of the team waits for its account to be settled. */
-  public void wantSettled(String team) {
+  public void requestSettling(String team) {
     accounts.account(team).requestSettling();
   }
 
@@ -115,44 +117,44 @@
   }
 
   /** True if the team stays within its stored limit with so much more. */
-  public boolean fits(String team, Amount extra) {
-    return !enabled || accounts.limitAllows(team, accounts.admitted(team).plus(extra));
+  public boolean fitsLimit(String team, Amount extra) {
+    return !isEnabled || accounts.limitAllows(team, accounts.admitted(team).plus(extra));
   }
 
   /** True if the team's stored limit allows so much when nothing else of it runs. */
-  public boolean allows(String team, Amount use) {
-    return !enabled || accounts.limitAllows(team, use);
+  public boolean limitAllows(String team, Amount use) {
+    return !isEnabled || accounts.limitAllows(team, use);
   }
 
   /** A claim was placed that has not committed. */
-  public void placed(String team, Amount amount) {
-    if (enabled) {
-      accounts.account(team).place(amount);
+  public void onClaimPlaced(String team, Amount amount) {
+    if (isEnabled) {
+      accounts.account(team).addPlaced(amount);
     }
   }
 
   /** A placed claim has committed, or was given up. */
-  public void noLongerPlaced(String team, Amount amount) {
-    if (enabled) {
-      accounts.account(team).place(Amount.NONE.minus(amount));
+  public void onClaimNoLongerPlaced(String team, Amount amount) {
+    if (isEnabled) {
+      accounts.account(team).addPlaced(Amount.NONE.minus(amount));
     }
   }
 
   // ---------------------------------------------------------------- changes of accounts
 
   /** True if the account has to be raised for what has been placed. */
-  public boolean mustRaise(String team) {
-    return writer.mustRaise(team);
+  public boolean needsRaise(String team) {
+    return writer.needsRaise(team);
   }
 
   /** The condition or write of the team's account in a transaction with claims of the team. */
-  public AccountChange claim(String team) {
-    return writer.claim(team);
+  public AccountChange changeForClaims(String team) {
+    return writer.changeForClaims(team);
   }
 
   /** Fences of accounts that something waits for, at most so many. */
-  public List<AccountChange> fences(int most) {
-    return writer.fences(most);
+  public List<AccountChange> fenceWrites(int maxCount) {
+    return writer.fenceWrites(maxCount);
   }
 
   /**
@@ -160,46 +162,46 @@
    *
    * @param now seconds on the loop's clock
    */
-  public List<AccountChange> releases(int most, double now) {
-    return writer.releases(most, now);
+  public List<AccountChange> releaseWrites(int maxCount, double now) {
+    return writer.releaseWrites(maxCount, now);
   }
 
   /**
    * The changes have committed together. The caller has passed on the task batches of the same
    * transaction before.
    */
-  public void committed(List<AccountChange> changes, long revision) {
-    if (enabled) {
+  public void onCommitted(List<AccountChange> changes, long revision) {
+    if (isEnabled) {
       changes.stream()
           .filter(AccountChange::writes)
-          .forEach(change -> accounts.committed(change, revision));
+          .forEach(change -> accounts.onCommitted(change, revision));
     }
   }
 
   /** What the teams' committed claims use; kept up to date while this is enabled. */
-  public CommittedUse committed() {
-    return accounts.committed();
+  public CommittedUse committedUse() {
+    return accounts.committedUse();
   }
 
   /** The changes were refused; the records read since say why. */
-  public void refused(List<AccountChange> changes) {
-    if (enabled) {
+  public void onRefused(List<AccountChange> changes) {
+    if (isEnabled) {
       changes.stream()
           .filter(AccountChange::writes)
-          .forEach(change -> accounts.account(change.team()).refused(change));
+          .forEach(change -> accounts.account(change.team()).onRefused(change));
     }
   }
 
   /** It is unknown whether the changes were carried out, or will be. */
-  public void unanswered(List<AccountChange> changes) {
-    if (enabled) {
-      changes.forEach(change -> accounts.account(change.team()).unanswered(change));
+  public void onOutcomeUnknown(List<AccountChange> changes) {
+    if (isEnabled) {
+      changes.forEach(change -> accounts.account(change.team()).onOutcomeUnknown(change));
     }
   }
 
   /** An operator wants the account written anew, though it can't be read. */
-  public void replaceAccount(String team) {
-    accounts.account(team).replace();
+  public void requestAccountRewrite(String team) {
+    accounts.account(team).requestRewrite();
   }
 
   // ---------------------------------------------------------------- invariant and status
@@ -208,19 +210,19 @@
    * Compares the accounts with the committed claims. An account may lag above the claims by what
    * has ended, never below; claims may be above a limit that was lowered.
    */
-  public void check() {
-    if (enabled) {
-      accounts.check();
+  public void checkAccounts() {
+    if (isEnabled) {
+      accounts.checkAll();
     }
   }
 
   /** The state of a team's account, for operators. */
-  public TeamStanding standing(String team) {
+  public TeamQuotaStatus status(String team) {
     TeamAccount account = accounts.account(team);
     AdmissionRefusal refusal = refusal(team);
-    return new TeamStanding(
+    return new TeamQuotaStatus(
         account.stored().use(),
-        accounts.committed().of(team),
+        accounts.committedUse().of(team),
         account.isSettled(),
         refusal == null || refusal.temporary() ? null : refusal.reason());
   }
--- a/src/main/java/graderelay/quota/Amount.java
+++ b/src/main/java/graderelay/quota/Amount.java
@@ -12,48 +12,48 @@
  */
 public record Amount(long cpuMillis, long gpuMillis) {
   /** Thousandths of one unit. */
-  public static final long MILLIS = 1000;
+  public static final long MILLIS_PER_UNIT = 1000;
 
   /** Nothing; as a limit, none. */
   public static final Amount NONE = new Amount(0, 0);
 
   /** Decimal amounts come as binary floating point; this part of a thousandth is rounding. */
-  private static final double ROUNDING = 1e-6;
+  private static final double ROUNDING_TOLERANCE_MILLIS = 1e-6;
 
   /** What a task needs, rounded up: it never counts as less than it takes. */
-  public static Amount needed(double cpus, double gpus) {
-    return new Amount(up(cpus), up(gpus));
+  public static Amount roundedUp(double cpus, double gpus) {
+    return new Amount(toMillisRoundedUp(cpus), toMillisRoundedUp(gpus));
   }
 
   /** A limit or guarantee, rounded down: it never counts as more than was given. */
-  public static Amount granted(double cpus, double gpus) {
-    return new Amount(down(cpus), down(gpus));
+  public static Amount roundedDown(double cpus, double gpus) {
+    return new Amount(toMillisRoundedDown(cpus), toMillisRoundedDown(gpus));
   }
 
-  private static long up(double units) {
-    return (long) Math.ceil(units * MILLIS - ROUNDING);
+  private static long toMillisRoundedUp(double units) {
+    return (long) Math.ceil(units * MILLIS_PER_UNIT - ROUNDING_TOLERANCE_MILLIS);
   }
 
-  private static long down(double units) {
-    return (long) Math.floor(units * MILLIS + ROUNDING);
+  private static long toMillisRoundedDown(double units) {
+    return (long) Math.floor(units * MILLIS_PER_UNIT + ROUNDING_TOLERANCE_MILLIS);
   }
 
   /** Thousandths of a decimal number that is known to have no further digits. */
-  public static long millis(BigDecimal units) {
+  public static long toMillisExact(BigDecimal units) {
     return units
-        .multiply(BigDecimal.valueOf(MILLIS))
+        .multiply(BigDecimal.valueOf(MILLIS_PER_UNIT))
         .setScale(0, RoundingMode.UNNECESSARY)
         .longValue();
   }
 
   /** CPUs, as people write them. */
   public double cpus() {
-    return cpuMillis / (double) MILLIS;
+    return cpuMillis / (double) MILLIS_PER_UNIT;
   }
 
   /** GPUs, as people write them. */
   public double gpus() {
-    return gpuMillis / (double) MILLIS;
+    return gpuMillis / (double) MILLIS_PER_UNIT;
   }
 
   /** The sum of each part. */
@@ -77,12 +77,12 @@
   }
 
   /** The larger of each part. */
-  public Amount orMore(Amount other) {
+  public Amount max(Amount other) {
     return new Amount(Math.max(cpuMillis, other.cpuMillis), Math.max(gpuMillis, other.gpuMillis));
   }
 
   /** The part that exceeds another amount, with nothing below zero. */
-  public Amount beyond(Amount other) {
+  public Amount excessOver(Amount other) {
     return new Amount(
         Math.max(0, cpuMillis - other.cpuMillis), Math.max(0, gpuMillis - other.gpuMillis));
   }
--- a/src/main/java/graderelay/quota/CommittedUse.java
+++ b/src/main/java/graderelay/quota/CommittedUse.java
@@ -15,19 +15,19 @@
   /** What the claims of one job use, by the index of the task batch. */
   private static final class JobUse {
     final String team;
-    final Map<Integer, BatchUse> taskBatches = new HashMap<>();
+    final Map<Integer, BatchUse> batchUses = new HashMap<>();
 
     JobUse(String team) {
       this.team = team;
     }
   }
 
-  private final Map<String, JobUse> jobs = new HashMap<>();
-  private final Map<String, Amount> teams = new HashMap<>();
+  private final Map<String, JobUse> jobUses = new HashMap<>();
+  private final Map<String, Amount> useByTeam = new HashMap<>();
 
   /** What the committed claims of a team use. */
   public Amount of(String team) {
-    return teams.getOrDefault(team, Amount.NONE);
+    return useByTeam.getOrDefault(team, Amount.NONE);
   }
 
   /**
@@ -35,33 +35,33 @@
    * ignored.
    */
   public void put(String job, int taskBatch, String team, long revision, Amount use) {
-    JobUse jobUse = jobs.computeIfAbsent(job, x -> new JobUse(team));
-    BatchUse old = jobUse.taskBatches.get(taskBatch);
-    if (old != null && old.revision() >= revision) {
+    JobUse jobUse = jobUses.computeIfAbsent(job, x -> new JobUse(team));
+    BatchUse previous = jobUse.batchUses.get(taskBatch);
+    if (previous != null && previous.revision() >= revision) {
       return;
     }
-    jobUse.taskBatches.put(taskBatch, new BatchUse(use, revision));
-    add(team, old == null ? use : use.minus(old.use()));
+    jobUse.batchUses.put(taskBatch, new BatchUse(use, revision));
+    add(team, previous == null ? use : use.minus(previous.use()));
   }
 
   /** The job's end has committed, and with it the end of every attempt. */
   public void removeJob(String job) {
-    JobUse removed = jobs.remove(job);
+    JobUse removed = jobUses.remove(job);
     if (removed != null) {
       removed
-          .taskBatches
+          .batchUses
           .values()
           .forEach(batch -> add(removed.team, Amount.NONE.minus(batch.use())));
     }
   }
 
   private void add(String team, Amount change) {
-    teams.merge(team, change, Amount::plus);
+    useByTeam.merge(team, change, Amount::plus);
   }
 
   /** Forgets everything. */
   public void clear() {
-    jobs.clear();
-    teams.clear();
+    jobUses.clear();
+    useByTeam.clear();
   }
 }
--- a/src/main/java/graderelay/quota/LimitChange.java
+++ b/src/main/java/graderelay/quota/LimitChange.java
@@ -14,16 +14,20 @@
 public record LimitChange(
     BigDecimal cpus, BigDecimal cpusMax, BigDecimal gpus, BigDecimal gpusMax) {
   /** The quota with these changes. */
-  public TeamQuota applyTo(TeamQuota before) {
-    Amount guarantee = before.guarantee();
-    Amount limit = before.limit();
+  public TeamQuota applyTo(TeamQuota current) {
+    Amount guarantee = current.guarantee();
+    Amount limit = current.limit();
     return new TeamQuota(
-        new Amount(millisOr(cpus, guarantee.cpuMillis()), millisOr(gpus, guarantee.gpuMillis())),
-        new Amount(millisOr(cpusMax, limit.cpuMillis()), millisOr(gpusMax, limit.gpuMillis())));
+        new Amount(
+            millisOrDefault(cpus, guarantee.cpuMillis()),
+            millisOrDefault(gpus, guarantee.gpuMillis())),
+        new Amount(
+            millisOrDefault(cpusMax, limit.cpuMillis()),
+            millisOrDefault(gpusMax, limit.gpuMillis())));
   }
 
-  private static long millisOr(BigDecimal changed, long otherwise) {
-    return changed == null ? otherwise : Amount.millis(changed);
+  private static long millisOrDefault(BigDecimal changed, long defaultMillis) {
+    return changed == null ? defaultMillis : Amount.toMillisExact(changed);
   }
 
   /** True if nothing of the record before is left, so that it need not be readable. */
@@ -32,15 +36,15 @@
   }
 
   /** The field that makes the quota contradict itself, with what is wrong, if there is one. */
-  public static Optional<String> contradiction(TeamQuota quota) {
+  public static Optional<String> findInconsistency(TeamQuota quota) {
     if (quota.isConsistent()) {
       return Optional.empty();
     }
     Amount guarantee = quota.guarantee();
     Amount limit = quota.limit();
-    boolean ofCpus = limit.cpuMillis() > 0 && guarantee.cpuMillis() > limit.cpuMillis();
+    boolean cpusInconsistent = limit.cpuMillis() > 0 && guarantee.cpuMillis() > limit.cpuMillis();
     return Optional.of(
-        ofCpus
+        cpusInconsistent
             ? "cpus is " + guarantee.cpus() + ", above cpus_max, which is " + limit.cpus()
             : "gpus is " + guarantee.gpus() + ", above gpus_max, which is " + limit.gpus());
   }
--- a/src/main/java/graderelay/quota/LimitRecord.java
+++ b/src/main/java/graderelay/quota/LimitRecord.java
@@ -12,13 +12,13 @@
 public record LimitRecord(
     TeamQuota quota, long revision, String changedBy, long changedAtMs, String malformed) {
   /** A record that can be read. */
-  public static LimitRecord of(TeamQuota quota, long revision, String by, long atMs) {
-    return new LimitRecord(quota, revision, by, atMs, null);
+  public static LimitRecord of(TeamQuota quota, long revision, String changedBy, long changedAtMs) {
+    return new LimitRecord(quota, revision, changedBy, changedAtMs, null);
   }
 
   /** A record that can't be read. */
-  public static LimitRecord malformed(String why, long revision) {
-    return new LimitRecord(null, revision, "", 0, why);
+  public static LimitRecord malformed(String reason, long revision) {
+    return new LimitRecord(null, revision, "", 0, reason);
   }
 
   /** False if the record is malformed. */
--- a/src/main/java/graderelay/quota/StoredQuota.java
+++ b/src/main/java/graderelay/quota/StoredQuota.java
@@ -8,7 +8,10 @@
  * @param limits by team
  * @param accounts by team
  * @param seeded true once the limits of the settings have been stored as a whole
- * @param asOf the revision of the key-value store up to which everything was read
+ * @param readRevision the revision of the key-value store up to which everything was read
  */
 public record StoredQuota(
-    Map<String, LimitRecord> limits, Map<String, Account> accounts, boolean seeded, long asOf) {}
+    Map<String, LimitRecord> limits,
+    Map<String, Account> accounts,
+    boolean seeded,
+    long readRevision) {}
--- a/src/main/java/graderelay/quota/TeamAccount.java
+++ b/src/main/java/graderelay/quota/TeamAccount.java
@@ -78,7 +78,7 @@
   }
 
   /** Everything up to this revision has been read, task batches included. */
-  void readUpTo(long revision) {
+  void onReadUpTo(long revision) {
     if (fenceRevision > 0 && revision >= fenceRevision) {
       settled = true;
       settlingRequested = false;
@@ -87,13 +87,13 @@
   }
 
   /** An operator wants the record written anew, whatever it says. */
-  void replace() {
+  void requestRewrite() {
     unsettle();
     rewriteRequested = true;
   }
 
   /** The record has been removed with its team. */
-  void forget() {
+  void onRemoved() {
     stored = Account.ABSENT;
     settled = false;
     settlingRequested = false;
@@ -109,33 +109,33 @@
   }
 
   /** Adds to what is placed, or takes away from it if the amount is negative. */
-  void place(Amount change) {
+  void addPlaced(Amount change) {
     placed = placed.plus(change);
   }
 
   /** A write is sent. */
-  void sent(AccountChange write) {
+  void onSent(AccountChange write) {
     writeInFlight = write;
     unresolvedWrites.add(write);
     excessiveSince = Double.NaN;
   }
 
   /** A write has committed at this revision. */
-  void committed(AccountChange write, long revision) {
+  void onCommitted(AccountChange write, long revision) {
     if (!unresolvedWrites.contains(write)) {
       return; // Read already, or sent before the stored limits were last switched on.
     }
-    answered(write);
+    clearInFlight(write);
     if (revision < stored.revision()) {
       return;
     }
     // What was sent before can't commit any more.
     unresolvedWrites.removeIf(other -> other != writeInFlight);
-    takeOwnWrite(Account.of(write.use(), write.writer(), revision));
+    applyOwnWrite(Account.of(write.use(), write.writeId(), revision));
   }
 
   /** The record says what we have written. */
-  private void takeOwnWrite(Account account) {
+  private void applyOwnWrite(Account account) {
     stored = account;
     rewriteRequested = false;
     if (!settled) {
@@ -144,24 +144,24 @@
   }
 
   /** A write was refused and won't be carried out. */
-  void refused(AccountChange write) {
+  void onRefused(AccountChange write) {
     unresolvedWrites.remove(write);
-    answered(write);
+    clearInFlight(write);
   }
 
   /**
    * Nobody knows whether a transaction on this account was carried out, or will be: it may be as
    * long as the account has the version that it is conditioned on.
    */
-  void unanswered(AccountChange change) {
-    answered(change);
-    if (settled && change.onRevision() == stored.revision()) {
+  void onOutcomeUnknown(AccountChange change) {
+    clearInFlight(change);
+    if (settled && change.expectedRevision() == stored.revision()) {
       unsettle();
     }
   }
 
   /** The answer of a write has come, or it will not come any more. */
-  private void answered(AccountChange change) {
+  private void clearInFlight(AccountChange change) {
     if (change.equals(writeInFlight)) {
       writeInFlight = null;
     }
@@ -172,29 +172,29 @@
    *
    * @return true if it was changed by somebody else while this leader relied on it
    */
-  boolean read(Account account) {
+  boolean onRead(Account account) {
     if (account.revision() == stored.revision()) {
       return false;
     }
-    AccountChange ours = unresolvedWriteOf(account);
-    if (ours != null) {
-      unresolvedWrites.remove(ours);
-      answered(ours); // The read has come before the answer.
-      takeOwnWrite(account);
+    AccountChange ownWrite = unresolvedWriteOf(account);
+    if (ownWrite != null) {
+      unresolvedWrites.remove(ownWrite);
+      clearInFlight(ownWrite); // The read has come before the answer.
+      applyOwnWrite(account);
       return false;
     }
-    final boolean reliedOn = settled;
+    final boolean wasReliedOn = settled;
     stored = account;
     settled = false;
     fenceRevision = 0;
     rewriteRequested = false;
-    return reliedOn;
+    return wasReliedOn;
   }
 
   /** The write of ours that made the record, or null: other writers write under other names. */
   private AccountChange unresolvedWriteOf(Account account) {
     for (AccountChange write : unresolvedWrites) {
-      if (account.isReadable() && write.writer().equals(account.writer())) {
+      if (account.isReadable() && write.writeId().equals(account.writeId())) {
         return write;
       }
     }
@@ -202,7 +202,7 @@
   }
 
   /** True if the account has reserved too much for so long that it should be lowered. */
-  boolean releaseIsDue(boolean excessive, double afterS, double now) {
+  boolean isReleaseDue(boolean excessive, double releaseAfterS, double now) {
     if (!excessive || isMalformed() || isWriteInFlight()) {
       excessiveSince = Double.NaN;
       return false;
@@ -210,13 +210,13 @@
     if (Double.isNaN(excessiveSince)) {
       excessiveSince = now;
     }
-    return now - excessiveSince >= afterS;
+    return now - excessiveSince >= releaseAfterS;
   }
 
   /** True once each time that the claims have come to be above the limit. */
-  boolean hasRisenAboveLimit(boolean above) {
-    boolean hasRisen = above && !wasAboveLimit;
+  boolean updateAboveLimit(boolean above) {
+    boolean becameAboveLimit = above && !wasAboveLimit;
     wasAboveLimit = above;
-    return hasRisen;
+    return becameAboveLimit;
   }
 }
--- a/src/main/java/graderelay/quota/TeamAccounts.java
+++ b/src/main/java/graderelay/quota/TeamAccounts.java
@@ -11,7 +11,7 @@
  * claims use and the discrepancies between the two that have been found.
  */
 final class TeamAccounts {
-  private final CommittedUse committed = new CommittedUse();
+  private final CommittedUse committedUse = new CommittedUse();
   private final Map<String, TeamAccount> accounts = new TreeMap<>();
   private final List<AccountDiscrepancy> discrepancies = new ArrayList<>();
   private Map<String, LimitRecord> limits = Map.of();
@@ -21,7 +21,7 @@
   private long readRevision;
 
   /** True once the settings' limits have been stored as a whole. */
-  boolean areSeeded() {
+  boolean isSeeded() {
     return seeded;
   }
 
@@ -37,7 +37,7 @@
 
   /** What the team's claims use, with those that have been placed and not committed. */
   Amount admitted(String team) {
-    return committed.of(team).plus(account(team).placed());
+    return committedUse.of(team).plus(account(team).placed());
   }
 
   /** True if the team's stored limit allows so much in all. */
@@ -54,7 +54,7 @@
   /** Forgets everything but how far the store has been read. */
   void clear() {
     accounts.clear();
-    committed.clear();
+    committedUse.clear();
     discrepancies.clear();
     limits = Map.of();
   }
@@ -68,28 +68,28 @@
   void update(StoredQuota stored) {
     limits = stored.limits();
     seeded = stored.seeded();
-    readRevision = Math.max(readRevision, stored.asOf());
-    stored.accounts().forEach((team, account) -> takeRecord(team, account, stored.asOf()));
+    readRevision = Math.max(readRevision, stored.readRevision());
+    stored.accounts().forEach((team, account) -> applyRecord(team, account, stored.readRevision()));
     for (Map.Entry<String, TeamAccount> entry : accounts.entrySet()) {
       String team = entry.getKey();
       if (!limits.containsKey(team)) {
-        entry.getValue().forget(); // Removed with its team.
+        entry.getValue().onRemoved(); // Removed with its team.
       } else if (!stored.accounts().containsKey(team)) {
-        takeRecord(team, Account.ABSENT, stored.asOf());
+        applyRecord(team, Account.ABSENT, stored.readRevision());
       }
-      entry.getValue().readUpTo(readRevision);
+      entry.getValue().onReadUpTo(readRevision);
     }
   }
 
-  private void takeRecord(String team, Account found, long asOf) {
+  private void applyRecord(String team, Account found, long storeRevision) {
     TeamAccount account = account(team);
-    long known = account.stored().revision();
-    if ((found.revision() > 0 ? found.revision() : asOf) < known) {
+    long knownRevision = account.stored().revision();
+    if ((found.revision() > 0 ? found.revision() : storeRevision) < knownRevision) {
       return; // Our own write is newer than what was read.
     }
-    boolean isNew = found.revision() != known;
-    if (account.read(found)) {
-      report(team, AccountDiscrepancy.Kind.CHANGED_BY_OTHERS, found.use());
+    boolean isNew = found.revision() != knownRevision;
+    if (account.onRead(found)) {
+      report(team, AccountDiscrepancy.Kind.CHANGED_EXTERNALLY, found.use());
       account.requestSettling();
     }
     if (isNew && !found.isReadable()) {
@@ -98,22 +98,22 @@
   }
 
   /** A write of ours has committed; what has been read may already include it. */
-  void committed(AccountChange write, long revision) {
+  void onCommitted(AccountChange write, long revision) {
     TeamAccount account = account(write.team());
-    account.committed(write, revision);
-    account.readUpTo(readRevision);
+    account.onCommitted(write, revision);
+    account.onReadUpTo(readRevision);
   }
 
   /** What the committed claims use, by team. */
-  CommittedUse committed() {
-    return committed;
+  CommittedUse committedUse() {
+    return committedUse;
   }
 
   // ---------------------------------------------------------------- discrepancies
 
   /** Keeps a discrepancy until it is taken. */
-  void report(String team, AccountDiscrepancy.Kind kind, Amount found) {
-    discrepancies.add(new AccountDiscrepancy(team, kind, found, committed.of(team)));
+  void report(String team, AccountDiscrepancy.Kind kind, Amount reserved) {
+    discrepancies.add(new AccountDiscrepancy(team, kind, reserved, committedUse.of(team)));
   }
 
   /** The discrepancies that were found since the last call. */
@@ -127,14 +127,14 @@
    * Compares the accounts with the committed claims. An account may lag above the claims by what
    * has ended, never below; claims may be above a limit that was lowered.
    */
-  void check() {
+  void checkAll() {
     accounts.forEach(
         (team, account) -> {
           boolean reliedOn = account.isSettled() && !account.isWriteInFlight();
-          if (reliedOn && !account.stored().use().covers(committed.of(team))) {
+          if (reliedOn && !account.stored().use().covers(committedUse.of(team))) {
             account.unsettle(); // The discrepancy is reported when the account is fenced.
           }
-          if (account.hasRisenAboveLimit(isAboveLimit(team))) {
+          if (account.updateAboveLimit(isAboveLimit(team))) {
             report(team, AccountDiscrepancy.Kind.ABOVE_LIMIT, account.stored().use());
           }
         });
@@ -142,6 +142,6 @@
 
   private boolean isAboveLimit(String team) {
     LimitRecord record = limits.get(team);
-    return record != null && record.isReadable() && !record.quota().allows(committed.of(team));
+    return record != null && record.isReadable() && !record.quota().allows(committedUse.of(team));
   }
 }
--- a/src/main/java/graderelay/quota/TeamQuota.java
+++ b/src/main/java/graderelay/quota/TeamQuota.java
@@ -12,10 +12,11 @@
 
   /** True if the team may use so much. */
   public boolean allows(Amount use) {
-    return within(use.cpuMillis(), limit.cpuMillis()) && within(use.gpuMillis(), limit.gpuMillis());
+    return isWithin(use.cpuMillis(), limit.cpuMillis())
+        && isWithin(use.gpuMillis(), limit.gpuMillis());
   }
 
-  private static boolean within(long use, long limit) {
+  private static boolean isWithin(long use, long limit) {
     return limit == 0 || use <= limit;
   }
 
@@ -23,7 +24,7 @@
   public boolean isConsistent() {
     return !guarantee.isNegative()
         && !limit.isNegative()
-        && within(guarantee.cpuMillis(), limit.cpuMillis())
-        && within(guarantee.gpuMillis(), limit.gpuMillis());
+        && isWithin(guarantee.cpuMillis(), limit.cpuMillis())
+        && isWithin(guarantee.gpuMillis(), limit.gpuMillis());
   }
 }
--- a/src/main/java/graderelay/service/ControllerParts.java
+++ b/src/main/java/graderelay/service/ControllerParts.java
@@ -239,7 +239,7 @@
         leadership.incarnation(),
         state,
         cancellations,
-        workerApi::relayed,
+        workerApi::handleRelayedHeartbeat,
         leaderLifecycle::onDelegationRequest,
         router::handleRelayed);
   }
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -61,7 +61,7 @@
   }
 
   private boolean writesCompactForm() {
-    return cache.features().gate().enabled(Feature.COMPACT_HINTS);
+    return cache.features().gate().isEnabled(Feature.COMPACT_HINTS);
   }
 
   /** Records that share the images of each thousand machines. */
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -144,8 +144,8 @@
     if (!cache.isElectionLoaded() || left) {
       return;
     }
-    String why = gate.closedBecause();
-    if (why != null && gate.overtaken()) {
+    String why = gate.notOpenReason();
+    if (why != null && gate.isOutdated()) {
       leave(why);
     } else if (why != null && !why.equals(refusedBecause)) {
       // The process stays: if it ended, it would be restarted again and again to no avail.
@@ -160,7 +160,7 @@
   private void leave(String why) {
     if (!left) {
       left = true;
-      gate.leave(why);
+      gate.closePermanently(why);
       LOG.error("this controller leaves: {}", why);
       onLeave.accept(why);
     }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -64,17 +64,17 @@
   }
 
   @Override
-  public boolean leads() {
+  public boolean isLeader() {
     return leadership.mayActAsLeader() && cache.isLoaded();
   }
 
   @Override
-  public Map<String, Member> published() {
+  public Map<String, Member> publishedMembers() {
     return records().members();
   }
 
   @Override
-  public boolean held() {
+  public boolean isLevelHeld() {
     return records().isOnHold();
   }
 
@@ -101,12 +101,12 @@
     return switch (outcome) {
       case SUCCEEDED -> Outcome.DONE;
       case CONDITION_FAILED -> Outcome.CONFLICT;
-      default -> Outcome.UNANSWERED;
+      default -> Outcome.UNKNOWN;
     };
   }
 
   @Override
-  public void beginLowering(ClusterLevel to, Consumer<Outcome> done) {
+  public void beginDowngrade(ClusterLevel to, Consumer<Outcome> done) {
     commit(
         asLeader()
             .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(to))
@@ -115,8 +115,8 @@
   }
 
   @Override
-  public void hold(boolean on, Consumer<Outcome> done) {
-    if (on == held()) {
+  public void setLevelHeld(boolean on, Consumer<Outcome> done) {
+    if (on == isLevelHeld()) {
       done.accept(Outcome.DONE);
       return;
     }
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public void keysOf(Feature feature, Consumer<List<String>> done) {
+  public void readKeys(Feature feature, Consumer<List<String>> done) {
     state.list(
         prefixOf(feature),
         Use.CLAIM,
@@ -141,14 +141,14 @@
   }
 
   @Override
-  public void remove(List<String> keys, Consumer<Outcome> done) {
+  public void removeKeys(List<String> keys, Consumer<Outcome> done) {
     Transaction txn = asLeader();
     keys.subList(0, Math.min(mostChanges, keys.size())).forEach(txn::delete);
     commit(txn, done);
   }
 
   @Override
-  public void complete(Feature feature, Consumer<Boolean> done) {
+  public void completeRecords(Feature feature, Consumer<Boolean> done) {
     Consumer<Consumer<Boolean>> step =
         switch (feature) {
           case SEALED_ELECTION -> this::sealMembers;
@@ -205,7 +205,7 @@
     if (plain.isEmpty()) {
       done.accept(true);
     } else {
-      remove(plain, outcome -> done.accept(false));
+      removeKeys(plain, outcome -> done.accept(false));
     }
   }
 }
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -48,7 +48,7 @@
     if (stored != null && stored.incarnation().equals(self.incarnation())) {
       return;
     }
-    if (stored != null && stored.beganMs() > self.beganMs()) {
+    if (stored != null && stored.startedAtMs() > self.startedAtMs()) {
       superseded.accept("a later process runs as " + self.name());
     } else {
       // Also over a record of an earlier process whose write was carried out late.
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -52,10 +52,10 @@
       add(readings, "limit", team.name(), quota.limit());
       if (core.get() != null && limits.usesStoredLimits()) {
         Scheduler.TeamUsage usage = core.get().teamUsage(team.name());
-        Amount claims = usage.standing().claims();
+        Amount claims = usage.standing().used();
         add(readings, "used", team.name(), claims);
-        add(readings, "reserved", team.name(), usage.standing().account());
-        add(readings, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
+        add(readings, "reserved", team.name(), usage.standing().reserved());
+        add(readings, "beyond_guarantee", team.name(), claims.excessOver(quota.guarantee()));
         add(readings, "waiting", team.name(), usage.waitingAmount());
         int stopped = usage.standing().stoppedBecause() == null ? 0 : 1;
         readings.add(reading(STOPPED, team.name(), stopped));
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -39,7 +39,7 @@
 
   /** True if this controller can take requests. */
   boolean ready() {
-    if (gate.isShut()) {
+    if (gate.isClosed()) {
       return false;
     }
     boolean storeAnswers =
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -58,7 +58,8 @@
     String path = exchange.path();
     switch (path) {
       case "/ready" -> withMethod("GET", exchange, () -> showReady(exchange));
-      case "/checkin" -> withMethod("POST", exchange, () -> targets.workers().checkin(exchange));
+      case "/checkin" ->
+          withMethod("POST", exchange, () -> targets.workers().handleHeartbeat(exchange));
       case "/metrics" -> withMethod("GET", exchange, () -> showMetrics(exchange));
       default -> {
         if (!routedToOperatorApis(exchange)) {
@@ -73,8 +74,8 @@
     if (routedToOperatorApis(exchange)) {
       return;
     }
-    if (gate.isShut()) {
-      ApiError.unavailable(gate.closedBecause()).sendTo(exchange);
+    if (gate.isClosed()) {
+      ApiError.unavailable(gate.notOpenReason()).sendTo(exchange);
     } else {
       handleHere(exchange);
     }
@@ -100,8 +101,8 @@
    */
   private void routeUserRequest(Exchange exchange) {
     boolean submission = exchange.method().equals("POST") && exchange.path().equals(JOBS);
-    if (gate.isShut()) {
-      ApiError.unavailable(gate.closedBecause()).sendTo(exchange);
+    if (gate.isClosed()) {
+      ApiError.unavailable(gate.notOpenReason()).sendTo(exchange);
     } else if (submission && submissionsWaitHere.getAsBoolean()) {
       hedger.handleAtPeerFirst(exchange, this::handleHere);
     } else {
@@ -113,7 +114,7 @@
     if (ready.getAsBoolean()) {
       exchange.to().accept(Answer.json(200, Json.write(Json.object().put("ready", true))));
     } else {
-      ApiError.unavailable(gate.isShut() ? gate.closedBecause() : "not ready").sendTo(exchange);
+      ApiError.unavailable(gate.isClosed() ? gate.notOpenReason() : "not ready").sendTo(exchange);
     }
   }
 
--- a/src/main/java/graderelay/service/TermRecords.java
+++ b/src/main/java/graderelay/service/TermRecords.java
@@ -115,7 +115,7 @@
    * revision before.
    */
   void onQuota() {
-    boolean stored = cache.features().gate().enabled(Feature.STORED_LIMITS);
+    boolean stored = cache.features().gate().isEnabled(Feature.STORED_LIMITS);
     core.onQuota(stored ? cache.quota().snapshotAt(cache.observedRevision()) : null);
     stepSoon.run();
   }
--- a/src/main/java/graderelay/service/TransactionExecutor.java
+++ b/src/main/java/graderelay/service/TransactionExecutor.java
@@ -95,12 +95,12 @@
 
   private static void changeAccount(Transaction txn, AccountChange change) {
     String key = QuotaCodec.accountKey(change.team());
-    txn.when(key, change.onRevision());
+    txn.when(key, change.expectedRevision());
     if (change.writes()) {
-      txn.put(key, QuotaCodec.encodeAccount(change.use(), change.writer()));
+      txn.put(key, QuotaCodec.encodeAccount(change.use(), change.writeId()));
     }
     if (change.dependsOnLimits()) {
-      txn.when(QuotaCodec.limitKey(change.team()), change.onLimits());
+      txn.when(QuotaCodec.limitKey(change.team()), change.expectedLimitsRevision());
     }
   }
 
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -36,7 +36,7 @@
     this.catchUpReader = new CatchUpReader(loop, state, tables::revision, this::onChangesRead);
     this.watchLoop = new WatchLoop(loop, state, tables::revision, this::onChangesRead);
     this.fullLoad = new FullLoad(loop, state, tables, catchUpReader::catchUp, this::onLoaded);
-    state.setFence(FeatureCodec.LEVEL, tables.features::levelRevision, () -> !gate.isShut());
+    state.setFence(FeatureCodec.LEVEL, tables.features::levelRevision, () -> !gate.isClosed());
   }
 
   // ---------------------------------------------------------------- reads of the store
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -127,6 +127,6 @@
 
   /** True if the election records are stored under keys that older versions never read. */
   boolean areElectionsSealed() {
-    return gate.present(Feature.SEALED_ELECTION);
+    return gate.mayHaveRecords(Feature.SEALED_ELECTION);
   }
 }
--- a/src/main/java/graderelay/state/FullLoad.java
+++ b/src/main/java/graderelay/state/FullLoad.java
@@ -107,7 +107,7 @@
 
   /** Loads the compact hints; there are none below the feature level of COMPACT_HINTS. */
   private void readCompactHints(List<Listing> listings) {
-    if (!tables.features.gate().present(Feature.COMPACT_HINTS)) {
+    if (!tables.features.gate().mayHaveRecords(Feature.COMPACT_HINTS)) {
       loading = false;
       applyAll(listings);
       return;
--- a/src/main/java/graderelay/state/LeaderlessPledges.java
+++ b/src/main/java/graderelay/state/LeaderlessPledges.java
@@ -48,7 +48,7 @@
   /** True if this controller may renew worker leases without a leader. */
   boolean mayRenewLeases() {
     return !status.isLeader()
-        && !gate.isShut()
+        && !gate.isClosed()
         && storeAvailability.isUnavailable()
         && pledges.areAllPeersExcluded();
   }
--- a/src/main/java/graderelay/state/Leadership.java
+++ b/src/main/java/graderelay/state/Leadership.java
@@ -193,7 +193,7 @@
       return;
     }
     if (!cache.features().gate().isOpen()) {
-      resign(cache.features().gate().closedBecause());
+      resign(cache.features().gate().notOpenReason());
     } else if (!status.isLeader()) {
       election.standIfLeaderless();
     } else if (!termRaise.isInProgress()) {
--- a/src/main/java/graderelay/state/LevelChange.java
+++ b/src/main/java/graderelay/state/LevelChange.java
@@ -36,7 +36,7 @@
 
   /** True if the change moves the election records back to the unsealed layout. */
   private boolean unsealsElections(FeatureRecords features) {
-    return features.areElectionsSealed() && !newLevel.has(Feature.SEALED_ELECTION);
+    return features.areElectionsSealed() && !newLevel.includes(Feature.SEALED_ELECTION);
   }
 
   /**
@@ -69,7 +69,7 @@
       transaction
           .put(StateCodec.LEADER, StateCodec.encodeLeader(leader), sessionLease)
           .delete(FeatureCodec.LEADER);
-    } else if (features.areElectionsSealed() || !newLevel.has(Feature.SEALED_ELECTION)) {
+    } else if (features.areElectionsSealed() || !newLevel.includes(Feature.SEALED_ELECTION)) {
       transaction.put(election.leaderKey(), StateCodec.encodeLeader(leader), sessionLease);
     } else {
       sealElections(transaction, leader, sessionLease);
--- a/src/main/java/graderelay/state/QuotaRecords.java
+++ b/src/main/java/graderelay/state/QuotaRecords.java
@@ -27,7 +27,7 @@
 
   /** True if the stored limits are in force instead of those in the settings. */
   public boolean isInForce() {
-    return gate.enabled(Feature.STORED_LIMITS) && isSeeded();
+    return gate.isEnabled(Feature.STORED_LIMITS) && isSeeded();
   }
 
   /** True once all limits of the settings have been copied to the store. */
--- a/src/main/java/graderelay/state/TeamLimits.java
+++ b/src/main/java/graderelay/state/TeamLimits.java
@@ -78,7 +78,7 @@
       return "crew " + job.team() + " is not known";
     }
     int concurrentTasks = job.isService() ? job.tasks() : 1;
-    return quota.allows(Amount.needed(job.cpus(), job.gpus()).times(concurrentTasks))
+    return quota.allows(Amount.roundedUp(job.cpus(), job.gpus()).times(concurrentTasks))
         ? null
         : "the job needs more than the limit of crew " + job.team();
   }
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -66,7 +66,7 @@
   /** The cluster's level; the target is left out unless the level is being lowered. */
   public static ObjectNode encodeLevel(ClusterLevel level) {
     ObjectNode n = Json.object().put(LEVEL_NUMBER, level.level());
-    return level.lowering() ? n.put(TARGET_LEVEL, level.target()) : n;
+    return level.isLowering() ? n.put(TARGET_LEVEL, level.target()) : n;
   }
 
   /** Reads the record; a level that this program does not know is no mistake of the record. */
@@ -91,7 +91,7 @@
         .put(MIN_LEVEL, member.range().min())
         .put(MAX_LEVEL, member.range().max())
         .put(INCARNATION, member.incarnation())
-        .put(BEGAN_MS, member.beganMs());
+        .put(BEGAN_MS, member.startedAtMs());
   }
 
   /** Controller {@code name} from its record and the record's revision. */
--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -9,30 +9,30 @@
  */
 final class DelegationGrant {
   private final Loop loop;
-  private final double lengthS;
+  private final double durationS;
 
   private long term;
 
   /** The term whose leader gave the grant, or 0 if this controller gave it to itself. */
-  private long grantedBy;
+  private long grantingTerm;
 
   /** The leader's time of its last grant that we have heard of, on the leader's clock. */
-  private double leaderTime;
+  private double leaderGrantTime;
 
   private double validUntil = Double.NEGATIVE_INFINITY;
   private double lastLeaderContact;
-  private double lastAnsweredAlone;
+  private double lastAutonomousResponse;
 
   /**
    * Makes a grant that does not count before the leader, or this controller itself, gives one.
    *
    * @param lengthS seconds for which a grant counts from the moment at which it was asked for
    */
-  DelegationGrant(Loop loop, double lengthS) {
+  DelegationGrant(Loop loop, double durationS) {
     this.loop = loop;
-    this.lengthS = lengthS;
+    this.durationS = durationS;
     // An earlier process of this member may have answered until it ended.
-    this.lastAnsweredAlone = loop.now();
+    this.lastAutonomousResponse = loop.now();
     this.lastLeaderContact = loop.now();
   }
 
@@ -42,15 +42,15 @@
   }
 
   /** The term whose leader gave the grant, or 0 for none. */
-  long grantedBy() {
-    return grantedBy;
+  long grantingTerm() {
+    return grantingTerm;
   }
 
   /**
    * The leader's time of its last grant that we have heard of, in seconds on the leader's clock.
    */
-  double leaderTime() {
-    return leaderTime;
+  double leaderGrantTime() {
+    return leaderGrantTime;
   }
 
   /** True if the grant counts at time {@code now}. */
@@ -69,13 +69,13 @@
   }
 
   /** Seconds at time {@code now} since this controller last answered a worker as a delegate. */
-  double sinceAnsweredAlone(double now) {
-    return now - lastAnsweredAlone;
+  double sinceAutonomousResponse(double now) {
+    return now - lastAutonomousResponse;
   }
 
   /** Notes that a worker is answered at time {@code now}, without the leader. */
-  void answeredAlone(double now) {
-    lastAnsweredAlone = now;
+  void onAutonomousResponse(double now) {
+    lastAutonomousResponse = now;
   }
 
   /**
@@ -84,18 +84,19 @@
    */
   void grantToSelf(long leaderTerm, double now) {
     term = leaderTerm;
-    grantedBy = 0;
-    validUntil = now + lengthS;
+    grantingTerm = 0;
+    validUntil = now + durationS;
     lastLeaderContact = now;
   }
 
   /** Takes a leader's grant, which counts from when it was asked for at {@code askedAt}. */
-  void accept(PeerAnswer.Grant grant, double askedAt) {
-    boolean same = grantedBy == grant.grantedBy();
+  void accept(PeerAnswer.Grant grant, double requestedAt) {
+    boolean sameLeader = grantingTerm == grant.grantedBy();
     term = grant.term();
-    grantedBy = grant.grantedBy();
-    leaderTime = same ? Math.max(leaderTime, grant.at()) : grant.at();
-    validUntil = same ? Math.max(validUntil, askedAt + lengthS) : askedAt + lengthS;
+    grantingTerm = grant.grantedBy();
+    leaderGrantTime = sameLeader ? Math.max(leaderGrantTime, grant.at()) : grant.at();
+    validUntil =
+        sameLeader ? Math.max(validUntil, requestedAt + durationS) : requestedAt + durationS;
     lastLeaderContact = loop.now();
   }
 
--- a/src/main/java/graderelay/worker/DelegationRequests.java
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -21,16 +21,16 @@
  */
 final class DelegationRequests {
   /** Seconds between a lease delegate's requests to the leader. */
-  private static final double DELEGATE_ASKS_S = 1;
+  private static final double REQUEST_INTERVAL_S = 1;
 
   /** Seconds without an answer after which a lease delegate releases its grant in the store. */
-  private static final double DELEGATE_RELEASES_S = 2;
+  private static final double RELEASE_AFTER_SILENCE_S = 2;
 
   /**
    * Seconds between two ticks after which this process takes itself for suspended meanwhile: what
    * it was granted counts no more until it has heard the leader again.
    */
-  private static final double SUSPENDED_S = 3;
+  private static final double SUSPENSION_THRESHOLD_S = 3;
 
   private final Loop loop;
   private final PeerClient peerClient;
@@ -45,10 +45,10 @@
   private final String processId;
 
   private double lastTick = Double.NEGATIVE_INFINITY;
-  private long lastRequest;
+  private long lastRequestNumber;
 
   /** The last request whose answer no longer counts, since the grant was released after it. */
-  private long releasedUpTo;
+  private long releasedUpToRequest;
 
   /** The grant was released, and the store may not have recorded it yet. */
   private boolean releasePending;
@@ -92,7 +92,7 @@
 
   /** True if this process has stood still for so long that its grant may have been replaced. */
   boolean wasSuspended(double now) {
-    return now - lastTick > SUSPENDED_S;
+    return now - lastTick > SUSPENSION_THRESHOLD_S;
   }
 
   private void tick() {
@@ -105,11 +105,11 @@
     }
     lastTick = now;
     renew(now);
-    releaseIfLeaderIsLost(now);
+    releaseIfLeaderIsUnresponsive(now);
     if (releasePending && state.health().isReachable()) {
       recordRelease(now);
     }
-    timer = loop.after(DELEGATE_ASKS_S, this::tick);
+    timer = loop.after(REQUEST_INTERVAL_S, this::tick);
   }
 
   private void renew(double now) {
@@ -118,28 +118,28 @@
     if (leadership.mayActAsLeader()) {
       grant.grantToSelf(leadership.term(), now);
     } else if (address != null) {
-      askLeader(address, now);
+      requestGrant(address, now);
     }
   }
 
-  private void askLeader(String address, double sentAt) {
-    long number = ++lastRequest;
+  private void requestGrant(String address, double sentAt) {
+    long requestNumber = ++lastRequestNumber;
     peerClient.send(
         address,
         new PeerRequest.Delegation(
             member,
             processId,
-            number,
-            grant.grantedBy(),
-            grant.leaderTime(),
-            grant.sinceAnsweredAlone(sentAt)),
+            requestNumber,
+            grant.grantingTerm(),
+            grant.leaderGrantTime(),
+            grant.sinceAutonomousResponse(sentAt)),
         PeerCodec::decodeDelegated,
         peerClient.timeoutS(),
         answer -> {
           if (answer != null) {
             cancellations.merge(sentAt, answer.cancellations());
           }
-          if (answer != null && answer.grant() != null && number > releasedUpTo) {
+          if (answer != null && answer.grant() != null && requestNumber > releasedUpToRequest) {
             onGranted(answer.grant(), sentAt);
           }
         });
@@ -157,27 +157,30 @@
    * Users and workers are better served by the leader, which must not wait for us: so a controller
    * that the store still answers releases its grant.
    */
-  private void releaseIfLeaderIsLost(double now) {
-    boolean lost =
-        grant.sinceLeaderContact(now) > DELEGATE_RELEASES_S && state.health().isReachable();
-    if (lost && grant.grantedBy() != 0 && grant.isValidAt(now)) {
+  private void releaseIfLeaderIsUnresponsive(double now) {
+    boolean leaderUnresponsive =
+        grant.sinceLeaderContact(now) > RELEASE_AFTER_SILENCE_S && state.health().isReachable();
+    if (leaderUnresponsive && grant.grantingTerm() != 0 && grant.isValidAt(now)) {
       grant.revoke();
-      releasedUpTo = lastRequest;
+      releasedUpToRequest = lastRequestNumber;
       releasePending = true;
     }
   }
 
   private void recordRelease(double now) {
-    long upTo = releasedUpTo;
+    long upToRequest = releasedUpToRequest;
     state.commit(
         new Transaction()
             .put(
                 StateCodec.LEASE_DELEGATES + member,
                 StateCodec.encodeDelegateRelease(
-                    processId, upTo, grant.grantedBy(), grant.sinceAnsweredAlone(now))),
+                    processId,
+                    upToRequest,
+                    grant.grantingTerm(),
+                    grant.sinceAutonomousResponse(now))),
         Use.CLAIM,
         result -> {
-          if (result.succeeded() && releasedUpTo == upTo) {
+          if (result.succeeded() && releasedUpToRequest == upToRequest) {
             releasePending = false;
           }
         });
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -24,7 +24,7 @@
   private final StateClient state;
   private final Cancellations cancellations;
   private final String zone;
-  private final boolean needed;
+  private final boolean enabled;
   private final DelegationGrant grant;
   private final DelegationRequests requests;
 
@@ -47,9 +47,9 @@
     this.state = state;
     this.cancellations = cancellations;
     this.zone = settings.zone();
-    double lengthS = settings.grantS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
-    this.needed = !settings.delegates().isEmpty() && lengthS > 0;
-    this.grant = new DelegationGrant(loop, lengthS);
+    double grantDurationS = settings.grantS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
+    this.enabled = !settings.delegates().isEmpty() && grantDurationS > 0;
+    this.grant = new DelegationGrant(loop, grantDurationS);
     this.requests =
         new DelegationRequests(
             loop, peerClient, leadership, cache, state, cancellations, settings, grant, nonce);
@@ -57,7 +57,7 @@
 
   /** Starts to ask the leader for a grant, unless this deployment needs no lease delegates. */
   public void start() {
-    if (needed) {
+    if (enabled) {
       requests.start();
     }
   }
@@ -71,29 +71,29 @@
    * True if this worker's heartbeat may be answered under {@link #term}, with no command but the
    * kills of cancelled tasks. The caller answers it then: that is noted here.
    */
-  public boolean mayAnswer(Heartbeat heartbeat) {
+  public boolean acquirePermissionToAnswer(Heartbeat heartbeat) {
     double now = loop.now();
     // After standing still it may have been replaced, and the cluster may have moved on meanwhile.
     boolean mayAnswer =
         grant.isValidAt(now)
             && !requests.wasSuspended(now)
-            && !cache.features().gate().isShut()
-            && isCutOff(now)
+            && !cache.features().gate().isClosed()
+            && isPartitioned(now)
             && zone.equals(heartbeat.zone())
             && heartbeat.term() <= grant.term()
             && cancellations.mayRenewLeases();
     if (mayAnswer) {
-      grant.answeredAlone(now);
+      grant.onAutonomousResponse(now);
     }
     return mayAnswer;
   }
 
   /** True if neither the leader nor the store has answered for some seconds. */
-  private boolean isCutOff(double now) {
-    double aloneAfter =
+  private boolean isPartitioned(double now) {
+    double autonomousFrom =
         grant.lastLeaderContact()
             + LeaseTiming.DELEGATE_AUTONOMY_DELAY_S * (1 + LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
-    return now > aloneAfter
+    return now > autonomousFrom
         && state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -51,7 +51,7 @@
   private final Cancellations cancellations;
   private final String member;
   private final HeartbeatListener scheduler;
-  private final RedirectedWorkers redirected = new RedirectedWorkers();
+  private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
 
   /**
    * Makes the handler of workers' heartbeats.
@@ -82,11 +82,11 @@
    * Answers a worker's heartbeat: 200 with commands renews its lease, 421 names the leader if it is
    * known, 400 says that it was no heartbeat.
    */
-  public void checkin(Exchange exchange) {
+  public void handleHeartbeat(Exchange exchange) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(exchange.body()));
     if (heartbeat == null) {
-      refuseMalformed(exchange.to());
-    } else if (cache.features().gate().isShut()) {
+      rejectMalformed(exchange.to());
+    } else if (cache.features().gate().isClosed()) {
       redirect(exchange.to(), leaderName(cache.leader()));
     } else if (leadership.isLeader()) {
       answerAsLeader(heartbeat, "", exchange.to());
@@ -94,9 +94,11 @@
         && heartbeat.term() > 0
         && cancellations.mayRenewLeases()) {
       // Under the worker's own term: its lease goes on, and what is cancelled ends.
-      renew(exchange.to(), heartbeat.term(), cancellations.killCommands(heartbeat));
-    } else if (leaseDelegate.mayAnswer(heartbeat)) {
-      renew(exchange.to(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
+      respondWithLeaseRenewal(
+          exchange.to(), heartbeat.term(), cancellations.killCommands(heartbeat));
+    } else if (leaseDelegate.acquirePermissionToAnswer(heartbeat)) {
+      respondWithLeaseRenewal(
+          exchange.to(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
     } else {
       leadership.collectLeaderlessPledges();
       relayOrRedirect(exchange, heartbeat);
@@ -104,28 +106,29 @@
   }
 
   /** Answers a heartbeat that the controller {@code relayedBy} passes on to the leader. */
-  public void relayed(String relayedBy, byte[] body, Consumer<Answer> to) {
+  public void handleRelayedHeartbeat(String relayedBy, byte[] body, Consumer<Answer> responder) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(body));
     if (heartbeat == null) {
-      refuseMalformed(to);
+      rejectMalformed(responder);
     } else {
-      answerAsLeader(heartbeat, relayedBy, to);
+      answerAsLeader(heartbeat, relayedBy, responder);
     }
   }
 
-  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Answer> to) {
+  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Answer> responder) {
     if (leadership.mayActAsLeader() && cancellations.mayRenewLeases()) {
       List<WorkerCommand> commands = scheduler.onHeartbeat(heartbeat, relayedBy);
-      renew(to, leadership.term(), cancellations.prependKillCommands(heartbeat, commands));
+      respondWithLeaseRenewal(
+          responder, leadership.term(), cancellations.prependKillCommands(heartbeat, commands));
     } else {
-      redirect(to, null);
+      redirect(responder, null);
     }
   }
 
   private void relayOrRedirect(Exchange exchange, Heartbeat heartbeat) {
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
-    if (redirected.shouldRelay(heartbeat, leader, address != null, loop.now())) {
+    if (redirectedWorkers.shouldRelay(heartbeat, leader, address != null, loop.now())) {
       relay(exchange, address, leader.member());
     } else {
       redirect(exchange.to(), leaderName(leader));
@@ -152,20 +155,22 @@
   }
 
   /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
-  private static void renew(Consumer<Answer> to, long term, List<WorkerCommand> commands) {
+  private static void respondWithLeaseRenewal(
+      Consumer<Answer> responder, long term, List<WorkerCommand> commands) {
     byte[] body =
         Json.write(
             WorkerCodec.encodeHeartbeatResponse(
                 term, commands, SchedulerLimits.MAX_COMMANDS_PER_MESSAGE));
-    to.accept(Answer.json(OK, body));
+    responder.accept(Answer.json(OK, body));
   }
 
   /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
-  private static void redirect(Consumer<Answer> to, String member) {
-    to.accept(Answer.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(member))));
+  private static void redirect(Consumer<Answer> responder, String leaderName) {
+    responder.accept(
+        Answer.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(leaderName))));
   }
 
-  private static void refuseMalformed(Consumer<Answer> to) {
-    to.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
+  private static void rejectMalformed(Consumer<Answer> responder) {
+    responder.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -14,7 +14,7 @@
  */
 public final class WorkerClient {
   /** Seconds to wait for a worker's answer to direct commands. */
-  private static final double WORKER_TIMEOUT_S = 2.0;
+  private static final double COMMAND_TIMEOUT_S = 2.0;
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
@@ -22,14 +22,14 @@
 
   /** Hears how commands ended. */
   @FunctionalInterface
-  public interface Done {
+  public interface DeliveryCallback {
     /**
      * Called once for each call of {@link WorkerClient#send}.
      *
      * @param how what became of the commands
      * @param heartbeat the worker's status in its answer, or null if there was none
      */
-    void done(CommandDeliveryOutcome how, Heartbeat heartbeat);
+    void onDelivery(CommandDeliveryOutcome outcome, Heartbeat heartbeat);
   }
 
   private final Transport transport;
@@ -40,7 +40,7 @@
   }
 
   /** Sends the commands of one action to its worker, and calls back with the outcome. */
-  public void send(Action.SendCommands command, Done done) {
+  public void send(Action.SendCommands command, DeliveryCallback callback) {
     byte[] body =
         Json.write(
             WorkerCodec.encodeCommands(command.term(), command.session(), command.commands()));
@@ -49,11 +49,11 @@
         "POST",
         "/commands",
         body,
-        WORKER_TIMEOUT_S,
-        reply -> done.done(outcome(reply), heartbeat(reply)));
+        COMMAND_TIMEOUT_S,
+        reply -> callback.onDelivery(deliveryOutcome(reply), decodeHeartbeat(reply)));
   }
 
-  private static CommandDeliveryOutcome outcome(Reply reply) {
+  private static CommandDeliveryOutcome deliveryOutcome(Reply reply) {
     return switch (reply.status()) {
       case OK -> CommandDeliveryOutcome.EXECUTED;
       case CONFLICT, BAD_REQUEST -> CommandDeliveryOutcome.REFUSED;
@@ -63,7 +63,7 @@
     };
   }
 
-  private static Heartbeat heartbeat(Reply reply) {
+  private static Heartbeat decodeHeartbeat(Reply reply) {
     boolean hasStatus = reply.ok() || reply.status() == CONFLICT;
     return hasStatus ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
   }
--- a/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
+++ b/src/test/java/graderelay/core/StoredLimitsInCoreTest.java
@@ -20,7 +20,7 @@
 
 /** What the scheduling core counts and writes while stored limits are in use. */
 class StoredLimitsInCoreTest {
-  private static final Amount LIMIT = Amount.granted(3, 0);
+  private static final Amount LIMIT = Amount.roundedDown(3, 0);
 
   private static StoredQuota storedQuota(Account account, long asOf) {
     LimitRecord limits = LimitRecord.of(new TeamQuota(Amount.NONE, LIMIT), 5, "operator", 0);
@@ -56,7 +56,7 @@
     assertThat(fence.taskBatches()).isEmpty(); // Nothing is claimed before the account is fenced.
     AccountChange change = fence.accountChanges().get(0);
     scheduler.onTransactionOutcome(fence.id(), TransactionOutcome.COMMITTED, 20, 1);
-    scheduler.onQuota(storedQuota(Account.of(change.use(), change.writer(), 20), 20));
+    scheduler.onQuota(storedQuota(Account.of(change.use(), change.writeId(), 20), 20));
     return scheduler;
   }
 
@@ -69,8 +69,8 @@
     assertThat(writes.get(0).taskBatches()).hasSize(3);
     AccountChange raise = writes.get(0).accountChanges().get(0);
     assertThat(raise.use()).isEqualTo(LIMIT);
-    assertThat(raise.onRevision()).isEqualTo(20);
-    assertThat(raise.onLimits()).isEqualTo(5);
+    assertThat(raise.expectedRevision()).isEqualTo(20);
+    assertThat(raise.expectedLimitsRevision()).isEqualTo(5);
   }
 
   @Test
@@ -79,7 +79,7 @@
     scheduler.step(2);
     assertThat(takeWrites(scheduler).get(0).taskBatches()).hasSize(1);
     scheduler.onTaskBatch(new TaskBatchKey("j-000000", 0), claimedRecord("n-000009", 1), 30, 2);
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.roundedDown(1, 0));
   }
 
   @Test
@@ -89,11 +89,11 @@
     exchangeHeartbeat(scheduler, "n-000001", 1, 2, 0.1);
     scheduler.onJob(array("j-000000", 2), false, 10, 0, 0);
     SchedulerFixture.commitAll(scheduler, 12, 1);
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.NONE);
     scheduler.onQuota(storedQuota(Account.ABSENT, 19));
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(2, 0));
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.roundedDown(2, 0));
     scheduler.onQuota(null);
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.NONE);
   }
 
   @Test
@@ -102,7 +102,7 @@
     scheduler.step(2);
     scheduler.onTransactionOutcome(
         takeWrites(scheduler).get(0).id(), TransactionOutcome.COMMITTED, 21, 2);
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.roundedDown(1, 0));
     scheduler.onCancelled("j-000000", 3); // It was never launched.
     scheduler.step(3.1);
     Action.Write end =
@@ -110,8 +110,8 @@
             .filter(write -> !write.jobEnds().isEmpty())
             .findFirst()
             .orElseThrow();
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.granted(1, 0));
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.roundedDown(1, 0));
     scheduler.onTransactionOutcome(end.id(), TransactionOutcome.COMMITTED, 22, 4);
-    assertThat(scheduler.teamUsage("team").standing().claims()).isEqualTo(Amount.NONE);
+    assertThat(scheduler.teamUsage("team").standing().used()).isEqualTo(Amount.NONE);
   }
 }
--- a/src/test/java/graderelay/features/DowngradeTest.java
+++ b/src/test/java/graderelay/features/DowngradeTest.java
@@ -1,11 +1,11 @@
 package graderelay.features;
 
 import static graderelay.features.UpgradeSteps.SOAK_S;
-import static graderelay.features.UpgradeSteps.allEnd;
-import static graderelay.features.UpgradeSteps.change;
-import static graderelay.features.UpgradeSteps.finalized;
-import static graderelay.features.UpgradeSteps.level;
-import static graderelay.features.UpgradeSteps.steadyJobs;
+import static graderelay.features.UpgradeSteps.assertAllJobsEnd;
+import static graderelay.features.UpgradeSteps.requestLevelChange;
+import static graderelay.features.UpgradeSteps.storedLevel;
+import static graderelay.features.UpgradeSteps.submitSteadyJobs;
+import static graderelay.features.UpgradeSteps.worldAtLatestLevel;
 import static graderelay.sim.WorldAssertions.fine;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -21,71 +21,73 @@
 class DowngradeTest {
   @ParameterizedTest
   @CsvSource({"1, 216", "0, 217"})
-  void downgradeRemovesTheNewFormsBeforeTheLevelFalls(int target, long seed) {
-    SimWorld w = finalized(seed, 3);
-    w.users.submit(0, w.users.job("j-000650", 3, 1, 0, false));
-    w.loop.run(40);
-    assertThat(w.store.items.keySet()).anyMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    final int starts = w.invariants.starts;
-    assertThat(change(w, w.leader(), "downgrade", target).path("http").asInt()).isEqualTo(200);
-    w.loop.run(10);
-    assertThat(level(w)).isEqualTo(target);
-    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    w.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
-    assertThat(level(w)).isEqualTo(target);
-    assertThat(w.invariants.starts).isEqualTo(starts);
+  void downgradeRemovesTheNewRecordsBeforeLoweringTheLevel(int target, long seed) {
+    SimWorld world = worldAtLatestLevel(seed, 3);
+    world.users.submit(0, world.users.job("j-000650", 3, 1, 0, false));
+    world.loop.run(40);
+    assertThat(world.store.items.keySet()).anyMatch(key -> key.startsWith(FeatureCodec.HINTS));
+    final int starts = world.invariants.starts;
+    assertThat(requestLevelChange(world, world.leader(), "downgrade", target).path("http").asInt())
+        .isEqualTo(200);
+    world.loop.run(10);
+    assertThat(storedLevel(world)).isEqualTo(target);
+    assertThat(world.store.items.keySet()).noneMatch(key -> key.startsWith(FeatureCodec.HINTS));
+    world.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
+    assertThat(storedLevel(world)).isEqualTo(target);
+    assertThat(world.invariants.starts).isEqualTo(starts);
     if (target == 0) {
-      assertThat(w.store.value(FeatureCodec.LEADER)).isNull();
-      assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.SUSPENSIONS));
-      upgradeToProduction(w);
+      assertThat(world.store.value(FeatureCodec.LEADER)).isNull();
+      assertThat(world.store.items.keySet())
+          .noneMatch(key -> key.startsWith(StateCodec.SUSPENSIONS));
+      rollBackToProduction(world);
     }
-    fine(w);
+    fine(world);
   }
 
   /** The version in production leads again. */
-  private static void upgradeToProduction(SimWorld w) {
-    for (int i = 0; i < w.size; i++) {
-      w.rollBack(i);
-      w.crash(i);
-      w.loop.run(1);
-      w.start(i);
-      w.loop.run(5);
+  private static void rollBackToProduction(SimWorld world) {
+    for (int i = 0; i < world.size; i++) {
+      world.rollBack(i);
+      world.crash(i);
+      world.loop.run(1);
+      world.start(i);
+      world.loop.run(5);
     }
-    assertThat(w.leader()).isNotNegative();
-    assertThat(w.users.stage(0, "j-000650")).isEqualTo("running");
+    assertThat(world.leader()).isNotNegative();
+    assertThat(world.users.stage(0, "j-000650")).isEqualTo("running");
   }
 
   @ParameterizedTest
   @CsvSource({"1, 218", "2, 219", "3, 220", "4, 221", "5, 222", "6, 223"})
-  void downgradeInterruptedAfterAnyStepGoesOnUnderTheNextLeader(int step, long seed) {
-    SimWorld w = finalized(seed, 3);
-    final List<SimJob> jobs = steadyJobs(w, 30);
-    w.loop.run(40);
-    int[] steps = {0};
-    int leader = w.leader();
-    w.store.loseAnswer =
-        t -> {
-          String changes = t.path("then").toString();
-          boolean ofTheDowngrade =
+  void downgradeInterruptedAfterAnyStepContinuesUnderTheNextLeader(int step, long seed) {
+    SimWorld world = worldAtLatestLevel(seed, 3);
+    final List<SimJob> jobs = submitSteadyJobs(world, 30);
+    world.loop.run(40);
+    int[] stepCount = {0};
+    int leader = world.leader();
+    world.store.loseAnswer =
+        transaction -> {
+          String changes = transaction.path("then").toString();
+          boolean isDowngradeStep =
               changes.contains(FeatureCodec.LEVEL)
                   || changes.contains("\"drop\":\"" + FeatureCodec.HINTS)
                   || changes.contains("\"drop\":\"" + StateCodec.SUSPENSIONS);
-          if (ofTheDowngrade && ++steps[0] == step) {
-            w.loop.after(0, () -> w.crash(leader));
+          if (isDowngradeStep && ++stepCount[0] == step) {
+            world.loop.after(0, () -> world.crash(leader));
             return true;
           }
           return false;
         };
-    change(w, leader, "downgrade", 0);
-    w.loop.run(8);
-    w.store.loseAnswer = t -> false;
-    if (!w.isUp(leader)) {
-      w.start(leader);
+    requestLevelChange(world, leader, "downgrade", 0);
+    world.loop.run(8);
+    world.store.loseAnswer = transaction -> false;
+    if (!world.isUp(leader)) {
+      world.start(leader);
     }
-    w.loop.run(25);
-    assertThat(level(w)).as("after step " + step + " of " + steps[0]).isZero();
-    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(FeatureCodec.HINTS));
-    assertThat(w.leader()).isNotNegative();
-    allEnd(w, jobs);
+    world.loop.run(25);
+    assertThat(storedLevel(world)).as("after step " + step + " of " + stepCount[0]).isZero();
+    assertThat(world.store.items.keySet()).noneMatch(key -> key.startsWith(FeatureCodec.HINTS));
+    assertThat(world.leader()).isNotNegative();
+    assertAllJobsEnd(world, jobs);
   }
 }
--- a/src/test/java/graderelay/features/FinalizationTest.java
+++ b/src/test/java/graderelay/features/FinalizationTest.java
@@ -17,11 +17,11 @@
 /** When the cluster may go to a higher level, whatever its controllers publish and answer. */
 class FinalizationTest {
   private static final double SOAK_S = 10;
-  private static final double MOST_SILENT_S = 3;
+  private static final double MAX_SILENCE_S = 3;
   private static final List<String> CONFIGURED = List.of("m-0", "m-1", "m-2");
 
   /** Something that a leader sees, and how long after what came before. */
-  record Step(double afterS, String member, int max, String incarnation, boolean publishes) {}
+  record Step(double afterS, String member, int maxLevel, String incarnation, boolean publishes) {}
 
   @Provide
   Arbitrary<List<Step>> steps() {
@@ -38,31 +38,32 @@
   }
 
   /** Answers and records of each controller, kept plainly beside what is tested. */
-  private static final class Seen {
+  private static final class ReferenceModel {
     final Map<String, Member> published = new HashMap<>();
-    final Map<String, List<Double>> answersOfRecord = new HashMap<>();
+    final Map<String, List<Double>> responsesOfPublishedProcess = new HashMap<>();
 
-    void publish(Step s, double now) {
-      published.put(s.member(), member(s.member(), s.max(), s.incarnation()));
-      answersOfRecord.put(s.member(), new ArrayList<>());
+    void onPublished(Step step, double now) {
+      published.put(step.member(), member(step.member(), step.maxLevel(), step.incarnation()));
+      responsesOfPublishedProcess.put(step.member(), new ArrayList<>());
     }
 
-    void answer(Step s, double now) {
-      List<Double> all = answersOfRecord.get(s.member());
-      if (all != null && published.get(s.member()).incarnation().equals(s.incarnation())) {
-        all.add(now);
-      } else if (all != null) {
-        all.clear(); // Another process answers.
+    void onResponse(Step step, double now) {
+      List<Double> responses = responsesOfPublishedProcess.get(step.member());
+      if (responses != null
+          && published.get(step.member()).incarnation().equals(step.incarnation())) {
+        responses.add(now);
+      } else if (responses != null) {
+        responses.clear(); // Another process answers.
       }
     }
 
     /** True if the answers without a gap up to now go back for at least the soak time. */
-    boolean steady(String name, double now) {
-      List<Double> all = answersOfRecord.getOrDefault(name, List.of());
+    boolean hasCompletedSoak(String name, double now) {
+      List<Double> responses = responsesOfPublishedProcess.getOrDefault(name, List.of());
       double next = now;
       double first = Double.POSITIVE_INFINITY;
-      for (int i = all.size() - 1; i >= 0 && next - all.get(i) <= MOST_SILENT_S; i--) {
-        next = all.get(i);
+      for (int i = responses.size() - 1; i >= 0 && next - responses.get(i) <= MAX_SILENCE_S; i--) {
+        next = responses.get(i);
         first = next;
       }
       return now - first >= SOAK_S;
@@ -74,28 +75,28 @@
   }
 
   @Property(seed = "20261202", tries = 2000)
-  void levelIsFreeOnlyIfEveryPublishedProcessSupportsItAndHasAnsweredForTheSoakTime(
+  void levelMayBeFinalizedOnlyIfEveryPublishedProcessSupportsItAndCompletedTheSoak(
       @ForAll("steps") List<Step> steps) {
-    MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
-    Seen seen = new Seen();
+    MemberLiveness liveness = new MemberLiveness(MAX_SILENCE_S);
+    ReferenceModel model = new ReferenceModel();
     double now = 0;
-    for (Step s : steps) {
-      now += s.afterS();
-      if (s.publishes()) {
-        seen.publish(s, now);
+    for (Step step : steps) {
+      now += step.afterS();
+      if (step.publishes()) {
+        model.onPublished(step, now);
       } else {
-        liveness.heard(s.member(), s.incarnation(), now);
-        seen.answer(s, now);
+        liveness.onResponse(step.member(), step.incarnation(), now);
+        model.onResponse(step, now);
       }
       for (int level = 1; level <= Feature.LATEST_LEVEL; level++) {
         List<Blocker> blockers =
-            Finalization.blockers(level, CONFIGURED, seen.published, liveness, SOAK_S, now);
+            Finalization.blockers(level, CONFIGURED, model.published, liveness, SOAK_S, now);
         if (blockers.isEmpty()) {
           for (String name : CONFIGURED) {
-            Member m = seen.published.get(name);
-            assertThat(m).as(name).isNotNull();
-            assertThat(m.range().supports(level)).as(name).isTrue();
-            assertThat(seen.steady(name, now)).as(name).isTrue();
+            Member member = model.published.get(name);
+            assertThat(member).as(name).isNotNull();
+            assertThat(member.range().supports(level)).as(name).isTrue();
+            assertThat(model.hasCompletedSoak(name, now)).as(name).isTrue();
           }
         }
         assertThat(blockers.size()).isLessThanOrEqualTo(CONFIGURED.size());
@@ -104,31 +105,32 @@
   }
 
   @Test
-  void allThatPublishAndAnswerForTheSoakTimeFreeTheLevel() {
-    MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
-    Seen seen = new Seen();
+  void levelMayBeFinalizedOnceAllMembersPublishAndCompleteTheSoak() {
+    MemberLiveness liveness = new MemberLiveness(MAX_SILENCE_S);
+    ReferenceModel model = new ReferenceModel();
     for (String name : CONFIGURED) {
-      seen.publish(new Step(0, name, 2, "a", true), 0);
+      model.onPublished(new Step(0, name, 2, "a", true), 0);
     }
     for (int second = 0; second <= SOAK_S; second++) {
       for (String name : CONFIGURED) {
-        Step s = new Step(0, name, 2, "a", false);
-        liveness.heard(name, "a", second);
-        seen.answer(s, second);
+        Step step = new Step(0, name, 2, "a", false);
+        liveness.onResponse(name, "a", second);
+        model.onResponse(step, second);
       }
-      double at = second;
-      boolean free =
-          Finalization.blockers(2, CONFIGURED, seen.published, liveness, SOAK_S, second).isEmpty();
-      assertThat(free).isEqualTo(second >= SOAK_S);
-      assertThat(free).isEqualTo(CONFIGURED.stream().allMatch(n -> seen.steady(n, at)));
+      double now = second;
+      boolean mayFinalize =
+          Finalization.blockers(2, CONFIGURED, model.published, liveness, SOAK_S, second).isEmpty();
+      assertThat(mayFinalize).isEqualTo(second >= SOAK_S);
+      assertThat(mayFinalize)
+          .isEqualTo(CONFIGURED.stream().allMatch(name -> model.hasCompletedSoak(name, now)));
     }
   }
 
   @Test
-  void processThatIsNotTheOneThatPublishedIsNamed() {
-    MemberLiveness liveness = new MemberLiveness(MOST_SILENT_S);
+  void blockersNameMembersWhosePublishedProcessDoesNotRespond() {
+    MemberLiveness liveness = new MemberLiveness(MAX_SILENCE_S);
     Map<String, Member> published = Map.of("m-0", member("m-0", 2, "a"));
-    liveness.heard("m-0", "b", 1);
+    liveness.onResponse("m-0", "b", 1);
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 2).toString())
         .contains("m-0 was restarted");
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 9).toString())
@@ -138,7 +140,7 @@
   }
 
   @Property(seed = "20261202", tries = 500)
-  void gateUsesEachFeatureOnlyWithinItsRangeAndTheLevel(
+  void gateEnablesFeaturesOnlyWithinItsRangeAndTheClusterLevel(
       @ForAll @net.jqwik.api.constraints.IntRange(max = 3) int max,
       @ForAll @net.jqwik.api.constraints.IntRange(max = 5) int level,
       @ForAll @net.jqwik.api.constraints.IntRange(max = 5) int target) {
@@ -146,10 +148,10 @@
     assertThat(gate.isOpen()).isFalse();
     gate.onLevel(new ClusterLevel(level, Math.min(level, target)));
     assertThat(gate.isOpen()).isEqualTo(level <= max);
-    for (Feature f : Feature.values()) {
-      boolean may = level <= max && f.level() <= Math.min(level, target);
-      assertThat(gate.enabled(f)).isEqualTo(may);
-      assertThat(gate.present(f)).isEqualTo(f.level() <= level);
+    for (Feature feature : Feature.values()) {
+      boolean usable = level <= max && feature.level() <= Math.min(level, target);
+      assertThat(gate.isEnabled(feature)).isEqualTo(usable);
+      assertThat(gate.mayHaveRecords(feature)).isEqualTo(feature.level() <= level);
     }
     gate.onMalformed("nothing");
     assertThat(gate.isOpen()).isFalse();
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -24,89 +24,89 @@
   private UpgradeSteps() {}
 
   /** Options of a controller that raises the level by itself, up to {@code max}. */
-  static Options pinned(int max) {
-    return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, max));
+  static Options automaticUpgrade(int maxLevel) {
+    return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
   /** Options of a controller that raises the level up to {@code max} only for operators. */
-  static Options manual(int max) {
-    return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, max));
+  static Options manualUpgrade(int maxLevel) {
+    return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
   /** Controllers of the version in production, with a service and a stream of short arrays. */
-  static SimWorld production(long seed, int size) {
-    SimWorld w = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+  static SimWorld productionWorld(long seed, int size) {
+    SimWorld world = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
   /** Controllers that support so much, none of which has raised the level. */
-  static SimWorld levelled(long seed, int size, Options options) {
-    SimWorld w = new SimWorld(seed, WorldShape.of(size));
-    w.checkLevels();
+  static SimWorld worldAtBaseLevel(long seed, int size, Options options) {
+    SimWorld world = new SimWorld(seed, WorldShape.of(size));
+    world.checkLevels();
     for (int i = 0; i < size; i++) {
-      w.replace(i, options);
-      w.crash(i);
-      w.start(i);
+      world.replace(i, options);
+      world.crash(i);
+      world.start(i);
     }
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
   /** A world whose level is the latest. */
-  static SimWorld finalized(long seed, int size) {
-    SimWorld w = levelled(seed, size, pinned(LATEST));
-    w.loop.run(SOAK_S + 5);
-    assertThat(level(w)).isEqualTo(LATEST);
-    return w;
+  static SimWorld worldAtLatestLevel(long seed, int size) {
+    SimWorld world = worldAtBaseLevel(seed, size, automaticUpgrade(LATEST));
+    world.loop.run(SOAK_S + 5);
+    assertThat(storedLevel(world)).isEqualTo(LATEST);
+    return world;
   }
 
   /** The level that is stored. */
-  static int level(SimWorld w) {
-    JsonNode record = w.store.value(FeatureCodec.LEVEL);
+  static int storedLevel(SimWorld world) {
+    JsonNode record = world.store.value(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
   /** Arrays that come every two seconds, of which every fifth is cancelled soon after. */
-  static List<SimJob> steadyJobs(SimWorld w, double seconds) {
+  static List<SimJob> submitSteadyJobs(SimWorld world, double durationS) {
     List<SimJob> jobs = new ArrayList<>();
-    for (int i = 0; i < seconds / 2; i++) {
-      SimJob job = w.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
+    for (int i = 0; i < durationS / 2; i++) {
+      SimJob job = world.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
       jobs.add(job);
-      int controller = i % w.size;
-      w.loop.after(2 * i, () -> w.users.submit(controller, job));
+      int controller = i % world.size;
+      world.loop.after(2 * i, () -> world.users.submit(controller, job));
       if (i % 5 == 4) {
-        w.loop.after(2 * i + 1.3, () -> w.users.cancel((controller + 1) % w.size, job));
+        world.loop.after(2 * i + 1.3, () -> world.users.cancel((controller + 1) % world.size, job));
       }
     }
     return jobs;
   }
 
   /** Ends a controller and starts it as the present version with these options. */
-  static void upgrade(SimWorld w, int controller, Options options) {
-    w.replace(controller, options);
-    w.crash(controller);
-    w.loop.run(2);
-    w.start(controller);
-    w.loop.run(4);
+  static void upgrade(SimWorld world, int controller, Options options) {
+    world.replace(controller, options);
+    world.crash(controller);
+    world.loop.run(2);
+    world.start(controller);
+    world.loop.run(4);
   }
 
   /** Asks a controller as an operator to change the level. */
-  static JsonNode change(SimWorld w, int controller, String what, int level) {
+  static JsonNode requestLevelChange(SimWorld world, int controller, String operation, int level) {
     byte[] body = Json.write(Json.object().put("level", level));
-    return w.users.answer(controller, "POST", "/admin/features/" + what, body);
+    return world.users.answer(controller, "POST", "/admin/features/" + operation, body);
   }
 
   /** Asks a controller as an operator for the level. */
-  static JsonNode show(SimWorld w, int controller) {
-    return w.users.answer(controller, "GET", "/admin/features", null);
+  static JsonNode showLevel(SimWorld world, int controller) {
+    return world.users.answer(controller, "GET", "/admin/features", null);
   }
 
   /** Runs the world for a minute, by whose end every job is over at every controller. */
-  static void allEnd(SimWorld w, List<SimJob> jobs) {
-    w.loop.run(60);
-    ScenarioSteps.allOver(w, jobs);
+  static void assertAllJobsEnd(SimWorld world, List<SimJob> jobs) {
+    world.loop.run(60);
+    ScenarioSteps.allOver(world, jobs);
   }
 }
--- a/src/test/java/graderelay/quota/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -1,14 +1,14 @@
 package graderelay.quota;
 
-import static graderelay.quota.QuotaSteps.account;
-import static graderelay.quota.QuotaSteps.burst;
+import static graderelay.quota.QuotaSteps.assertNoViolations;
+import static graderelay.quota.QuotaSteps.changeLimits;
 import static graderelay.quota.QuotaSteps.isClaim;
-import static graderelay.quota.QuotaSteps.kept;
 import static graderelay.quota.QuotaSteps.overwriteAccount;
-import static graderelay.quota.QuotaSteps.plain;
-import static graderelay.quota.QuotaSteps.set;
-import static graderelay.quota.QuotaSteps.shown;
-import static graderelay.quota.QuotaSteps.stored;
+import static graderelay.quota.QuotaSteps.reservedCpus;
+import static graderelay.quota.QuotaSteps.showQuota;
+import static graderelay.quota.QuotaSteps.submitBurst;
+import static graderelay.quota.QuotaSteps.worldWithStoredLimits;
+import static graderelay.quota.QuotaSteps.worldWithoutStoredLimits;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -28,104 +28,113 @@
 /** Operators see and change stored limits while the service runs. */
 class LimitChangeTest {
   /** Seconds within which a raised limit takes effect. */
-  private static final double RAISED_S = 2;
+  private static final double MAX_RAISE_DELAY_S = 2;
 
   private static int status(JsonNode answer) {
     return answer.path("http").asInt();
   }
 
-  private static String metrics(SimWorld w) {
+  private static String metrics(SimWorld world) {
     String[] text = {""};
-    w.users.ask(w.leader(), "GET", "/metrics", null, (r, n) -> text[0] = new String(r.body()));
-    w.loop.run(0.5);
+    world.users.ask(
+        world.leader(),
+        "GET",
+        "/metrics",
+        null,
+        (reply, json) -> text[0] = new String(reply.body()));
+    world.loop.run(0.5);
     return text[0];
   }
 
   @Test
-  void loweredLimitStartsNothingUntilWhatRunsFitsAndRaisedOneTakesEffectAtOnce() {
-    SimWorld w = stored(501, 3);
-    final QuotaRecorder recorder = new QuotaRecorder(w);
-    burst(w, "team", "30", 100, 0.1, 2, 12);
-    w.loop.run(20);
-    assertThat(w.invariants.running("team")).isEqualTo(SimWorld.LIMIT);
-    int starts = w.invariants.starts;
-    assertThat(status(set(w, 1, "team", "{\"cpus_max\":10}"))).isEqualTo(200);
-    while (w.invariants.running("team") > 10) {
-      w.loop.run(0.1);
-      assertThat(w.invariants.starts).isLessThanOrEqualTo(starts + 2); // What was claimed before.
+  void loweredLimitStartsNoTaskUntilRunningTasksFitAndRaisedLimitAppliesPromptly() {
+    SimWorld world = worldWithStoredLimits(501, 3);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
+    submitBurst(world, "team", "30", 100, 0.1, 2, 12);
+    world.loop.run(20);
+    assertThat(world.invariants.running("team")).isEqualTo(SimWorld.LIMIT);
+    int starts = world.invariants.starts;
+    assertThat(status(changeLimits(world, 1, "team", "{\"cpus_max\":10}"))).isEqualTo(200);
+    while (world.invariants.running("team") > 10) {
+      world.loop.run(0.1);
+      assertThat(world.invariants.starts)
+          .isLessThanOrEqualTo(starts + 2); // What was claimed before.
     }
-    assertThat(metrics(w)).contains("graderelay_quota_differences{team=\"team\"} 1");
-    w.loop.run(30);
-    assertThat(w.invariants.running("team")).isLessThanOrEqualTo(10);
-    starts = w.invariants.starts;
-    assertThat(status(set(w, 2, "team", "{\"cpus_max\":20}"))).isEqualTo(200);
-    w.loop.run(RAISED_S);
-    assertThat(w.invariants.starts).isGreaterThan(starts);
-    w.loop.run(200);
-    kept(w, recorder);
+    assertThat(metrics(world)).contains("graderelay_quota_differences{team=\"team\"} 1");
+    world.loop.run(30);
+    assertThat(world.invariants.running("team")).isLessThanOrEqualTo(10);
+    starts = world.invariants.starts;
+    assertThat(status(changeLimits(world, 2, "team", "{\"cpus_max\":20}"))).isEqualTo(200);
+    world.loop.run(MAX_RAISE_DELAY_S);
+    assertThat(world.invariants.starts).isGreaterThan(starts);
+    world.loop.run(200);
+    assertNoViolations(world, recorder);
   }
 
   @Test
   void claimDecidedUnderEarlierLimitsFails() {
-    SimWorld w = stored(502, 3);
-    final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<SimJob> jobs = burst(w, "team", "31", 40, 0.1, 2, 5);
-    w.loop.run(14);
-    final int conflicts = w.store.conflicts;
-    w.store.delayS = 1;
-    w.store.delay = t -> isClaim(t);
-    w.loop.run(0.8);
-    set(w, 0, "team", "{\"cpus_max\":8}");
-    w.store.delay = t -> false;
-    w.loop.run(2);
-    assertThat(w.store.conflicts).isGreaterThan(conflicts);
-    w.loop.run(150);
-    QuotaSteps.allDone(w, recorder, jobs);
+    SimWorld world = worldWithStoredLimits(502, 3);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
+    final List<SimJob> jobs = submitBurst(world, "team", "31", 40, 0.1, 2, 5);
+    world.loop.run(14);
+    final int conflicts = world.store.conflicts;
+    world.store.delayS = 1;
+    world.store.delay = transaction -> isClaim(transaction);
+    world.loop.run(0.8);
+    changeLimits(world, 0, "team", "{\"cpus_max\":8}");
+    world.store.delay = transaction -> false;
+    world.loop.run(2);
+    assertThat(world.store.conflicts).isGreaterThan(conflicts);
+    world.loop.run(150);
+    QuotaSteps.assertAllDone(world, recorder, jobs);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {511, 512, 513})
   void limitChangedDuringFailoverHoldsForTheNextLeader(long seed) {
-    SimWorld w = stored(seed, 5);
-    final QuotaRecorder recorder = new QuotaRecorder(w);
-    final List<SimJob> jobs = burst(w, "team", "32", 60, 0.1, 2, 4);
-    w.loop.run(12);
-    int leader = w.leader();
-    w.crash(leader);
-    w.loop.run(1 + seed % 3);
-    assertThat(status(set(w, (leader + 1) % 5, "team", "{\"cpus_max\":9.5}"))).isEqualTo(200);
-    w.loop.after(3, () -> w.start(leader));
-    w.loop.run(160);
-    QuotaSteps.allDone(w, recorder, jobs);
-    assertThat(shown(w, "team").path("cpus_max").asDouble()).isEqualTo(9.5);
+    SimWorld world = worldWithStoredLimits(seed, 5);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
+    final List<SimJob> jobs = submitBurst(world, "team", "32", 60, 0.1, 2, 4);
+    world.loop.run(12);
+    int leader = world.leader();
+    world.crash(leader);
+    world.loop.run(1 + seed % 3);
+    assertThat(status(changeLimits(world, (leader + 1) % 5, "team", "{\"cpus_max\":9.5}")))
+        .isEqualTo(200);
+    world.loop.after(3, () -> world.start(leader));
+    world.loop.run(160);
+    QuotaSteps.assertAllDone(world, recorder, jobs);
+    assertThat(showQuota(world, "team").path("cpus_max").asDouble()).isEqualTo(9.5);
   }
 
   @Test
-  void ofTwoOperatorsAtOnceOneGetsConflictWithThePresentVersion() {
-    SimWorld w = stored(521, 3);
-    final long version = shown(w, "team").path("version").asLong();
+  void oneOfTwoConcurrentChangesIsRefusedWithTheCurrentVersion() {
+    SimWorld world = worldWithStoredLimits(521, 3);
+    final long version = showQuota(world, "team").path("version").asLong();
     JsonNode[] answers = new JsonNode[2];
-    w.store.delay = t -> t.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
-    w.store.delayS = 0.5;
+    world.store.delay =
+        transaction ->
+            transaction.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
+    world.store.delayS = 0.5;
     for (int i = 0; i < 2; i++) {
       int controller = i;
       byte[] body = ("{\"cpus_max\":" + (10 + i) + ",\"by\":\"operator-" + i + "\"}").getBytes();
-      w.users.ask(
+      world.users.ask(
           controller,
           "PUT",
           "/admin/quota/team",
           body,
-          (r, n) -> answers[controller] = ((ObjectNode) n).put("http", r.status()));
+          (reply, json) -> answers[controller] = ((ObjectNode) json).put("http", reply.status()));
     }
-    w.loop.run(2);
+    world.loop.run(2);
     int won = status(answers[0]) == 200 ? 0 : 1;
     assertThat(status(answers[won])).isEqualTo(200);
     assertThat(status(answers[1 - won])).isEqualTo(409);
     assertThat(answers[1 - won].path("version").asLong()).isGreaterThan(version);
     assertThat(answers[1 - won].path("changed_by").asText()).isEqualTo("operator-" + won);
-    JsonNode late = set(w, 2, "team", "{\"cpus_max\":1,\"version\":" + version + "}");
+    JsonNode late = changeLimits(world, 2, "team", "{\"cpus_max\":1,\"version\":" + version + "}");
     assertThat(status(late)).isEqualTo(409);
-    assertThat(shown(w, "team").path("cpus_max").asDouble()).isEqualTo(10 + won);
+    assertThat(showQuota(world, "team").path("cpus_max").asDouble()).isEqualTo(10 + won);
   }
 
   @ParameterizedTest
@@ -143,208 +152,216 @@
         "nobody | {\"cpus\":1} | team nobody is not known",
         "%zz | {\"cpus\":1} | not properly encoded"
       })
-  void invalidChangeIsRefusedWithItsFieldAndChangesNothing(String team, String body, String field) {
-    SimWorld w = stored(531, 3);
-    JsonNode before = w.store.value(QuotaCodec.limitKey("team"));
-    JsonNode answer = set(w, 1, team, body);
+  void invalidChangeIsRefusedNamingTheFieldAndChangesNothing(
+      String team, String body, String field) {
+    SimWorld world = worldWithStoredLimits(531, 3);
+    JsonNode before = world.store.value(QuotaCodec.limitKey("team"));
+    JsonNode answer = changeLimits(world, 1, team, body);
     assertThat(status(answer)).isEqualTo(400);
     assertThat(answer.path("error").asText()).contains(field);
-    assertThat(w.store.value(QuotaCodec.limitKey("team"))).isEqualTo(before);
+    assertThat(world.store.value(QuotaCodec.limitKey("team"))).isEqualTo(before);
   }
 
   @Test
-  void allMistakesOfOneChangeAreReportedAtOnce() {
-    SimWorld w = stored(532, 3);
-    String error = set(w, 0, "team", "{\"cpus\":-1,\"gpus_max\":0.12345}").path("error").asText();
+  void allErrorsOfOneChangeAreReportedTogether() {
+    SimWorld world = worldWithStoredLimits(532, 3);
+    String error =
+        changeLimits(world, 0, "team", "{\"cpus\":-1,\"gpus_max\":0.12345}").path("error").asText();
     assertThat(error).contains("cpus").contains("gpus_max").contains("; ");
   }
 
   @Test
-  void withoutTheStoreChangesArePutOffAndWithoutTheLevelRefused() {
-    SimWorld w = stored(533, 3);
-    w.store.outage(true);
-    w.loop.run(2);
-    assertThat(status(set(w, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(503);
-    SimWorld before = plain(534, 3);
-    JsonNode refused = set(before, 0, "team", "{\"cpus_max\":9}");
+  void changesAreUnavailableWithoutTheStoreAndRefusedBelowTheFeatureLevel() {
+    SimWorld world = worldWithStoredLimits(533, 3);
+    world.store.outage(true);
+    world.loop.run(2);
+    assertThat(status(changeLimits(world, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(503);
+    SimWorld before = worldWithoutStoredLimits(534, 3);
+    JsonNode refused = changeLimits(before, 0, "team", "{\"cpus_max\":9}");
     assertThat(status(refused)).isEqualTo(409);
     assertThat(refused.path("error").asText()).contains("stored-limits");
-    assertThat(shown(before, "team").path("cpus_max").asDouble()).isEqualTo(SimWorld.LIMIT);
+    assertThat(showQuota(before, "team").path("cpus_max").asDouble()).isEqualTo(SimWorld.LIMIT);
   }
 
   @Test
-  void teamIsAddedAndRemovedAgainButNotWhileItHasWork() {
-    SimWorld w = stored(541, 3);
-    final QuotaRecorder recorder = new QuotaRecorder(w);
+  void teamCanBeAddedAndIsRemovedOnlyWithoutLiveJobs() {
+    SimWorld world = worldWithStoredLimits(541, 3);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
     String path = "/admin/quota/night+shift";
     byte[] body = "{\"cpus\":2,\"cpus_max\":4}".getBytes();
-    SimJob job = w.users.job("j-004001", 2, 2, 15, true);
+    SimJob job = world.users.job("j-004001", 2, 2, 15, true);
     job.team = "night shift";
-    JsonNode unknown = w.users.answer(1, "POST", "/v1/jobs", Json.write(w.users.body(job)));
+    JsonNode unknown = world.users.answer(1, "POST", "/v1/jobs", Json.write(world.users.body(job)));
     assertThat(status(unknown)).isEqualTo(422);
-    assertThat(status(w.users.answer(0, "POST", path, body))).isEqualTo(200);
-    assertThat(status(w.users.answer(1, "POST", path, body))).isEqualTo(409);
-    w.users.submit(1, job);
-    w.loop.run(20);
-    assertThat(shown(w, "night+shift").path("cpus_used").asDouble()).isEqualTo(4);
-    JsonNode refused = w.users.answer(2, "DELETE", path, null);
+    assertThat(status(world.users.answer(0, "POST", path, body))).isEqualTo(200);
+    assertThat(status(world.users.answer(1, "POST", path, body))).isEqualTo(409);
+    world.users.submit(1, job);
+    world.loop.run(20);
+    assertThat(showQuota(world, "night+shift").path("cpus_used").asDouble()).isEqualTo(4);
+    JsonNode refused = world.users.answer(2, "DELETE", path, null);
     assertThat(status(refused)).isEqualTo(409);
     assertThat(refused.path("error").asText()).contains("1 live jobs");
-    w.loop.run(30);
-    assertThat(w.users.stage(0, job.id)).isEqualTo("done");
-    assertThat(status(w.users.answer(2, "DELETE", path, null))).isEqualTo(200);
-    assertThat(w.store.items.keySet()).noneMatch(key -> key.contains("night"));
-    assertThat(status(w.users.answer(0, "GET", path, null))).isEqualTo(404);
-    w.loop.run(5);
-    assertThat(metrics(w)).doesNotContain("graderelay_quota_differences");
-    kept(w, recorder);
+    world.loop.run(30);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("done");
+    assertThat(status(world.users.answer(2, "DELETE", path, null))).isEqualTo(200);
+    assertThat(world.store.items.keySet()).noneMatch(key -> key.contains("night"));
+    assertThat(status(world.users.answer(0, "GET", path, null))).isEqualTo(404);
+    world.loop.run(5);
+    assertThat(metrics(world)).doesNotContain("graderelay_quota_differences");
+    assertNoViolations(world, recorder);
   }
 
   // ---------------------------------------------------------------- submissions
 
   @Test
-  void noJobIsRefusedForGoodByLimitsThatAreOutOfDate() {
-    SimWorld w = stored(551, 3);
-    int behind = (w.leader() + 1) % 3;
-    set(w, w.leader(), "team", "{\"cpus\":1,\"cpus_max\":2}");
-    w.loop.run(1);
-    SimJob job = w.users.job("j-004010", 1, 3, 5, true);
-    JsonNode refused = w.users.answer(behind, "POST", "/v1/jobs", Json.write(w.users.body(job)));
+  void noJobIsPermanentlyRefusedByOutdatedLimits() {
+    SimWorld world = worldWithStoredLimits(551, 3);
+    int behind = (world.leader() + 1) % 3;
+    changeLimits(world, world.leader(), "team", "{\"cpus\":1,\"cpus_max\":2}");
+    world.loop.run(1);
+    SimJob job = world.users.job("j-004010", 1, 3, 5, true);
+    JsonNode refused =
+        world.users.answer(behind, "POST", "/v1/jobs", Json.write(world.users.body(job)));
     assertThat(status(refused)).isEqualTo(422);
-    w.store.holdWatches = true; // What it knows of the limits stays as it is.
-    w.loop.run(0.2);
-    TeamQuota raised = new TeamQuota(Amount.granted(1, 0), Amount.granted(8, 0));
-    w.store.overwrite(QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
+    world.store.holdWatches = true; // What it knows of the limits stays as it is.
+    world.loop.run(0.2);
+    TeamQuota raised = new TeamQuota(Amount.roundedDown(1, 0), Amount.roundedDown(8, 0));
+    world.store.overwrite(
+        QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
     int[] answered = {0};
-    w.users.ask(
+    world.users.ask(
         behind,
         "POST",
         "/v1/jobs",
-        Json.write(w.users.body(job)),
-        (r, n) -> answered[0] = r.status());
-    w.loop.run(1);
+        Json.write(world.users.body(job)),
+        (reply, json) -> answered[0] = reply.status());
+    world.loop.run(1);
     assertThat(answered[0]).isNotIn(422, 400);
-    w.store.holdWatches = false;
-    w.users.submit(behind, job);
-    w.loop.run(40);
-    assertThat(w.users.stage(behind, job.id)).isEqualTo("done");
+    world.store.holdWatches = false;
+    world.users.submit(behind, job);
+    world.loop.run(40);
+    assertThat(world.users.stage(behind, job.id)).isEqualTo("done");
   }
 
   @Test
-  void acceptedJobAboveTheLoweredLimitStaysKnownAndStartsOnceItFits() {
-    SimWorld w = stored(552, 3);
-    final QuotaRecorder recorder = new QuotaRecorder(w);
-    set(w, 0, "team", "{\"cpus\":1,\"cpus_max\":4}");
-    SimJob first = w.users.job("j-004020", 1, 4, 30, true);
-    w.users.submit(0, first);
-    w.loop.run(15);
-    SimJob large = w.users.job("j-004021", 1, 3, 5, true);
-    w.users.submit(1, large);
-    w.loop.run(1);
-    set(w, 2, "team", "{\"cpus_max\":2}");
-    w.loop.run(60);
-    assertThat(w.users.stage(0, first.id)).isEqualTo("done");
-    assertThat(w.users.stage(1, large.id)).isEqualTo("pending");
+  void acceptedJobAboveTheLoweredLimitStaysPendingAndStartsOnceItFits() {
+    SimWorld world = worldWithStoredLimits(552, 3);
+    final QuotaRecorder recorder = new QuotaRecorder(world);
+    changeLimits(world, 0, "team", "{\"cpus\":1,\"cpus_max\":4}");
+    SimJob first = world.users.job("j-004020", 1, 4, 30, true);
+    world.users.submit(0, first);
+    world.loop.run(15);
+    SimJob large = world.users.job("j-004021", 1, 3, 5, true);
+    world.users.submit(1, large);
+    world.loop.run(1);
+    changeLimits(world, 2, "team", "{\"cpus_max\":2}");
+    world.loop.run(60);
+    assertThat(world.users.stage(0, first.id)).isEqualTo("done");
+    assertThat(world.users.stage(1, large.id)).isEqualTo("pending");
     String why =
-        w.users.answer(0, "GET", "/admin/jobs/" + large.id, null).path("waits_because").asText();
+        world
+            .users
+            .answer(0, "GET", "/admin/jobs/" + large.id, null)
+            .path("waits_because")
+            .asText();
     assertThat(why).contains("needs 3 CPUs").contains("stored limits of team team");
-    JsonNode again = w.users.answer(2, "POST", "/v1/jobs", Json.write(w.users.body(large)));
+    JsonNode again = world.users.answer(2, "POST", "/v1/jobs", Json.write(world.users.body(large)));
     assertThat(status(again)).isEqualTo(200);
-    set(w, 2, "team", "{\"cpus_max\":3}");
-    w.loop.run(30);
-    assertThat(w.users.stage(1, large.id)).isEqualTo("done");
-    kept(w, recorder);
+    changeLimits(world, 2, "team", "{\"cpus_max\":3}");
+    world.loop.run(30);
+    assertThat(world.users.stage(1, large.id)).isEqualTo("done");
+    assertNoViolations(world, recorder);
   }
 
   // ---------------------------------------------------------------- bad records
 
   @Test
-  void malformedAccountStopsItsTeamAloneUntilOperatorsHaveItRecomputed() {
-    SimWorld w = stored(561, 3);
-    final List<SimJob> jobs = burst(w, "team", "36", 40, 0.5, 2, 3);
-    final List<SimJob> others = burst(w, "other", "37", 30, 1, 2, 3);
-    w.loop.run(15);
-    w.store.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
-    w.loop.run(6);
-    int running = (int) w.invariants.running("team");
+  void malformedAccountStopsOnlyItsTeamUntilOperatorsRecomputeIt() {
+    SimWorld world = worldWithStoredLimits(561, 3);
+    final List<SimJob> jobs = submitBurst(world, "team", "36", 40, 0.5, 2, 3);
+    final List<SimJob> others = submitBurst(world, "other", "37", 30, 1, 2, 3);
+    world.loop.run(15);
+    world.store.overwrite(QuotaCodec.accountKey("team"), Json.object().put("cpus", -5));
+    world.loop.run(6);
+    int running = (int) world.invariants.running("team");
     assertThat(running).isZero();
-    assertThat(w.invariants.running("other")).isPositive();
-    assertThat(shown(w, "team").path("stopped_because").asText()).contains("malformed");
-    assertThat(metrics(w))
+    assertThat(world.invariants.running("other")).isPositive();
+    assertThat(showQuota(world, "team").path("stopped_because").asText()).contains("malformed");
+    assertThat(metrics(world))
         .contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1")
         .contains("graderelay_quota_differences{team=\"team\"}");
-    w.crash(w.leader()); // The next leader does not mend it in silence either.
-    w.loop.run(20);
-    assertThat(w.invariants.running("team")).isZero();
-    JsonNode done = w.users.answer(w.leader(), "POST", "/admin/quota/team/recompute", null);
+    world.crash(world.leader()); // The next leader does not mend it in silence either.
+    world.loop.run(20);
+    assertThat(world.invariants.running("team")).isZero();
+    JsonNode done = world.users.answer(world.leader(), "POST", "/admin/quota/team/recompute", null);
     assertThat(status(done)).isEqualTo(200);
-    w.loop.run(80);
+    world.loop.run(80);
     jobs.addAll(others);
     for (SimJob job : jobs) {
-      assertThat(w.users.stage(w.leader(), job.id)).as(job.id).isEqualTo("done");
+      assertThat(world.users.stage(world.leader(), job.id)).as(job.id).isEqualTo("done");
     }
-    WorldAssertions.fine(w);
+    WorldAssertions.fine(world);
   }
 
   @Test
-  void leaderDeposedWhileItReadsForRecomputeGoesOnAsFollower() {
-    SimWorld w = stored(564, 3);
-    int leader = w.leader();
-    w.suspend(leader); // The request is the first thing that it finds when it wakes.
-    w.users.ask(leader, "POST", "/admin/quota/team/recompute", null, (r, n) -> {});
-    w.loop.run(9);
-    w.resume(leader);
-    w.loop.run(5);
-    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(status(w.users.answer(leader, "GET", "/ready", null))).isEqualTo(200);
-    WorldAssertions.fine(w);
+  void leaderDeposedWhileReadingForRecomputeContinuesAsFollower() {
+    SimWorld world = worldWithStoredLimits(564, 3);
+    int leader = world.leader();
+    world.suspend(leader); // The request is the first thing that it finds when it wakes.
+    world.users.ask(leader, "POST", "/admin/quota/team/recompute", null, (reply, json) -> {});
+    world.loop.run(9);
+    world.resume(leader);
+    world.loop.run(5);
+    assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
+    assertThat(status(world.users.answer(leader, "GET", "/ready", null))).isEqualTo(200);
+    WorldAssertions.fine(world);
   }
 
   @Test
-  void malformedLimitsStopTheirTeamAloneUntilTheyAreGivenAnew() {
-    SimWorld w = stored(562, 3);
-    w.store.overwrite(QuotaCodec.limitKey("team"), Json.array());
-    w.loop.run(1);
-    final List<SimJob> jobs = burst(w, "team", "38", 5, 0.1, 2, 3);
-    List<SimJob> others = burst(w, "other", "39", 5, 0.1, 2, 3);
-    w.loop.run(40);
-    assertThat(w.invariants.running("team")).isZero();
-    assertThat(w.users.stage(0, others.get(0).id)).isEqualTo("done");
-    assertThat(w.users.stage(0, jobs.get(0).id)).isEqualTo("pending");
-    assertThat(shown(w, "team").path("stopped_because").asText()).contains("malformed");
-    assertThat(metrics(w)).contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1");
-    assertThat(status(set(w, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(409);
+  void malformedLimitsStopOnlyTheirTeamUntilTheyAreReplaced() {
+    SimWorld world = worldWithStoredLimits(562, 3);
+    world.store.overwrite(QuotaCodec.limitKey("team"), Json.array());
+    world.loop.run(1);
+    final List<SimJob> jobs = submitBurst(world, "team", "38", 5, 0.1, 2, 3);
+    List<SimJob> others = submitBurst(world, "other", "39", 5, 0.1, 2, 3);
+    world.loop.run(40);
+    assertThat(world.invariants.running("team")).isZero();
+    assertThat(world.users.stage(0, others.get(0).id)).isEqualTo("done");
+    assertThat(world.users.stage(0, jobs.get(0).id)).isEqualTo("pending");
+    assertThat(showQuota(world, "team").path("stopped_because").asText()).contains("malformed");
+    assertThat(metrics(world)).contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1");
+    assertThat(status(changeLimits(world, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(409);
     String all = "{\"cpus\":1,\"cpus_max\":9,\"gpus\":0,\"gpus_max\":0}";
-    assertThat(status(set(w, 0, "team", all))).isEqualTo(200);
-    w.loop.run(40);
-    assertThat(w.users.stage(0, jobs.get(4).id)).isEqualTo("done");
-    WorldAssertions.fine(w);
+    assertThat(status(changeLimits(world, 0, "team", all))).isEqualTo(200);
+    world.loop.run(40);
+    assertThat(world.users.stage(0, jobs.get(4).id)).isEqualTo("done");
+    WorldAssertions.fine(world);
   }
 
   @Test
-  void anAccountThatSomebodyChangesIsToldOfAndPassesNoLimit() {
-    SimWorld w = stored(563, 3);
-    final List<SimJob> jobs = burst(w, "team", "35", 60, 0.2, 2, 4);
-    w.loop.run(14);
-    overwriteAccount(w, "team", 0);
-    w.loop.run(3);
-    assertThat(metrics(w)).contains("graderelay_quota_differences{team=\"team\"}");
-    w.loop.run(60);
-    assertThat(w.users.stage(0, jobs.get(59).id)).isEqualTo("done");
-    w.loop.run(8);
-    assertThat(account(w, "team")).isZero();
-    WorldAssertions.fine(w);
+  void externallyChangedAccountIsReportedAndNoLimitIsExceeded() {
+    SimWorld world = worldWithStoredLimits(563, 3);
+    final List<SimJob> jobs = submitBurst(world, "team", "35", 60, 0.2, 2, 4);
+    world.loop.run(14);
+    overwriteAccount(world, "team", 0);
+    world.loop.run(3);
+    assertThat(metrics(world)).contains("graderelay_quota_differences{team=\"team\"}");
+    world.loop.run(60);
+    assertThat(world.users.stage(0, jobs.get(59).id)).isEqualTo("done");
+    world.loop.run(8);
+    assertThat(reservedCpus(world, "team")).isZero();
+    WorldAssertions.fine(world);
   }
 
   @Test
-  void settingsThatDifferFromWhatIsStoredAreShown() {
-    SimWorld w = stored(571, 3);
-    set(w, 0, "team", "{\"cpus_max\":20}");
-    w.loop.run(1);
-    JsonNode all = w.users.answer(1, "GET", "/admin/quota", null);
+  void settingsThatDifferFromTheStoredLimitsAreShown() {
+    SimWorld world = worldWithStoredLimits(571, 3);
+    changeLimits(world, 0, "team", "{\"cpus_max\":20}");
+    world.loop.run(1);
+    JsonNode all = world.users.answer(1, "GET", "/admin/quota", null);
     assertThat(all.path("stored").asBoolean()).isTrue();
     assertThat(all.path("teams").size()).isEqualTo(3);
     assertThat(all.path("settings_differ").toString()).contains("team team").contains("24 CPUs");
-    assertThat(metrics(w)).contains("what=\"settings_differ\"} 1");
+    assertThat(metrics(world)).contains("what=\"settings_differ\"} 1");
   }
 }
--- a/src/test/java/graderelay/quota/QuotaMeasurement.java
+++ b/src/test/java/graderelay/quota/QuotaMeasurement.java
@@ -14,17 +14,17 @@
  */
 public final class QuotaMeasurement {
   private static final int[] SEEDS = {1, 2, 3};
-  private static final double RUN_S = 3;
-  private static final double MOST_S = 600;
+  private static final double TASK_RUN_S = 3;
+  private static final double MAX_BURST_S = 600;
 
   /** Seconds after the last start until every end has been written. */
   private static final double SETTLE_S = 30;
 
   /** Seconds that each answer of the store takes longer than usual: some 15 times as long. */
-  private static final double SLOW_S = 0.15;
+  private static final double EXTRA_STORE_DELAY_S = 0.15;
 
-  private static final long MOST_MS = 3_600_000;
-  private static final int DIGITS = 3;
+  private static final long MAX_RECORDED_WAIT_MS = 3_600_000;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   /** A burst of {@code jobs} single-task jobs within {@code burstS} seconds. */
   private record Setup(
@@ -32,7 +32,7 @@
       int machines,
       double requestsPerS,
       double changesPerS,
-      double slowS,
+      double extraStoreDelayS,
       int jobs,
       double burstS) {}
 
@@ -47,41 +47,43 @@
     List<Setup> setups =
         List.of(
             new Setup("150 machines, 25 changes/s", 150, 100, 25, 0, 200, 60),
-            new Setup("150 machines, 25 changes/s, slow", 150, 100, 25, SLOW_S, 200, 60),
+            new Setup(
+                "150 machines, 25 changes/s, slow", 150, 100, 25, EXTRA_STORE_DELAY_S, 200, 60),
             new Setup("150 machines, 300 changes/s", 150, 1000, 300, 0, 1000, 20),
-            new Setup("150 machines, 300 changes/s, slow", 150, 1000, 300, SLOW_S, 1000, 20),
+            new Setup(
+                "150 machines, 300 changes/s, slow", 150, 1000, 300, EXTRA_STORE_DELAY_S, 1000, 20),
             new Setup("4,000 machines, 50 changes/s", 4000, 200, 50, 0, 300, 50));
-    int most = arguments.length > 0 ? Integer.parseInt(arguments[0]) : setups.size();
+    int setupCount = arguments.length > 0 ? Integer.parseInt(arguments[0]) : setups.size();
     System.out.println(
         "setup | limits | start p50 ms | p99 ms | claims/s | changes/s | changes/job"
             + " | processor s of the whole world");
-    for (Setup setup : setups.subList(0, Math.min(most, setups.size()))) {
-      for (boolean on : new boolean[] {false, true}) {
-        show(setup, on);
+    for (Setup setup : setups.subList(0, Math.min(setupCount, setups.size()))) {
+      for (boolean withStoredLimits : new boolean[] {false, true}) {
+        measureAndPrint(setup, withStoredLimits);
       }
     }
   }
 
-  private static void show(Setup setup, boolean on) {
-    Histogram waits = new Histogram(MOST_MS, DIGITS);
+  private static void measureAndPrint(Setup setup, boolean withStoredLimits) {
+    Histogram waits = new Histogram(MAX_RECORDED_WAIT_MS, SIGNIFICANT_DIGITS);
     double changesToStart = 0;
     double startS = 0;
     double changes = 0;
     double cpuS = 0;
     for (int seed : SEEDS) {
-      Result r = burst(setup, on, seed);
-      waits.add(r.waitsMs());
-      changesToStart += r.changesToStart();
-      startS += r.startS();
-      changes += r.changes();
-      cpuS += r.cpuS();
+      Result result = runBurst(setup, withStoredLimits, seed);
+      waits.add(result.waitsMs());
+      changesToStart += result.changesToStart();
+      startS += result.startS();
+      changes += result.changes();
+      cpuS += result.cpuS();
     }
     int jobs = SEEDS.length * setup.jobs();
     System.out.printf(
         Locale.ROOT,
         "%s | %s | %d | %d | %.1f | %.1f | %.2f | %.1f%n",
         setup.name(),
-        on ? "stored" : "off",
+        withStoredLimits ? "stored" : "off",
         waits.getValueAtPercentile(50),
         waits.getValueAtPercentile(99),
         jobs / startS,
@@ -90,59 +92,61 @@
         cpuS / SEEDS.length);
   }
 
-  private static Result burst(Setup setup, boolean on, int seed) {
+  private static Result runBurst(Setup setup, boolean withStoredLimits, int seed) {
     WorldShape shape =
         new WorldShape(3, 4, 22, List.of("a", "b"), setup.machines(), 3.0 * setup.machines());
-    SimWorld w = new SimWorld(seed, shape);
-    w.requestsPerS = setup.requestsPerS();
-    w.changesPerS = setup.changesPerS();
-    if (on) {
-      QuotaSteps.stored(w);
+    SimWorld world = new SimWorld(seed, shape);
+    world.requestsPerS = setup.requestsPerS();
+    world.changesPerS = setup.changesPerS();
+    if (withStoredLimits) {
+      QuotaSteps.worldWithStoredLimits(world);
     } else {
-      QuotaSteps.plain(w);
+      QuotaSteps.worldWithoutStoredLimits(world);
     }
-    fill(w, setup.machines());
-    w.store.slowS = setup.slowS();
-    final long cpu = processorNanos();
-    final long changes = w.store.changesMade;
-    final double from = w.loop.now();
+    fillFleet(world, setup.machines());
+    world.store.slowS = setup.extraStoreDelayS();
+    final long cpu = threadCpuNanos();
+    final long changes = world.store.changesMade;
+    final double from = world.loop.now();
     double everyS = setup.burstS() / setup.jobs();
-    List<SimJob> jobs = QuotaSteps.burst(w, "team", "60", setup.jobs(), everyS, 1, RUN_S);
-    while (w.loop.now() < from + MOST_S && jobs.stream().anyMatch(j -> !began(j))) {
-      w.loop.run(0.5);
+    List<SimJob> jobs =
+        QuotaSteps.submitBurst(world, "team", "60", setup.jobs(), everyS, 1, TASK_RUN_S);
+    while (world.loop.now() < from + MAX_BURST_S
+        && jobs.stream().anyMatch(job -> !hasStarted(job))) {
+      world.loop.run(0.5);
     }
-    final double startS = w.loop.now() - from;
-    final long changesToStart = w.store.changesMade - changes;
-    w.loop.run(SETTLE_S);
-    Histogram waits = new Histogram(MOST_MS, DIGITS);
+    final double startS = world.loop.now() - from;
+    final long changesToStart = world.store.changesMade - changes;
+    world.loop.run(SETTLE_S);
+    Histogram waits = new Histogram(MAX_RECORDED_WAIT_MS, SIGNIFICANT_DIGITS);
     for (int i = 0; i < jobs.size(); i++) {
       SimJob job = jobs.get(i);
-      double waited = (began(job) ? job.firstStart : from + MOST_S) - from - i * everyS;
+      double waited = (hasStarted(job) ? job.firstStart : from + MAX_BURST_S) - from - i * everyS;
       waits.recordValue((long) Math.max(0, waited * 1000));
     }
     return new Result(
         waits,
         changesToStart,
         startS,
-        w.store.changesMade - changes,
-        (processorNanos() - cpu) / 1e9);
+        world.store.changesMade - changes,
+        (threadCpuNanos() - cpu) / 1e9);
   }
 
-  private static boolean began(SimJob job) {
+  private static boolean hasStarted(SimJob job) {
     return !Double.isNaN(job.firstStart);
   }
 
   /** Machines are up and have the image, with a guest's work on them that yields to the team's. */
-  private static void fill(SimWorld w, int machines) {
-    SimJob guests = w.users.job("j-610000", machines, 3, 10_000, true);
+  private static void fillFleet(SimWorld world, int machines) {
+    SimJob guests = world.users.job("j-610000", machines, 3, 10_000, true);
     guests.guest = true;
-    w.users.submit(0, guests);
-    for (int i = 0; i < 300 && w.invariants.running("guest") < 3 * machines; i++) {
-      w.loop.run(1);
+    world.users.submit(0, guests);
+    for (int i = 0; i < 300 && world.invariants.running("guest") < 3 * machines; i++) {
+      world.loop.run(1);
     }
   }
 
-  private static long processorNanos() {
+  private static long threadCpuNanos() {
     return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
   }
 }
--- a/src/test/java/graderelay/quota/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -20,64 +20,70 @@
 
 /** Steps that scenarios of stored limits share. */
 final class QuotaSteps {
-  static final int LEVEL = Feature.STORED_LIMITS.level();
+  static final int STORED_LIMITS_LEVEL = Feature.STORED_LIMITS.level();
   private static final double SOAK_S = 1;
 
   private QuotaSteps() {}
 
   /** What a controller starts with that may go up to this feature level. */
-  static Options upTo(int level) {
+  static Options optionsUpToLevel(int level) {
     return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, level));
   }
 
   /** A world that stores limits. */
-  static SimWorld stored(long seed, int size) {
-    return stored(new SimWorld(seed, WorldShape.of(size)));
+  static SimWorld worldWithStoredLimits(long seed, int size) {
+    return worldWithStoredLimits(new SimWorld(seed, WorldShape.of(size)));
   }
 
   /** The same world once it stores limits. */
-  static SimWorld stored(SimWorld w) {
-    w.checkLevels();
-    startWith(w, upTo(LEVEL));
-    for (int i = 0; i < 30 && w.store.value(QuotaCodec.SEEDED) == null; i++) {
-      w.loop.run(1);
+  static SimWorld worldWithStoredLimits(SimWorld world) {
+    world.checkLevels();
+    restartAllWith(world, optionsUpToLevel(STORED_LIMITS_LEVEL));
+    for (int i = 0; i < 30 && world.store.value(QuotaCodec.SEEDED) == null; i++) {
+      world.loop.run(1);
     }
-    assertThat(w.store.value(QuotaCodec.SEEDED)).isNotNull();
-    assertThat(w.leader()).isNotNegative();
-    return w;
+    assertThat(world.store.value(QuotaCodec.SEEDED)).isNotNull();
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
   /** A world that does not, and otherwise is the same. */
-  static SimWorld plain(long seed, int size) {
-    return plain(new SimWorld(seed, WorldShape.of(size)));
+  static SimWorld worldWithoutStoredLimits(long seed, int size) {
+    return worldWithoutStoredLimits(new SimWorld(seed, WorldShape.of(size)));
   }
 
   /** The same world once it has the level before stored limits. */
-  static SimWorld plain(SimWorld w) {
-    startWith(w, upTo(LEVEL - 1));
-    w.loop.run(12);
-    assertThat(w.store.value(FeatureCodec.LEADER)).isNotNull();
-    return w;
+  static SimWorld worldWithoutStoredLimits(SimWorld world) {
+    restartAllWith(world, optionsUpToLevel(STORED_LIMITS_LEVEL - 1));
+    world.loop.run(12);
+    assertThat(world.store.value(FeatureCodec.LEADER)).isNotNull();
+    return world;
   }
 
-  private static void startWith(SimWorld w, Options options) {
-    for (int i = 0; i < w.size; i++) {
-      w.replace(i, options);
-      w.crash(i);
-      w.start(i);
+  private static void restartAllWith(SimWorld world, Options options) {
+    for (int i = 0; i < world.size; i++) {
+      world.replace(i, options);
+      world.crash(i);
+      world.start(i);
     }
   }
 
   /** Arrays of one team, submitted at all controllers in turn. */
-  static List<SimJob> burst(
-      SimWorld w, String team, String prefix, int count, double everyS, double cpus, double runS) {
+  static List<SimJob> submitBurst(
+      SimWorld world,
+      String team,
+      String prefix,
+      int count,
+      double everyS,
+      double cpus,
+      double runS) {
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      SimJob job = w.users.job(String.format("j-%s%04d", prefix, i), 1, cpus, runS, true);
+      SimJob job = world.users.job(String.format("j-%s%04d", prefix, i), 1, cpus, runS, true);
       job.team = team;
       jobs.add(job);
-      int controller = i % w.size;
-      w.loop.after(i * everyS, () -> w.users.submit(controller, job));
+      int controller = i % world.size;
+      world.loop.after(i * everyS, () -> world.users.submit(controller, job));
     }
     return jobs;
   }
@@ -92,41 +98,42 @@
   }
 
   /** Operators change a team's limits at a controller. */
-  static JsonNode set(SimWorld w, int controller, String team, String fields) {
-    return w.users.answer(controller, "PUT", "/admin/quota/" + team, fields.getBytes());
+  static JsonNode changeLimits(SimWorld world, int controller, String team, String fields) {
+    return world.users.answer(controller, "PUT", "/admin/quota/" + team, fields.getBytes());
   }
 
-  static JsonNode shown(SimWorld w, String team) {
-    JsonNode answer = w.users.answer(Math.max(0, w.leader()), "GET", "/admin/quota/" + team, null);
+  static JsonNode showQuota(SimWorld world, String team) {
+    JsonNode answer =
+        world.users.answer(Math.max(0, world.leader()), "GET", "/admin/quota/" + team, null);
     return answer.path("teams").path(0);
   }
 
   /** What the account of a team says, in CPUs. */
-  static double account(SimWorld w, String team) {
-    return QuotaCodec.decodeAccount(w.store.value(QuotaCodec.accountKey(team)), 1).use().cpus();
+  static double reservedCpus(SimWorld world, String team) {
+    return QuotaCodec.decodeAccount(world.store.value(QuotaCodec.accountKey(team)), 1).use().cpus();
   }
 
-  static void overwriteAccount(SimWorld w, String team, double cpus) {
+  static void overwriteAccount(SimWorld world, String team, double cpus) {
     JsonNode value = Json.object().put("cpus", (long) (cpus * 1000)).put("gpus", 0);
-    w.store.overwrite(QuotaCodec.accountKey(team), value);
+    world.store.overwrite(QuotaCodec.accountKey(team), value);
   }
 
   /** All are done, no invariant was violated, and no limit was passed on the way. */
-  static void allDone(SimWorld w, QuotaRecorder recorder, List<SimJob> jobs) {
+  static void assertAllDone(SimWorld world, QuotaRecorder recorder, List<SimJob> jobs) {
     for (SimJob job : jobs) {
       assertThat(job.accepted).as(job.id).isTrue();
-      assertThat(w.users.stage(0, job.id)).as(job.id).isEqualTo("done");
+      assertThat(world.users.stage(0, job.id)).as(job.id).isEqualTo("done");
     }
-    kept(w, recorder);
+    assertNoViolations(world, recorder);
   }
 
-  static void kept(SimWorld w, QuotaRecorder recorder) {
-    assertThat(w.invariants.violations).isEmpty();
+  static void assertNoViolations(SimWorld world, QuotaRecorder recorder) {
+    assertThat(world.invariants.violations).isEmpty();
     assertThat(recorder.violations).isEmpty();
   }
 
   /** Every job began within so many seconds of its acceptance. */
-  static void beganWithin(List<SimJob> jobs, double seconds) {
+  static void assertStartedWithin(List<SimJob> jobs, double seconds) {
     for (SimJob job : jobs) {
       assertThat(job.firstStart - job.acceptedAt).as(job.id).isLessThanOrEqualTo(seconds);
     }
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -15,17 +15,17 @@
   /** What one of them does wrong on purpose, to show that the properties can fail. */
   enum Mutation {
     NONE,
-    RELEASE_BEFORE_THE_END_HAS_COMMITTED,
-    CLAIM_WITHOUT_THE_VERSION_OF_THE_LIMITS,
-    FAILOVER_TRUSTS_THE_ACCOUNT,
-    NO_READ_AFTER_THE_FENCE,
-    WRITERS_NOT_TOLD_APART
+    RELEASE_BEFORE_END_COMMITTED,
+    CLAIM_WITHOUT_LIMITS_REVISION,
+    FAILOVER_SKIPS_THE_FENCE,
+    NO_READ_AFTER_FENCE,
+    WRITE_IDS_NOT_UNIQUE
   }
 
   /** What becomes of a transaction. */
-  enum Fate {
-    ANSWERED,
-    ANSWER_LOST,
+  enum Delivery {
+    RESPONSE_RECEIVED,
+    RESPONSE_LOST,
     LATE,
     NEVER
   }
@@ -33,13 +33,13 @@
   /** One step. */
   sealed interface Step {
     /** A claimer claims a task that takes so many thousandths of a CPU. */
-    record Claim(int claimer, int millis, Fate fate) implements Step {}
+    record Claim(int claimer, int millis, Delivery delivery) implements Step {}
 
     /** A claimer ends one of the claims that stand. */
-    record End(int claimer, int pick, Fate fate) implements Step {}
+    record End(int claimer, int pick, Delivery delivery) implements Step {}
 
     /** A claimer settles and lowers its account, after so many seconds. */
-    record WriteAccount(int claimer, double seconds, Fate fate) implements Step {}
+    record WriteAccount(int claimer, double elapsedS, Delivery delivery) implements Step {}
 
     /** A claimer reads the store. */
     record Read(int claimer) implements Step {}
@@ -48,17 +48,17 @@
     record Failover(int claimer) implements Step {}
 
     /** Operators change the limit. */
-    record Limit(int millis) implements Step {}
+    record ChangeLimit(int millis) implements Step {}
 
     /** Somebody overwrites the account by hand. */
-    record Tamper(int millis) implements Step {}
+    record OverwriteAccount(int millis) implements Step {}
 
     /** A late transaction is carried out. */
-    record CarryOut(int pick) implements Step {}
+    record DeliverLate(int pick) implements Step {}
   }
 
   private static final String TEAM = "team";
-  private static final double RELEASE_S = 5;
+  private static final double RELEASE_AFTER_S = 5;
 
   private record TaskBatch(Amount use, long revision) {}
 
@@ -76,11 +76,11 @@
   private final Mutation mutation;
   private final Map<String, TaskBatch> taskBatches = new TreeMap<>();
   private final Set<String> releasedEarly = new HashSet<>();
-  private final List<Transaction> late = new ArrayList<>();
+  private final List<Transaction> delayedTransactions = new ArrayList<>();
   private final AdmissionControl[] claimers = new AdmissionControl[2];
   private Account account = Account.ABSENT;
-  private LimitRecord limit = limited(4000, 1);
-  private boolean tampered;
+  private LimitRecord limit = limitRecord(4000, 1);
+  private boolean overwritten;
   private long revision = 1;
   private int nextBatch;
   private int nextClaimer;
@@ -97,7 +97,7 @@
     failOver(1);
   }
 
-  private static LimitRecord limited(int millis, long revision) {
+  private static LimitRecord limitRecord(int millis, long revision) {
     return LimitRecord.of(
         new TeamQuota(Amount.NONE, new Amount(millis, 0)), revision, "operator", 0);
   }
@@ -110,39 +110,39 @@
     return account;
   }
 
-  void play(Step step) {
-    if (step instanceof Step.Claim s) {
-      claim(s);
-    } else if (step instanceof Step.End s) {
-      end(s);
-    } else if (step instanceof Step.WriteAccount s) {
-      writeAccount(s);
-    } else if (step instanceof Step.Read s) {
-      read(claimers[s.claimer()]);
-    } else if (step instanceof Step.Failover s) {
-      failOver(s.claimer());
-    } else if (step instanceof Step.Limit s) {
-      limit = limited(s.millis(), ++revision);
-    } else if (step instanceof Step.Tamper s) {
-      account = Account.of(new Amount(s.millis(), 0), "somebody", ++revision);
-      tampered = true;
-    } else if (step instanceof Step.CarryOut s && !late.isEmpty()) {
-      commit(late.remove(s.pick() % late.size()));
+  void apply(Step step) {
+    if (step instanceof Step.Claim claim) {
+      claim(claim);
+    } else if (step instanceof Step.End end) {
+      end(end);
+    } else if (step instanceof Step.WriteAccount write) {
+      writeAccount(write);
+    } else if (step instanceof Step.Read read) {
+      read(claimers[read.claimer()]);
+    } else if (step instanceof Step.Failover failover) {
+      failOver(failover.claimer());
+    } else if (step instanceof Step.ChangeLimit change) {
+      limit = limitRecord(change.millis(), ++revision);
+    } else if (step instanceof Step.OverwriteAccount overwrite) {
+      account = Account.of(new Amount(overwrite.millis(), 0), "somebody", ++revision);
+      overwritten = true;
+    } else if (step instanceof Step.DeliverLate late && !delayedTransactions.isEmpty()) {
+      commit(delayedTransactions.remove(late.pick() % delayedTransactions.size()));
     }
   }
 
   private void failOver(int claimer) {
-    boolean alike = mutation == Mutation.WRITERS_NOT_TOLD_APART;
-    String name = alike ? "claimer" : "claimer-" + nextClaimer++;
-    AdmissionControl fresh = new AdmissionControl(name, RELEASE_S);
-    fresh.enable();
-    claimers[claimer] = fresh;
-    if (mutation == Mutation.FAILOVER_TRUSTS_THE_ACCOUNT) {
-      read(fresh);
-      fresh.wantSettled(TEAM);
-      fresh.committed(fresh.fences(1), account.revision()); // It never wrote it.
+    boolean sameNames = mutation == Mutation.WRITE_IDS_NOT_UNIQUE;
+    String name = sameNames ? "claimer" : "claimer-" + nextClaimer++;
+    AdmissionControl successor = new AdmissionControl(name, RELEASE_AFTER_S);
+    successor.enable();
+    claimers[claimer] = successor;
+    if (mutation == Mutation.FAILOVER_SKIPS_THE_FENCE) {
+      read(successor);
+      successor.requestSettling(TEAM);
+      successor.onCommitted(successor.fenceWrites(1), account.revision()); // It never wrote it.
     } else {
-      read(fresh);
+      read(successor);
     }
   }
 
@@ -153,92 +153,100 @@
 
   private void read(AdmissionControl claimer) {
     taskBatches.forEach(
-        (id, s) -> {
+        (id, batch) -> {
           if (!releasedEarly.contains(id)) {
-            claimer.committed().put(id, 0, TEAM, s.revision(), s.use());
+            claimer.committedUse().put(id, 0, TEAM, batch.revision(), batch.use());
           }
         });
     claimer.update(stored());
   }
 
-  private void claim(Step.Claim s) {
-    AdmissionControl claimer = claimers[s.claimer()];
-    Amount use = new Amount(s.millis(), 0);
+  private void claim(Step.Claim step) {
+    AdmissionControl claimer = claimers[step.claimer()];
+    Amount use = new Amount(step.millis(), 0);
     AdmissionRefusal refusal = claimer.refusal(TEAM);
     if (refusal != null) {
-      claimer.wantSettled(TEAM);
-    } else if (claimer.fits(TEAM, use)) {
-      claimer.placed(TEAM, use);
-      AccountChange change = claimer.claim(TEAM);
+      claimer.requestSettling(TEAM);
+    } else if (claimer.fitsLimit(TEAM, use)) {
+      claimer.onClaimPlaced(TEAM, use);
+      AccountChange change = claimer.changeForClaims(TEAM);
       String taskBatch = "slice-" + nextBatch++;
       List<Condition> conditions = conditions(change);
       conditions.add(new Condition(taskBatch, 0));
-      send(new Transaction(s.claimer(), conditions, change, taskBatch, use, true), s.fate());
+      send(
+          new Transaction(step.claimer(), conditions, change, taskBatch, use, true),
+          step.delivery());
     }
   }
 
   private List<Condition> conditions(AccountChange change) {
     List<Condition> conditions = new ArrayList<>();
-    conditions.add(new Condition("account", change.onRevision()));
-    boolean forgets = mutation == Mutation.CLAIM_WITHOUT_THE_VERSION_OF_THE_LIMITS;
-    if (change.dependsOnLimits() && !forgets) {
-      conditions.add(new Condition("limit", change.onLimits()));
+    conditions.add(new Condition("account", change.expectedRevision()));
+    boolean omitsLimits = mutation == Mutation.CLAIM_WITHOUT_LIMITS_REVISION;
+    if (change.dependsOnLimits() && !omitsLimits) {
+      conditions.add(new Condition("limit", change.expectedLimitsRevision()));
     }
     return conditions;
   }
 
-  private void end(Step.End s) {
-    List<String> standing = new ArrayList<>(taskBatches.keySet());
-    if (standing.isEmpty()) {
+  private void end(Step.End step) {
+    List<String> ids = new ArrayList<>(taskBatches.keySet());
+    if (ids.isEmpty()) {
       return;
     }
-    String taskBatch = standing.get(s.pick() % standing.size());
-    if (mutation == Mutation.RELEASE_BEFORE_THE_END_HAS_COMMITTED) {
+    String taskBatch = ids.get(step.pick() % ids.size());
+    if (mutation == Mutation.RELEASE_BEFORE_END_COMMITTED) {
       releasedEarly.add(taskBatch);
-      claimers[s.claimer()].committed().removeJob(taskBatch);
+      claimers[step.claimer()].committedUse().removeJob(taskBatch);
     }
-    List<Condition> on = List.of(new Condition(taskBatch, taskBatches.get(taskBatch).revision()));
-    send(new Transaction(s.claimer(), on, null, taskBatch, Amount.NONE, false), s.fate());
+    List<Condition> conditions =
+        List.of(new Condition(taskBatch, taskBatches.get(taskBatch).revision()));
+    send(
+        new Transaction(step.claimer(), conditions, null, taskBatch, Amount.NONE, false),
+        step.delivery());
   }
 
-  private void writeAccount(Step.WriteAccount s) {
-    now += s.seconds();
-    AdmissionControl claimer = claimers[s.claimer()];
-    claimer.check();
-    List<AccountChange> changes = new ArrayList<>(claimer.fences(1));
+  private void writeAccount(Step.WriteAccount step) {
+    now += step.elapsedS();
+    AdmissionControl claimer = claimers[step.claimer()];
+    claimer.checkAccounts();
+    List<AccountChange> changes = new ArrayList<>(claimer.fenceWrites(1));
     if (changes.isEmpty()) {
-      changes.addAll(claimer.releases(1, now));
+      changes.addAll(claimer.releaseWrites(1, now));
     }
-    for (AccountChange c : changes) {
-      send(new Transaction(s.claimer(), conditions(c), c, null, null, false), s.fate());
+    for (AccountChange change : changes) {
+      send(
+          new Transaction(step.claimer(), conditions(change), change, null, null, false),
+          step.delivery());
     }
   }
 
-  private void send(Transaction t, Fate fate) {
-    AdmissionControl claimer = claimers[t.claimer()];
-    List<AccountChange> changes = t.account() == null ? List.of() : List.of(t.account());
-    if (fate == Fate.ANSWERED && commit(t)) {
-      if (t.taskBatch() != null) {
-        claimer.committed().put(t.taskBatch(), 0, TEAM, revision, t.use());
+  private void send(Transaction transaction, Delivery delivery) {
+    AdmissionControl claimer = claimers[transaction.claimer()];
+    List<AccountChange> changes =
+        transaction.account() == null ? List.of() : List.of(transaction.account());
+    if (delivery == Delivery.RESPONSE_RECEIVED && commit(transaction)) {
+      if (transaction.taskBatch() != null) {
+        claimer.committedUse().put(transaction.taskBatch(), 0, TEAM, revision, transaction.use());
       }
-      claimer.committed(changes, revision);
-      if (mutation == Mutation.NO_READ_AFTER_THE_FENCE) {
+      claimer.onCommitted(changes, revision);
+      if (mutation == Mutation.NO_READ_AFTER_FENCE) {
         claimer.update(stored());
       }
-    } else if (fate == Fate.ANSWERED) {
+    } else if (delivery == Delivery.RESPONSE_RECEIVED) {
       read(claimer);
-      claimer.refused(changes);
+      claimer.onRefused(changes);
     } else {
-      if (fate == Fate.ANSWER_LOST) {
-        commit(t);
-      } else if (fate == Fate.LATE) {
-        late.add(t);
+      if (delivery == Delivery.RESPONSE_LOST) {
+        commit(transaction);
+      } else if (delivery == Delivery.LATE) {
+        delayedTransactions.add(transaction);
       }
       read(claimer);
-      claimer.unanswered(changes);
+      claimer.onOutcomeUnknown(changes);
     }
-    if (t.claims()) {
-      claimer.noLongerPlaced(TEAM, t.use());
+    if (transaction.claims()) {
+      claimer.onClaimNoLongerPlaced(TEAM, transaction.use());
     }
   }
 
@@ -250,30 +258,30 @@
     };
   }
 
-  private boolean commit(Transaction t) {
-    for (Condition c : t.conditions()) {
-      if (revisionOf(c.key()) != c.revision()) {
+  private boolean commit(Transaction transaction) {
+    for (Condition condition : transaction.conditions()) {
+      if (revisionOf(condition.key()) != condition.revision()) {
         return false;
       }
     }
     revision++;
-    if (t.account() != null && t.account().writes()) {
-      account = Account.of(t.account().use(), t.account().writer(), revision);
-      tampered = false;
+    if (transaction.account() != null && transaction.account().writes()) {
+      account = Account.of(transaction.account().use(), transaction.account().writeId(), revision);
+      overwritten = false;
     }
-    if (t.taskBatch() != null) {
-      taskBatches.put(t.taskBatch(), new TaskBatch(t.use(), revision));
+    if (transaction.taskBatch() != null) {
+      taskBatches.put(transaction.taskBatch(), new TaskBatch(transaction.use(), revision));
     }
-    committedClaims += t.claims() ? 1 : 0;
-    judge(t.claims());
+    committedClaims += transaction.claims() ? 1 : 0;
+    checkInvariants(transaction.claims());
     return true;
   }
 
-  private void judge(boolean claimed) {
-    if (claimed && !limit.quota().allows(claims())) {
+  private void checkInvariants(boolean claimCommitted) {
+    if (claimCommitted && !limit.quota().allows(claims())) {
       violations.add("claims of " + claims() + " with a limit of " + limit.quota().limit());
     }
-    if (!tampered && !account.use().covers(claims())) {
+    if (!overwritten && !account.use().covers(claims())) {
       violations.add("claims of " + claims() + " with an account of " + account.use());
     }
     if (account.use().isNegative()) {
@@ -282,12 +290,12 @@
   }
 
   /** In the end the account has as much as the claims ask for, whatever was lost on the way. */
-  void settleDown() {
-    late.clear();
+  void convergeAccount() {
+    delayedTransactions.clear();
     for (int i = 0; i < 6; i++) {
-      play(new Step.Read(0));
-      claimers[0].wantSettled(TEAM);
-      play(new Step.WriteAccount(0, RELEASE_S + 1, Fate.ANSWERED));
+      apply(new Step.Read(0));
+      claimers[0].requestSettling(TEAM);
+      apply(new Step.WriteAccount(0, RELEASE_AFTER_S + 1, Delivery.RESPONSE_RECEIVED));
     }
   }
 }
--- a/src/test/java/graderelay/sim/QuotaRecorder.java
+++ b/src/test/java/graderelay/sim/QuotaRecorder.java
@@ -111,7 +111,7 @@
       return null;
     }
     int count = StateCodec.decodeTaskBatch(value).claimedCount();
-    Amount amount = Amount.needed(job.cpus(), job.gpus()).times(count);
+    Amount amount = Amount.roundedUp(job.cpus(), job.gpus()).times(count);
     taskBatches.put(key, new BatchClaims(job.team(), amount));
     claims.merge(job.team(), amount, Amount::plus);
     return job.team();
