--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -21,9 +21,9 @@
     return WorldAssertions.world(seed, 3);
   }
 
-  private static boolean writesBatch(JsonNode txn) {
-    for (JsonNode c : txn.path("then")) {
-      if (c.path("put").asText().startsWith(StateCodec.TASK_BATCHES)) {
+  private static boolean writesTaskBatch(JsonNode transaction) {
+    for (JsonNode change : transaction.path("then")) {
+      if (change.path("put").asText().startsWith(StateCodec.TASK_BATCHES)) {
         return true;
       }
     }
@@ -31,177 +31,184 @@
   }
 
   @Test
-  void arrayRunsToItsEndAndStaysDoneOnEveryController() {
-    SimWorld w = world(1);
-    SimJob j = w.users.job("j-000001", 6, 2, 3, true);
-    w.users.submit(0, j);
-    w.loop.run(40);
+  void completedArrayIsReportedAsDoneByEveryController() {
+    SimWorld world = world(1);
+    SimJob job = world.users.job("j-000001", 6, 2, 3, true);
+    world.users.submit(0, job);
+    world.loop.run(40);
     for (int i = 0; i < 3; i++) {
-      assertThat(w.users.stage(i, j.id)).isEqualTo("done");
+      assertThat(world.users.stage(i, job.id)).isEqualTo("done");
     }
-    assertThat(w.store.value(StateCodec.jobKey(j.id))).isNull();
-    assertThat(w.store.value(StateCodec.finalStateKey(j.id))).isNotNull();
-    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
-    fine(w);
+    assertThat(world.store.value(StateCodec.jobKey(job.id))).isNull();
+    assertThat(world.store.value(StateCodec.finalStateKey(job.id))).isNotNull();
+    assertThat(world.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
+    fine(world);
   }
 
   @Test
   void cancelBeforeClaimKeepsTheTaskFromStarting() {
-    SimWorld w = world(2);
-    SimJob j = w.users.job("j-000002", 2, 2, 0, false);
-    w.users.submit(0, j);
-    w.loop.run(1);
-    w.users.cancel(1, j); // No machine is up yet, so nothing is claimed.
-    w.loop.run(30);
-    assertThat(w.invariants.starts).isZero();
-    assertThat(w.users.stage(2, j.id)).isEqualTo("cancelled");
-    fine(w);
+    SimWorld world = world(2);
+    SimJob job = world.users.job("j-000002", 2, 2, 0, false);
+    world.users.submit(0, job);
+    world.loop.run(1);
+    world.users.cancel(1, job); // No machine is up yet, so nothing is claimed.
+    world.loop.run(30);
+    assertThat(world.invariants.starts).isZero();
+    assertThat(world.users.stage(2, job.id)).isEqualTo("cancelled");
+    fine(world);
   }
 
   @Test
   void cancelThatCommitsDuringClaimMakesTheClaimFail() {
-    SimWorld w = world(21);
-    w.users.submit(0, w.users.job("j-000030", 1, 1, 0, false));
-    w.loop.run(15); // A machine is up.
-    SimJob j = w.users.job("j-000031", 2, 1, 0, false);
-    int[] left = {1};
-    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.store.delayS = 0.5;
-    w.users.submit(0, j);
-    w.loop.run(0.1);
-    w.users.cancel(1, j);
-    w.loop.run(0.1);
-    assertThat(w.users.stage(2, j.id)).isEqualTo("cancelled");
-    w.loop.run(3);
-    assertThat(w.store.everWritten).doesNotContain(StateCodec.TASK_BATCHES + j.id + "/0");
-    assertThat(w.invariants.starts).isEqualTo(1);
-    fine(w);
+    SimWorld world = world(21);
+    world.users.submit(0, world.users.job("j-000030", 1, 1, 0, false));
+    world.loop.run(15); // A machine is up.
+    SimJob job = world.users.job("j-000031", 2, 1, 0, false);
+    int[] remainingFaults = {1};
+    world.store.delay = transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
+    world.store.delayS = 0.5;
+    world.users.submit(0, job);
+    world.loop.run(0.1);
+    world.users.cancel(1, job);
+    world.loop.run(0.1);
+    assertThat(world.users.stage(2, job.id)).isEqualTo("cancelled");
+    world.loop.run(3);
+    assertThat(world.store.everWritten).doesNotContain(StateCodec.TASK_BATCHES + job.id + "/0");
+    assertThat(world.invariants.starts).isEqualTo(1);
+    fine(world);
   }
 
   @Test
-  void formerLeadersClaimFailsEvenWhenNobodyElseTouchedTheRecord() {
-    SimWorld w = world(22);
-    w.users.submit(0, w.users.job("j-000032", 1, 1, 0, false));
-    w.loop.run(15);
-    int leader = w.leader();
-    SimJob j = w.users.job("j-000033", 2, 1, 5, true);
-    int[] left = {1};
-    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.store.delayS = 20;
-    w.users.submit((leader + 1) % 3, j);
-    while (left[0] > 0) {
-      w.loop.run(0.01);
+  void formerLeadersClaimFailsEvenIfTheTaskBatchIsUnchanged() {
+    SimWorld world = world(22);
+    world.users.submit(0, world.users.job("j-000032", 1, 1, 0, false));
+    world.loop.run(15);
+    int leader = world.leader();
+    SimJob job = world.users.job("j-000033", 2, 1, 5, true);
+    int[] remainingFaults = {1};
+    world.store.delay = transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
+    world.store.delayS = 20;
+    world.users.submit((leader + 1) % 3, job);
+    while (remainingFaults[0] > 0) {
+      world.loop.run(0.01);
     }
-    w.crash(leader);
+    world.crash(leader);
     // The next leader claims nothing, so that only the leader record stands in the way.
-    w.users.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
-    w.loop.run(30);
-    assertThat(w.leader()).isNotNegative().isNotEqualTo(leader);
-    assertThat(w.store.value(StateCodec.TASK_BATCHES + j.id + "/0")).isNull();
-    fine(w);
+    world.users.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
+    world.loop.run(30);
+    assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
+    assertThat(world.store.value(StateCodec.TASK_BATCHES + job.id + "/0")).isNull();
+    fine(world);
   }
 
   @Test
-  void cancelAfterClaimIsStopRequestThatTheLeaderCarriesOut() {
-    SimWorld w = world(3);
-    SimJob j = w.users.job("j-000003", 2, 2, 0, false);
-    w.users.submit(0, j);
-    w.loop.run(15);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
-    w.users.cancel(1, j);
-    w.loop.run(5);
-    assertThat(w.workers.values()).allMatch(x -> x.running().isEmpty());
-    assertThat(w.store.value(StateCodec.finalStateKey(j.id)).path("end").asText())
+  void cancelAfterClaimMakesTheLeaderStopTheTasks() {
+    SimWorld world = world(3);
+    SimJob job = world.users.job("j-000003", 2, 2, 0, false);
+    world.users.submit(0, job);
+    world.loop.run(15);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("running");
+    world.users.cancel(1, job);
+    world.loop.run(5);
+    assertThat(world.workers.values()).allMatch(x -> x.running().isEmpty());
+    assertThat(world.store.value(StateCodec.finalStateKey(job.id)).path("end").asText())
         .isEqualTo("cancelled");
-    fine(w);
+    fine(world);
   }
 
   @Test
-  void claimWhoseAnswerIsLostIsNeitherForgottenNorMadeTwice() {
-    SimWorld w = world(4);
-    SimJob j = w.users.job("j-000004", 3, 1, 5, true);
-    int[] left = {1};
-    w.store.loseAnswer = t -> writesBatch(t) && left[0]-- > 0;
-    w.users.submit(0, j);
-    w.loop.run(40);
-    assertThat(left[0]).isLessThan(1);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
-    assertThat(w.invariants.starts).isEqualTo(3);
-    fine(w);
+  void claimWhoseCommitResponseIsLostIsExecutedExactlyOnce() {
+    SimWorld world = world(4);
+    SimJob job = world.users.job("j-000004", 3, 1, 5, true);
+    int[] remainingFaults = {1};
+    world.store.loseAnswer =
+        transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
+    world.users.submit(0, job);
+    world.loop.run(40);
+    assertThat(remainingFaults[0]).isLessThan(1);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("done");
+    assertThat(world.invariants.starts).isEqualTo(3);
+    fine(world);
   }
 
   @Test
-  void claimAppliedLateIsNotLaunchedBesidesItsRival() {
-    SimWorld w = world(5);
-    SimJob j = w.users.job("j-000005", 3, 1, 5, true);
-    int[] left = {1};
-    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.store.delayS = 3;
-    w.users.submit(0, j);
-    w.loop.run(40);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("done");
-    fine(w);
+  void claimCommittedLateIsNotLaunchedBesideACompetingClaim() {
+    SimWorld world = world(5);
+    SimJob job = world.users.job("j-000005", 3, 1, 5, true);
+    int[] remainingFaults = {1};
+    world.store.delay = transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
+    world.store.delayS = 3;
+    world.users.submit(0, job);
+    world.loop.run(40);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("done");
+    fine(world);
   }
 
   @Test
   void formerLeadersLateWriteFails() {
-    SimWorld w = world(6);
-    SimJob j = w.users.job("j-000006", 4, 1, 30, true);
-    int leader = w.leader();
-    int[] left = {1};
-    w.store.delay = t -> writesBatch(t) && left[0]-- > 0;
-    w.store.delayS = 20;
-    w.users.submit((leader + 1) % 3, j);
-    while (left[0] > 0) {
-      w.loop.run(0.01);
+    SimWorld world = world(6);
+    SimJob job = world.users.job("j-000006", 4, 1, 30, true);
+    int leader = world.leader();
+    int[] remainingFaults = {1};
+    world.store.delay = transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
+    world.store.delayS = 20;
+    world.users.submit((leader + 1) % 3, job);
+    while (remainingFaults[0] > 0) {
+      world.loop.run(0.01);
     }
-    w.crash(leader);
-    w.loop.run(70);
-    assertThat(w.leader()).isNotEqualTo(leader);
-    assertThat(w.users.stage(w.leader(), j.id)).isEqualTo("done");
-    fine(w);
+    world.crash(leader);
+    world.loop.run(70);
+    assertThat(world.leader()).isNotEqualTo(leader);
+    assertThat(world.users.stage(world.leader(), job.id)).isEqualTo("done");
+    fine(world);
   }
 
   @Test
-  void claimThatTurnsUpLateIsEndedAndNeverLaunched() {
-    Scheduler s = SchedulerFixture.scheduler(1);
-    SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
-    s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
-    s.step(0.1);
-    SchedulerFixture.completeWrites(s, TransactionOutcome.UNKNOWN, 0.2);
-    s.onTaskBatch(new TaskBatchKey("j-1", 0), SchedulerFixture.claimedRecord("n-1", 1), 6, 0.21);
-    s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25);
-    assertThat(s.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25)).isEmpty();
-    assertThat(SchedulerFixture.pendingLaunches(s)).isZero();
-    SchedulerFixture.commitAll(s, 7, 0.3);
-    assertThat(SchedulerFixture.committedWrites(s)).isPositive(); // It goes back to the queue.
+  void claimOfUnknownOutcomeThatCommitsLateIsEndedAndNeverLaunched() {
+    Scheduler scheduler = SchedulerFixture.scheduler(1);
+    SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
+    scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0, 0);
+    scheduler.step(0.1);
+    SchedulerFixture.completeWrites(scheduler, TransactionOutcome.UNKNOWN, 0.2);
+    scheduler.onTaskBatch(
+        new TaskBatchKey("j-1", 0), SchedulerFixture.claimedRecord("n-1", 1), 6, 0.21);
+    scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25);
+    assertThat(scheduler.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 0.25)).isEmpty();
+    assertThat(SchedulerFixture.pendingLaunches(scheduler)).isZero();
+    SchedulerFixture.commitAll(scheduler, 7, 0.3);
+    assertThat(SchedulerFixture.committedWrites(scheduler))
+        .isPositive(); // It goes back to the queue.
   }
 
   @Test
   void teamLimitHoldsWhileOneMachineIsCutOff() {
-    SimWorld w = world(11);
-    SimJob j = w.users.job("j-000011", 12, 4, 0, false);
-    w.users.submit(0, w.users.job("j-000012", 5, 4, 30, true));
-    w.loop.run(16);
+    SimWorld world = world(11);
+    SimJob job = world.users.job("j-000011", 12, 4, 0, false);
+    world.users.submit(0, world.users.job("j-000012", 5, 4, 30, true));
+    world.loop.run(16);
     assertThat(
-            w.users.answer(0, "POST", "/v1/jobs", Json.write(w.users.body(j))).path("http").asInt())
+            world
+                .users
+                .answer(0, "POST", "/v1/jobs", Json.write(world.users.body(job)))
+                .path("http")
+                .asInt())
         .isEqualTo(422); // A service must fit the limit as a whole.
-    w.users.submit(0, w.users.job("j-000013", 20, 4, 10, true));
-    w.loop.run(10);
-    String machine = w.workers.keySet().iterator().next();
-    w.cutOff(machine);
-    w.loop.run(60);
-    fine(w);
+    world.users.submit(0, world.users.job("j-000013", 20, 4, 10, true));
+    world.loop.run(10);
+    String machine = world.workers.keySet().iterator().next();
+    world.cutOff(machine);
+    world.loop.run(60);
+    fine(world);
   }
 
   @Test
   void jobOfMoreTaskBatchesThanOneTransactionHoldsEnds() {
-    SimWorld w = world(12);
-    SimJob j = w.users.job("j-000014", 7000, 0.01, 1, true);
-    w.users.submit(0, j);
-    w.loop.run(200);
-    assertThat(w.users.stage(1, j.id)).isEqualTo("done");
-    assertThat(w.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
-    fine(w);
+    SimWorld world = world(12);
+    SimJob job = world.users.job("j-000014", 7000, 0.01, 1, true);
+    world.users.submit(0, job);
+    world.loop.run(200);
+    assertThat(world.users.stage(1, job.id)).isEqualTo("done");
+    assertThat(world.store.items.keySet()).noneMatch(k -> k.startsWith(StateCodec.TASK_BATCHES));
+    fine(world);
   }
 }
--- a/src/test/java/graderelay/worker/LaunchFencingTest.java
+++ b/src/test/java/graderelay/worker/LaunchFencingTest.java
@@ -17,68 +17,71 @@
   }
 
   /** A direct launch is held by a cut between leader and machine; heartbeats go through a peer. */
-  private static void heldLaunch(
-      double meanwhileAfter,
-      double healAfter,
-      java.util.function.BiConsumer<SimWorld, String> do1) {
-    SimWorld w = world(23);
-    SimJob warm = w.users.job("j-000040", 1, 1, 300, false);
-    w.users.submit(0, warm);
-    w.loop.run(15);
-    final String machine = runner(w, "j-000040/0");
-    int leader = w.leader();
-    SimJob j = w.users.job("j-000041", 1, 1, 300, false);
-    w.net.alwaysPooled = true; // The command goes into an open connection and is held there.
-    w.users.submit((leader + 1) % 3, j);
-    while (!claimed(w, j)) {
-      w.loop.run(0.0005);
+  private static void runWithDelayedLaunch(
+      double actionAfterS,
+      double healAfterS,
+      java.util.function.BiConsumer<SimWorld, String> duringPartition) {
+    SimWorld world = world(23);
+    SimJob warmUpJob = world.users.job("j-000040", 1, 1, 300, false);
+    world.users.submit(0, warmUpJob);
+    world.loop.run(15);
+    final String machine = runner(world, "j-000040/0");
+    int leader = world.leader();
+    SimJob job = world.users.job("j-000041", 1, 1, 300, false);
+    world.net.alwaysPooled = true; // The command goes into an open connection and is held there.
+    world.users.submit((leader + 1) % 3, job);
+    while (!claimed(world, job)) {
+      world.loop.run(0.0005);
     }
-    w.net.cut("c" + leader, machine);
-    w.loop.run(meanwhileAfter);
-    do1.accept(w, machine);
-    w.loop.run(healAfter - meanwhileAfter);
-    w.workers.get(machine).failsEverything = false;
-    w.net.heal("c" + leader, machine);
-    w.loop.run(40);
-    assertThat(w.leader()).isEqualTo(leader);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("running");
-    fine(w);
+    world.net.cut("c" + leader, machine);
+    world.loop.run(actionAfterS);
+    duringPartition.accept(world, machine);
+    world.loop.run(healAfterS - actionAfterS);
+    world.workers.get(machine).failsEverything = false;
+    world.net.heal("c" + leader, machine);
+    world.loop.run(40);
+    assertThat(world.leader()).isEqualTo(leader);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("running");
+    fine(world);
   }
 
   @Test
-  void launchThatIsHeldBackIsFencedBeforeItsJobIsOver() {
-    SimWorld w = world(9);
-    SimJob warm = w.users.job("j-000009", 1, 1, 0, false);
-    w.users.submit(0, warm);
-    w.loop.run(15);
-    String machine = runner(w, "j-000009/0");
-    int leader = w.leader();
-    SimJob j = w.users.job("j-000010", 2, 1, 0, false);
-    w.users.submit((leader + 1) % 3, j);
-    while (!claimed(w, j)) {
-      w.loop.run(0.001);
+  void delayedLaunchIsFencedBeforeItsCancelledJobEnds() {
+    SimWorld world = world(9);
+    SimJob warmUpJob = world.users.job("j-000009", 1, 1, 0, false);
+    world.users.submit(0, warmUpJob);
+    world.loop.run(15);
+    String machine = runner(world, "j-000009/0");
+    int leader = world.leader();
+    SimJob job = world.users.job("j-000010", 2, 1, 0, false);
+    world.users.submit((leader + 1) % 3, job);
+    while (!claimed(world, job)) {
+      world.loop.run(0.001);
     }
-    w.net.cut("c" + leader, machine);
-    w.loop.run(1);
-    w.users.cancel((leader + 1) % 3, j);
-    w.loop.run(9);
-    w.net.heal("c" + leader, machine);
-    w.loop.run(60);
-    assertThat(w.users.stage(0, j.id)).isEqualTo("cancelled");
-    assertThat(w.workers.values()).noneMatch(x -> x.running().contains("j-000010/0"));
-    fine(w);
+    world.net.cut("c" + leader, machine);
+    world.loop.run(1);
+    world.users.cancel((leader + 1) % 3, job);
+    world.loop.run(9);
+    world.net.heal("c" + leader, machine);
+    world.loop.run(60);
+    assertThat(world.users.stage(0, job.id)).isEqualTo("cancelled");
+    assertThat(world.workers.values()).noneMatch(worker -> worker.running().contains("j-000010/0"));
+    fine(world);
   }
 
   @Test
-  void taskWhoseLaunchHasNoAnswerIsNotMovedBeforeThatIsFenced() {
-    heldLaunch(
+  void taskWithUnansweredLaunchIsNotMovedBeforeTheLaunchIsFenced() {
+    runWithDelayedLaunch(
         2.5,
         16,
-        (w, m) -> w.users.answer(w.leader(), "POST", "/admin/machines/" + m + "/drain", null));
+        (world, machineName) ->
+            world.users.answer(
+                world.leader(), "POST", "/admin/machines/" + machineName + "/drain", null));
   }
 
   @Test
-  void anAttemptWhoseLaunchMayComeLateIsNotReaped() {
-    heldLaunch(1, 25, (w, m) -> w.workers.get(m).failsEverything = true);
+  void attemptWhoseLaunchMayArriveLateIsNotReaped() {
+    runWithDelayedLaunch(
+        1, 25, (world, machineName) -> world.workers.get(machineName).failsEverything = true);
   }
 }
--- a/src/test/java/graderelay/worker/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -27,195 +27,201 @@
 
   @ParameterizedTest
   @CsvSource({"2, cancel", "6, cancel", "11, cancel", "20, cancel", "6, owner", "20, owner"})
-  void machineThatHangsAndGoesOnKeepsNoCancelledTask(double hangS, String and) {
-    SimWorld w = world(331, 3);
-    SimJob[] jobs = running(w, 2);
-    int leader = w.leader();
-    w.workers.values().forEach(x -> x.hang(hangS));
-    w.users.cancel(other(w, leader), jobs[0]);
-    w.loop.run(0.5);
-    if (and.equals("owner")) {
-      w.crash(leader);
+  void machineThatHangsAndResumesStopsItsCancelledTasks(double hangS, String fault) {
+    SimWorld world = world(331, 3);
+    SimJob[] jobs = running(world, 2);
+    int leader = world.leader();
+    world.workers.values().forEach(worker -> worker.hang(hangS));
+    world.users.cancel(other(world, leader), jobs[0]);
+    world.loop.run(0.5);
+    if (fault.equals("owner")) {
+      world.crash(leader);
     }
-    w.loop.run(hangS + 15);
-    assertThat(w.workers.values()).noneMatch(x -> x.running().contains(jobs[0].id + "/0"));
-    w.loop.run(SimWorld.CANCEL_S);
-    fine(w);
+    world.loop.run(hangS + 15);
+    assertThat(world.workers.values())
+        .noneMatch(worker -> worker.running().contains(jobs[0].id + "/0"));
+    world.loop.run(SimWorld.CANCEL_S);
+    fine(world);
   }
 
   @Test
-  void commandHeldUpForSecondsStartsNothingOfCancelledJob() {
-    SimWorld w = world(332, 3);
-    running(w, 1);
-    w.net.alwaysPooled = true;
-    String machine = w.workers.keySet().iterator().next();
-    int leader = w.leader();
-    w.net.cut("c" + leader, machine);
-    SimJob j = w.users.job("j-000481", 3, 1, 30, true);
-    w.users.submit(other(w, leader), j);
-    w.loop.run(1.5);
-    w.users.cancel(other(w, leader), j);
-    w.loop.run(6);
-    w.net.heal("c" + leader, machine);
-    w.loop.run(SimWorld.CANCEL_S);
-    assertThat(w.workers.values()).noneMatch(x -> x.running().contains(j.id + "/0"));
-    fine(w);
+  void commandDelayedForSecondsStartsNoTaskOfCancelledJob() {
+    SimWorld world = world(332, 3);
+    running(world, 1);
+    world.net.alwaysPooled = true;
+    String machine = world.workers.keySet().iterator().next();
+    int leader = world.leader();
+    world.net.cut("c" + leader, machine);
+    SimJob job = world.users.job("j-000481", 3, 1, 30, true);
+    world.users.submit(other(world, leader), job);
+    world.loop.run(1.5);
+    world.users.cancel(other(world, leader), job);
+    world.loop.run(6);
+    world.net.heal("c" + leader, machine);
+    world.loop.run(SimWorld.CANCEL_S);
+    assertThat(world.workers.values())
+        .noneMatch(worker -> worker.running().contains(job.id + "/0"));
+    fine(world);
   }
 
   @ParameterizedTest
   @CsvSource({"cut, 6", "cut, 30", "hang, 6", "hang, 30", "deaf, 30", "mute, 30"})
   void teamAtItsLimitStaysWithinItWhileMachinesAreUnreachableAndTheLeaderChanges(
-      String how, double length) {
-    SimWorld w = new SimWorld(333, WorldShape.of(3).fleet(20, List.of("a", "b")));
-    w.cloud.capacity = 20;
-    w.loop.run(3);
+      String fault, double durationS) {
+    SimWorld world = new SimWorld(333, WorldShape.of(3).fleet(20, List.of("a", "b")));
+    world.cloud.capacity = 20;
+    world.loop.run(3);
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      SimJob j = w.users.job(String.format("j-0004%02d", i), 4, 3, 300, false);
-      jobs.add(j);
-      w.users.submit(i % 3, j);
+      SimJob job = world.users.job(String.format("j-0004%02d", i), 4, 3, 300, false);
+      jobs.add(job);
+      world.users.submit(i % 3, job);
     }
-    w.loop.run(25);
-    assertThat(w.invariants.starts).isEqualTo(20); // 60 of 60 CPUs; four tasks wait for the limit.
-    List<SimWorker> some = new ArrayList<>(w.workers.values()).subList(0, 5);
-    for (SimWorker x : some) {
-      switch (how) {
-        case "cut" -> w.cutOff(x.name);
-        case "hang" -> x.hang(length);
-        case "deaf" -> w.net.deaf(x.name, true);
-        default -> w.net.mute(x.name, true);
+    world.loop.run(25);
+    assertThat(world.invariants.starts)
+        .isEqualTo(20); // 60 of 60 CPUs; four tasks wait for the limit.
+    List<SimWorker> affected = new ArrayList<>(world.workers.values()).subList(0, 5);
+    for (SimWorker worker : affected) {
+      switch (fault) {
+        case "cut" -> world.cutOff(worker.name);
+        case "hang" -> worker.hang(durationS);
+        case "deaf" -> world.net.deaf(worker.name, true);
+        default -> world.net.mute(worker.name, true);
       }
     }
-    int leader = w.leader();
-    w.users.cancel(other(w, leader), jobs.get(0));
-    w.users.cancel(other(w, leader), jobs.get(1));
-    w.loop.run(0.3);
-    w.crash(leader);
-    w.users.cancel(other(w, leader), jobs.get(2));
-    w.loop.run(length);
-    for (SimWorker x : some) {
-      w.net.deaf(x.name, false);
-      w.net.mute(x.name, false);
+    int leader = world.leader();
+    world.users.cancel(other(world, leader), jobs.get(0));
+    world.users.cancel(other(world, leader), jobs.get(1));
+    world.loop.run(0.3);
+    world.crash(leader);
+    world.users.cancel(other(world, leader), jobs.get(2));
+    world.loop.run(durationS);
+    for (SimWorker worker : affected) {
+      world.net.deaf(worker.name, false);
+      world.net.mute(worker.name, false);
       for (int i = 0; i < 3; i++) {
-        w.net.heal("c" + i, x.name);
+        world.net.heal("c" + i, worker.name);
       }
     }
-    w.start(leader);
-    w.loop.run(SimWorld.CANCEL_S + 20);
+    world.start(leader);
+    world.loop.run(SimWorld.CANCEL_S + 20);
     for (int i = 3; i < 6; i++) {
-      assertThat(w.users.stage(0, jobs.get(i).id)).isEqualTo("running");
+      assertThat(world.users.stage(0, jobs.get(i).id)).isEqualTo("running");
     }
-    fine(w);
+    fine(world);
   }
 
   @Test
-  void workersThatCanOpenNoConnectionLoseTheirLeaseAndTheirTasksRunOnce() {
-    SimWorld w = world(334, 3);
-    SimJob[] jobs = running(w, 3);
-    w.workers.keySet().forEach(m -> w.net.mute(m, true));
-    w.users.cancel(0, jobs[0]);
-    w.loop.run(SimWorld.LEASE_S + 12);
-    w.workers.keySet().forEach(m -> w.net.mute(m, false));
-    w.loop.run(40);
-    assertThat(w.users.stage(1, jobs[0].id)).isEqualTo("cancelled");
-    assertThat(w.users.stage(1, jobs[1].id)).isEqualTo("running");
-    fine(w);
+  void workersThatCannotOpenConnectionsLoseTheirLeasesAndNoTaskRunsTwice() {
+    SimWorld world = world(334, 3);
+    SimJob[] jobs = running(world, 3);
+    world.workers.keySet().forEach(machine -> world.net.mute(machine, true));
+    world.users.cancel(0, jobs[0]);
+    world.loop.run(SimWorld.LEASE_S + 12);
+    world.workers.keySet().forEach(machine -> world.net.mute(machine, false));
+    world.loop.run(40);
+    assertThat(world.users.stage(1, jobs[0].id)).isEqualTo("cancelled");
+    assertThat(world.users.stage(1, jobs[1].id)).isEqualTo("running");
+    fine(world);
   }
 
   @ParameterizedTest
   @CsvSource({"cut, 8", "cut, 25", "deaf, 8", "deaf, 25"})
-  void leaderEndsWhileMachinesWithLongTasksDoNotHearTheNext(String how, double length) {
-    SimWorld w = world(335, 3);
-    final SimJob[] jobs = running(w, 2);
-    SimJob longOne = w.users.job("j-000482", 3, 1, 70, false);
-    w.users.submit(0, longOne);
-    w.loop.run(10);
-    List<String> names = new ArrayList<>(w.workers.keySet());
-    for (String m : names) {
-      if (how.equals("cut")) {
-        w.cutOff(m);
+  void leaderCrashesWhileMachinesWithLongTasksCannotReachTheNextLeader(
+      String fault, double durationS) {
+    SimWorld world = world(335, 3);
+    final SimJob[] jobs = running(world, 2);
+    SimJob longArray = world.users.job("j-000482", 3, 1, 70, false);
+    world.users.submit(0, longArray);
+    world.loop.run(10);
+    List<String> machines = new ArrayList<>(world.workers.keySet());
+    for (String machine : machines) {
+      if (fault.equals("cut")) {
+        world.cutOff(machine);
       } else {
-        w.net.deaf(m, true);
+        world.net.deaf(machine, true);
       }
     }
-    w.crash(w.leader());
-    w.users.cancel(w.isUp(0) ? 0 : 1, jobs[0]);
-    w.loop.run(length);
-    for (String m : names) {
-      w.net.deaf(m, false);
+    world.crash(world.leader());
+    world.users.cancel(world.isUp(0) ? 0 : 1, jobs[0]);
+    world.loop.run(durationS);
+    for (String machine : machines) {
+      world.net.deaf(machine, false);
       for (int i = 0; i < 3; i++) {
-        w.net.heal("c" + i, m);
+        world.net.heal("c" + i, machine);
       }
     }
-    w.loop.run(140);
-    assertThat(w.users.stage(w.leader(), longOne.id)).isEqualTo("done");
-    fine(w);
+    world.loop.run(140);
+    assertThat(world.users.stage(world.leader(), longArray.id)).isEqualTo("done");
+    fine(world);
   }
 
   @ParameterizedTest
   @CsvSource({"0.2, 1", "0.2, 4", "3, 1"})
-  void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(double writeS, double endsAfter) {
-    SimWorld w = world(336, 3);
-    w.cloud.bootFactor = 0.15;
-    w.store.delayS = writeS;
-    w.store.delay = t -> t.toString().contains("g/slice/");
-    final List<SimJob> jobs = arrays(w, 8, 0.1, 6);
-    w.loop.run(1 + endsAfter);
-    int leader = w.leader();
-    w.crash(leader);
-    w.loop.run(3);
-    w.start(leader);
-    w.loop.run(60);
-    w.store.delay = t -> false;
-    w.loop.run(40);
-    allOver(w, jobs);
+  void newMachinesGetTasksWhileWritesAreDelayedAndTheLeaderCrashes(
+      double writeDelayS, double crashAfterS) {
+    SimWorld world = world(336, 3);
+    world.cloud.bootFactor = 0.15;
+    world.store.delayS = writeDelayS;
+    world.store.delay = transaction -> transaction.toString().contains("g/slice/");
+    final List<SimJob> jobs = arrays(world, 8, 0.1, 6);
+    world.loop.run(1 + crashAfterS);
+    int leader = world.leader();
+    world.crash(leader);
+    world.loop.run(3);
+    world.start(leader);
+    world.loop.run(60);
+    world.store.delay = transaction -> false;
+    world.loop.run(40);
+    allOver(world, jobs);
   }
 
   @Test
-  void jobsBoundToOneZoneRunAgainAfterItsMachinesWereLost() {
-    SimWorld w = world(337, 3);
+  void jobsRestrictedToOneZoneRestartAfterItsMachinesWereLost() {
+    SimWorld world = world(337, 3);
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
-      SimJob j = w.users.job(String.format("j-0004%02d", i), 2, 1, i % 2 == 0 ? 0 : 120, false);
-      j.zone = i < 2 ? "a" : "b";
-      jobs.add(j);
-      w.users.submit(i % 3, j);
+      SimJob job =
+          world.users.job(String.format("j-0004%02d", i), 2, 1, i % 2 == 0 ? 0 : 120, false);
+      job.zone = i < 2 ? "a" : "b";
+      jobs.add(job);
+      world.users.submit(i % 3, job);
     }
-    w.loop.run(20);
-    assertThat(w.invariants.starts).isEqualTo(8);
-    for (SimWorker x : new ArrayList<>(w.workers.values())) {
-      if (x.zone.equals("a")) {
-        w.cloud.take(x.name);
+    world.loop.run(20);
+    assertThat(world.invariants.starts).isEqualTo(8);
+    for (SimWorker worker : new ArrayList<>(world.workers.values())) {
+      if (worker.zone.equals("a")) {
+        world.cloud.take(worker.name);
       }
     }
-    w.loop.run(60);
+    world.loop.run(60);
     for (int i = 0; i < 2; i++) {
-      assertThat(runner(w, jobs.get(i).id + "/1")).isNotNull();
+      assertThat(runner(world, jobs.get(i).id + "/1")).isNotNull();
     }
-    fine(w);
+    fine(world);
   }
 
   @Test
-  void withMoreWorkThanRoomOverSlowLinksTheUrgentGoesFirstAndAllIsServed() {
-    SimWorld w = world(338, 3);
-    w.net.slow = 50; // An eighth of a second each way, a quarter at most.
-    w.cloud.capacity = 3;
+  void higherPriorityStartsFirstAndAllJobsEndWithScarceCapacityAndSlowLinks() {
+    SimWorld world = world(338, 3);
+    world.net.slow = 50; // An eighth of a second each way, a quarter at most.
+    world.cloud.capacity = 3;
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      SimJob j = w.users.job(String.format("j-0004%02d", i), 4, 1, 8, true);
-      j.guest = i % 2 == 0; // Of the lowest priority.
-      jobs.add(j);
-      w.users.submit(i % 3, j);
+      SimJob job = world.users.job(String.format("j-0004%02d", i), 4, 1, 8, true);
+      job.guest = i % 2 == 0; // Of the lowest priority.
+      jobs.add(job);
+      world.users.submit(i % 3, job);
     }
-    w.loop.run(30);
-    SimJob service = w.users.job("j-000483", 2, 2, 0, true);
-    w.users.submit(0, service);
-    w.loop.run(25);
+    world.loop.run(30);
+    SimJob service = world.users.job("j-000483", 2, 2, 0, true);
+    world.users.submit(0, service);
+    world.loop.run(25);
     assertThat(service.firstStart).isNotNaN();
-    w.loop.run(120);
-    for (SimJob j : jobs) {
-      assertThat(w.users.stage(1, j.id)).isEqualTo("done");
+    world.loop.run(120);
+    for (SimJob job : jobs) {
+      assertThat(world.users.stage(1, job.id)).isEqualTo("done");
     }
-    fine(w);
+    fine(world);
   }
 }
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -14,96 +14,96 @@
 /** A zone that is cut off, and its lease delegates. */
 class ZonePartitionTest {
   private static SimWorld world(long seed, WorldShape shape) {
-    SimWorld w = new SimWorld(seed, shape);
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+    SimWorld world = new SimWorld(seed, shape);
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
   /** A service whose replicas run in both zones, by the time that everybody has settled. */
-  private static SimWorld spread(long seed) {
-    SimWorld w = world(seed, WorldShape.of(5));
-    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
-    w.loop.run(20);
-    assertThat(w.invariants.starts)
+  private static SimWorld worldWithSpreadService(long seed) {
+    SimWorld world = world(seed, WorldShape.of(5));
+    world.users.submit(0, world.users.job("j-000110", 6, 1, 0, false, true));
+    world.loop.run(20);
+    assertThat(world.invariants.starts)
         .isEqualTo(6); // A machine was scaled out in each of them for it.
-    return w;
+    return world;
   }
 
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void tasksInCutOffZoneGoOnForLongerThanOneLease(boolean leadersZone) {
-    SimWorld w = spread(62);
-    int leader = w.leader();
+  void tasksInPartitionedZoneKeepRunningForLongerThanOneLease(boolean leadersZone) {
+    SimWorld world = worldWithSpreadService(62);
+    int leader = world.leader();
     String zone = (leader % 2 == 0) == leadersZone ? "a" : "b";
-    w.net.cutZone(zone, true);
-    w.loop.run(2 * SimWorld.LEASE_S + 2);
-    assertThat(w.leader() == leader).isEqualTo(!leadersZone);
-    w.net.cutZone(zone, false);
-    w.loop.run(20);
-    assertThat(w.invariants.starts)
-        .as(w.invariants.trace().toString())
+    world.net.cutZone(zone, true);
+    world.loop.run(2 * SimWorld.LEASE_S + 2);
+    assertThat(world.leader() == leader).isEqualTo(!leadersZone);
+    world.net.cutZone(zone, false);
+    world.loop.run(20);
+    assertThat(world.invariants.starts)
+        .as(world.invariants.trace().toString())
         .isEqualTo(6); // Nothing was lost.
-    assertThat(w.users.stage(0, "j-000110")).isEqualTo("running");
-    fine(w);
+    assertThat(world.users.stage(0, "j-000110")).isEqualTo("running");
+    fine(world);
   }
 
   @ParameterizedTest
   @CsvSource({"2, 12, true", "2, 12, false", "4, 22, true", "4, 22, false", "6, 30, true"})
-  void jobCancelledWhileItsZoneIsCutOffIsGoneInTime(
-      double reportS, double leaseS, boolean leadersZone) {
-    SimWorld w = world(62, WorldShape.of(5).workers(reportS, leaseS));
-    w.users.submit(0, w.users.job("j-000110", 6, 1, 0, false, true));
-    w.loop.run(30);
-    assertThat(w.invariants.starts).isEqualTo(6);
-    boolean inA = (w.leader() % 2 == 0) == leadersZone;
-    w.net.cutZone(inA ? "a" : "b", true);
-    w.loop.run(0.1); // The zone's lease delegates can know nothing of it.
-    w.users.cancel(inA ? 1 : 0, w.invariants.jobs.get("j-000110"));
-    w.loop.run(SimWorld.CANCEL_S + 20); // The invariants are checked all along.
-    w.net.cutZone(inA ? "a" : "b", false);
-    w.loop.run(20);
-    assertThat(w.users.stage(0, "j-000110")).isEqualTo("cancelled");
-    fine(w);
+  void jobCancelledWhileItsZoneIsPartitionedStopsInTime(
+      double heartbeatIntervalS, double leaseS, boolean leadersZone) {
+    SimWorld world = world(62, WorldShape.of(5).workers(heartbeatIntervalS, leaseS));
+    world.users.submit(0, world.users.job("j-000110", 6, 1, 0, false, true));
+    world.loop.run(30);
+    assertThat(world.invariants.starts).isEqualTo(6);
+    boolean zoneA = (world.leader() % 2 == 0) == leadersZone;
+    world.net.cutZone(zoneA ? "a" : "b", true);
+    world.loop.run(0.1); // The zone's lease delegates can know nothing of it.
+    world.users.cancel(zoneA ? 1 : 0, world.invariants.jobs.get("j-000110"));
+    world.loop.run(SimWorld.CANCEL_S + 20); // The invariants are checked all along.
+    world.net.cutZone(zoneA ? "a" : "b", false);
+    world.loop.run(20);
+    assertThat(world.users.stage(0, "j-000110")).isEqualTo("cancelled");
+    fine(world);
   }
 
   @Test
-  void tasksLostWithTheirWholeZoneStartElsewhereOnceItsDelegatesGrantIsOver() {
-    SimWorld w = world(63, WorldShape.of(5));
-    w.users.submit(0, w.users.job("j-000111", 1, 4, 300, false));
-    w.loop.run(20);
-    String zone = w.workers.get(runner(w, "j-000111/0")).zone;
-    for (int i = 0; i < w.size; i++) {
-      if (w.settings(i).zone().equals(zone)) {
-        w.crash(i);
+  void tasksLostWithTheirZoneRestartElsewhereOnceTheDelegationGrantHasExpired() {
+    SimWorld world = world(63, WorldShape.of(5));
+    world.users.submit(0, world.users.job("j-000111", 1, 4, 300, false));
+    world.loop.run(20);
+    String zone = world.workers.get(runner(world, "j-000111/0")).zone;
+    for (int i = 0; i < world.size; i++) {
+      if (world.settings(i).zone().equals(zone)) {
+        world.crash(i);
       }
     }
-    w.workers.values().stream()
-        .filter(x -> x.zone.equals(zone))
-        .map(x -> x.name)
+    world.workers.values().stream()
+        .filter(worker -> worker.zone.equals(zone))
+        .map(worker -> worker.name)
         .toList()
-        .forEach(w::cutOff);
+        .forEach(world::cutOff);
     // The leader can't know whether they are dead or keep the task alive.
-    double longest = w.settings(0).grantS() + SimWorld.LEASE_S;
-    assertThat(secondsToNextStart(w)).isBetween(longest - 3, longest + 15);
-    fine(w);
+    double maxRecoveryS = world.settings(0).grantS() + SimWorld.LEASE_S;
+    assertThat(secondsToNextStart(world)).isBetween(maxRecoveryS - 3, maxRecoveryS + 15);
+    fine(world);
   }
 
   @Test
-  void leaseDelegateThatOnlyTheLeaderCannotReachExtendsNoLease() {
-    SimWorld w = world(64, WorldShape.of(5));
-    w.users.submit(0, w.users.job("j-000112", 1, 4, 300, false));
-    w.loop.run(20);
-    int starts = w.invariants.starts;
-    for (int i = 0; i < w.size; i++) {
-      if (i != w.leader()) {
-        w.net.cut("c" + i, "c" + w.leader());
+  void leaseDelegateThatOnlyTheLeaderCannotReachRenewsNoLease() {
+    SimWorld world = world(64, WorldShape.of(5));
+    world.users.submit(0, world.users.job("j-000112", 1, 4, 300, false));
+    world.loop.run(20);
+    int starts = world.invariants.starts;
+    for (int i = 0; i < world.size; i++) {
+      if (i != world.leader()) {
+        world.net.cut("c" + i, "c" + world.leader());
       }
     }
-    w.loop.run(5);
-    assertThat(w.invariants.starts).isEqualTo(starts);
-    w.cutOff(runner(w, "j-000112/0"));
-    assertThat(secondsToNextStart(w)).isBetween(SimWorld.LEASE_S - 2, SimWorld.LEASE_S + 10);
-    fine(w);
+    world.loop.run(5);
+    assertThat(world.invariants.starts).isEqualTo(starts);
+    world.cutOff(runner(world, "j-000112/0"));
+    assertThat(secondsToNextStart(world)).isBetween(SimWorld.LEASE_S - 2, SimWorld.LEASE_S + 10);
+    fine(world);
   }
 }
