--- a/src/main/java/graderelay/core/LostMachineHandler.java
+++ b/src/main/java/graderelay/core/LostMachineHandler.java
@@ -38,7 +38,7 @@
       if (!machine.leaseExpired) {
         machine.leaseExpired = true;
         cluster.log(
-            "the lease of " + machine.name + " is over, " + machine.claims.size() + " claims");
+            "the lease of " + machine.name + " has expired, " + machine.claims.size() + " claims");
       }
       // This includes claims committed after the expiry: nothing is launched on such a machine.
       for (Claim claim : new ArrayList<>(machine.claims.values())) {
--- a/src/main/java/graderelay/core/ResponseLossDetector.java
+++ b/src/main/java/graderelay/core/ResponseLossDetector.java
@@ -33,7 +33,7 @@
       machine.responsesLostSince = null;
     } else if (evidence != null && machine.responsesLostSince == null) {
       machine.responsesLostSince = now;
-      cluster.log("machine " + machine.name + " does not hear us: " + evidence);
+      cluster.log("machine " + machine.name + " does not receive heartbeat responses: " + evidence);
     }
   }
 
--- a/src/main/java/graderelay/features/ClusterLevel.java
+++ b/src/main/java/graderelay/features/ClusterLevel.java
@@ -3,31 +3,32 @@
 /**
  * The finalized feature level of the cluster.
  *
- * @param level the level whose forms may be stored
- * @param target the level to which the cluster is on its way down, or {@code level} itself
+ * @param level the level whose record formats may be stored
+ * @param target the target of the downgrade in progress, or {@code level} if there is none
  */
 public record ClusterLevel(int level, int target) {
-  /** The level of a cluster whose store holds no record of one. */
+  /** The level of a cluster without a stored record of its level. */
   public static final ClusterLevel BASE = of(Feature.BASE_LEVEL);
 
-  /** Checks that the target is no higher than the level. */
+  /** Checks that the target is a valid level and not above the level. */
   public ClusterLevel {
     if (target < Feature.BASE_LEVEL || target > level) {
-      throw new IllegalArgumentException("no feature level: " + level + " towards " + target);
+      throw new IllegalArgumentException(
+          "invalid feature level: " + level + ", with target " + target);
     }
   }
 
-  /** A level that stays. */
+  /** A level without a downgrade in progress. */
   public static ClusterLevel of(int level) {
     return new ClusterLevel(level, level);
   }
 
-  /** True if forms of the feature may be stored at this level. */
+  /** True if records of the feature may be stored at this level. */
   public boolean includes(Feature feature) {
     return feature.level() <= level;
   }
 
-  /** True while a downgrade is under way: what is above the target is read, but not used anew. */
+  /** True during a downgrade: records of features above the target are read but not written. */
   public boolean isLowering() {
     return target < level;
   }
--- a/src/main/java/graderelay/features/ClusterStore.java
+++ b/src/main/java/graderelay/features/ClusterStore.java
@@ -9,51 +9,53 @@
  * The stored records of feature levels, as the {@link UpgradeCoordinator} reads and changes them.
  */
 public interface ClusterStore {
-  /** How a change of the stored records ended. */
+  /** The outcome of a change of the stored records. */
   enum Outcome {
     /** Committed. */
     DONE,
-    /** A condition failed: somebody has changed a record meanwhile. */
+    /** A condition failed because a record was changed concurrently. */
     CONFLICT,
-    /** Not carried out, or nobody knows whether it was. */
+    /** Not committed, or it is unknown whether it was. */
     UNKNOWN
   }
 
-  /** True while this controller leads and its copy of the records is complete. */
+  /** True if this controller is the leader and its copy of the records is complete. */
   boolean isLeader();
 
-  /** What the controllers have published of themselves, by name. */
+  /** The published member records by controller name. */
   Map<String, Member> publishedMembers();
 
-  /** True if operators have asked to stay at the present level. */
+  /** True if operators hold the current level. */
   boolean isLevelHeld();
 
   /**
-   * Changes the level by one conditional write, with the election records in the layout of the new
-   * level and under a higher term.
+   * Changes the level in one conditional transaction, which also writes the election records in the
+   * layout of the new level and raises the term.
    *
-   * @param on records of members that must not have changed meanwhile
+   * @param expectedMembers member records that must be unchanged when the transaction commits
    */
   void changeLevel(
       ClusterLevel newLevel, Collection<Member> expectedMembers, Consumer<Outcome> done);
 
-  /** Begins a downgrade, and asks to stay there: from then on nothing above the target is used. */
+  /**
+   * Begins a downgrade and holds the level; features above the target are disabled from then on.
+   */
   void beginDowngrade(ClusterLevel newLevel, Consumer<Outcome> done);
 
-  /** Asks to stay at the present level, or takes that back. */
+  /** Holds the current level or releases the hold. */
   void setLevelHeld(boolean held, Consumer<Outcome> done);
 
   /**
-   * Reads which keys only a feature uses, as they are in the store now; null if it can't be read.
+   * Reads the keys currently stored that only this feature uses; calls back with null on failure.
    */
   void readKeys(Feature feature, Consumer<List<String>> done);
 
-  /** Removes some of those keys, as many as one transaction may. */
+  /** Removes as many of the keys as fit one transaction. */
   void removeKeys(List<String> keys, Consumer<Outcome> done);
 
   /**
-   * Writes what a feature needs beside the change of the level, where that did not fit one
-   * transaction; calls back with true once nothing is missing.
+   * Writes the records of a feature that did not fit the transaction that raised the level; calls
+   * back with true once all are stored.
    */
   void completeRecords(Feature feature, Consumer<Boolean> done);
 }
--- a/src/main/java/graderelay/features/Downgrade.java
+++ b/src/main/java/graderelay/features/Downgrade.java
@@ -10,12 +10,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lowers the cluster's feature level step by step. The target stands in the stored level, so that a
- * new leader goes on where the one before has stopped.
+ * Lowers the cluster's feature level step by step. The target is part of the stored level, so that
+ * a new leader continues where the previous one stopped.
  */
 final class Downgrade {
-  private static final String CHANGED_CONCURRENTLY =
-      "somebody else has changed the level meanwhile";
+  private static final String CHANGED_CONCURRENTLY = "the feature level was changed concurrently";
 
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
@@ -29,7 +28,7 @@
     this.transition = transition;
   }
 
-  /** An operator asks to go down to a level. */
+  /** Handles an operator's request to downgrade to a level. */
   void request(int target, Consumer<Result> done) {
     ClusterLevel current = gate.current();
     List<Blocker> blockers = membersNotSupporting(target);
@@ -38,19 +37,19 @@
           new Result.Refused(
               "level must be from " + Feature.BASE_LEVEL + " to " + (current.level() - 1)));
     } else if (current.isLowering() && target != current.target()) {
-      done.accept(new Result.Refused("a downgrade to " + current.target() + " is under way"));
+      done.accept(new Result.Refused("a downgrade to " + current.target() + " is in progress"));
     } else if (!blockers.isEmpty()) {
       done.accept(new Result.Refused("level " + target + ": " + Blocker.describe(blockers)));
     } else if (transition.isInFlight()) {
-      done.accept(new Result.Unavailable("another change of the level is under way"));
+      done.accept(new Result.Unavailable("another change of the feature level is in progress"));
     } else if (current.isLowering()) {
-      done.accept(new Result.Accepted("the downgrade to " + target + " is under way"));
+      done.accept(new Result.Accepted("the downgrade to " + target + " is in progress"));
     } else {
       start(new ClusterLevel(current.level(), target), done);
     }
   }
 
-  /** Controllers whose program does not support so low a level any more. */
+  /** The controllers whose program does not support the target level. */
   private List<Blocker> membersNotSupporting(int target) {
     List<Blocker> blockers = new ArrayList<>();
     store.publishedMembers().values().stream()
@@ -67,17 +66,18 @@
         outcome -> {
           transition.enter(Phase.STEADY);
           if (outcome == Outcome.DONE) {
-            LOG.info("the cluster's feature level is being lowered to {}", newLevel.target());
+            LOG.info(
+                "started the downgrade of the cluster's feature level to {}", newLevel.target());
           }
-          String onDone = "the downgrade to " + newLevel.target() + " is under way";
-          done.accept(Result.of(outcome, onDone, CHANGED_CONCURRENTLY));
+          String doneMessage = "the downgrade to " + newLevel.target() + " is in progress";
+          done.accept(Result.of(outcome, doneMessage, CHANGED_CONCURRENTLY));
         });
   }
 
   /**
-   * Takes the next step of a downgrade: removes records that only the newest feature above the
-   * target uses, and lowers the level once a read shows that none of any such feature is left.
-   * Since every transaction is conditioned on the stored level, nobody writes any more of them
+   * Performs the next step of a downgrade: removes records that only the newest feature above the
+   * target uses, or lowers the level if a read shows that no such records are left for any feature.
+   * Every transaction is conditioned on the stored level, so no controller can write such records
    * meanwhile.
    */
   void advance() {
@@ -86,7 +86,7 @@
     removeRecords(featuresAbove(target), 0, target);
   }
 
-  /** The features that may still have records, the newest first. */
+  /** The features above the target that may still have records, the newest first. */
   private List<Feature> featuresAbove(int target) {
     List<Feature> above = new ArrayList<>();
     for (Feature feature : Feature.values()) {
@@ -97,7 +97,7 @@
     return above;
   }
 
-  /** Goes on from the feature at this index; all before it have no records. */
+  /** Continues from the feature at {@code index}; those before it have no records left. */
   private void removeRecords(List<Feature> features, int index, int target) {
     if (index == features.size()) {
       transition.changeLevel(
@@ -108,7 +108,7 @@
         features.get(index),
         keys -> {
           if (keys == null) {
-            transition.enter(Phase.STEADY); // Read again with the next tick.
+            transition.enter(Phase.STEADY); // The next tick retries.
           } else if (keys.isEmpty()) {
             removeRecords(features, index + 1, target);
           } else {
--- a/src/main/java/graderelay/features/Feature.java
+++ b/src/main/java/graderelay/features/Feature.java
@@ -4,25 +4,25 @@
 import java.util.Optional;
 
 /**
- * New behaviour that starts only once every controller supports it. Each feature begins with a
- * feature level; code asks {@link FeatureGate#isEnabled} by the feature's name and never compares
- * levels.
+ * New behaviour that is enabled only after all controllers support it. Each feature is introduced
+ * with a feature level; code calls {@link FeatureGate#isEnabled} with the feature and never
+ * compares levels.
  */
 public enum Feature {
   /**
-   * Leader and suspensions are recorded under keys that versions without feature levels never read,
-   * and the keys that those versions do read stand in their way for good: none of them can win an
-   * election or confirm a cancellation any more.
+   * Leader and suspension records are stored under keys that versions without feature levels never
+   * read. The keys that those versions read hold records that permanently prevent them from winning
+   * an election or confirming a cancellation.
    */
   SEALED_ELECTION(1),
 
-  /** Hints for the next leader, images and demand, are written in a compressed form. */
+  /** The hints for the next leader, on images and demand, are stored in a compressed format. */
   COMPACT_HINTS(2),
 
-  /** Limits and guarantees of teams are stored, with an account of what each team's claims take. */
+  /** Team limits and guarantees are stored, with an account of the use of each team's claims. */
   STORED_LIMITS(3);
 
-  /** The level before all features: what versions without feature levels do. */
+  /** The level below all features: the behaviour of versions without feature levels. */
   public static final int BASE_LEVEL = 0;
 
   /** The highest level that this program supports. */
@@ -34,7 +34,7 @@
     this.level = level;
   }
 
-  /** The level with which the feature begins. */
+  /** The lowest level that includes the feature. */
   public int level() {
     return level;
   }
@@ -44,7 +44,7 @@
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The feature that operators call so. */
+  /** The feature with this external name. */
   public static Optional<Feature> byExternalName(String name) {
     for (Feature feature : values()) {
       if (feature.externalName().equals(name)) {
--- a/src/main/java/graderelay/features/FeatureGate.java
+++ b/src/main/java/graderelay/features/FeatureGate.java
@@ -1,9 +1,9 @@
 package graderelay.features;
 
 /**
- * The one place that decides what this program may do at the cluster's feature level. It is open
- * once the level is known to be one that this program supports, and shut while it is known not to
- * be, or can't be read, or once this process has left.
+ * Decides what this program may do at the cluster's feature level. The gate is open if the level is
+ * known and supported by this program. It is closed if the level is known and not supported, if its
+ * record is malformed, or if this process is terminating. Before the level is known it is neither.
  */
 public final class FeatureGate {
   private static final String LEVEL_NOT_READ = "the cluster's feature level has not been read yet";
@@ -13,9 +13,9 @@
   private boolean levelKnown;
   private String closedReason;
   private String shutdownReason;
-  private boolean wasOpen;
+  private boolean hasBeenOpen;
 
-  /** A gate before the cluster's level is known: neither open nor shut. */
+  /** Creates a gate that is neither open nor closed, since the cluster's level is not known yet. */
   public FeatureGate(FeatureRange supported) {
     this.supported = supported;
   }
@@ -25,18 +25,18 @@
     return supported;
   }
 
-  /** The cluster's level as last read. */
+  /** The cluster's level at the last read. */
   public ClusterLevel current() {
     return current;
   }
 
-  /** Takes the level that is stored. */
+  /** Updates the gate with the stored level. */
   public void onLevel(ClusterLevel level) {
     current = level;
     levelKnown = true;
     if (supported.supports(level.level())) {
       closedReason = null;
-      wasOpen = true;
+      hasBeenOpen = true;
     } else {
       closedReason =
           "the cluster's feature level is "
@@ -46,13 +46,13 @@
     }
   }
 
-  /** The stored record is no level: nothing may be assumed. */
+  /** Closes the gate because the stored record is malformed and no level can be assumed. */
   public void onMalformed(String reason) {
     levelKnown = true;
     closedReason = "the record of the cluster's feature level is malformed: " + reason;
   }
 
-  /** This process leaves for good. */
+  /** Closes the gate permanently because this process is terminating. */
   public void closePermanently(String reason) {
     shutdownReason = reason;
   }
@@ -63,15 +63,15 @@
   }
 
   /**
-   * True if this program is known to have no part in the cluster. Before the level is known it is
-   * neither open nor shut: what needs no level, like renewing leases with the pledges of all peers,
-   * may be done.
+   * True if this program must not act in the cluster. Before the level is known the gate is neither
+   * open nor closed: operations that depend on no level, such as renewing leases with the pledges
+   * of all peers, are allowed.
    */
   public boolean isClosed() {
     return closedReason != null || shutdownReason != null;
   }
 
-  /** Why this program may not act, or null if it may. */
+  /** Why the gate is not open, or null if it is open. */
   public String notOpenReason() {
     if (shutdownReason != null) {
       return shutdownReason;
@@ -80,19 +80,19 @@
   }
 
   /**
-   * True if the cluster was switched to a level that this program does not support while it ran, as
-   * happens to a process that was suspended meanwhile.
+   * True if the cluster has changed to a level that this program does not support while the process
+   * was running, which happens if the process was suspended at the time of the change.
    */
   public boolean isOutdated() {
-    return wasOpen && !supported.supports(current.level());
+    return hasBeenOpen && !supported.supports(current.level());
   }
 
-  /** True if the feature may be used: new forms may be written. */
+  /** True if the feature may be used, that is, its records may be written. */
   public boolean isEnabled(Feature feature) {
     return isOpen() && feature.level() <= current.target();
   }
 
-  /** True if forms of the feature may be stored, also while they are being removed. */
+  /** True if records of the feature may be stored, even if a downgrade is removing them. */
   public boolean mayHaveRecords(Feature feature) {
     return current.includes(feature);
   }
--- a/src/main/java/graderelay/features/FeatureRange.java
+++ b/src/main/java/graderelay/features/FeatureRange.java
@@ -1,11 +1,11 @@
 package graderelay.features;
 
-/** The feature levels that a program supports, both ends included. */
+/** The range of feature levels that a program supports, both ends inclusive. */
 public record FeatureRange(int min, int max) {
   /** Checks that the range is not empty. */
   public FeatureRange {
     if (min < Feature.BASE_LEVEL || min > max) {
-      throw new IllegalArgumentException("no range of feature levels: " + min + " to " + max);
+      throw new IllegalArgumentException("invalid range of feature levels: " + min + " to " + max);
     }
   }
 
@@ -14,7 +14,7 @@
     return new FeatureRange(Feature.BASE_LEVEL, Feature.LATEST_LEVEL);
   }
 
-  /** True if a program with this range may run in a cluster of that level. */
+  /** True if a program with this range may run in a cluster at the level. */
   public boolean supports(int level) {
     return min <= level && level <= max;
   }
--- a/src/main/java/graderelay/features/Finalization.java
+++ b/src/main/java/graderelay/features/Finalization.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Decides whether a higher feature level may be finalized, that is, used by all: every configured
- * controller must have published that it supports it, and the process that published it must have
- * been heard without a gap for a soak time.
+ * Decides whether a higher feature level may be finalized, that is, put into use by all
+ * controllers. Every configured controller must have published that it supports the level, and the
+ * process that published this must have responded to probes without interruption for the soak time.
  */
 final class Finalization {
   private Finalization() {}
@@ -26,9 +26,9 @@
   }
 
   /**
-   * The controllers that keep the cluster from a level; empty if it may be finalized now.
+   * The controllers that prevent a level from being finalized; empty if it may be finalized now.
    *
-   * @param soakS seconds for which each controller must have been heard without a gap
+   * @param soakS seconds for which each controller must have responded without interruption
    * @param now seconds on the clock of {@code liveness}
    */
   static List<Blocker> blockers(
@@ -43,7 +43,7 @@
       Member member = published.get(name);
       String reason =
           member == null
-              ? "has published no feature levels: it is of a version before them"
+              ? "has published no feature levels: its version does not support them"
               : blockingReason(level, member, liveness, soakS, now);
       if (reason != null) {
         blockers.add(new Blocker(name, reason));
@@ -52,7 +52,7 @@
     return blockers;
   }
 
-  /** Why a member keeps the cluster from a level, or null if it does not. */
+  /** Why a member prevents a level from being finalized, or null if it does not. */
   private static String blockingReason(
       int level, Member member, MemberLiveness liveness, double soakS, double now) {
     if (!member.range().supports(level)) {
@@ -62,7 +62,7 @@
     if (Double.isNaN(uptimeS)) {
       return liveness.isResponding(member.name(), now)
           ? "was restarted and has not published its feature levels since"
-          : "gives no answer";
+          : "does not respond";
     }
     return uptimeS >= soakS
         ? null
--- a/src/main/java/graderelay/features/LevelTransition.java
+++ b/src/main/java/graderelay/features/LevelTransition.java
@@ -8,19 +8,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one change of the cluster's feature level that this leader may have in flight, as a state
- * machine. A raise goes from {@code STEADY} to {@code RAISING} and back. A downgrade goes to {@code
- * STARTING_DOWNGRADE} and back, then, with each tick of the {@link UpgradeCoordinator}, to {@code
- * REMOVING_RECORDS} and back, until nothing is left to remove and it goes on to {@code LOWERING}.
+ * The state machine for a change of the cluster's feature level; a leader may have only one change
+ * in flight. A raise enters {@code RAISING} and returns to {@code STEADY}. A downgrade enters
+ * {@code STARTING_DOWNGRADE} and returns, then enters {@code REMOVING_RECORDS} and returns on each
+ * tick of the {@link UpgradeCoordinator}, until no records are left and it enters {@code LOWERING}.
  */
 final class LevelTransition {
-  /** What is in flight. */
+  /** The operation in flight. */
   enum Phase {
-    /** Nothing; the level may be changed. */
+    /** None; a change may begin. */
     STEADY,
     /** The transaction that raises the level. */
     RAISING,
-    /** The write that announces a downgrade. */
+    /** The write that records the start of a downgrade. */
     STARTING_DOWNGRADE,
     /** Reads and removals of records that only features above a downgrade's target use. */
     REMOVING_RECORDS,
@@ -39,28 +39,28 @@
     this.store = store;
   }
 
-  /** True while a change is in flight, so that no other may begin. */
+  /** True while an operation is in flight, so that no other may begin. */
   boolean isInFlight() {
     return phase != Phase.STEADY;
   }
 
-  /** Goes to a phase, or back to {@link Phase#STEADY}. */
+  /** Enters a phase, or returns to {@link Phase#STEADY}. */
   void enter(Phase next) {
     phase = next;
   }
 
   /**
-   * Changes the level by one transaction.
+   * Changes the level in one transaction.
    *
-   * @param during {@link Phase#RAISING} or {@link Phase#LOWERING}
-   * @param on records of members that must not have changed meanwhile
-   * @param onConflict the answer if a condition fails
+   * @param transitionPhase {@link Phase#RAISING} or {@link Phase#LOWERING}
+   * @param expectedMembers member records that must be unchanged when the transaction commits
+   * @param conflictMessage the message of the result if a condition fails
    */
   void changeLevel(
       Phase transitionPhase,
       ClusterLevel newLevel,
       Collection<Member> expectedMembers,
-      String onConflict,
+      String conflictMessage,
       Consumer<Result> done) {
     enter(transitionPhase);
     int previousLevel = gate.current().level();
@@ -71,10 +71,12 @@
           enter(Phase.STEADY);
           if (outcome == Outcome.DONE) {
             LOG.info(
-                "the cluster's feature level goes from {} to {}", previousLevel, newLevel.level());
+                "changed the cluster's feature level from {} to {}",
+                previousLevel,
+                newLevel.level());
           }
-          String onDone = "the cluster's feature level is " + newLevel.level();
-          done.accept(Result.of(outcome, onDone, onConflict));
+          String doneMessage = "the cluster's feature level is " + newLevel.level();
+          done.accept(Result.of(outcome, doneMessage, conflictMessage));
         });
   }
 }
--- a/src/main/java/graderelay/features/Member.java
+++ b/src/main/java/graderelay/features/Member.java
@@ -1,14 +1,15 @@
 package graderelay.features;
 
 /**
- * What a controller has published of itself.
+ * The published record of a controller.
  *
  * @param name the controller's name
- * @param version the program's version, for people
- * @param range the feature levels that it supports
- * @param incarnation tells the process that published it from earlier and later ones
- * @param startedAtMs the time of day at which that process began, in milliseconds since the epoch
- * @param revision the version of the record, the condition of a finalization
+ * @param version the program's version, for display only
+ * @param range the feature levels that the program supports
+ * @param incarnation distinguishes the process that published the record from others of this
+ *     controller
+ * @param startedAtMs the start time of that process, in milliseconds since the epoch
+ * @param revision the revision of the record, on which a finalization is conditioned
  */
 public record Member(
     String name,
--- a/src/main/java/graderelay/features/MemberLiveness.java
+++ b/src/main/java/graderelay/features/MemberLiveness.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * Since when each controller has been heard without a gap as one and the same process. A record
- * says what a process supported when it began; only an answer of that very process shows that it is
- * still there and that no other, older one has taken its place.
+ * Tracks for how long the same process of each controller has responded without interruption. A
+ * member record only shows what a process supported when it started; a response of that process
+ * proves that it is still running and was not replaced by an older version.
  */
 final class MemberLiveness {
-  /** The process that answered last, and the seconds of the first and last answer it gave. */
+  /** The process that responded last, and when the first and last probes it answered were sent. */
   private record ResponseHistory(
       String incarnation, double firstProbeSentAt, double lastProbeSentAt) {}
 
@@ -17,15 +17,16 @@
   private final Map<String, ResponseHistory> histories = new HashMap<>();
 
   /**
-   * Knows nobody yet.
+   * Creates an instance without any responses.
    *
-   * @param mostSilentS seconds without an answer after which a controller counts as not heard
+   * @param maxSilenceS seconds without a response after which a controller is considered
+   *     unresponsive
    */
   MemberLiveness(double maxSilenceS) {
     this.maxSilenceS = maxSilenceS;
   }
 
-  /** A controller has answered a question that was sent at {@code sentAt}. */
+  /** Records a controller's response to a probe that was sent at {@code sentAt}. */
   void onResponse(String member, String incarnation, double sentAt) {
     ResponseHistory history = histories.get(member);
     boolean uninterrupted =
@@ -37,7 +38,9 @@
     histories.put(member, new ResponseHistory(incarnation, firstProbeSentAt, lastProbeSentAt));
   }
 
-  /** Seconds for which that process has been heard, or NaN if it is not heard now. */
+  /**
+   * Seconds for which the process has responded without interruption, or NaN if it does not now.
+   */
   double uninterruptedUptimeS(String member, String incarnation, double now) {
     ResponseHistory history = histories.get(member);
     boolean responding =
@@ -47,13 +50,13 @@
     return responding ? now - history.firstProbeSentAt() : Double.NaN;
   }
 
-  /** True if a process of the controller is heard, though perhaps another one. */
+  /** True if any process of the controller responds. */
   boolean isResponding(String member, double now) {
     ResponseHistory history = histories.get(member);
     return history != null && now - history.lastProbeSentAt() <= maxSilenceS;
   }
 
-  /** Forgets every answer. */
+  /** Removes all responses. */
   void clear() {
     histories.clear();
   }
--- a/src/main/java/graderelay/features/MemberProbe.java
+++ b/src/main/java/graderelay/features/MemberProbe.java
@@ -2,8 +2,8 @@
 
 import java.util.function.Consumer;
 
-/** Asks another controller which process it is. */
+/** Queries other controllers for the incarnation of their process. */
 public interface MemberProbe {
-  /** Calls back with the answering process's incarnation, or with null if there is no answer. */
+  /** Calls back with the incarnation of the responding process, or null without a response. */
   void fetchIncarnation(String member, Consumer<String> done);
 }
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -10,31 +10,30 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Raises and lowers the cluster's feature level while this controller leads. It keeps no state that
- * a failover would lose: a downgrade goes on from its record, and which members are up is probed
- * anew.
+ * Raises and lowers the cluster's feature level while this controller is the leader. A failover
+ * loses no state: a downgrade continues from its stored record, and the members are probed again.
  */
 public final class UpgradeCoordinator {
-  /** Seconds without an answer after which a controller's soak time begins anew. */
+  /** Seconds without a response after which a controller's soak time restarts. */
   private static final double MAX_MEMBER_SILENCE_S = 3.2;
 
-  /** What an operator is told. */
+  /** The result of an operator's request. */
   public sealed interface Result {
-    /** Done, or under way if it takes several steps. */
+    /** Done, or started if it takes several steps. */
     record Accepted(String message) implements Result {}
 
-    /** It can't be done as things are; the message names the field or the controller. */
+    /** Not possible in the current state; the message names the field or the controller. */
     record Refused(String message) implements Result {}
 
-    /** It may be asked again later. */
+    /** Temporarily not possible; the request may be retried. */
     record Unavailable(String message) implements Result {}
 
-    /** The answer to a request that ended in a write to the store. */
-    static Result of(ClusterStore.Outcome outcome, String onDone, String onConflict) {
+    /** The result of a request whose write to the store had the given outcome. */
+    static Result of(ClusterStore.Outcome outcome, String doneMessage, String conflictMessage) {
       return switch (outcome) {
-        case DONE -> new Accepted(onDone);
-        case CONFLICT -> new Refused(onConflict);
-        case UNKNOWN -> new Unavailable("the state service gave no answer");
+        case DONE -> new Accepted(doneMessage);
+        case CONFLICT -> new Refused(conflictMessage);
+        case UNKNOWN -> new Unavailable("the state service did not answer");
       };
     }
   }
@@ -51,18 +50,18 @@
   private final LevelTransition transition;
   private final Downgrade downgrade;
 
-  /** Features whose records are known to be complete, in this time of leadership. */
+  /** Features whose records are known to be complete, within this leader term. */
   private final Set<Feature> completedFeatures = new HashSet<>();
 
   private boolean wasLeader;
 
   /**
-   * Makes the coordinator.
+   * Creates the coordinator.
    *
    * @param self the name of this controller
-   * @param selfIncarnation tells this process from earlier and later ones of this controller
+   * @param selfIncarnation distinguishes this process from others of this controller
    * @param peers the names of the other configured controllers
-   * @param clock seconds on a clock that never goes back
+   * @param clock a monotonic clock in seconds
    */
   public UpgradeCoordinator(
       FeatureGate gate,
@@ -88,7 +87,7 @@
 
   // ---------------------------------------------------------------- ticks
 
-  /** Takes the next step of a change of the level, if one is due; to be called once a second. */
+  /** Performs the next step of a change of the level, if one is due; to be called once a second. */
   public void tick() {
     if (!store.isLeader() || !gate.isOpen()) {
       wasLeader = false;
@@ -96,7 +95,7 @@
     }
     if (!wasLeader) {
       wasLeader = true;
-      liveness.clear(); // Members may have been restarted unseen since an earlier term.
+      liveness.clear(); // Members may have been restarted unnoticed since an earlier term.
       completedFeatures.clear();
     }
     if (transition.isInFlight()) {
@@ -136,7 +135,7 @@
     }
   }
 
-  /** Asks every controller which process it is. */
+  /** Queries every controller for the incarnation of its process. */
   private void probeMembers() {
     double sentAt = clock.getAsDouble();
     liveness.onResponse(self, selfIncarnation, sentAt);
@@ -153,12 +152,14 @@
 
   // ---------------------------------------------------------------- conditions
 
-  /** The level that all configured controllers have published support for. */
+  /** The highest level that all configured controllers have published support for. */
   public int commonLevel() {
     return Finalization.commonLevel(configuredMembers(), store.publishedMembers());
   }
 
-  /** The controllers that keep the cluster from a level, as far as this leader has probed them. */
+  /**
+   * The controllers that prevent a level from being finalized, according to this leader's probes.
+   */
   public List<Blocker> blockers(int level) {
     return Finalization.blockers(
         level,
@@ -177,20 +178,21 @@
 
   // ---------------------------------------------------------------- operators' requests
 
-  /** An operator asks to go to a higher level. */
+  /** Handles an operator's request to finalize a higher level. */
   public void finalizeLevel(int level, Consumer<Result> done) {
     int current = gate.current().level();
     if (gate.current().isLowering()) {
-      done.accept(new Result.Refused("a downgrade is under way"));
+      done.accept(new Result.Refused("a downgrade is in progress"));
     } else if (level == current) {
       done.accept(new Result.Accepted("the cluster's feature level is " + current));
     } else if (level < current) {
       done.accept(
-          new Result.Refused("level " + level + " is below " + current + "; that is a downgrade"));
+          new Result.Refused(
+              "level " + level + " is below " + current + "; use a downgrade instead"));
     } else if (!blockers(level).isEmpty()) {
       done.accept(new Result.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
     } else if (transition.isInFlight()) {
-      done.accept(new Result.Unavailable("another change of the level is under way"));
+      done.accept(new Result.Unavailable("another change of the feature level is in progress"));
     } else {
       raise(level, done);
     }
@@ -204,18 +206,19 @@
         LevelTransition.Phase.RAISING,
         ClusterLevel.of(level),
         expectedMembers,
-        "a controller has published other feature levels meanwhile",
+        "a controller changed its published feature levels concurrently",
         done);
   }
 
-  /** An operator asks to stay at the present level, or to go on. */
+  /** Handles an operator's request to hold the current level or to release the hold. */
   public void hold(boolean held, Consumer<Result> done) {
-    String onDone = held ? "the present level is held" : "the hold is taken back";
-    String onConflict = "somebody else has changed the hold meanwhile";
-    store.setLevelHeld(held, outcome -> done.accept(Result.of(outcome, onDone, onConflict)));
+    String doneMessage = held ? "the current feature level is held" : "the hold is released";
+    String conflictMessage = "the hold was changed concurrently";
+    store.setLevelHeld(
+        held, outcome -> done.accept(Result.of(outcome, doneMessage, conflictMessage)));
   }
 
-  /** An operator asks to go down to a level. */
+  /** Handles an operator's request to downgrade to a level. */
   public void downgrade(int level, Consumer<Result> done) {
     downgrade.request(level, done);
   }
--- a/src/main/java/graderelay/features/UpgradePolicy.java
+++ b/src/main/java/graderelay/features/UpgradePolicy.java
@@ -1,9 +1,10 @@
 package graderelay.features;
 
 /**
- * How a cluster goes to a higher level.
+ * The policy for raising the cluster's feature level.
  *
- * @param automatic true if it goes there without an operator's request, once the conditions are met
- * @param soakS seconds for which all controllers must have been up as they are
+ * @param automatic true if the level is raised without an operator's request once the conditions
+ *     are met
+ * @param soakS seconds for which all controllers must have been up without a restart
  */
 public record UpgradePolicy(boolean automatic, double soakS) {}
--- a/src/main/java/graderelay/quota/Account.java
+++ b/src/main/java/graderelay/quota/Account.java
@@ -1,24 +1,26 @@
 package graderelay.quota;
 
 /**
- * The stored account of one team: the part of its limit that is reserved for its claims.
+ * The stored account of one team, which holds the part of the team's limit that is reserved for its
+ * claims.
  *
- * @param use at least the sum of the team's committed claims, and at most its limit of the time
- * @param writeId the unique name of the write that made it
- * @param revision the version of the record, the condition of claims and changes; 0 if there is
- *     none
- * @param malformed why the record can't be read, or null
+ * @param use the reserved amount: at least the sum of the team's committed claims, and at most the
+ *     limit at the time of the write
+ * @param writeId the unique ID of the write that created this revision
+ * @param revision the revision of the record, on which claims and changes are conditioned; 0 if
+ *     there is no record
+ * @param malformed why the record can't be parsed, or null if it can
  */
 public record Account(Amount use, String writeId, long revision, String malformed) {
-  /** No record. */
+  /** An account without a record. */
   public static final Account ABSENT = of(Amount.NONE, "", 0);
 
-  /** An account that can be read. */
+  /** A valid account. */
   public static Account of(Amount use, String writer, long revision) {
     return new Account(use, writer, revision, null);
   }
 
-  /** An account that can't be read. */
+  /** An account whose record can't be parsed. */
   public static Account malformed(String reason, long revision) {
     return new Account(Amount.NONE, "", revision, reason);
   }
--- a/src/main/java/graderelay/quota/AccountChange.java
+++ b/src/main/java/graderelay/quota/AccountChange.java
@@ -1,26 +1,26 @@
 package graderelay.quota;
 
 /**
- * A transaction's part on a team's account: the version that it was decided on, and the new value
- * if the account is written.
+ * The part of a transaction that concerns a team's account: the revisions that it is conditioned
+ * on, and the new value if it writes the account.
  *
- * @param expectedRevision the version of the account that must still stand
- * @param use the new value, or null if the account stays as it is and is only a condition
- * @param writeId the unique name of this write, "" if it writes nothing
- * @param expectedLimitsRevision the version of the team's limits that must still stand, or {@link
- *     #ANY_LIMITS}
+ * @param expectedRevision the revision that the account must still have
+ * @param use the new value, or null if the account is only compared
+ * @param writeId the unique ID of this write, or "" if nothing is written
+ * @param expectedLimitsRevision the revision that the team's limits must still have, or {@link
+ *     #ANY_LIMITS_REVISION}
  */
 public record AccountChange(
     String team, long expectedRevision, Amount use, String writeId, long expectedLimitsRevision) {
-  /** The transaction admits nothing, so it is valid under any limits. */
+  /** For transactions that admit no claims, which are therefore valid under any limits. */
   public static final long ANY_LIMITS_REVISION = -1;
 
-  /** True if the account is written, and not only compared. */
+  /** True if the account is written and not only compared. */
   public boolean writes() {
     return use != null;
   }
 
-  /** True if claims are admitted, which must fail once the limits have changed. */
+  /** True if the transaction admits claims and so must fail if the limits have changed. */
   public boolean dependsOnLimits() {
     return expectedLimitsRevision != ANY_LIMITS_REVISION;
   }
--- a/src/main/java/graderelay/quota/AccountDiscrepancy.java
+++ b/src/main/java/graderelay/quota/AccountDiscrepancy.java
@@ -1,23 +1,23 @@
 package graderelay.quota;
 
 /**
- * An account that does not agree with its team's claims, limit or last known record. It is logged
- * and counted, and never mended silently.
+ * An account that is inconsistent with its team's claims, limit or last known record. Discrepancies
+ * are logged and counted, and never repaired silently.
  *
- * @param reserved what the account says
+ * @param reserved what the account reserves
  * @param used what the committed claims of the team use
  */
 public record AccountDiscrepancy(String team, Kind kind, Amount reserved, Amount used) {
-  /** What is wrong. */
+  /** The kind of inconsistency. */
   public enum Kind {
-    /** The account says less than the committed claims take. */
-    BELOW_COMMITTED_CLAIMS("says less than its committed claims take"),
-    /** Somebody other than this leader has changed the account. */
-    CHANGED_EXTERNALLY("was changed by somebody else"),
-    /** The record can't be read. */
-    MALFORMED("can't be read"),
-    /** The claims take more than the limit, as happens after the limit was lowered. */
-    ABOVE_LIMIT("is above the team's limit");
+    /** The account reserves less than the committed claims use. */
+    BELOW_COMMITTED_CLAIMS("reserves less than its committed claims use"),
+    /** Another writer than this leader has changed the account. */
+    CHANGED_EXTERNALLY("was changed by another writer"),
+    /** The record can't be parsed. */
+    MALFORMED("is malformed"),
+    /** The claims exceed the limit, which happens after the limit was lowered. */
+    ABOVE_LIMIT("exceeds the team's limit");
 
     private final String description;
 
@@ -32,9 +32,9 @@
         + team
         + " "
         + kind.description
-        + ": it says "
+        + ": it reserves "
         + reserved
-        + ", the claims take "
+        + ", the committed claims use "
         + used;
   }
 }
--- a/src/main/java/graderelay/quota/AccountWriter.java
+++ b/src/main/java/graderelay/quota/AccountWriter.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Decides on changes of the teams' accounts: it raises an account for claims, fences it before the
- * leader relies on it, and lowers it once it has reserved too much for a while.
+ * Decides on changes of the teams' accounts: raises an account for claims, fences it before the
+ * leader relies on it, and lowers it after it has reserved too much for some time.
  */
 final class AccountWriter {
-  /** An account may reserve so many times what is admitted before it is lowered. */
+  /** An account that reserves more than this multiple of the admitted amount is lowered. */
   private static final int MAX_RESERVED_TO_ADMITTED_RATIO = 2;
 
   private final String name;
@@ -17,10 +17,10 @@
   private long nextWriteNumber = 1;
 
   /**
-   * Makes the writer of one leader term.
+   * Creates the account writer of one leader term.
    *
-   * @param name tells this writer from all others, also from those of the same term
-   * @param releaseAfterS seconds for which an account may reserve too much
+   * @param name a prefix of write IDs that is unique among all writers, also those of the same term
+   * @param releaseAfterS seconds for which an account may reserve too much before it is lowered
    */
   AccountWriter(String name, double releaseAfterS, TeamAccounts accounts) {
     this.name = name;
@@ -28,12 +28,12 @@
     this.accounts = accounts;
   }
 
-  /** True if the account has to be raised for what has been placed. */
+  /** True if the account has to be raised to cover the placed claims. */
   boolean needsRaise(String team) {
     return !accounts.account(team).stored().use().covers(accounts.admitted(team));
   }
 
-  /** The condition or write of the team's account in a transaction with claims of the team. */
+  /** The comparison or write of the team's account in a transaction with claims of the team. */
   AccountChange changeForClaims(String team) {
     long limitsRevision = accounts.limits(team).revision();
     if (needsRaise(team)) {
@@ -43,7 +43,7 @@
     return new AccountChange(team, accountRevision, null, "", limitsRevision);
   }
 
-  /** What to reserve for the team: its claims and half as much again, up to its limit. */
+  /** The amount to reserve for the team: 1.5 times its admitted claims, up to its limit. */
   private Amount reservation(String team) {
     Amount admitted = accounts.admitted(team);
     LimitRecord record = accounts.limits(team);
@@ -58,7 +58,7 @@
     return limit == 0 ? withHeadroom : Math.max(admitted, Math.min(limit, withHeadroom));
   }
 
-  /** Fences of accounts that something waits for, at most so many. */
+  /** Writes that fence the accounts whose settling was requested, at most {@code maxCount}. */
   List<AccountChange> fenceWrites(int maxCount) {
     List<AccountChange> changes = new ArrayList<>();
     accounts.forEach(
@@ -71,8 +71,9 @@
   }
 
   /**
-   * Does not lower the account, since claims that it covers may still commit before the fence. An
-   * account below the known claims is reported: something went wrong before.
+   * Returns a write that fences the account. It does not lower the account, since claims that the
+   * account covers may still commit before the fence. An account below the known claims is
+   * reported, since it shows an earlier fault.
    */
   private AccountChange fence(String team) {
     Account stored = accounts.account(team).stored();
@@ -84,7 +85,8 @@
   }
 
   /**
-   * Writes that lower accounts which have reserved too much for a while, at most so many.
+   * Writes that lower accounts which have reserved too much for the release delay, at most {@code
+   * maxCount}.
    *
    * @param now seconds on the loop's clock
    */
@@ -102,7 +104,7 @@
     return changes;
   }
 
-  /** True if far more is reserved than admitted, or more than the limit allows. */
+  /** True if the account reserves far more than is admitted, or needlessly exceeds the limit. */
   private boolean isExcessive(String team) {
     Amount reserved = accounts.account(team).stored().use();
     Amount admitted = accounts.admitted(team);
--- a/src/main/java/graderelay/quota/AdmissionControl.java
+++ b/src/main/java/graderelay/quota/AdmissionControl.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * The leader's admission of claims by the stored limits and accounts. An account reserves a part of
- * its team's limit for the writer of its present version. A claim's transaction is conditioned on
- * the versions of account and limits; it raises the account where that does not cover the claims.
+ * Admits claims on the leader according to the stored limits and accounts. An account reserves a
+ * part of its team's limit for the writer of its current revision. The transaction of a claim is
+ * conditioned on the revisions of account and limits, and raises the account if that does not cover
+ * the claims.
  *
- * <p>So at every commit the claims of a team take no more than its account, and that no more than
- * the limit under which it was decided, whoever claims: the writer of a version knows every claim
- * that has committed before it, since it has read the task batches as of the write that made the
- * version, and every claim since is its own.
+ * <p>So at every commit the claims of a team use no more than its account reserves, and the account
+ * no more than the limit under which it was written, even with several concurrent claimers: the
+ * writer of a revision knows every claim committed before it, since it has read the task batches as
+ * of that revision, and it has made every claim since itself.
  */
 public final class AdmissionControl {
   private static final String NOT_STORED_PREFIX = "no limits are stored for team ";
@@ -20,47 +21,48 @@
   private boolean isEnabled;
 
   /**
-   * Makes the control, which is off.
+   * Creates the admission control, which is disabled at first.
    *
-   * @param name tells this control from all others, also from those of the same term
-   * @param releaseAfterS seconds for which an account may reserve too much
+   * @param name a prefix of write IDs that is unique among all instances, also those of the same
+   *     term
+   * @param releaseAfterS seconds for which an account may reserve too much before it is lowered
    */
   public AdmissionControl(String name, double releaseAfterS) {
     this.writer = new AccountWriter(name, releaseAfterS, accounts);
   }
 
-  /** True while the stored limits count. */
+  /** True while the stored limits are enforced. */
   public boolean isEnabled() {
     return isEnabled;
   }
 
-  /** Stored limits do not count any more. */
+  /** Stops enforcing the stored limits. */
   public void disable() {
     isEnabled = false;
     accounts.clear();
   }
 
-  /** From now on the stored limits count; every account has to be settled first. */
+  /** Starts enforcing the stored limits; every account has to be settled before its first claim. */
   public void enable() {
     isEnabled = true;
   }
 
   /**
-   * Takes the records as they were read. The caller has passed on the task batches of the same
-   * revision before.
+   * Updates the records after a read. The caller has to add the task batches of the same revision
+   * to {@link #committedUse()} first.
    */
   public void update(StoredQuota stored) {
     accounts.update(stored);
   }
 
-  /** The discrepancies that were found since the last call. */
+  /** Returns the discrepancies found since the last call. */
   public List<AccountDiscrepancy> takeDiscrepancies() {
     return accounts.takeDiscrepancies();
   }
 
   // ---------------------------------------------------------------- admission of claims
 
-  /** Why nothing of the team may be claimed now, or null if something may. */
+  /** Why the team may not claim anything now, or null if it may. */
   public AdmissionRefusal refusal(String team) {
     if (!isEnabled) {
       return null;
@@ -99,41 +101,41 @@
     return null;
   }
 
-  /** Something of the team waits for its account to be settled. */
+  /** Requests that the team's account is settled, because tasks of the team are waiting for it. */
   public void requestSettling(String team) {
     accounts.account(team).requestSettling();
   }
 
-  /** True if nothing of the team may be claimed before operators have mended a record. */
+  /** True if the team may not claim anything until operators have repaired a record. */
   public boolean isStopped(String team) {
     AdmissionRefusal refusal = refusal(team);
     return refusal != null && !refusal.temporary();
   }
 
-  /** True if nothing of the team may be claimed for about a round trip to the store. */
+  /** True if the team may not claim anything for about one round trip to the key-value store. */
   public boolean isTemporarilyRefused(String team) {
     AdmissionRefusal refusal = refusal(team);
     return refusal != null && refusal.temporary();
   }
 
-  /** True if the team stays within its stored limit with so much more. */
+  /** True if the team stays within its stored limit with the extra amount. */
   public boolean fitsLimit(String team, Amount extra) {
     return !isEnabled || accounts.limitAllows(team, accounts.admitted(team).plus(extra));
   }
 
-  /** True if the team's stored limit allows so much when nothing else of it runs. */
+  /** True if the team's stored limit allows the use while nothing else of the team is running. */
   public boolean limitAllows(String team, Amount use) {
     return !isEnabled || accounts.limitAllows(team, use);
   }
 
-  /** A claim was placed that has not committed. */
+  /** Records that a claim was placed; it has not committed yet. */
   public void onClaimPlaced(String team, Amount amount) {
     if (isEnabled) {
       accounts.account(team).addPlaced(amount);
     }
   }
 
-  /** A placed claim has committed, or was given up. */
+  /** Records that a placed claim has committed or was abandoned. */
   public void onClaimNoLongerPlaced(String team, Amount amount) {
     if (isEnabled) {
       accounts.account(team).addPlaced(Amount.NONE.minus(amount));
@@ -142,23 +144,24 @@
 
   // ---------------------------------------------------------------- changes of accounts
 
-  /** True if the account has to be raised for what has been placed. */
+  /** True if the account has to be raised to cover the placed claims. */
   public boolean needsRaise(String team) {
     return writer.needsRaise(team);
   }
 
-  /** The condition or write of the team's account in a transaction with claims of the team. */
+  /** The comparison or write of the team's account in a transaction with claims of the team. */
   public AccountChange changeForClaims(String team) {
     return writer.changeForClaims(team);
   }
 
-  /** Fences of accounts that something waits for, at most so many. */
+  /** Writes that fence the accounts whose settling was requested, at most {@code maxCount}. */
   public List<AccountChange> fenceWrites(int maxCount) {
     return writer.fenceWrites(maxCount);
   }
 
   /**
-   * Writes that lower accounts which have reserved too much for a while, at most so many.
+   * Writes that lower accounts which have reserved too much for the release delay, at most {@code
+   * maxCount}.
    *
    * @param now seconds on the loop's clock
    */
@@ -167,8 +170,8 @@
   }
 
   /**
-   * The changes have committed together. The caller has passed on the task batches of the same
-   * transaction before.
+   * Records that the changes have committed in one transaction. The caller has to add the task
+   * batches of the same transaction to {@link #committedUse()} first.
    */
   public void onCommitted(List<AccountChange> changes, long revision) {
     if (isEnabled) {
@@ -178,12 +181,12 @@
     }
   }
 
-  /** What the teams' committed claims use; kept up to date while this is enabled. */
+  /** The use of the teams' committed claims; kept up to date while stored limits are enforced. */
   public CommittedUse committedUse() {
     return accounts.committedUse();
   }
 
-  /** The changes were refused; the records read since say why. */
+  /** Records that the transaction of the changes failed; the records read since show the reason. */
   public void onRefused(List<AccountChange> changes) {
     if (isEnabled) {
       changes.stream()
@@ -192,14 +195,14 @@
     }
   }
 
-  /** It is unknown whether the changes were carried out, or will be. */
+  /** Records that it is unknown whether the changes have committed or will commit. */
   public void onOutcomeUnknown(List<AccountChange> changes) {
     if (isEnabled) {
       changes.forEach(change -> accounts.account(change.team()).onOutcomeUnknown(change));
     }
   }
 
-  /** An operator wants the account written anew, though it can't be read. */
+  /** Requests that the account is rewritten, even if its record is malformed. */
   public void requestAccountRewrite(String team) {
     accounts.account(team).requestRewrite();
   }
@@ -207,8 +210,9 @@
   // ---------------------------------------------------------------- invariant and status
 
   /**
-   * Compares the accounts with the committed claims. An account may lag above the claims by what
-   * has ended, never below; claims may be above a limit that was lowered.
+   * Compares the accounts with the committed claims. An account may exceed the claims, since it is
+   * lowered only some time after claims have ended, but must never be below them; claims may exceed
+   * a limit that was lowered.
    */
   public void checkAccounts() {
     if (isEnabled) {
--- a/src/main/java/graderelay/quota/AdmissionRefusal.java
+++ b/src/main/java/graderelay/quota/AdmissionRefusal.java
@@ -1,10 +1,10 @@
 package graderelay.quota;
 
 /**
- * Why nothing of a team may be claimed at the moment.
+ * The reason why a team may not claim anything at the moment.
  *
- * @param reason a text for operators and users
- * @param temporary true if it is over by itself within about a round trip to the key-value store;
- *     false if operators have to mend a record first
+ * @param reason text for operators and users
+ * @param temporary true if it resolves by itself within about one round trip to the key-value
+ *     store; false if operators have to repair a record first
  */
 public record AdmissionRefusal(String reason, boolean temporary) {}
--- a/src/main/java/graderelay/quota/Amount.java
+++ b/src/main/java/graderelay/quota/Amount.java
@@ -4,28 +4,28 @@
 import java.math.RoundingMode;
 
 /**
- * An amount of resources: CPUs and GPUs in integer thousandths, so that sums are exact whatever
- * their order.
+ * An amount of resources: CPUs and GPUs in integer thousandths, so that sums are exact in any
+ * order.
  *
  * @param cpuMillis thousandths of a CPU
  * @param gpuMillis thousandths of a GPU
  */
 public record Amount(long cpuMillis, long gpuMillis) {
-  /** Thousandths of one unit. */
+  /** Thousandths per unit. */
   public static final long MILLIS_PER_UNIT = 1000;
 
-  /** Nothing; as a limit, none. */
+  /** Zero; as a limit it means unlimited. */
   public static final Amount NONE = new Amount(0, 0);
 
-  /** Decimal amounts come as binary floating point; this part of a thousandth is rounding. */
+  /** Tolerance for the rounding errors of amounts that are given as binary floating point. */
   private static final double ROUNDING_TOLERANCE_MILLIS = 1e-6;
 
-  /** What a task needs, rounded up: it never counts as less than it takes. */
+  /** Rounds up, for the needs of tasks: a task is never counted with less than it uses. */
   public static Amount roundedUp(double cpus, double gpus) {
     return new Amount(toMillisRoundedUp(cpus), toMillisRoundedUp(gpus));
   }
 
-  /** A limit or guarantee, rounded down: it never counts as more than was given. */
+  /** Rounds down, for limits and guarantees: they are never counted with more than was granted. */
   public static Amount roundedDown(double cpus, double gpus) {
     return new Amount(toMillisRoundedDown(cpus), toMillisRoundedDown(gpus));
   }
@@ -38,7 +38,7 @@
     return (long) Math.floor(units * MILLIS_PER_UNIT + ROUNDING_TOLERANCE_MILLIS);
   }
 
-  /** Thousandths of a decimal number that is known to have no further digits. */
+  /** Thousandths of a decimal number that must have no more than three decimal places. */
   public static long toMillisExact(BigDecimal units) {
     return units
         .multiply(BigDecimal.valueOf(MILLIS_PER_UNIT))
@@ -46,48 +46,48 @@
         .longValue();
   }
 
-  /** CPUs, as people write them. */
+  /** The number of CPUs. */
   public double cpus() {
     return cpuMillis / (double) MILLIS_PER_UNIT;
   }
 
-  /** GPUs, as people write them. */
+  /** The number of GPUs. */
   public double gpus() {
     return gpuMillis / (double) MILLIS_PER_UNIT;
   }
 
-  /** The sum of each part. */
+  /** The componentwise sum. */
   public Amount plus(Amount other) {
     return new Amount(cpuMillis + other.cpuMillis, gpuMillis + other.gpuMillis);
   }
 
-  /** The difference of each part, which may be negative. */
+  /** The componentwise difference, which may be negative. */
   public Amount minus(Amount other) {
     return new Amount(cpuMillis - other.cpuMillis, gpuMillis - other.gpuMillis);
   }
 
-  /** So many times each part. */
+  /** Each component multiplied by {@code count}. */
   public Amount times(int count) {
     return new Amount(cpuMillis * count, gpuMillis * count);
   }
 
-  /** True if neither part is below the other's. */
+  /** True if neither component is below that of {@code other}. */
   public boolean covers(Amount other) {
     return cpuMillis >= other.cpuMillis && gpuMillis >= other.gpuMillis;
   }
 
-  /** The larger of each part. */
+  /** The componentwise maximum. */
   public Amount max(Amount other) {
     return new Amount(Math.max(cpuMillis, other.cpuMillis), Math.max(gpuMillis, other.gpuMillis));
   }
 
-  /** The part that exceeds another amount, with nothing below zero. */
+  /** The componentwise excess over {@code other}, at least zero. */
   public Amount excessOver(Amount other) {
     return new Amount(
         Math.max(0, cpuMillis - other.cpuMillis), Math.max(0, gpuMillis - other.gpuMillis));
   }
 
-  /** True if a part is below zero. */
+  /** True if a component is below zero. */
   public boolean isNegative() {
     return cpuMillis < 0 || gpuMillis < 0;
   }
--- a/src/main/java/graderelay/quota/CommittedUse.java
+++ b/src/main/java/graderelay/quota/CommittedUse.java
@@ -4,15 +4,14 @@
 import java.util.Map;
 
 /**
- * What the committed claims of each team use, summed over the stored task batches as they are
- * known. Of each task batch the newest version counts, whether it was read or written by this
- * controller.
+ * The use of each team's committed claims, summed over the known stored task batches. Only the
+ * newest known version of each task batch counts, whether this controller has read or written it.
  */
 public final class CommittedUse {
-  /** What the claims of one task batch use, at a revision of its record. */
+  /** The use of the claims in one task batch, at a revision of its record. */
   private record BatchUse(Amount use, long revision) {}
 
-  /** What the claims of one job use, by the index of the task batch. */
+  /** The use of the claims of one job, by the index of the task batch. */
   private static final class JobUse {
     final String team;
     final Map<Integer, BatchUse> batchUses = new HashMap<>();
@@ -25,13 +24,13 @@
   private final Map<String, JobUse> jobUses = new HashMap<>();
   private final Map<String, Amount> useByTeam = new HashMap<>();
 
-  /** What the committed claims of a team use. */
+  /** The use of the team's committed claims. */
   public Amount of(String team) {
     return useByTeam.getOrDefault(team, Amount.NONE);
   }
 
   /**
-   * A task batch was stored with claims that use so much; a version older than the known one is
+   * Records the use of the claims in a stored task batch; a version older than the known one is
    * ignored.
    */
   public void put(String job, int taskBatch, String team, long revision, Amount use) {
@@ -44,7 +43,7 @@
     add(team, previous == null ? use : use.minus(previous.use()));
   }
 
-  /** The job's end has committed, and with it the end of every attempt. */
+  /** Removes a job whose end, and with it the end of all its attempts, has committed. */
   public void removeJob(String job) {
     JobUse removed = jobUses.remove(job);
     if (removed != null) {
@@ -59,7 +58,7 @@
     useByTeam.merge(team, change, Amount::plus);
   }
 
-  /** Forgets everything. */
+  /** Removes all jobs and teams. */
   public void clear() {
     jobUses.clear();
     useByTeam.clear();
--- a/src/main/java/graderelay/quota/LimitChange.java
+++ b/src/main/java/graderelay/quota/LimitChange.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * What operators want changed of a team's guarantee and limit; what is null stays as it is.
+ * An operator's change of a team's guarantee and limit; null components stay unchanged.
  *
- * @param cpus guaranteed CPUs
- * @param cpusMax the limit of CPUs, 0 for none
- * @param gpus guaranteed GPUs
- * @param gpusMax the limit of GPUs, 0 for none
+ * @param cpus the guaranteed CPUs
+ * @param cpusMax the limit of CPUs, 0 for unlimited
+ * @param gpus the guaranteed GPUs
+ * @param gpusMax the limit of GPUs, 0 for unlimited
  */
 public record LimitChange(
     BigDecimal cpus, BigDecimal cpusMax, BigDecimal gpus, BigDecimal gpusMax) {
-  /** The quota with these changes. */
+  /** Returns the quota with this change applied. */
   public TeamQuota applyTo(TeamQuota current) {
     Amount guarantee = current.guarantee();
     Amount limit = current.limit();
@@ -30,12 +30,12 @@
     return changed == null ? defaultMillis : Amount.toMillisExact(changed);
   }
 
-  /** True if nothing of the record before is left, so that it need not be readable. */
+  /** True if the change replaces the whole record, so that the current record may be malformed. */
   public boolean isComplete() {
     return cpus != null && cpusMax != null && gpus != null && gpusMax != null;
   }
 
-  /** The field that makes the quota contradict itself, with what is wrong, if there is one. */
+  /** Describes the field whose guarantee exceeds its limit, if there is one. */
   public static Optional<String> findInconsistency(TeamQuota quota) {
     if (quota.isConsistent()) {
       return Optional.empty();
--- a/src/main/java/graderelay/quota/StoredQuota.java
+++ b/src/main/java/graderelay/quota/StoredQuota.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * The records of limits and accounts as they were read.
+ * The stored records of limits and accounts, as of one read.
  *
- * @param limits by team
- * @param accounts by team
- * @param seeded true once the limits of the settings have been stored as a whole
- * @param readRevision the revision of the key-value store up to which everything was read
+ * @param limits the limit records by team
+ * @param accounts the accounts by team
+ * @param seeded true if all limits of the settings have been stored
+ * @param readRevision the revision of the key-value store as of which the records were read
  */
 public record StoredQuota(
     Map<String, LimitRecord> limits,
--- a/src/main/java/graderelay/quota/TeamAccount.java
+++ b/src/main/java/graderelay/quota/TeamAccount.java
@@ -7,9 +7,9 @@
  * The leader's view of one team's account.
  *
  * <p>Before the leader relies on an account it fences it: a conditional write gives the record a
- * new version, so that writes of others that are still in flight fail on the old one. Once the
- * leader has read the task batches as of that write, it knows every claim that will ever have
- * committed under the versions before, and the account counts as settled.
+ * new revision, so that in-flight writes of other writers, which are conditioned on the old
+ * revision, fail. Once the leader has read the task batches as of that write, it knows every claim
+ * that was committed under earlier revisions, and the account is settled.
  */
 final class TeamAccount {
   private Account stored = Account.ABSENT;
@@ -17,24 +17,24 @@
   /** True while the leader may rely on the account. */
   private boolean settled;
 
-  /** True while something waits for the account to be settled. */
+  /** True if tasks of the team are waiting for the account to be settled. */
   private boolean settlingRequested;
 
-  /** The version that our fence has given the record, 0 if there is no fence to be read up to. */
+  /** The revision of our fence, or 0 if no read as of a fence is awaited. */
   private long fenceRevision;
 
-  /** An operator has asked to write a record anew that can't be read. */
+  /** True if an operator has requested to rewrite the record although it is malformed. */
   private boolean rewriteRequested;
 
-  /** The write whose answer is awaited, or null. */
+  /** The write whose response is awaited, or null. */
   private AccountChange writeInFlight;
 
-  /** Writes that may have been carried out, or may still be. */
+  /** Writes that may have committed or may still commit. */
   private final List<AccountChange> unresolvedWrites = new ArrayList<>();
 
   private Amount placed = Amount.NONE;
 
-  /** When the account was first seen to reserve too much, in seconds; NaN if it does not. */
+  /** When the account began to reserve too much, in seconds; NaN if it does not. */
   private double excessiveSince = Double.NaN;
 
   private boolean wasAboveLimit;
@@ -51,17 +51,17 @@
     return writeInFlight != null;
   }
 
-  /** True if the record can't be read and nobody has asked to write it anew. */
+  /** True if the record is malformed and no rewrite was requested. */
   boolean isMalformed() {
     return !stored.isReadable() && !rewriteRequested;
   }
 
-  /** Something of the team waits for its account to be settled. */
+  /** Requests that the account is settled, because tasks of the team are waiting for it. */
   void requestSettling() {
     settlingRequested = true;
   }
 
-  /** True if the account is to be settled and a fence can be sent now. */
+  /** True if settling was requested and a fence can be sent now. */
   boolean needsFence() {
     return settlingRequested
         && !settled
@@ -70,14 +70,14 @@
         && !isMalformed();
   }
 
-  /** The record has to be fenced again before the next claim. */
+  /** Requires a new fence before the next claim. */
   void unsettle() {
     settled = false;
     fenceRevision = 0;
     settlingRequested = true;
   }
 
-  /** Everything up to this revision has been read, task batches included. */
+  /** Records that all records, including task batches, were read as of the revision. */
   void onReadUpTo(long revision) {
     if (fenceRevision > 0 && revision >= fenceRevision) {
       settled = true;
@@ -86,13 +86,13 @@
     }
   }
 
-  /** An operator wants the record written anew, whatever it says. */
+  /** Requests that the record is rewritten, even if it is malformed. */
   void requestRewrite() {
     unsettle();
     rewriteRequested = true;
   }
 
-  /** The record has been removed with its team. */
+  /** Resets the state after the record was removed with its team. */
   void onRemoved() {
     stored = Account.ABSENT;
     settled = false;
@@ -103,38 +103,38 @@
     unresolvedWrites.clear();
   }
 
-  /** Claims that were placed and have neither committed nor been given up. */
+  /** The use of placed claims that have neither committed nor been abandoned. */
   Amount placed() {
     return placed;
   }
 
-  /** Adds to what is placed, or takes away from it if the amount is negative. */
+  /** Adds to the use of placed claims; a negative amount reduces it. */
   void addPlaced(Amount change) {
     placed = placed.plus(change);
   }
 
-  /** A write is sent. */
+  /** Records that a write is being sent. */
   void onSent(AccountChange write) {
     writeInFlight = write;
     unresolvedWrites.add(write);
     excessiveSince = Double.NaN;
   }
 
-  /** A write has committed at this revision. */
+  /** Records that a write has committed at the revision. */
   void onCommitted(AccountChange write, long revision) {
     if (!unresolvedWrites.contains(write)) {
-      return; // Read already, or sent before the stored limits were last switched on.
+      return; // It was read already, or sent before the stored limits were last enabled.
     }
     clearInFlight(write);
     if (revision < stored.revision()) {
       return;
     }
-    // What was sent before can't commit any more.
+    // Writes that were sent earlier can't commit any more.
     unresolvedWrites.removeIf(other -> other != writeInFlight);
     applyOwnWrite(Account.of(write.use(), write.writeId(), revision));
   }
 
-  /** The record says what we have written. */
+  /** Applies a write of our own that is known to have committed. */
   private void applyOwnWrite(Account account) {
     stored = account;
     rewriteRequested = false;
@@ -143,15 +143,15 @@
     }
   }
 
-  /** A write was refused and won't be carried out. */
+  /** Records that a write has failed and will not commit. */
   void onRefused(AccountChange write) {
     unresolvedWrites.remove(write);
     clearInFlight(write);
   }
 
   /**
-   * Nobody knows whether a transaction on this account was carried out, or will be: it may be as
-   * long as the account has the version that it is conditioned on.
+   * Records that the outcome of a transaction on this account is unknown. It may still commit while
+   * the account has the revision that the transaction is conditioned on.
    */
   void onOutcomeUnknown(AccountChange change) {
     clearInFlight(change);
@@ -160,7 +160,7 @@
     }
   }
 
-  /** The answer of a write has come, or it will not come any more. */
+  /** Clears the write in flight: its response has arrived or is no longer expected. */
   private void clearInFlight(AccountChange change) {
     if (change.equals(writeInFlight)) {
       writeInFlight = null;
@@ -168,9 +168,9 @@
   }
 
   /**
-   * Takes the record as it was read.
+   * Updates the account with the record as it was read.
    *
-   * @return true if it was changed by somebody else while this leader relied on it
+   * @return true if another writer has changed the record while this leader relied on it
    */
   boolean onRead(Account account) {
     if (account.revision() == stored.revision()) {
@@ -179,7 +179,7 @@
     AccountChange ownWrite = unresolvedWriteOf(account);
     if (ownWrite != null) {
       unresolvedWrites.remove(ownWrite);
-      clearInFlight(ownWrite); // The read has come before the answer.
+      clearInFlight(ownWrite); // The read arrived before the response.
       applyOwnWrite(account);
       return false;
     }
@@ -191,7 +191,7 @@
     return wasReliedOn;
   }
 
-  /** The write of ours that made the record, or null: other writers write under other names. */
+  /** The write of our own that created the record, or null; write IDs are unique per writer. */
   private AccountChange unresolvedWriteOf(Account account) {
     for (AccountChange write : unresolvedWrites) {
       if (account.isReadable() && write.writeId().equals(account.writeId())) {
@@ -201,7 +201,7 @@
     return null;
   }
 
-  /** True if the account has reserved too much for so long that it should be lowered. */
+  /** True if the account has reserved too much for at least {@code releaseAfterS} seconds. */
   boolean isReleaseDue(boolean excessive, double releaseAfterS, double now) {
     if (!excessive || isMalformed() || isWriteInFlight()) {
       excessiveSince = Double.NaN;
@@ -213,7 +213,7 @@
     return now - excessiveSince >= releaseAfterS;
   }
 
-  /** True once each time that the claims have come to be above the limit. */
+  /** Records whether the claims exceed the limit; true if they do and did not at the last call. */
   boolean updateAboveLimit(boolean above) {
     boolean becameAboveLimit = above && !wasAboveLimit;
     wasAboveLimit = above;
--- a/src/main/java/graderelay/quota/TeamAccounts.java
+++ b/src/main/java/graderelay/quota/TeamAccounts.java
@@ -7,8 +7,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The leader's copy of the stored limits and accounts of all teams, with what their committed
- * claims use and the discrepancies between the two that have been found.
+ * The leader's copy of the stored limits and accounts of all teams, with the use of their committed
+ * claims and the discrepancies found between the two.
  */
 final class TeamAccounts {
   private final CommittedUse committedUse = new CommittedUse();
@@ -17,15 +17,15 @@
   private Map<String, LimitRecord> limits = Map.of();
   private boolean seeded;
 
-  /** The store's revision up to which everything has been read. */
+  /** The store revision as of which all records have been read. */
   private long readRevision;
 
-  /** True once the settings' limits have been stored as a whole. */
+  /** True if all limits of the settings have been stored. */
   boolean isSeeded() {
     return seeded;
   }
 
-  /** The account of a team, which is made if it is not known yet. */
+  /** The account of a team, created if it is not known yet. */
   TeamAccount account(String team) {
     return accounts.computeIfAbsent(team, x -> new TeamAccount());
   }
@@ -35,23 +35,23 @@
     return limits.get(team);
   }
 
-  /** What the team's claims use, with those that have been placed and not committed. */
+  /** The use of the team's committed claims and of its placed claims. */
   Amount admitted(String team) {
     return committedUse.of(team).plus(account(team).placed());
   }
 
-  /** True if the team's stored limit allows so much in all. */
+  /** True if the team's stored limit allows the use in total. */
   boolean limitAllows(String team, Amount use) {
     LimitRecord record = limits.get(team);
     return record != null && record.isReadable() && record.quota().allows(use);
   }
 
-  /** Calls back with every known account, by team in alphabetical order. */
+  /** Calls the action for every known account, in alphabetical order of the teams. */
   void forEach(BiConsumer<String, TeamAccount> action) {
     accounts.forEach(action);
   }
 
-  /** Forgets everything but how far the store has been read. */
+  /** Clears everything except {@code readRevision} and {@code seeded}. */
   void clear() {
     accounts.clear();
     committedUse.clear();
@@ -62,8 +62,8 @@
   // ---------------------------------------------------------------- records
 
   /**
-   * Takes the records as they were read. The caller has passed on the task batches of the same
-   * revision before.
+   * Updates the records after a read. The caller has to add the task batches of the same revision
+   * to {@link #committedUse()} first.
    */
   void update(StoredQuota stored) {
     limits = stored.limits();
@@ -97,26 +97,26 @@
     }
   }
 
-  /** A write of ours has committed; what has been read may already include it. */
+  /** Records that a write of our own has committed; the records read may already include it. */
   void onCommitted(AccountChange write, long revision) {
     TeamAccount account = account(write.team());
     account.onCommitted(write, revision);
     account.onReadUpTo(readRevision);
   }
 
-  /** What the committed claims use, by team. */
+  /** The use of the committed claims by team. */
   CommittedUse committedUse() {
     return committedUse;
   }
 
   // ---------------------------------------------------------------- discrepancies
 
-  /** Keeps a discrepancy until it is taken. */
+  /** Adds a discrepancy to those returned by {@link #takeDiscrepancies}. */
   void report(String team, AccountDiscrepancy.Kind kind, Amount reserved) {
     discrepancies.add(new AccountDiscrepancy(team, kind, reserved, committedUse.of(team)));
   }
 
-  /** The discrepancies that were found since the last call. */
+  /** Returns the discrepancies found since the last call. */
   List<AccountDiscrepancy> takeDiscrepancies() {
     List<AccountDiscrepancy> found = List.copyOf(discrepancies);
     discrepancies.clear();
@@ -124,8 +124,9 @@
   }
 
   /**
-   * Compares the accounts with the committed claims. An account may lag above the claims by what
-   * has ended, never below; claims may be above a limit that was lowered.
+   * Compares the accounts with the committed claims. An account may exceed the claims, since it is
+   * lowered only some time after claims have ended, but must never be below them; claims may exceed
+   * a limit that was lowered.
    */
   void checkAll() {
     accounts.forEach(
--- a/src/main/java/graderelay/quota/TeamQuota.java
+++ b/src/main/java/graderelay/quota/TeamQuota.java
@@ -1,16 +1,16 @@
 package graderelay.quota;
 
 /**
- * The quota of one team: what it is guaranteed and what it may use.
+ * The quota of one team.
  *
- * @param guarantee the fair share it need not wait for; zero for none
- * @param limit what it may use at most; a zero part is no limit
+ * @param guarantee the share that the team gets without waiting for other teams; zero for none
+ * @param limit the maximum use; a zero component means unlimited
  */
 public record TeamQuota(Amount guarantee, Amount limit) {
-  /** A team without guarantee and limit. */
+  /** Neither guarantee nor limit. */
   public static final TeamQuota UNLIMITED = new TeamQuota(Amount.NONE, Amount.NONE);
 
-  /** True if the team may use so much. */
+  /** True if the use is within the limit. */
   public boolean allows(Amount use) {
     return isWithin(use.cpuMillis(), limit.cpuMillis())
         && isWithin(use.gpuMillis(), limit.gpuMillis());
@@ -20,7 +20,7 @@
     return limit == 0 || use <= limit;
   }
 
-  /** True if the guarantee is no more than the limit. */
+  /** True if the guarantee does not exceed the limit and neither is negative. */
   public boolean isConsistent() {
     return !guarantee.isNegative()
         && !limit.isNegative()
--- a/src/main/java/graderelay/quota/TeamQuotaStatus.java
+++ b/src/main/java/graderelay/quota/TeamQuotaStatus.java
@@ -1,12 +1,12 @@
 package graderelay.quota;
 
 /**
- * The reservation and usage of one team, as the leader knows them.
+ * The reserved and used amounts of one team, as known to the leader.
  *
- * @param reserved what the account reserves
- * @param used what the committed claims use
- * @param settled true once this leader has settled it
- * @param stoppedBecause why nothing of the team is claimed before operators mend a record, or null
+ * @param reserved the amount that the account reserves
+ * @param used the use of the committed claims
+ * @param settled true if this leader has settled the account
+ * @param stoppedBecause why the team can't claim anything until operators repair a record, or null
  */
 public record TeamQuotaStatus(
     Amount reserved, Amount used, boolean settled, String stoppedBecause) {}
--- a/src/main/java/graderelay/quota/package-info.java
+++ b/src/main/java/graderelay/quota/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Quotas of teams that hold on every controller at once: the limits of each team, an account that
- * reserves room for its committed claims, and the rules by which the leader changes both. Pure:
- * nothing here reads a clock, waits or touches a socket, and nothing of the other packages is used.
+ * Team quotas that are enforced across controllers: the limits of each team, an account that
+ * reserves capacity for its committed claims, and the rules by which the leader changes both. The
+ * code has no side effects: it reads no clock, does not block, performs no I/O and depends on no
+ * other package.
  */
 package graderelay.quota;
--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -4,8 +4,9 @@
 import graderelay.wire.PeerAnswer;
 
 /**
- * What the leader has granted this controller as a lease delegate, and until when it counts. Times
- * are seconds on the loop's steady clock unless stated otherwise. Used on the event loop only.
+ * The delegation grant that allows this controller to renew worker leases on the leader's behalf,
+ * and its expiry. Times are in seconds on the event loop's monotonic clock unless stated otherwise.
+ * Used on the event loop only.
  */
 final class DelegationGrant {
   private final Loop loop;
@@ -13,10 +14,10 @@
 
   private long term;
 
-  /** The term whose leader gave the grant, or 0 if this controller gave it to itself. */
+  /** The term of the leader that issued the grant, or 0 if this controller issued it as leader. */
   private long grantingTerm;
 
-  /** The leader's time of its last grant that we have heard of, on the leader's clock. */
+  /** When the leader issued the latest grant received here, on the leader's clock. */
   private double leaderGrantTime;
 
   private double validUntil = Double.NEGATIVE_INFINITY;
@@ -24,63 +25,64 @@
   private double lastAutonomousResponse;
 
   /**
-   * Makes a grant that does not count before the leader, or this controller itself, gives one.
+   * Creates a grant that is invalid until the leader, or this controller as leader, issues one.
    *
-   * @param lengthS seconds for which a grant counts from the moment at which it was asked for
+   * @param durationS seconds for which a grant is valid, counted from the time of the request for
+   *     it
    */
   DelegationGrant(Loop loop, double durationS) {
     this.loop = loop;
     this.durationS = durationS;
-    // An earlier process of this member may have answered until it ended.
+    // An earlier process of this member may have answered workers until it ended.
     this.lastAutonomousResponse = loop.now();
     this.lastLeaderContact = loop.now();
   }
 
-  /** The term under which workers may be answered. */
+  /** The term to send in responses to workers. */
   long term() {
     return term;
   }
 
-  /** The term whose leader gave the grant, or 0 for none. */
+  /** The term of the leader that issued the grant, or 0 for none. */
   long grantingTerm() {
     return grantingTerm;
   }
 
-  /**
-   * The leader's time of its last grant that we have heard of, in seconds on the leader's clock.
-   */
+  /** When the leader issued the latest grant received here, in seconds on the leader's clock. */
   double leaderGrantTime() {
     return leaderGrantTime;
   }
 
-  /** True if the grant counts at time {@code now}. */
+  /** True if the grant is valid at time {@code now}. */
   boolean isValidAt(double now) {
     return now < validUntil;
   }
 
-  /** Seconds at time {@code now} since the leader was last heard. */
+  /** Seconds at time {@code now} since the last grant from the leader arrived. */
   double sinceLeaderContact(double now) {
     return now - lastLeaderContact;
   }
 
-  /** The time at which the leader was last heard, in seconds. */
+  /** When the last grant from the leader arrived, in seconds. */
   double lastLeaderContact() {
     return lastLeaderContact;
   }
 
-  /** Seconds at time {@code now} since this controller last answered a worker as a delegate. */
+  /**
+   * Seconds at time {@code now} since this controller last answered a worker as a lease delegate.
+   */
   double sinceAutonomousResponse(double now) {
     return now - lastAutonomousResponse;
   }
 
-  /** Notes that a worker is answered at time {@code now}, without the leader. */
+  /** Records that this controller answers a worker without the leader at time {@code now}. */
   void onAutonomousResponse(double now) {
     lastAutonomousResponse = now;
   }
 
   /**
-   * The grant that the leader itself has while it leads. Should it lose leadership, the next leader
-   * counts as much from its own failover.
+   * Issues the grant that a leader holds itself. If it loses leadership, the grant stays valid for
+   * as long as the next leader assumes from the time of its failover.
    */
   void grantToSelf(long leaderTerm, double now) {
     term = leaderTerm;
@@ -89,7 +91,7 @@
     lastLeaderContact = now;
   }
 
-  /** Takes a leader's grant, which counts from when it was asked for at {@code askedAt}. */
+  /** Accepts a leader's grant, which is valid from the time of its request, {@code requestedAt}. */
   void accept(PeerAnswer.Grant grant, double requestedAt) {
     boolean sameLeader = grantingTerm == grant.grantedBy();
     term = grant.term();
@@ -100,7 +102,7 @@
     lastLeaderContact = loop.now();
   }
 
-  /** Makes the grant count no more; who gave it stays known. */
+  /** Invalidates the grant, but keeps the term of the leader that issued it. */
   void revoke() {
     validUntil = Double.NEGATIVE_INFINITY;
   }
--- a/src/main/java/graderelay/worker/DelegationRequests.java
+++ b/src/main/java/graderelay/worker/DelegationRequests.java
@@ -15,20 +15,20 @@
 import graderelay.wire.StateCodec;
 
 /**
- * Keeps a {@link DelegationGrant} current: asks the leader for it every second, and releases it
- * through the store once the leader answers no more although the store can be reached. Runs on the
- * event loop.
+ * Renews a {@link DelegationGrant}: requests it from the leader every second, and releases it
+ * through the key-value store if the leader does not respond while the store is reachable. Runs on
+ * the event loop.
  */
 final class DelegationRequests {
-  /** Seconds between a lease delegate's requests to the leader. */
+  /** Seconds between requests for a grant to the leader. */
   private static final double REQUEST_INTERVAL_S = 1;
 
-  /** Seconds without an answer after which a lease delegate releases its grant in the store. */
+  /** Seconds without a grant from the leader after which this controller releases its grant. */
   private static final double RELEASE_AFTER_SILENCE_S = 2;
 
   /**
-   * Seconds between two ticks after which this process takes itself for suspended meanwhile: what
-   * it was granted counts no more until it has heard the leader again.
+   * A longer gap between two ticks, in seconds, means that this process was suspended. Its grant is
+   * then invalid until the leader has issued a new one.
    */
   private static final double SUSPENSION_THRESHOLD_S = 3;
 
@@ -41,16 +41,16 @@
   private final DelegationGrant grant;
   private final String member;
 
-  /** Tells this process from earlier ones of the same member. */
+  /** Distinguishes this process from earlier processes of the same member. */
   private final String processId;
 
   private double lastTick = Double.NEGATIVE_INFINITY;
   private long lastRequestNumber;
 
-  /** The last request whose answer no longer counts, since the grant was released after it. */
+  /** The last request sent before the grant was released; grants for it or earlier are ignored. */
   private long releasedUpToRequest;
 
-  /** The grant was released, and the store may not have recorded it yet. */
+  /** True if the grant was released and the store has not confirmed the record of the release. */
   private boolean releasePending;
 
   private Loop.Timer timer;
@@ -77,12 +77,12 @@
     this.processId = Long.toHexString(nonce);
   }
 
-  /** Sends the first request and starts the timer of those that follow. */
+  /** Sends the first request and starts the timer for further requests. */
   void start() {
     tick();
   }
 
-  /** Stops the timer; answers that come later are ignored. */
+  /** Stops the timer; grants that arrive later are ignored. */
   void close() {
     closed = true;
     if (timer != null) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** True if this process has stood still for so long that its grant may have been replaced. */
+  /** True if this process was suspended for so long that its grant may have been superseded. */
   boolean wasSuspended(double now) {
     return now - lastTick > SUSPENSION_THRESHOLD_S;
   }
@@ -154,8 +154,9 @@
   }
 
   /**
-   * Users and workers are better served by the leader, which must not wait for us: so a controller
-   * that the store still answers releases its grant.
+   * Releases the grant if the leader does not respond although the store is reachable. Workers and
+   * users are then better served by a leader, which must not have to wait until this grant expires
+   * before it treats this zone's leases as expired.
    */
   private void releaseIfLeaderIsUnresponsive(double now) {
     boolean leaderUnresponsive =
--- a/src/main/java/graderelay/worker/LeaseDelegate.java
+++ b/src/main/java/graderelay/worker/LeaseDelegate.java
@@ -12,11 +12,12 @@
 import graderelay.state.StateClient;
 
 /**
- * Renews the leases of this zone's workers while the zone is cut off from the leader and the store:
- * what runs there goes on, and no command is given but kills of cancelled tasks. The leader has
- * granted it for a while and counts those leases accordingly, see {@code LeaseDelegates}. In a
- * deployment of one zone there is nobody outside to be cut off from, and no lease delegate. Runs on
- * the event loop.
+ * Renews the leases of this zone's workers while the zone is partitioned from the leader and the
+ * key-value store, so that running tasks continue. The only worker commands that it sends are kills
+ * of cancelled tasks. It needs a time-limited grant from the leader, which takes the grant into
+ * account when it computes the expiry of those leases, see {@code LeaseDelegates}. A deployment
+ * with a single zone has no lease delegates, since the zone can't be partitioned from another one.
+ * Runs on the event loop.
  */
 public final class LeaseDelegate {
   private final Loop loop;
@@ -29,9 +30,9 @@
   private final DelegationRequests requests;
 
   /**
-   * Makes a lease delegate without a grant.
+   * Creates a lease delegate without a grant.
    *
-   * @param nonce tells this process from earlier ones of the same member
+   * @param nonce distinguishes this process from earlier processes of the same member
    */
   public LeaseDelegate(
       Loop loop,
@@ -55,26 +56,27 @@
             loop, peerClient, leadership, cache, state, cancellations, settings, grant, nonce);
   }
 
-  /** Starts to ask the leader for a grant, unless this deployment needs no lease delegates. */
+  /** Starts to request grants from the leader, if this deployment uses lease delegates. */
   public void start() {
     if (enabled) {
       requests.start();
     }
   }
 
-  /** Stops asking. */
+  /** Stops requesting grants. */
   public void close() {
     requests.close();
   }
 
   /**
-   * True if this worker's heartbeat may be answered under {@link #term}, with no command but the
-   * kills of cancelled tasks. The caller answers it then: that is noted here.
+   * True if this worker's heartbeat may be answered with {@link #term}; the only commands allowed
+   * in the response are kills of cancelled tasks. The caller has to answer if this returns true,
+   * since the time of the response is recorded here.
    */
-  public boolean acquirePermissionToAnswer(Heartbeat heartbeat) {
+  public boolean tryAuthorizeResponse(Heartbeat heartbeat) {
     double now = loop.now();
-    // After standing still it may have been replaced, and the cluster may have moved on meanwhile.
-    boolean mayAnswer =
+    // After a suspension the grant may have been superseded without this process knowing it.
+    boolean authorized =
         grant.isValidAt(now)
             && !requests.wasSuspended(now)
             && !cache.features().gate().isClosed()
@@ -82,13 +84,13 @@
             && zone.equals(heartbeat.zone())
             && heartbeat.term() <= grant.term()
             && cancellations.mayRenewLeases();
-    if (mayAnswer) {
+    if (authorized) {
       grant.onAutonomousResponse(now);
     }
-    return mayAnswer;
+    return authorized;
   }
 
-  /** True if neither the leader nor the store has answered for some seconds. */
+  /** True if neither the leader nor the store has responded for some seconds. */
   private boolean isPartitioned(double now) {
     double autonomousFrom =
         grant.lastLeaderContact()
@@ -97,7 +99,7 @@
         && state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
-  /** The term under which workers may be answered. */
+  /** The term to send in responses to workers. */
   public long term() {
     return grant.term();
   }
--- a/src/main/java/graderelay/worker/RedirectedWorkers.java
+++ b/src/main/java/graderelay/worker/RedirectedWorkers.java
@@ -6,17 +6,20 @@
 import java.util.Map;
 
 /**
- * Remembers which workers were redirected to the leader a moment ago. A worker that comes back
- * after that can't reach the leader; its heartbeats are relayed, so that a cut between the two
- * doesn't cost it its lease. Used on the event loop only; times are seconds on the loop's clock.
+ * Tracks the workers that were recently redirected to the leader. A worker that returns soon after
+ * a redirect can't reach the leader; its heartbeats are relayed, so that a network partition
+ * between the two doesn't let its lease expire. Used on the event loop only; times are in seconds
+ * on the loop's clock.
  */
 final class RedirectedWorkers {
-  /** Seconds within which a worker that comes back is taken to be unable to reach the leader. */
+  /**
+   * Seconds after a redirect within which a returning worker is assumed not to reach the leader.
+   */
   private static final double RETURN_WINDOW_S = 12;
 
   /**
-   * Workers remembered as redirected to the leader, some 150 bytes each: all of a fleet of four
-   * thousand, with as many again that were replaced a moment ago.
+   * Maximum number of tracked workers, at some 150 bytes each: enough for a fleet of four thousand
+   * machines and as many that were recently replaced.
    */
   private static final int MAX_TRACKED_WORKERS = 8192;
 
@@ -25,68 +28,68 @@
    */
   private static final double MAX_RELAY_DURATION_S = 25;
 
-  /** Stands for a worker whose heartbeats are not relayed. */
+  /** The value of {@code relayedSince} for a worker whose heartbeats are not relayed. */
   private static final double NOT_RELAYED = Double.POSITIVE_INFINITY;
 
   /**
-   * The last heartbeat of a worker that came here.
+   * The last heartbeat that this controller received from a worker.
    *
-   * @param receivedAt when it came
-   * @param relayedSince since when its heartbeats are relayed, or {@link #NOT_RELAYED}
+   * @param receivedAt the time of its arrival
+   * @param relayedSince when relaying of its heartbeats began, or {@link #NOT_RELAYED}
    */
   private record LastHeartbeat(double receivedAt, double relayedSince, long session, long seq) {}
 
-  /** By machine, the one that was heard longest ago first. */
+  /** By machine, ordered by the time of the last heartbeat, the oldest first. */
   private final Map<String, LastHeartbeat> byMachine = new LinkedHashMap<>();
 
   /**
-   * Decides what becomes of a heartbeat that this controller can't answer, and remembers it.
+   * Decides how to handle a heartbeat that this controller can't answer, and records it.
    *
-   * @param leader the leader's record, or null if nobody leads
-   * @param reachable true if this controller knows the leader's address
-   * @return true to relay it to the leader, false to redirect its worker to it
+   * @param leader the leader record, or null if there is no leader
+   * @param leaderAddressKnown true if this controller knows the leader's address
+   * @return true to relay the heartbeat to the leader, false to redirect the worker to the leader
    */
   boolean shouldRelay(
       Heartbeat heartbeat, StateCodec.LeaderRecord leader, boolean leaderAddressKnown, double now) {
-    LastHeartbeat last = byMachine.remove(heartbeat.machine());
-    if (last != null && !heartbeat.isNewerThan(last.session(), last.seq())) {
-      // A copy of the past is no sign that its worker can't reach the leader.
-      remember(heartbeat.machine(), last);
+    LastHeartbeat previous = byMachine.remove(heartbeat.machine());
+    if (previous != null && !heartbeat.isNewerThan(previous.session(), previous.seq())) {
+      // A duplicate of an old heartbeat is no evidence that its worker can't reach the leader.
+      remember(heartbeat.machine(), previous);
       return false;
     }
     if (!leaderAddressKnown) {
       return false;
     }
-    boolean relay = cannotReachLeader(heartbeat, last, leader, now);
-    double relayedSince = relay ? relayedSince(last, now) : NOT_RELAYED;
+    boolean relay = cannotReachLeader(heartbeat, previous, leader, now);
+    double relayedSince = relay ? relayedSince(previous, now) : NOT_RELAYED;
     remember(
         heartbeat.machine(),
         new LastHeartbeat(now, relayedSince, heartbeat.session(), heartbeat.seq()));
     return relay;
   }
 
-  /** Since when a worker's heartbeats are relayed, if the one at {@code now} is relayed. */
-  private static double relayedSince(LastHeartbeat last, double now) {
-    return last == null ? now : Math.min(now, last.relayedSince());
+  /** When relaying of a worker's heartbeats began, if the heartbeat at {@code now} is relayed. */
+  private static double relayedSince(LastHeartbeat previous, double now) {
+    return previous == null ? now : Math.min(now, previous.relayedSince());
   }
 
   private static boolean cannotReachLeader(
-      Heartbeat heartbeat, LastHeartbeat last, StateCodec.LeaderRecord leader, double now) {
-    boolean returnedRecently = last != null && now - last.receivedAt() < RETURN_WINDOW_S;
+      Heartbeat heartbeat, LastHeartbeat previous, StateCodec.LeaderRecord leader, double now) {
+    boolean returnedRecently = previous != null && now - previous.receivedAt() < RETURN_WINDOW_S;
     boolean notRedirectedRecently =
-        last == null || (!returnedRecently && last.relayedSince() == NOT_RELAYED);
-    // A worker with the leader's own term was answered by it before: it is here since the leader no
-    // longer answers, and to redirect it would cost it half its lease. That it was redirected long
-    // ago, before it was answered, is no reason to do so again.
+        previous == null || (!returnedRecently && previous.relayedSince() == NOT_RELAYED);
+    // A worker that reports the current leader's term was answered by that leader. It came here
+    // because the leader no longer responds to it, and a redirect would take up half of its lease.
+    // A redirect from long ago, before the leader answered it, does not change this.
     boolean wasAnsweredByLeader =
         notRedirectedRecently && leader != null && heartbeat.term() >= leader.term();
     boolean relayedForMaxDuration =
-        last != null && now - last.relayedSince() > MAX_RELAY_DURATION_S;
+        previous != null && now - previous.relayedSince() > MAX_RELAY_DURATION_S;
     return (returnedRecently || wasAnsweredByLeader) && !relayedForMaxDuration;
   }
 
-  private void remember(String machine, LastHeartbeat last) {
-    byMachine.put(machine, last);
+  private void remember(String machine, LastHeartbeat heartbeat) {
+    byMachine.put(machine, heartbeat);
     if (byMachine.size() > MAX_TRACKED_WORKERS) {
       byMachine.remove(byMachine.keySet().iterator().next());
     }
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -19,26 +19,26 @@
 import java.util.function.Consumer;
 
 /**
- * Takes workers' heartbeats: the leader answers them while its session lease lasts, the others
- * redirect workers to it, or relay the heartbeats of workers that can't reach it. Runs on the event
- * loop.
+ * Handles worker heartbeats: the leader answers them while its session lease is valid; other
+ * controllers redirect workers to the leader, or relay the heartbeats of workers that can't reach
+ * it. Runs on the event loop.
  */
 public final class WorkerApi {
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
 
-  /** Sends the worker to another controller. */
+  /** Redirects the worker to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** The scheduler's side of heartbeats. */
+  /** Receives heartbeats on behalf of the scheduler. */
   @FunctionalInterface
   public interface HeartbeatListener {
     /**
-     * Takes a heartbeat in.
+     * Processes a heartbeat.
      *
-     * @param relayedBy the member that relayed it, or "" if the worker sent it here
-     * @return the commands for the worker, never null; none while the leader still reads the
-     *     records
+     * @param relayedBy the member that relayed the heartbeat, or "" if the worker sent it directly
+     * @return the commands for the worker, never null; empty while the leader is still loading the
+     *     stored records
      */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String relayedBy);
   }
@@ -54,10 +54,10 @@
   private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
 
   /**
-   * Makes the handler of workers' heartbeats.
+   * Creates the handler of worker heartbeats.
    *
    * @param member this controller's name
-   * @param scheduler takes heartbeats in while this controller leads
+   * @param scheduler receives the heartbeats while this controller is the leader
    */
   public WorkerApi(
       Loop loop,
@@ -79,8 +79,8 @@
   }
 
   /**
-   * Answers a worker's heartbeat: 200 with commands renews its lease, 421 names the leader if it is
-   * known, 400 says that it was no heartbeat.
+   * Answers a worker's heartbeat: 200 renews its lease and carries commands, 421 redirects it to
+   * the leader, if known, and 400 reports a malformed heartbeat.
    */
   public void handleHeartbeat(Exchange exchange) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(exchange.body()));
@@ -93,10 +93,10 @@
     } else if (leadership.mayRenewLeasesWithoutLeader()
         && heartbeat.term() > 0
         && cancellations.mayRenewLeases()) {
-      // Under the worker's own term: its lease goes on, and what is cancelled ends.
+      // Uses the worker's own term: this renews its lease and kills its cancelled tasks.
       respondWithLeaseRenewal(
           exchange.to(), heartbeat.term(), cancellations.killCommands(heartbeat));
-    } else if (leaseDelegate.acquirePermissionToAnswer(heartbeat)) {
+    } else if (leaseDelegate.tryAuthorizeResponse(heartbeat)) {
       respondWithLeaseRenewal(
           exchange.to(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
     } else {
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Answers a heartbeat that the controller {@code relayedBy} passes on to the leader. */
+  /** Answers a heartbeat that the controller {@code relayedBy} has relayed to this leader. */
   public void handleRelayedHeartbeat(String relayedBy, byte[] body, Consumer<Answer> responder) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(body));
     if (heartbeat == null) {
@@ -154,7 +154,7 @@
     return leader == null ? null : leader.member();
   }
 
-  /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
+  /** Renews the worker's lease; callers must check {@link Cancellations#mayRenewLeases} first. */
   private static void respondWithLeaseRenewal(
       Consumer<Answer> responder, long term, List<WorkerCommand> commands) {
     byte[] body =
@@ -164,13 +164,13 @@
     responder.accept(Answer.json(OK, body));
   }
 
-  /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
+  /** Redirects the worker to the named leader, or to any other controller if the name is null. */
   private static void redirect(Consumer<Answer> responder, String leaderName) {
     responder.accept(
         Answer.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(leaderName))));
   }
 
   private static void rejectMalformed(Consumer<Answer> responder) {
-    responder.accept(Answer.json(BAD_REQUEST, Json.error("not a report")));
+    responder.accept(Answer.json(BAD_REQUEST, Json.error("the body is not a valid heartbeat")));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -9,32 +9,32 @@
 import graderelay.wire.WorkerCodec;
 
 /**
- * Sends commands straight to workers: for speed, since answers to heartbeats carry them as well.
- * Runs on the event loop.
+ * Sends commands directly to workers. This only reduces latency, since responses to heartbeats
+ * carry the commands as well. Runs on the event loop.
  */
 public final class WorkerClient {
-  /** Seconds to wait for a worker's answer to direct commands. */
+  /** Seconds to wait for a worker's response to direct commands. */
   private static final double COMMAND_TIMEOUT_S = 2.0;
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
   private static final int CONFLICT = 409;
 
-  /** Hears how commands ended. */
+  /** Receives the outcome of a delivery. */
   @FunctionalInterface
   public interface DeliveryCallback {
     /**
      * Called once for each call of {@link WorkerClient#send}.
      *
-     * @param how what became of the commands
-     * @param heartbeat the worker's status in its answer, or null if there was none
+     * @param outcome the outcome of the delivery
+     * @param heartbeat the worker's status in its response, or null if there was none
      */
     void onDelivery(CommandDeliveryOutcome outcome, Heartbeat heartbeat);
   }
 
   private final Transport transport;
 
-  /** Makes a client that sends by {@code transport}. */
+  /** Creates a client that sends through {@code transport}. */
   public WorkerClient(Transport transport) {
     this.transport = transport;
   }
@@ -64,7 +64,7 @@
   }
 
   private static Heartbeat decodeHeartbeat(Reply reply) {
-    boolean hasStatus = reply.ok() || reply.status() == CONFLICT;
-    return hasStatus ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
+    boolean hasHeartbeat = reply.ok() || reply.status() == CONFLICT;
+    return hasHeartbeat ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
   }
 }
--- a/src/main/java/graderelay/worker/package-info.java
+++ b/src/main/java/graderelay/worker/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The controller's side of the worker protocol: takes workers' heartbeats and answers them, relays
- * or redirects them when another controller leads, renews worker leases as a lease delegate while
- * the zone is cut off, and sends worker commands. Everything here runs on the event loop.
+ * The controller's side of the worker protocol: answers worker heartbeats, relays or redirects them
+ * if another controller is the leader, renews worker leases as a lease delegate while the zone is
+ * partitioned, and sends worker commands. All code in this package runs on the event loop.
  */
 package graderelay.worker;
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -112,13 +112,13 @@
     // The worker dropped the answer, since its lease expired while the answer was in flight.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 91, 6), 2);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .noneMatch(line -> line.contains("does not hear us"));
+        .noneMatch(line -> line.contains("does not receive heartbeat responses"));
     scheduler.onHeartbeatAnswered("n-1", 2);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 92, 7), 4);
     scheduler.onHeartbeatAnswered("n-1", 4);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 3, 93, 7), 6);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("does not hear us"));
+        .anyMatch(line -> line.contains("does not receive heartbeat responses"));
   }
 
   @Test
--- a/src/test/java/graderelay/features/DowngradeTest.java
+++ b/src/test/java/graderelay/features/DowngradeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Feature levels that are lowered, step by step and under failing leaders. */
+/** Downgrades of the feature level, also while leaders fail. */
 class DowngradeTest {
   @ParameterizedTest
   @CsvSource({"1, 216", "0, 217"})
@@ -32,7 +32,7 @@
     world.loop.run(10);
     assertThat(storedLevel(world)).isEqualTo(target);
     assertThat(world.store.items.keySet()).noneMatch(key -> key.startsWith(FeatureCodec.HINTS));
-    world.loop.run(3 * SOAK_S); // It is held, and does not rise again by itself.
+    world.loop.run(3 * SOAK_S); // The downgrade holds the level, so it is not raised again.
     assertThat(storedLevel(world)).isEqualTo(target);
     assertThat(world.invariants.starts).isEqualTo(starts);
     if (target == 0) {
@@ -44,7 +44,7 @@
     fine(world);
   }
 
-  /** The version in production leads again. */
+  /** Restarts all controllers with the version in production, which has to lead again. */
   private static void rollBackToProduction(SimWorld world) {
     for (int i = 0; i < world.size; i++) {
       world.rollBack(i);
--- a/src/test/java/graderelay/features/FeatureLevelAdminTest.java
+++ b/src/test/java/graderelay/features/FeatureLevelAdminTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Operators hold and raise the feature level, and meet bad records of it. */
+/** Operators hold and raise the feature level, or find its record malformed. */
 class FeatureLevelAdminTest {
   @Test
   void heldLevelRisesOnlyAfterTheHoldIsReleased() {
--- a/src/test/java/graderelay/features/FinalizationTest.java
+++ b/src/test/java/graderelay/features/FinalizationTest.java
@@ -14,13 +14,15 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** When the cluster may go to a higher level, whatever its controllers publish and answer. */
+/**
+ * Conditions for finalizing a higher level, for any sequence of published records and responses.
+ */
 class FinalizationTest {
   private static final double SOAK_S = 10;
   private static final double MAX_SILENCE_S = 3;
   private static final List<String> CONFIGURED = List.of("m-0", "m-1", "m-2");
 
-  /** Something that a leader sees, and how long after what came before. */
+  /** An event that a leader observes, and the seconds since the previous one. */
   record Step(double afterS, String member, int maxLevel, String incarnation, boolean publishes) {}
 
   @Provide
@@ -37,7 +39,7 @@
         .ofMaxSize(60);
   }
 
-  /** Answers and records of each controller, kept plainly beside what is tested. */
+  /** A simple reference model of the records and responses of each controller. */
   private static final class ReferenceModel {
     final Map<String, Member> published = new HashMap<>();
     final Map<String, List<Double>> responsesOfPublishedProcess = new HashMap<>();
@@ -53,11 +55,11 @@
           && published.get(step.member()).incarnation().equals(step.incarnation())) {
         responses.add(now);
       } else if (responses != null) {
-        responses.clear(); // Another process answers.
+        responses.clear(); // Another process has responded.
       }
     }
 
-    /** True if the answers without a gap up to now go back for at least the soak time. */
+    /** True if the uninterrupted responses up to now span at least the soak time. */
     boolean hasCompletedSoak(String name, double now) {
       List<Double> responses = responsesOfPublishedProcess.getOrDefault(name, List.of());
       double next = now;
@@ -134,7 +136,7 @@
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 2).toString())
         .contains("m-0 was restarted");
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 9).toString())
-        .contains("m-0 gives no answer");
+        .contains("m-0 does not respond");
     assertThat(Finalization.blockers(1, List.of("m-1"), published, liveness, SOAK_S, 9).toString())
         .contains("m-1 has published no feature levels");
   }
--- a/src/test/java/graderelay/features/IncompatibleProcessTest.java
+++ b/src/test/java/graderelay/features/IncompatibleProcessTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Processes that are too old for the feature level, and come too late to know of it. */
+/** Processes that don't support the feature level and learn of its change late or on start. */
 class IncompatibleProcessTest {
   @ParameterizedTest
   @CsvSource({"true, 211", "false, 212"})
@@ -35,11 +35,12 @@
         upgrade(world, i, manualUpgrade(LATEST));
       }
     }
-    // The last one is replaced too, but its process was only suspended and not ended.
+    // The last controller is replaced too, but its old process is suspended instead of ended.
     world.suspend(outdated);
     world.loop.run(0.5);
     SimJob late = world.users.job("j-000631", 1, 1, 1, true);
-    // Its user gives up; the process takes it up when it goes on, and must not write it.
+    // The user's request times out; the process handles it when resumed, and must not store the
+    // job.
     world.users.resubmit(outdated, late);
     world.loop.run(6);
     world.loseTrackOf(outdated);
@@ -56,7 +57,7 @@
     assertThat(world.lostNode(outdated).leader()).isFalse();
     assertThat(world.lostNode(outdated).speaks()).isFalse();
     assertThat(world.lostNode(outdated).ready()).isFalse();
-    // It may have handed the late submission on to a peer that supports the level.
+    // It may have forwarded the late submission to a peer that supports the level.
     assertThat(world.invariants.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
     assertThat(world.users.stage(outdated, "j-000630")).isEqualTo("running");
     fine(world);
@@ -91,7 +92,7 @@
     assertThat(world.users.answer(outdated, "GET", "/v1/jobs/j-000001", null).path("http").asInt())
         .isEqualTo(503);
     assertThat(showLevel(world, outdated).path("out_of_service").asText()).contains("0 to 0");
-    assertThat(world.left).isEmpty(); // Ended, it would be started again and again.
+    assertThat(world.left).isEmpty(); // If it terminated, it would be restarted in a loop.
     fine(world);
   }
 
@@ -105,7 +106,7 @@
     world.crashAll();
     world.rollBack(1);
     world.start(1);
-    world.loop.run(45); // Longer than a suspended controller waits when all others are gone.
+    world.loop.run(45); // Longer than a suspended controller waits if all others are down.
     assertThat(world.leader()).isEqualTo(-1);
     JsonNode cancelled = world.users.answer(1, "POST", "/v1/jobs/j-000640/withdraw", null);
     assertThat(cancelled.path("http").asInt()).isEqualTo(503);
--- a/src/test/java/graderelay/features/RollingUpgradeTest.java
+++ b/src/test/java/graderelay/features/RollingUpgradeTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Controllers that are upgraded one at a time, and a feature level that waits for all of them. */
+/** Rolling upgrades: the feature level is raised only after all controllers are upgraded. */
 class RollingUpgradeTest {
   @ParameterizedTest
   @CsvSource({"3, 201", "5, 202"})
@@ -106,7 +106,7 @@
     for (int i = 0; i < 3; i++) {
       upgrade(world, i, automaticUpgrade(LATEST));
       if (i == 0) {
-        // It comes back old; what its newer process has published stays behind.
+        // It is rolled back; the member record of its upgraded process stays in the store.
         world.rollBack(0);
         world.crash(0);
         world.loop.run(1);
@@ -129,12 +129,12 @@
     world.loop.run(SOAK_S + 3);
     int leader = world.leader();
     final int other = (leader + 1) % 3;
-    // The finalization is under way for so long that the other controller comes back in between.
-    boolean[] delayed = {false};
+    // The transaction is delayed until the other controller has restarted with the old version.
+    boolean[] levelWriteDelayed = {false};
     world.store.delay =
         transaction -> {
           boolean raisesLevel = transaction.path("then").toString().contains(FeatureCodec.LEVEL);
-          delayed[0] |= raisesLevel;
+          levelWriteDelayed[0] |= raisesLevel;
           return raisesLevel;
         };
     world.store.delayS = 6;
@@ -145,7 +145,7 @@
         Json.write(Json.object().put("level", LATEST)),
         (reply, body) -> {});
     world.loop.run(0.2);
-    assertThat(delayed[0]).isTrue();
+    assertThat(levelWriteDelayed[0]).isTrue();
     world.replace(other, manualUpgrade(0));
     world.crash(other);
     world.start(other);
@@ -179,7 +179,7 @@
     SimWorld world = worldAtBaseLevel(208, 3, automaticUpgrade(LATEST));
     world.users.submit(0, world.users.job("j-000600", 3, 1, 0, false));
     final List<SimJob> jobs = submitSteadyJobs(world, 60);
-    world.loop.run(SOAK_S - 6); // All are up, but not for long enough yet.
+    world.loop.run(SOAK_S - 6); // All are up, but not yet for the soak time.
     final int starts = world.invariants.starts;
     world.store.outage(true);
     world.loop.run(8);
@@ -188,7 +188,7 @@
     world.loop.run(3 * SOAK_S);
     assertThat(storedLevel(world)).isEqualTo(LATEST);
     assertThat(world.invariants.starts).isGreaterThanOrEqualTo(starts);
-    world.store.outage(true); // And again right after it.
+    world.store.outage(true); // Another outage right after finalization.
     world.loop.run(8);
     world.store.outage(false);
     world.loop.run(3);
@@ -212,7 +212,7 @@
     world.refused[refused][0] = false;
     world.loop.run(SOAK_S + 8);
     assertThat(storedLevel(world)).isEqualTo(LATEST);
-    world.refused[refused][0] = true; // Refused alone once more, it still knows the level.
+    world.refused[refused][0] = true; // Without store access again, it still knows the level.
     SimJob job = world.users.job("j-000610", 2, 1, 5, true);
     world.users.submit(refused, job);
     world.loop.run(30);
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -13,27 +13,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Steps that tests of rolling upgrades and feature levels share. */
+/** Steps shared by tests of rolling upgrades and feature levels. */
 final class UpgradeSteps {
-  /** Seconds for which all controllers have to be up before the level may rise. */
+  /** Seconds for which all controllers have to be up before the level may be raised. */
   static final double SOAK_S = 10;
 
-  /** The newest feature level. */
+  /** The latest feature level. */
   static final int LATEST = 3;
 
   private UpgradeSteps() {}
 
-  /** Options of a controller that raises the level by itself, up to {@code max}. */
+  /** Options of a controller that raises the level automatically, up to {@code maxLevel}. */
   static Options automaticUpgrade(int maxLevel) {
     return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
-  /** Options of a controller that raises the level up to {@code max} only for operators. */
+  /** Options of a controller that raises the level, up to {@code maxLevel}, only on request. */
   static Options manualUpgrade(int maxLevel) {
     return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
-  /** Controllers of the version in production, with a service and a stream of short arrays. */
+  /** A world of controllers of the version in production, with an elected leader. */
   static SimWorld productionWorld(long seed, int size) {
     SimWorld world = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
     world.loop.run(4);
@@ -41,7 +41,7 @@
     return world;
   }
 
-  /** Controllers that support so much, none of which has raised the level. */
+  /** A world of controllers with these options, which have not raised the level yet. */
   static SimWorld worldAtBaseLevel(long seed, int size, Options options) {
     SimWorld world = new SimWorld(seed, WorldShape.of(size));
     world.checkLevels();
@@ -55,7 +55,7 @@
     return world;
   }
 
-  /** A world whose level is the latest. */
+  /** A world at the latest level. */
   static SimWorld worldAtLatestLevel(long seed, int size) {
     SimWorld world = worldAtBaseLevel(seed, size, automaticUpgrade(LATEST));
     world.loop.run(SOAK_S + 5);
@@ -63,13 +63,13 @@
     return world;
   }
 
-  /** The level that is stored. */
+  /** The stored level. */
   static int storedLevel(SimWorld world) {
     JsonNode record = world.store.value(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
-  /** Arrays that come every two seconds, of which every fifth is cancelled soon after. */
+  /** Submits an array every two seconds and cancels every fifth one soon after. */
   static List<SimJob> submitSteadyJobs(SimWorld world, double durationS) {
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < durationS / 2; i++) {
@@ -84,7 +84,7 @@
     return jobs;
   }
 
-  /** Ends a controller and starts it as the present version with these options. */
+  /** Stops a controller and starts it with the current version and these options. */
   static void upgrade(SimWorld world, int controller, Options options) {
     world.replace(controller, options);
     world.crash(controller);
@@ -93,18 +93,20 @@
     world.loop.run(4);
   }
 
-  /** Asks a controller as an operator to change the level. */
+  /** Requests a change of the level as an operator. */
   static JsonNode requestLevelChange(SimWorld world, int controller, String operation, int level) {
     byte[] body = Json.write(Json.object().put("level", level));
     return world.users.answer(controller, "POST", "/admin/features/" + operation, body);
   }
 
-  /** Asks a controller as an operator for the level. */
+  /** Requests the status of the level as an operator. */
   static JsonNode showLevel(SimWorld world, int controller) {
     return world.users.answer(controller, "GET", "/admin/features", null);
   }
 
-  /** Runs the world for a minute, by whose end every job is over at every controller. */
+  /**
+   * Runs the world for a minute and asserts that every controller then reports all jobs as ended.
+   */
   static void assertAllJobsEnd(SimWorld world, List<SimJob> jobs) {
     world.loop.run(60);
     ScenarioSteps.allOver(world, jobs);
--- a/src/test/java/graderelay/quota/AdmissionControlTest.java
+++ b/src/test/java/graderelay/quota/AdmissionControlTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Claims of two controllers at once, by the rules of admission alone. */
+/** Concurrent claims of two controllers, with admission control as the only safeguard. */
 class AdmissionControlTest {
   private static final int STEPS_PER_RUN = 80;
   private static final int SEED_COUNT = 1000;
@@ -54,7 +54,7 @@
     assertThat(claimers.account().use().covers(claimers.claims())).isTrue();
   }
 
-  /** A random order of steps that fit each other better than those drawn one by one. */
+  /** Random steps, weighted so that they form longer useful sequences than uniformly drawn ones. */
   private static TwoClaimers randomRun(long seed, Mutation mutation) {
     SplittableRandom random = new SplittableRandom(seed);
     TwoClaimers claimers = new TwoClaimers(mutation);
@@ -82,19 +82,19 @@
   @ParameterizedTest
   @EnumSource(Mutation.class)
   void randomRunsDetectEveryMutationAndReportNoFalseViolations(Mutation mutation) {
-    int found = 0;
-    int claims = 0;
+    int detectedRuns = 0;
+    int committedClaims = 0;
     for (long seed = 0; seed < SEED_COUNT; seed++) {
       TwoClaimers run = randomRun(seed, mutation);
-      found += run.violations.isEmpty() ? 0 : 1;
-      claims += run.committedClaims;
+      detectedRuns += run.violations.isEmpty() ? 0 : 1;
+      committedClaims += run.committedClaims;
     }
-    System.out.printf("%s: found by %d of %d random days%n", mutation, found, SEED_COUNT);
-    assertThat(claims).isGreaterThan(SEED_COUNT);
+    System.out.printf("%s: found by %d of %d random runs%n", mutation, detectedRuns, SEED_COUNT);
+    assertThat(committedClaims).isGreaterThan(SEED_COUNT);
     if (mutation == Mutation.NONE) {
-      assertThat(found).isZero();
+      assertThat(detectedRuns).isZero();
     } else {
-      assertThat(found).as("days that find it, of " + SEED_COUNT).isPositive();
+      assertThat(detectedRuns).as("runs that find it, of " + SEED_COUNT).isPositive();
     }
   }
 
@@ -107,7 +107,7 @@
         readRevision);
   }
 
-  /** A leader that has fenced the team's account at revision 11, and read it. */
+  /** The control of a leader that has fenced the team's account at revision 11 and read it. */
   private static AdmissionControl settledControl() {
     AdmissionControl control = new AdmissionControl("leader", 5);
     control.enable();
@@ -115,7 +115,7 @@
     control.requestSettling("team");
     List<AccountChange> fences = control.fenceWrites(9);
     control.onCommitted(fences, 11);
-    assertThat(control.refusal("team").temporary()).isTrue(); // It has not read that far.
+    assertThat(control.refusal("team").temporary()).isTrue(); // No read as of the fence yet.
     control.update(stored(Account.of(Amount.NONE, fences.get(0).writeId(), 11), 3, 11));
     assertThat(control.refusal("team")).isNull();
     return control;
@@ -131,7 +131,7 @@
     control.enable();
     control.update(stored(Account.of(Amount.roundedDown(3, 0), "before", 7), 3, 10));
     assertThat(control.refusal("team").temporary()).isTrue();
-    assertThat(control.fenceWrites(9)).isEmpty(); // Nobody waits for it.
+    assertThat(control.fenceWrites(9)).isEmpty(); // Settling was not requested.
     control.requestSettling("team");
     AccountChange fence = control.fenceWrites(9).get(0);
     assertThat(fence.use()).isEqualTo(Amount.roundedDown(3, 0));
@@ -145,7 +145,7 @@
     AdmissionControl control = settledControl();
     place(control, 2);
     AccountChange raise = control.changeForClaims("team");
-    assertThat(raise.use()).isEqualTo(Amount.roundedDown(3, 0)); // Half as much again.
+    assertThat(raise.use()).isEqualTo(Amount.roundedDown(3, 0)); // 1.5 times the claim.
     assertThat(raise.expectedRevision()).isEqualTo(11);
     assertThat(raise.expectedLimitsRevision()).isEqualTo(3);
     assertThat(control.refusal("team").reason()).contains("is being changed");
@@ -157,10 +157,11 @@
     assertThat(control.changeForClaims("team"))
         .isEqualTo(new AccountChange("team", 12, null, "", 3));
     place(control, 0.5);
-    assertThat(control.changeForClaims("team").writes()).isFalse(); // Beside the one under way.
+    assertThat(control.changeForClaims("team").writes())
+        .isFalse(); // While another claim is in flight.
     place(control, 0.5);
     assertThat(control.changeForClaims("team").use())
-        .isEqualTo(Amount.roundedDown(4, 0)); // The limit.
+        .isEqualTo(Amount.roundedDown(4, 0)); // Capped at the limit.
     assertThat(control.fitsLimit("team", Amount.roundedDown(0.501, 0))).isFalse();
     assertThat(control.fitsLimit("team", Amount.roundedDown(0.5, 0))).isTrue();
   }
@@ -176,7 +177,8 @@
     place(control, 1);
     AccountChange second = control.changeForClaims("team");
     assertThat(second.expectedRevision()).isEqualTo(12);
-    control.onCommitted(List.of(first), 12); // Late: it must not free the second one's place.
+    control.onCommitted(
+        List.of(first), 12); // A late response must not clear the second write in flight.
     assertThat(control.refusal("team").temporary()).isTrue();
     assertThat(control.takeDiscrepancies()).isEmpty();
   }
@@ -249,7 +251,7 @@
     assertThat(Amount.roundedDown(0.9999, 0)).isEqualTo(new Amount(999, 0));
     assertThat(Amount.toMillisExact(new BigDecimal("2.125"))).isEqualTo(2125);
     TeamQuota quota = new TeamQuota(Amount.NONE, Amount.roundedDown(0, 2));
-    assertThat(quota.allows(Amount.roundedUp(1e6, 2))).isTrue(); // No limit of CPUs.
+    assertThat(quota.allows(Amount.roundedUp(1e6, 2))).isTrue(); // CPUs are unlimited.
     assertThat(quota.allows(Amount.roundedUp(0, 2.001))).isFalse();
   }
 }
--- a/src/test/java/graderelay/quota/LimitChangeTest.java
+++ b/src/test/java/graderelay/quota/LimitChangeTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Operators see and change stored limits while the service runs. */
+/** Operators view and change stored limits while jobs are running. */
 class LimitChangeTest {
-  /** Seconds within which a raised limit takes effect. */
+  /** Seconds within which a raised limit has to take effect. */
   private static final double MAX_RAISE_DELAY_S = 2;
 
   private static int status(JsonNode answer) {
@@ -58,7 +58,7 @@
     while (world.invariants.running("team") > 10) {
       world.loop.run(0.1);
       assertThat(world.invariants.starts)
-          .isLessThanOrEqualTo(starts + 2); // What was claimed before.
+          .isLessThanOrEqualTo(starts + 2); // Claimed before the change.
     }
     assertThat(metrics(world)).contains("graderelay_quota_differences{team=\"team\"} 1");
     world.loop.run(30);
@@ -114,7 +114,9 @@
     JsonNode[] answers = new JsonNode[2];
     world.store.delay =
         transaction ->
-            transaction.toString().contains(QuotaCodec.limitKey("team")); // Both have read it.
+            transaction
+                .toString()
+                .contains(QuotaCodec.limitKey("team")); // Both have read the record.
     world.store.delayS = 0.5;
     for (int i = 0; i < 2; i++) {
       int controller = i;
@@ -127,14 +129,14 @@
           (reply, json) -> answers[controller] = ((ObjectNode) json).put("http", reply.status()));
     }
     world.loop.run(2);
-    int won = status(answers[0]) == 200 ? 0 : 1;
-    assertThat(status(answers[won])).isEqualTo(200);
-    assertThat(status(answers[1 - won])).isEqualTo(409);
-    assertThat(answers[1 - won].path("version").asLong()).isGreaterThan(version);
-    assertThat(answers[1 - won].path("changed_by").asText()).isEqualTo("operator-" + won);
+    int winner = status(answers[0]) == 200 ? 0 : 1;
+    assertThat(status(answers[winner])).isEqualTo(200);
+    assertThat(status(answers[1 - winner])).isEqualTo(409);
+    assertThat(answers[1 - winner].path("version").asLong()).isGreaterThan(version);
+    assertThat(answers[1 - winner].path("changed_by").asText()).isEqualTo("operator-" + winner);
     JsonNode late = changeLimits(world, 2, "team", "{\"cpus_max\":1,\"version\":" + version + "}");
     assertThat(status(late)).isEqualTo(409);
-    assertThat(showQuota(world, "team").path("cpus_max").asDouble()).isEqualTo(10 + won);
+    assertThat(showQuota(world, "team").path("cpus_max").asDouble()).isEqualTo(10 + winner);
   }
 
   @ParameterizedTest
@@ -216,31 +218,32 @@
   @Test
   void noJobIsPermanentlyRefusedByOutdatedLimits() {
     SimWorld world = worldWithStoredLimits(551, 3);
-    int behind = (world.leader() + 1) % 3;
+    int outdatedController = (world.leader() + 1) % 3;
     changeLimits(world, world.leader(), "team", "{\"cpus\":1,\"cpus_max\":2}");
     world.loop.run(1);
     SimJob job = world.users.job("j-004010", 1, 3, 5, true);
     JsonNode refused =
-        world.users.answer(behind, "POST", "/v1/jobs", Json.write(world.users.body(job)));
+        world.users.answer(
+            outdatedController, "POST", "/v1/jobs", Json.write(world.users.body(job)));
     assertThat(status(refused)).isEqualTo(422);
-    world.store.holdWatches = true; // What it knows of the limits stays as it is.
+    world.store.holdWatches = true; // Its copy of the limits becomes outdated.
     world.loop.run(0.2);
     TeamQuota raised = new TeamQuota(Amount.roundedDown(1, 0), Amount.roundedDown(8, 0));
     world.store.overwrite(
         QuotaCodec.limitKey("team"), QuotaCodec.encodeLimits(raised, "operator", 1));
-    int[] answered = {0};
+    int[] statusCode = {0};
     world.users.ask(
-        behind,
+        outdatedController,
         "POST",
         "/v1/jobs",
         Json.write(world.users.body(job)),
-        (reply, json) -> answered[0] = reply.status());
+        (reply, json) -> statusCode[0] = reply.status());
     world.loop.run(1);
-    assertThat(answered[0]).isNotIn(422, 400);
+    assertThat(statusCode[0]).isNotIn(422, 400);
     world.store.holdWatches = false;
-    world.users.submit(behind, job);
+    world.users.submit(outdatedController, job);
     world.loop.run(40);
-    assertThat(world.users.stage(behind, job.id)).isEqualTo("done");
+    assertThat(world.users.stage(outdatedController, job.id)).isEqualTo("done");
   }
 
   @Test
@@ -258,13 +261,13 @@
     world.loop.run(60);
     assertThat(world.users.stage(0, first.id)).isEqualTo("done");
     assertThat(world.users.stage(1, large.id)).isEqualTo("pending");
-    String why =
+    String waitReason =
         world
             .users
             .answer(0, "GET", "/admin/jobs/" + large.id, null)
             .path("waits_because")
             .asText();
-    assertThat(why).contains("needs 3 CPUs").contains("stored limits of team team");
+    assertThat(waitReason).contains("needs 3 CPUs").contains("stored limits of team team");
     JsonNode again = world.users.answer(2, "POST", "/v1/jobs", Json.write(world.users.body(large)));
     assertThat(status(again)).isEqualTo(200);
     changeLimits(world, 2, "team", "{\"cpus_max\":3}");
@@ -273,7 +276,7 @@
     assertNoViolations(world, recorder);
   }
 
-  // ---------------------------------------------------------------- bad records
+  // ---------------------------------------------------------------- malformed records
 
   @Test
   void malformedAccountStopsOnlyItsTeamUntilOperatorsRecomputeIt() {
@@ -290,7 +293,7 @@
     assertThat(metrics(world))
         .contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1")
         .contains("graderelay_quota_differences{team=\"team\"}");
-    world.crash(world.leader()); // The next leader does not mend it in silence either.
+    world.crash(world.leader()); // The next leader must not repair it silently either.
     world.loop.run(20);
     assertThat(world.invariants.running("team")).isZero();
     JsonNode done = world.users.answer(world.leader(), "POST", "/admin/quota/team/recompute", null);
@@ -307,7 +310,7 @@
   void leaderDeposedWhileReadingForRecomputeContinuesAsFollower() {
     SimWorld world = worldWithStoredLimits(564, 3);
     int leader = world.leader();
-    world.suspend(leader); // The request is the first thing that it finds when it wakes.
+    world.suspend(leader); // It processes the request first when it resumes.
     world.users.ask(leader, "POST", "/admin/quota/team/recompute", null, (reply, json) -> {});
     world.loop.run(9);
     world.resume(leader);
@@ -331,8 +334,8 @@
     assertThat(showQuota(world, "team").path("stopped_because").asText()).contains("malformed");
     assertThat(metrics(world)).contains("graderelay_quota{team=\"team\",what=\"stopped\"} 1");
     assertThat(status(changeLimits(world, 0, "team", "{\"cpus_max\":9}"))).isEqualTo(409);
-    String all = "{\"cpus\":1,\"cpus_max\":9,\"gpus\":0,\"gpus_max\":0}";
-    assertThat(status(changeLimits(world, 0, "team", all))).isEqualTo(200);
+    String completeLimits = "{\"cpus\":1,\"cpus_max\":9,\"gpus\":0,\"gpus_max\":0}";
+    assertThat(status(changeLimits(world, 0, "team", completeLimits))).isEqualTo(200);
     world.loop.run(40);
     assertThat(world.users.stage(0, jobs.get(4).id)).isEqualTo("done");
     WorldAssertions.fine(world);
@@ -358,10 +361,12 @@
     SimWorld world = worldWithStoredLimits(571, 3);
     changeLimits(world, 0, "team", "{\"cpus_max\":20}");
     world.loop.run(1);
-    JsonNode all = world.users.answer(1, "GET", "/admin/quota", null);
-    assertThat(all.path("stored").asBoolean()).isTrue();
-    assertThat(all.path("teams").size()).isEqualTo(3);
-    assertThat(all.path("settings_differ").toString()).contains("team team").contains("24 CPUs");
+    JsonNode completeLimits = world.users.answer(1, "GET", "/admin/quota", null);
+    assertThat(completeLimits.path("stored").asBoolean()).isTrue();
+    assertThat(completeLimits.path("teams").size()).isEqualTo(3);
+    assertThat(completeLimits.path("settings_differ").toString())
+        .contains("team team")
+        .contains("24 CPUs");
     assertThat(metrics(world)).contains("what=\"settings_differ\"} 1");
   }
 }
--- a/src/test/java/graderelay/quota/QuotaMeasurement.java
+++ b/src/test/java/graderelay/quota/QuotaMeasurement.java
@@ -9,18 +9,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What stored limits cost, in the simulated world: the same bursts with the level on and off. Not a
- * test; {@code tools/measure-quota.sh} runs it.
+ * Measures the cost of stored limits in the simulated world: the same bursts with the feature
+ * enabled and disabled. Not a test; run by {@code tools/measure-quota.sh}.
  */
 public final class QuotaMeasurement {
   private static final int[] SEEDS = {1, 2, 3};
   private static final double TASK_RUN_S = 3;
   private static final double MAX_BURST_S = 600;
 
-  /** Seconds after the last start until every end has been written. */
+  /** Seconds after the last start until the ends of all tasks have been stored. */
   private static final double SETTLE_S = 30;
 
-  /** Seconds that each answer of the store takes longer than usual: some 15 times as long. */
+  /** Additional delay of each store response in seconds, which makes it some 15 times as long. */
   private static final double EXTRA_STORE_DELAY_S = 0.15;
 
   private static final long MAX_RECORDED_WAIT_MS = 3_600_000;
@@ -36,13 +36,13 @@
       int jobs,
       double burstS) {}
 
-  /** What came of one burst; {@code startS} is the time until the last start. */
+  /** The result of one burst; {@code startS} is the time until the last start. */
   private record Result(
       Histogram waitsMs, double changesToStart, double startS, double changes, double cpuS) {}
 
   private QuotaMeasurement() {}
 
-  /** Measures all setups, or as many of the first as the argument says. */
+  /** Measures all setups, or the first ones up to the number in the argument. */
   public static void main(String[] arguments) {
     List<Setup> setups =
         List.of(
@@ -136,7 +136,7 @@
     return !Double.isNaN(job.firstStart);
   }
 
-  /** Machines are up and have the image, with a guest's work on them that yields to the team's. */
+  /** Fills machines that have the image with guest tasks, which the team's tasks preempt. */
   private static void fillFleet(SimWorld world, int machines) {
     SimJob guests = world.users.job("j-610000", machines, 3, 10_000, true);
     guests.guest = true;
--- a/src/test/java/graderelay/quota/QuotaSteps.java
+++ b/src/test/java/graderelay/quota/QuotaSteps.java
@@ -18,24 +18,24 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Steps that scenarios of stored limits share. */
+/** Steps shared by tests of stored limits. */
 final class QuotaSteps {
   static final int STORED_LIMITS_LEVEL = Feature.STORED_LIMITS.level();
   private static final double SOAK_S = 1;
 
   private QuotaSteps() {}
 
-  /** What a controller starts with that may go up to this feature level. */
+  /** Options of a controller that supports feature levels up to this one. */
   static Options optionsUpToLevel(int level) {
     return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, level));
   }
 
-  /** A world that stores limits. */
+  /** A world at the level of stored limits. */
   static SimWorld worldWithStoredLimits(long seed, int size) {
     return worldWithStoredLimits(new SimWorld(seed, WorldShape.of(size)));
   }
 
-  /** The same world once it stores limits. */
+  /** Raises the world to the level of stored limits. */
   static SimWorld worldWithStoredLimits(SimWorld world) {
     world.checkLevels();
     restartAllWith(world, optionsUpToLevel(STORED_LIMITS_LEVEL));
@@ -47,12 +47,12 @@
     return world;
   }
 
-  /** A world that does not, and otherwise is the same. */
+  /** A world at the level below stored limits. */
   static SimWorld worldWithoutStoredLimits(long seed, int size) {
     return worldWithoutStoredLimits(new SimWorld(seed, WorldShape.of(size)));
   }
 
-  /** The same world once it has the level before stored limits. */
+  /** Raises the world to the level below stored limits. */
   static SimWorld worldWithoutStoredLimits(SimWorld world) {
     restartAllWith(world, optionsUpToLevel(STORED_LIMITS_LEVEL - 1));
     world.loop.run(12);
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Arrays of one team, submitted at all controllers in turn. */
+  /** Submits single-task arrays of one team at all controllers in turn. */
   static List<SimJob> submitBurst(
       SimWorld world,
       String team,
@@ -97,7 +97,7 @@
     return false;
   }
 
-  /** Operators change a team's limits at a controller. */
+  /** Changes a team's limits as an operator at a controller. */
   static JsonNode changeLimits(SimWorld world, int controller, String team, String fields) {
     return world.users.answer(controller, "PUT", "/admin/quota/" + team, fields.getBytes());
   }
@@ -108,7 +108,7 @@
     return answer.path("teams").path(0);
   }
 
-  /** What the account of a team says, in CPUs. */
+  /** The CPUs that the account of a team reserves. */
   static double reservedCpus(SimWorld world, String team) {
     return QuotaCodec.decodeAccount(world.store.value(QuotaCodec.accountKey(team)), 1).use().cpus();
   }
@@ -118,7 +118,7 @@
     world.store.overwrite(QuotaCodec.accountKey(team), value);
   }
 
-  /** All are done, no invariant was violated, and no limit was passed on the way. */
+  /** Asserts that all jobs are done, and that no invariant or limit was violated. */
   static void assertAllDone(SimWorld world, QuotaRecorder recorder, List<SimJob> jobs) {
     for (SimJob job : jobs) {
       assertThat(job.accepted).as(job.id).isTrue();
@@ -132,7 +132,7 @@
     assertThat(recorder.violations).isEmpty();
   }
 
-  /** Every job began within so many seconds of its acceptance. */
+  /** Asserts that every job started within the given seconds after its acceptance. */
   static void assertStartedWithin(List<SimJob> jobs, double seconds) {
     for (SimJob job : jobs) {
       assertThat(job.firstStart - job.acceptedAt).as(job.id).isLessThanOrEqualTo(seconds);
--- a/src/test/java/graderelay/quota/StoredLimitsTest.java
+++ b/src/test/java/graderelay/quota/StoredLimitsTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stored limits hold while several controllers fail. */
+/** Stored limits are not exceeded while several controllers fail. */
 class StoredLimitsTest {
   private static final double LIMIT = SimWorld.LIMIT;
 
-  /** Seconds within which work within its team's guarantee begins, faults included. */
+  /** Seconds within which jobs within their team's guarantee start, even with faults. */
   private static final double MAX_GUARANTEED_START_DELAY_S = 15;
 
-  /** Work of the other team that fits its guarantee of 8 CPUs at any moment. */
+  /** Submits jobs of another team that never need more than its guarantee of 8 CPUs. */
   private static List<SimJob> submitGuaranteedJobs(SimWorld world, int count) {
     return submitBurst(world, "other", "77", count, 3, 2, 4);
   }
@@ -48,7 +48,7 @@
     final QuotaRecorder recorder = new QuotaRecorder(world);
     world.loop.run(5);
     final List<SimJob> others = submitGuaranteedJobs(world, 20);
-    world.loop.run(25); // Machines are up.
+    world.loop.run(25); // The machines have booted.
     final List<SimJob> jobs = submitBurst(world, "team", "10", 1000, 0.01, 1, 1);
     world.loop.run(4);
     int leader = world.leader();
@@ -215,12 +215,13 @@
                 .asInt())
         .isEqualTo(200);
     submitBurst(world, "team", "19", 120, 2, 1, 5);
-    submitBurst(world, "team", "29", 120, 2, 1, 7.3); // Never do all that run end at once.
+    submitBurst(world, "team", "29", 120, 2, 1, 7.3); // The running tasks never all end at once.
     world.loop.run(20);
     SimJob large = world.users.job("j-990001", 1, 4, 5, true);
     world.users.submit(1, large);
     world.loop.run(110);
-    SimJob service = world.users.job("j-990002", 4, 1, 0, false); // All of it fits the limit, just.
+    SimJob service =
+        world.users.job("j-990002", 4, 1, 0, false); // All replicas just fit the limit.
     world.users.submit(2, service);
     world.loop.run(30);
     assertStartedWithin(List.of(large), 100);
@@ -229,11 +230,11 @@
     assertNoViolations(world, recorder);
   }
 
-  // ---------------------------------------------------------------- the limit by itself
+  // ---------------------------------------------------------------- accounts as the only safeguard
 
   private static final int SEED_COUNT = 12;
 
-  /** Less than the machines of one zone hold, so that either zone alone can fill the limit. */
+  /** A world with the limit below the capacity of one zone, so that each zone can fill it alone. */
   private static SimWorld worldWhereOneZoneFillsTheLimit(long seed) {
     WorldShape shape = WorldShape.of(3);
     return new SimWorld(
@@ -243,13 +244,14 @@
   }
 
   /**
-   * The store takes every condition on leader and term for met, and claims of a leader that ends
-   * are carried out late, among those of the next one.
+   * Runs claims of two leaders against a store that treats every condition on leader and term as
+   * met, so that delayed claims of the first leader commit among those of the next one. Returns the
+   * violations of the limit.
    */
   private static List<String> violationsWithoutTermCondition(SimWorld world, long seed) {
     final QuotaRecorder recorder = new QuotaRecorder(world);
     submitBurst(world, "team", "19", 40, 0.1, 2, 60)
-        .forEach(job -> job.guest = true); // It fills the fleet.
+        .forEach(job -> job.guest = true); // These fill the fleet.
     submitBurst(world, "team", "20", 120, 0.1, 2, 4).forEach(job -> job.zone = "a");
     submitBurst(world, "team", "21", 120, 0.1, 2, 4).forEach(job -> job.zone = "b");
     world.loop.run(16 + seed % 4 * 0.7);
@@ -263,7 +265,7 @@
     world.loop.run(1);
     world.suspend(world.leader());
     world.store.delay = transaction -> false;
-    // The next leader can't claim the same tasks of this zone again, and fills the other one.
+    // With zone a hanging, the next leader can't claim its tasks again and fills zone b.
     world.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(x -> x.hang(20));
     world.loop.run(40);
     return recorder.violations;
@@ -288,7 +290,7 @@
     System.out.printf(
         "claims above the limit without accounts: %d of %d seeds%n", seedsAboveLimit, SEED_COUNT);
     assertThat(seedsAboveLimit)
-        .as("seeds in which claims pass the limit without accounts")
+        .as("seeds in which claims exceed the limit without accounts")
         .isPositive();
   }
 }
--- a/src/test/java/graderelay/quota/TwoClaimers.java
+++ b/src/test/java/graderelay/quota/TwoClaimers.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * Two controllers that both claim for one team against one store that checks no term. What they
- * send is carried out at once, late or never, and answers are lost.
+ * Two controllers that claim concurrently for one team in a store that does not check terms.
+ * Transactions are executed at once, late or never, and responses may be lost.
  */
 final class TwoClaimers {
-  /** What one of them does wrong on purpose, to show that the properties can fail. */
+  /** A deliberate fault, which shows that the checks can fail. */
   enum Mutation {
     NONE,
     RELEASE_BEFORE_END_COMMITTED,
@@ -22,7 +22,7 @@
     WRITE_IDS_NOT_UNIQUE
   }
 
-  /** What becomes of a transaction. */
+  /** How a transaction and its response are delivered. */
   enum Delivery {
     RESPONSE_RECEIVED,
     RESPONSE_LOST,
@@ -30,30 +30,30 @@
     NEVER
   }
 
-  /** One step. */
+  /** A step of a run. */
   sealed interface Step {
-    /** A claimer claims a task that takes so many thousandths of a CPU. */
+    /** A claimer claims a task that needs this many thousandths of a CPU. */
     record Claim(int claimer, int millis, Delivery delivery) implements Step {}
 
-    /** A claimer ends one of the claims that stand. */
+    /** A claimer ends one of the committed claims. */
     record End(int claimer, int pick, Delivery delivery) implements Step {}
 
-    /** A claimer settles and lowers its account, after so many seconds. */
+    /** A claimer fences or lowers its account, after the elapsed seconds. */
     record WriteAccount(int claimer, double elapsedS, Delivery delivery) implements Step {}
 
     /** A claimer reads the store. */
     record Read(int claimer) implements Step {}
 
-    /** Another process takes a claimer's place. */
+    /** Another process replaces a claimer. */
     record Failover(int claimer) implements Step {}
 
-    /** Operators change the limit. */
+    /** An operator changes the limit. */
     record ChangeLimit(int millis) implements Step {}
 
-    /** Somebody overwrites the account by hand. */
+    /** An operator overwrites the account. */
     record OverwriteAccount(int millis) implements Step {}
 
-    /** A late transaction is carried out. */
+    /** A delayed transaction is executed. */
     record DeliverLate(int pick) implements Step {}
   }
 
@@ -64,7 +64,7 @@
 
   private record Condition(String key, long revision) {}
 
-  /** {@code account} and {@code taskBatch} are null where the transaction is not about them. */
+  /** {@code account} and {@code taskBatch} are null if the transaction does not concern them. */
   private record Transaction(
       int claimer,
       List<Condition> conditions,
@@ -86,7 +86,7 @@
   private int nextClaimer;
   private double now;
 
-  /** What was found wrong. */
+  /** The violations that were found. */
   final List<String> violations = new ArrayList<>();
 
   int committedClaims;
@@ -140,7 +140,7 @@
     if (mutation == Mutation.FAILOVER_SKIPS_THE_FENCE) {
       read(successor);
       successor.requestSettling(TEAM);
-      successor.onCommitted(successor.fenceWrites(1), account.revision()); // It never wrote it.
+      successor.onCommitted(successor.fenceWrites(1), account.revision()); // Nothing was written.
     } else {
       read(successor);
     }
@@ -289,7 +289,7 @@
     }
   }
 
-  /** In the end the account has as much as the claims ask for, whatever was lost on the way. */
+  /** Drops delayed transactions and lets the account converge to the claims. */
   void convergeAccount() {
     delayedTransactions.clear();
     for (int i = 0; i < 6; i++) {
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -82,10 +82,10 @@
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     scheduler.tick(14); // A lease counted from the last answered heartbeat would be over.
     assertThat(SchedulerFixture.logLines(scheduler))
-        .noneMatch(line -> line.contains("lease of n-1 is over"));
+        .noneMatch(line -> line.contains("lease of n-1 has expired"));
     scheduler.tick(11 + SimWorld.LEASE_S + 1);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("lease of n-1 is over"));
+        .anyMatch(line -> line.contains("lease of n-1 has expired"));
   }
 
   @Test
--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -15,7 +15,7 @@
 import graderelay.wire.StateCodec;
 import org.junit.jupiter.api.Test;
 
-/** Claims, and cancellations that compete with them. */
+/** Claims, and cancellations that race with them. */
 class ClaimTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
@@ -51,7 +51,7 @@
     SimJob job = world.users.job("j-000002", 2, 2, 0, false);
     world.users.submit(0, job);
     world.loop.run(1);
-    world.users.cancel(1, job); // No machine is up yet, so nothing is claimed.
+    world.users.cancel(1, job); // No machine has booted yet, so nothing is claimed.
     world.loop.run(30);
     assertThat(world.invariants.starts).isZero();
     assertThat(world.users.stage(2, job.id)).isEqualTo("cancelled");
@@ -62,7 +62,7 @@
   void cancelThatCommitsDuringClaimMakesTheClaimFail() {
     SimWorld world = world(21);
     world.users.submit(0, world.users.job("j-000030", 1, 1, 0, false));
-    world.loop.run(15); // A machine is up.
+    world.loop.run(15); // A machine has booted.
     SimJob job = world.users.job("j-000031", 2, 1, 0, false);
     int[] remainingFaults = {1};
     world.store.delay = transaction -> writesTaskBatch(transaction) && remainingFaults[0]-- > 0;
@@ -93,7 +93,7 @@
       world.loop.run(0.01);
     }
     world.crash(leader);
-    // The next leader claims nothing, so that only the leader record stands in the way.
+    // The next leader claims nothing, so only the condition on the leader record can fail.
     world.users.answer((leader + 1) % 3, "POST", "/admin/claims/pause", null);
     world.loop.run(30);
     assertThat(world.leader()).isNotNegative().isNotEqualTo(leader);
@@ -177,7 +177,7 @@
     assertThat(SchedulerFixture.pendingLaunches(scheduler)).isZero();
     SchedulerFixture.commitAll(scheduler, 7, 0.3);
     assertThat(SchedulerFixture.committedWrites(scheduler))
-        .isPositive(); // It goes back to the queue.
+        .isPositive(); // The task returns to the queue.
   }
 
   @Test
@@ -192,7 +192,7 @@
                 .answer(0, "POST", "/v1/jobs", Json.write(world.users.body(job)))
                 .path("http")
                 .asInt())
-        .isEqualTo(422); // A service must fit the limit as a whole.
+        .isEqualTo(422); // All replicas of a service must fit the limit.
     world.users.submit(0, world.users.job("j-000013", 20, 4, 10, true));
     world.loop.run(10);
     String machine = world.workers.keySet().iterator().next();
--- a/src/test/java/graderelay/worker/LateMessagesTest.java
+++ b/src/test/java/graderelay/worker/LateMessagesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Heartbeats, copies of heartbeats and transactions that arrive late. */
+/** Delayed heartbeats, duplicates of heartbeats and delayed transactions. */
 class LateMessagesTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
@@ -46,37 +46,37 @@
     }
     scheduler.tick(2 + SimWorld.LEASE_S + 1);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("lease of n-1 is over"));
+        .anyMatch(line -> line.contains("lease of n-1 has expired"));
   }
 
   @Test
   void heartbeatOvertakenByCommandResponseStillRenewsTheLease() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     registerMachine(scheduler, "n-1", 0);
-    // The worker's answer to a direct command, sent after its heartbeat, comes first.
+    // The worker's response to a direct command overtakes the heartbeat it sent before.
     var probe = new Action.SendCommands("n-1", "n-1:9000", 1, 1, List.of());
     scheduler.onCommandDelivery(
         probe, CommandDeliveryOutcome.EXECUTED, SchedulerFixture.heartbeat("n-1", 1, 3, 1), 4);
     scheduler.onHeartbeat(
-        SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4.1); // Answered, so the lease goes on.
+        SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4.1); // It is answered, which renews the lease.
     scheduler.tick(SimWorld.LEASE_S + 3);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .noneMatch(line -> line.contains("lease of n-1 is over"));
+        .noneMatch(line -> line.contains("lease of n-1 has expired"));
     scheduler.tick(4 + SimWorld.LEASE_S + 1);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("lease of n-1 is over"));
+        .anyMatch(line -> line.contains("lease of n-1 has expired"));
   }
 
   @Test
   void afterFailoverOldHeartbeatOfLostMachineAttractsNoClaims() {
     Scheduler scheduler = SchedulerFixture.scheduler(7);
     scheduler.onHeartbeat(
-        SchedulerFixture.heartbeat("n-1", 1, 40, 6), 0.5); // From the earlier leader's time.
+        SchedulerFixture.heartbeat("n-1", 1, 40, 6), 0.5); // Sent under the previous leader.
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 1, 1);
     SchedulerFixture.commitAll(scheduler, 10, 1.1);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isZero();
     scheduler.onHeartbeat(
-        SchedulerFixture.heartbeat("n-1", 1, 41, 7), 1.5); // It has heard of the new term.
+        SchedulerFixture.heartbeat("n-1", 1, 41, 7), 1.5); // The worker has received the new term.
     SchedulerFixture.commitAll(scheduler, 11, 1.6);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
   }
@@ -107,7 +107,7 @@
         .isEqualTo(421);
     assertThat(world.users.answer(peer, "POST", "/checkin", heartbeat).path("http").asInt())
         .isEqualTo(421);
-    // The worker itself is back, so it could not: its heartbeat is passed on and answered.
+    // A new heartbeat shows that the worker can't reach the leader: it is relayed and answered.
     assertThat(world.users.answer(peer, "POST", "/checkin", checkin(6)).path("http").asInt())
         .isEqualTo(200);
   }
@@ -120,7 +120,7 @@
     world.users.submit(0, world.users.job("j-000067", 1, 4, 300, false));
     world.loop.run(30);
     world.cutOff(runner(world, "j-000067/0"));
-    // A lease, and what it takes to scale out a machine and to start again.
+    // The lease, and the time to scale out a machine and to start the task again.
     assertThat(secondsToNextStart(world)).isBetween(SimWorld.LEASE_S, SimWorld.LEASE_S + 10);
     fine(world);
   }
@@ -194,7 +194,7 @@
     world.loop.run(10);
     List<String> machines = new ArrayList<>(world.workers.keySet());
     machines.forEach(world::cutOff);
-    world.loop.run(SimWorld.LEASE_S + 4); // Their sessions end, and so do their attempts.
+    world.loop.run(SimWorld.LEASE_S + 4); // Their sessions and attempts end.
     for (String machine : machines) {
       for (int i = 0; i < 3; i++) {
         world.net.heal("c" + i, machine);
--- a/src/test/java/graderelay/worker/LaunchFencingTest.java
+++ b/src/test/java/graderelay/worker/LaunchFencingTest.java
@@ -10,13 +10,13 @@
 import graderelay.sim.WorldAssertions;
 import org.junit.jupiter.api.Test;
 
-/** Direct launches that nobody answered. */
+/** Direct launch commands without a response. */
 class LaunchFencingTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 3);
   }
 
-  /** A direct launch is held by a cut between leader and machine; heartbeats go through a peer. */
+  /** Delays a direct launch by a partition between leader and machine; heartbeats are relayed. */
   private static void runWithDelayedLaunch(
       double actionAfterS,
       double healAfterS,
@@ -28,7 +28,7 @@
     final String machine = runner(world, "j-000040/0");
     int leader = world.leader();
     SimJob job = world.users.job("j-000041", 1, 1, 300, false);
-    world.net.alwaysPooled = true; // The command goes into an open connection and is held there.
+    world.net.alwaysPooled = true; // The command is sent on an open connection and delayed there.
     world.users.submit((leader + 1) % 3, job);
     while (!claimed(world, job)) {
       world.loop.run(0.0005);
--- a/src/test/java/graderelay/worker/ResponseLossTest.java
+++ b/src/test/java/graderelay/worker/ResponseLossTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Machines whose heartbeats arrive and that hear nothing. */
+/** Machines whose heartbeats arrive while the responses to them are lost. */
 class ResponseLossTest {
   private static SimWorld world(long seed) {
     return WorldAssertions.world(seed, 5);
@@ -34,13 +34,13 @@
   void machineThatLosesResponsesGetsNoNewTasksUntilItReceivesOne() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     registerMachine(scheduler, "n-1", 0);
-    // A worker that took our answer would have stayed with us.
+    // A worker that received the response would not have switched to another controller.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), "m-1", 5.1);
     scheduler.onHeartbeatAnswered("n-1", 5.1);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(scheduler, 10, 5.3);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isZero();
-    // It stays there: the answer that went back that way has arrived.
+    // It stays with that controller, so it has received the response relayed through it.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-1", 7.1);
     scheduler.onHeartbeatAnswered("n-1", 7.1);
     SchedulerFixture.commitAll(scheduler, 11, 7.2);
@@ -78,12 +78,13 @@
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     SchedulerFixture.exchangeHeartbeat(
-        scheduler, "n-1", 1, 2, 4.4); // Its worker stays with us: it took our answer.
+        scheduler, "n-1", 1, 2,
+        4.4); // The worker stays with the leader, so it received the response.
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 4.5, 4.5);
     SchedulerFixture.commitAll(scheduler, 10, 4.6);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .noneMatch(line -> line.contains("does not hear us"));
+        .noneMatch(line -> line.contains("does not receive heartbeat responses"));
   }
 
   @ParameterizedTest
@@ -96,11 +97,11 @@
     world.loop.run(30 + 5 * heartbeatIntervalS);
     assertThat(world.invariants.trace()).noneMatch(line -> line.contains("lease over"));
     int starts = world.invariants.starts;
-    world.loop.run(40); // Quiet: nothing is moved, nothing scaled in.
+    world.loop.run(40); // No task may be moved and no machine scaled in.
     assertThat(world.invariants.starts).isEqualTo(starts);
     String machine = runner(world, "j-000100/0");
     world.net.deaf(machine, true);
-    // Each controller that it tries in vain takes it five seconds.
+    // The worker waits five seconds for each controller that it tries in vain.
     world.loop.run(leaseS + 15);
     assertThat(world.cloud.names()).doesNotContain(machine);
     world.loop.run(15);
@@ -114,7 +115,7 @@
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0.1, 0.1);
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
-    // The direct command never left, so the answer to the next heartbeat carries the start.
+    // The direct command was never sent, so the response to the next heartbeat carries the launch.
     for (Action action : SchedulerFixture.pendingActions(scheduler)) {
       if (action instanceof Action.SendCommands c) {
         scheduler.onCommandDelivery(c, CommandDeliveryOutcome.NEVER_LEFT, null, 0.3);
@@ -124,7 +125,7 @@
     assertThat(scheduler.commandsFor(SchedulerFixture.heartbeat("n-1", 1, 2, 1), 4)).hasSize(1);
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 3, 8);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("does not hear us"));
+        .anyMatch(line -> line.contains("does not receive heartbeat responses"));
   }
 
   @Test
@@ -135,17 +136,17 @@
       scheduler.onHeartbeatAnswered("n-1", seq * 4);
     }
     assertThat(SchedulerFixture.logLines(scheduler))
-        .anyMatch(line -> line.contains("does not hear us"));
+        .anyMatch(line -> line.contains("does not receive heartbeat responses"));
   }
 
   @Test
   void workerWhoseHeartbeatWasLostIsNotReportedAsLosingResponses() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
-    // Its second heartbeat found nobody, so it went on to another controller with the third.
+    // Its second heartbeat was lost, so it sent the third one to another controller.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-2", 9);
     scheduler.onHeartbeatAnswered("n-1", 9);
     assertThat(SchedulerFixture.logLines(scheduler))
-        .noneMatch(line -> line.contains("does not hear us"));
+        .noneMatch(line -> line.contains("does not receive heartbeat responses"));
   }
 }
--- a/src/test/java/graderelay/worker/UnreachableMachinesTest.java
+++ b/src/test/java/graderelay/worker/UnreachableMachinesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Machines that hang, are cut off, or come at once while the leader changes. */
+/** Machines that hang, are partitioned, or boot at the same time as a failover. */
 class UnreachableMachinesTest {
   private static SimWorld world(long seed, int size) {
     return WorldAssertions.world(seed, size);
@@ -79,7 +79,7 @@
     }
     world.loop.run(25);
     assertThat(world.invariants.starts)
-        .isEqualTo(20); // 60 of 60 CPUs; four tasks wait for the limit.
+        .isEqualTo(20); // 60 of 60 CPUs; the team limit keeps four tasks waiting.
     List<SimWorker> affected = new ArrayList<>(world.workers.values()).subList(0, 5);
     for (SimWorker worker : affected) {
       switch (fault) {
@@ -204,12 +204,12 @@
   @Test
   void higherPriorityStartsFirstAndAllJobsEndWithScarceCapacityAndSlowLinks() {
     SimWorld world = world(338, 3);
-    world.net.slow = 50; // An eighth of a second each way, a quarter at most.
+    world.net.slow = 50; // 1/8 s each way, at most 1/4 s.
     world.cloud.capacity = 3;
     List<SimJob> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       SimJob job = world.users.job(String.format("j-0004%02d", i), 4, 1, 8, true);
-      job.guest = i % 2 == 0; // Of the lowest priority.
+      job.guest = i % 2 == 0; // Jobs of the guest team have the lowest priority.
       jobs.add(job);
       world.users.submit(i % 3, job);
     }
--- a/src/test/java/graderelay/worker/ZonePartitionTest.java
+++ b/src/test/java/graderelay/worker/ZonePartitionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A zone that is cut off, and its lease delegates. */
+/** Zone partitions, during which lease delegates renew worker leases. */
 class ZonePartitionTest {
   private static SimWorld world(long seed, WorldShape shape) {
     SimWorld world = new SimWorld(seed, shape);
@@ -20,13 +20,12 @@
     return world;
   }
 
-  /** A service whose replicas run in both zones, by the time that everybody has settled. */
+  /** A world in steady state with a service whose replicas run in both zones. */
   private static SimWorld worldWithSpreadService(long seed) {
     SimWorld world = world(seed, WorldShape.of(5));
     world.users.submit(0, world.users.job("j-000110", 6, 1, 0, false, true));
     world.loop.run(20);
-    assertThat(world.invariants.starts)
-        .isEqualTo(6); // A machine was scaled out in each of them for it.
+    assertThat(world.invariants.starts).isEqualTo(6); // A machine was scaled out in each zone.
     return world;
   }
 
@@ -43,7 +42,7 @@
     world.loop.run(20);
     assertThat(world.invariants.starts)
         .as(world.invariants.trace().toString())
-        .isEqualTo(6); // Nothing was lost.
+        .isEqualTo(6); // No task was started again.
     assertThat(world.users.stage(0, "j-000110")).isEqualTo("running");
     fine(world);
   }
@@ -58,9 +57,9 @@
     assertThat(world.invariants.starts).isEqualTo(6);
     boolean zoneA = (world.leader() % 2 == 0) == leadersZone;
     world.net.cutZone(zoneA ? "a" : "b", true);
-    world.loop.run(0.1); // The zone's lease delegates can know nothing of it.
+    world.loop.run(0.1); // The zone's lease delegates can't learn of the cancellation.
     world.users.cancel(zoneA ? 1 : 0, world.invariants.jobs.get("j-000110"));
-    world.loop.run(SimWorld.CANCEL_S + 20); // The invariants are checked all along.
+    world.loop.run(SimWorld.CANCEL_S + 20); // The invariants are checked continuously.
     world.net.cutZone(zoneA ? "a" : "b", false);
     world.loop.run(20);
     assertThat(world.users.stage(0, "j-000110")).isEqualTo("cancelled");
@@ -83,7 +82,7 @@
         .map(worker -> worker.name)
         .toList()
         .forEach(world::cutOff);
-    // The leader can't know whether they are dead or keep the task alive.
+    // The leader can't tell whether the machines are down or the delegates still renew the lease.
     double maxRecoveryS = world.settings(0).grantS() + SimWorld.LEASE_S;
     assertThat(secondsToNextStart(world)).isBetween(maxRecoveryS - 3, maxRecoveryS + 15);
     fine(world);
