--- a/src/main/java/graderelay/quota/AdmissionControl.java
+++ b/src/main/java/graderelay/quota/AdmissionControl.java
@@ -18,7 +18,7 @@
 
   private final TeamAccounts accounts = new TeamAccounts();
   private final AccountWriter writer;
-  private boolean isEnabled;
+  private boolean enabled;
 
   /**
    * Creates the admission control, which is disabled at first.
@@ -33,18 +33,18 @@
 
   /** True while the stored limits are enforced. */
   public boolean isEnabled() {
-    return isEnabled;
+    return enabled;
   }
 
   /** Stops enforcing the stored limits. */
   public void disable() {
-    isEnabled = false;
+    enabled = false;
     accounts.clear();
   }
 
   /** Starts enforcing the stored limits; every account has to be settled before its first claim. */
   public void enable() {
-    isEnabled = true;
+    enabled = true;
   }
 
   /**
@@ -64,7 +64,7 @@
 
   /** Why the team may not claim anything now, or null if it may. */
   public AdmissionRefusal refusal(String team) {
-    if (!isEnabled) {
+    if (!enabled) {
       return null;
     }
     AdmissionRefusal limitsRefusal = refusalDueToLimits(team);
@@ -120,24 +120,24 @@
 
   /** True if the team stays within its stored limit with the extra amount. */
   public boolean fitsLimit(String team, Amount extra) {
-    return !isEnabled || accounts.limitAllows(team, accounts.admitted(team).plus(extra));
+    return !enabled || accounts.limitAllows(team, accounts.admitted(team).plus(extra));
   }
 
   /** True if the team's stored limit allows the use while nothing else of the team is running. */
   public boolean limitAllows(String team, Amount use) {
-    return !isEnabled || accounts.limitAllows(team, use);
+    return !enabled || accounts.limitAllows(team, use);
   }
 
   /** Records that a claim was placed; it has not committed yet. */
   public void onClaimPlaced(String team, Amount amount) {
-    if (isEnabled) {
+    if (enabled) {
       accounts.account(team).addPlaced(amount);
     }
   }
 
   /** Records that a placed claim has committed or was abandoned. */
   public void onClaimNoLongerPlaced(String team, Amount amount) {
-    if (isEnabled) {
+    if (enabled) {
       accounts.account(team).addPlaced(Amount.NONE.minus(amount));
     }
   }
@@ -174,7 +174,7 @@
    * batches of the same transaction to {@link #committedUse()} first.
    */
   public void onCommitted(List<AccountChange> changes, long revision) {
-    if (isEnabled) {
+    if (enabled) {
       changes.stream()
           .filter(AccountChange::writes)
           .forEach(change -> accounts.onCommitted(change, revision));
@@ -188,7 +188,7 @@
 
   /** Records that the transaction of the changes failed; the records read since show the reason. */
   public void onRefused(List<AccountChange> changes) {
-    if (isEnabled) {
+    if (enabled) {
       changes.stream()
           .filter(AccountChange::writes)
           .forEach(change -> accounts.account(change.team()).onRefused(change));
@@ -197,7 +197,7 @@
 
   /** Records that it is unknown whether the changes have committed or will commit. */
   public void onOutcomeUnknown(List<AccountChange> changes) {
-    if (isEnabled) {
+    if (enabled) {
       changes.forEach(change -> accounts.account(change.team()).onOutcomeUnknown(change));
     }
   }
@@ -215,7 +215,7 @@
    * a limit that was lowered.
    */
   public void checkAccounts() {
-    if (isEnabled) {
+    if (enabled) {
       accounts.checkAll();
     }
   }
