--- a/src/main/java/graderelay/service/ControllerNode.java
+++ b/src/main/java/graderelay/service/ControllerNode.java
@@ -14,84 +14,98 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: starts and ends its parts, and is where requests of users, workers,
- * operators and peers arrive. It knows no sockets, so tests run several at once.
+ * One controller process: starts and stops its components, and receives the requests of users,
+ * workers, operators and peers. It opens no sockets, so that a test can run several controllers in
+ * one process.
  */
 public final class ControllerNode {
-  /** Seconds between ticks of the core. */
-  static final double TICK_S = 0.25;
+  /** Seconds between ticks of leader election and of the scheduler core. */
+  static final double TICK_INTERVAL_S = 0.25;
 
   private static final Logger LOG = LoggerFactory.getLogger("node");
 
-  private final ControllerParts parts;
+  private final ControllerComponents components;
   private Loop.Timer tickTimer;
   private boolean closed;
 
-  /** A controller for which everything that options switch on is off. */
+  /** Creates a controller with all optional features disabled. */
   public ControllerNode(Loop loop, Transport transport, Settings settings, RandomGenerator random) {
     this(loop, transport, settings, Options.none(), random);
   }
 
   /**
-   * A controller of the given settings; nothing starts before {@link #start}.
+   * Creates a controller with the given settings; it is idle until {@link #start}.
    *
-   * @param options switches features on that this process supports
+   * @param options the optional features that this process supports
    */
   public ControllerNode(
       Loop loop, Transport transport, Settings settings, Options options, RandomGenerator random) {
-    this.parts = new ControllerParts(loop, transport, settings, options, random);
+    this.components = new ControllerComponents(loop, transport, settings, options, random);
   }
 
-  // ---------------------------------------------------------------- start and end
+  // ---------------------------------------------------------------- lifecycle
 
-  /** Tells where the numbers of open connections come from, to show them to operators. */
-  public void watchConnections(IntSupplier in, IntSupplier out) {
-    parts.metrics.gauge("graderelay.connections", Tags.of("direction", "in"), m -> in.getAsInt());
-    parts.metrics.gauge("graderelay.connections", Tags.of("direction", "out"), m -> out.getAsInt());
+  /** Registers gauges of the numbers of open inbound and outbound connections. */
+  public void registerConnectionGauges(IntSupplier inbound, IntSupplier outbound) {
+    components.metrics.registerGauge(
+        "graderelay.connections", Tags.of("direction", "in"), m -> inbound.getAsInt());
+    components.metrics.registerGauge(
+        "graderelay.connections", Tags.of("direction", "out"), m -> outbound.getAsInt());
   }
 
-  /** Hears why this process has to end, if the cluster has gone on without it. */
-  public void onLeave(Consumer<String> listener) {
-    parts.features.onLeave(listener);
+  /**
+   * Sets the listener that is called with the reason if this process must exit because the cluster
+   * has replaced it or uses features that it does not support.
+   */
+  public void onShutdownRequested(Consumer<String> listener) {
+    components.featureLevelManager.onShutdownRequested(listener);
   }
 
-  /** Starts metrics, the records' watch, features, machine types, lease delegation and ticks. */
+  /**
+   * Starts metrics, the watch of the stored records, feature level checks, polling of machine
+   * types, lease delegation and ticks.
+   */
   public void start() {
-    LOG.info("{} starts in zone {}", parts.settings.member(), parts.settings.zone());
+    LOG.info(
+        "controller {} is starting in zone {}",
+        components.settings.member(),
+        components.settings.zone());
     startMetrics();
-    parts.cache.start();
-    parts.features.start();
-    parts.machineTypes.start();
-    parts.leaseDelegate.start();
+    components.cache.start();
+    components.featureLevelManager.start();
+    components.machineTypePoller.start();
+    components.leaseDelegate.start();
     tick();
   }
 
   private void startMetrics() {
-    parts.metrics.bucket("state requests", parts.state.budget().requestTokens());
-    parts.metrics.bucket("state changes", parts.state.budget().changeTokens());
-    parts.metrics.bucket("cloud", parts.cloud.tokens());
-    parts.metrics.readings(parts.quotaMonitor::readings);
-    parts.metrics.start();
-    parts.metrics.gauge(
+    components.metrics.registerTokenBucket(
+        "state requests", components.state.budget().requestTokens());
+    components.metrics.registerTokenBucket(
+        "state changes", components.state.budget().changeTokens());
+    components.metrics.registerTokenBucket("cloud", components.cloudClient.tokens());
+    components.metrics.addSampleSupplier(components.quotaMonitor::samples);
+    components.metrics.start();
+    components.metrics.registerGauge(
         "graderelay.feature.level",
         Tags.of("what", "finalized"),
-        m -> parts.gate.current().level());
-    parts.metrics.gauge(
+        m -> components.featureGate.current().level());
+    components.metrics.registerGauge(
         "graderelay.feature.level",
         Tags.of("what", "supported"),
-        m -> parts.gate.supported().max());
+        m -> components.featureGate.supported().max());
   }
 
-  /** Ends what {@link #start} has started, the leader's term first. */
+  /** Stops everything that {@link #start} started, the leader term first. */
   public void close() {
     closed = true;
-    parts.leaderLifecycle.close();
-    parts.leaseDelegate.close();
-    parts.features.close();
-    parts.leadership.close();
-    parts.metrics.close();
-    parts.cache.close();
-    parts.machineTypes.close();
+    components.leaderLifecycle.close();
+    components.leaseDelegate.close();
+    components.featureLevelManager.close();
+    components.leadership.close();
+    components.metrics.close();
+    components.cache.close();
+    components.machineTypePoller.close();
     if (tickTimer != null) {
       tickTimer.cancel();
     }
@@ -103,39 +117,39 @@
     if (closed) {
       return;
     }
-    parts.leadership.tick();
-    tickTimer = parts.loop.after(TICK_S, this::tick);
+    components.leadership.tick();
+    tickTimer = components.loop.after(TICK_INTERVAL_S, this::tick);
   }
 
-  /** Requests of users, workers, operators and the load balancer. */
+  /** Handles a request of a user, a worker, an operator or the load balancer. */
   public void handle(Exchange exchange) {
-    parts.router.handle(exchange);
+    components.router.handle(exchange);
   }
 
-  /** Requests of the other controllers. */
+  /** Handles a request of another controller. */
   public void handlePeer(Exchange exchange) {
-    parts.peerApi.handle(exchange);
+    components.peerApi.handle(exchange);
   }
 
   // ---------------------------------------------------------------- status
 
   /** True if this controller can take requests. */
-  public boolean ready() {
-    return parts.readiness.ready();
+  public boolean isReady() {
+    return components.readiness.isReady();
   }
 
   /** True while this controller is the leader. */
-  public boolean leader() {
-    return parts.leadership.isLeader();
+  public boolean isLeader() {
+    return components.leadership.isLeader();
   }
 
-  /** True while this controller may answer workers for all controllers. */
-  public boolean speaks() {
-    return parts.leadership.mayActAsLeader();
+  /** True while this controller may act as the leader. */
+  public boolean mayActAsLeader() {
+    return components.leadership.mayActAsLeader();
   }
 
-  /** The core while this controller runs a leader term, else null. */
+  /** The scheduler core of the current leader term, or null while there is none. */
   public Scheduler core() {
-    return parts.leaderLifecycle.core();
+    return components.leaderLifecycle.core();
   }
 }
--- a/src/test/java/graderelay/features/IncompatibleProcessTest.java
+++ b/src/test/java/graderelay/features/IncompatibleProcessTest.java
@@ -54,9 +54,9 @@
     world.resumeLost(outdated);
     world.loop.run(10);
     assertThat(world.left).containsKey("m-" + outdated);
-    assertThat(world.lostNode(outdated).leader()).isFalse();
-    assertThat(world.lostNode(outdated).speaks()).isFalse();
-    assertThat(world.lostNode(outdated).ready()).isFalse();
+    assertThat(world.lostNode(outdated).isLeader()).isFalse();
+    assertThat(world.lostNode(outdated).mayActAsLeader()).isFalse();
+    assertThat(world.lostNode(outdated).isReady()).isFalse();
     // It may have forwarded the late submission to a peer that supports the level.
     assertThat(world.invariants.starts).isEqualTo(starts + (Double.isNaN(late.firstStart) ? 0 : 1));
     assertThat(world.users.stage(outdated, "j-000630")).isEqualTo("running");
