--- a/src/main/java/graderelay/api/FeaturesApi.java
+++ b/src/main/java/graderelay/api/FeaturesApi.java
@@ -58,7 +58,7 @@
     boolean isRead = action.isEmpty();
     if (!exchange.method().equals(isRead ? "GET" : "POST")) {
       ApiError.METHOD_NOT_ALLOWED.sendTo(exchange);
-    } else if (isRead && gate.isShut()) {
+    } else if (isRead && gate.isClosed()) {
       show(exchange); // A shut gate bars requests to the leader; the answer shows the reason.
     } else if (isRead) {
       leaderRoute.handle(exchange, this::show);
@@ -74,7 +74,7 @@
   }
 
   private void change(Exchange exchange, String action) {
-    Consumer<UpgradeCoordinator.Answer> done = answer -> reply(exchange, answer);
+    Consumer<UpgradeCoordinator.Result> done = answer -> reply(exchange, answer);
     try {
       switch (action) {
         case "finalize" -> coordinator.finalizeLevel(requestedLevel(exchange), done);
@@ -99,12 +99,12 @@
     return level.intValue();
   }
 
-  private static void reply(Exchange exchange, UpgradeCoordinator.Answer answer) {
-    if (answer instanceof UpgradeCoordinator.Answer.Accepted accepted) {
+  private static void reply(Exchange exchange, UpgradeCoordinator.Result answer) {
+    if (answer instanceof UpgradeCoordinator.Result.Accepted accepted) {
       Replies.message(exchange, accepted.message());
-    } else if (answer instanceof UpgradeCoordinator.Answer.Refused refused) {
+    } else if (answer instanceof UpgradeCoordinator.Result.Refused refused) {
       ApiError.conflict(refused.message()).sendTo(exchange);
-    } else if (answer instanceof UpgradeCoordinator.Answer.Unavailable unavailable) {
+    } else if (answer instanceof UpgradeCoordinator.Result.Unavailable unavailable) {
       ApiError.unavailable(unavailable.message()).sendTo(exchange);
     }
   }
--- a/src/main/java/graderelay/features/FeatureGate.java
+++ b/src/main/java/graderelay/features/FeatureGate.java
@@ -1,21 +1,21 @@
 package graderelay.features;
 
 /**
- * The one place that decides what this program may do at the cluster's feature level. It is open
- * once the level is known to be one that this program supports, and shut while it is known not to
- * be, or can't be read, or once this process has left.
+ * Decides what this program may do at the cluster's feature level. The gate is open if the level is
+ * known and supported by this program. It is closed if the level is known and not supported, if its
+ * record is malformed, or if this process is terminating. Before the level is known it is neither.
  */
 public final class FeatureGate {
-  private static final String NOT_READ = "the cluster's feature level has not been read yet";
+  private static final String LEVEL_NOT_READ = "the cluster's feature level has not been read yet";
 
   private final FeatureRange supported;
   private ClusterLevel current = ClusterLevel.BASE;
-  private boolean known;
-  private String shutBecause;
-  private String leftBecause;
-  private boolean wasOpen;
+  private boolean levelKnown;
+  private String closedReason;
+  private String shutdownReason;
+  private boolean hasBeenOpen;
 
-  /** A gate before the cluster's level is known: neither open nor shut. */
+  /** Creates a gate that is neither open nor closed, since the cluster's level is not known yet. */
   public FeatureGate(FeatureRange supported) {
     this.supported = supported;
   }
@@ -25,20 +25,20 @@
     return supported;
   }
 
-  /** The cluster's level as last read. */
+  /** The cluster's level at the last read. */
   public ClusterLevel current() {
     return current;
   }
 
-  /** Takes the level that is stored. */
+  /** Updates the gate with the stored level. */
   public void onLevel(ClusterLevel level) {
     current = level;
-    known = true;
+    levelKnown = true;
     if (supported.supports(level.level())) {
-      shutBecause = null;
-      wasOpen = true;
+      closedReason = null;
+      hasBeenOpen = true;
     } else {
-      shutBecause =
+      closedReason =
           "the cluster's feature level is "
               + level.level()
               + ", and this program supports "
@@ -46,54 +46,54 @@
     }
   }
 
-  /** The stored record is no level: nothing may be assumed. */
-  public void onMalformed(String why) {
-    known = true;
-    shutBecause = "the record of the cluster's feature level is malformed: " + why;
+  /** Closes the gate because the stored record is malformed and no level can be assumed. */
+  public void onMalformed(String reason) {
+    levelKnown = true;
+    closedReason = "the record of the cluster's feature level is malformed: " + reason;
   }
 
-  /** This process leaves for good. */
-  public void leave(String why) {
-    leftBecause = why;
+  /** Closes the gate permanently because this process is terminating. */
+  public void closePermanently(String reason) {
+    shutdownReason = reason;
   }
 
   /** True if this program may act in the cluster. */
   public boolean isOpen() {
-    return known && !isShut();
+    return levelKnown && !isClosed();
   }
 
   /**
-   * True if this program is known to have no part in the cluster. Before the level is known it is
-   * neither open nor shut: what needs no level, like renewing leases with the pledges of all peers,
-   * may be done.
+   * True if this program must not act in the cluster. Before the level is known the gate is neither
+   * open nor closed: operations that depend on no level, such as renewing leases with the pledges
+   * of all peers, are allowed.
    */
-  public boolean isShut() {
-    return shutBecause != null || leftBecause != null;
+  public boolean isClosed() {
+    return closedReason != null || shutdownReason != null;
   }
 
-  /** Why this program may not act, or null if it may. */
-  public String closedBecause() {
-    if (leftBecause != null) {
-      return leftBecause;
+  /** Why the gate is not open, or null if it is open. */
+  public String notOpenReason() {
+    if (shutdownReason != null) {
+      return shutdownReason;
     }
-    return known ? shutBecause : NOT_READ;
+    return levelKnown ? closedReason : LEVEL_NOT_READ;
   }
 
   /**
-   * True if the cluster was switched to a level that this program does not support while it ran, as
-   * happens to a process that was suspended meanwhile.
+   * True if the cluster has changed to a level that this program does not support while the process
+   * was running, which happens if the process was suspended at the time of the change.
    */
-  public boolean overtaken() {
-    return wasOpen && !supported.supports(current.level());
+  public boolean isOutdated() {
+    return hasBeenOpen && !supported.supports(current.level());
   }
 
-  /** True if the feature may be used: new forms may be written. */
-  public boolean enabled(Feature feature) {
+  /** True if the feature may be used, that is, its records may be written. */
+  public boolean isEnabled(Feature feature) {
     return isOpen() && feature.level() <= current.target();
   }
 
-  /** True if forms of the feature may be stored, also while they are being removed. */
-  public boolean present(Feature feature) {
-    return current.has(feature);
+  /** True if records of the feature may be stored, even if a downgrade is removing them. */
+  public boolean mayHaveRecords(Feature feature) {
+    return current.includes(feature);
   }
 }
--- a/src/main/java/graderelay/features/MemberLiveness.java
+++ b/src/main/java/graderelay/features/MemberLiveness.java
@@ -4,56 +4,60 @@
 import java.util.Map;
 
 /**
- * Since when each controller has been heard without a gap as one and the same process. A record
- * says what a process supported when it began; only an answer of that very process shows that it is
- * still there and that no other, older one has taken its place.
+ * Tracks for how long the same process of each controller has responded without interruption. A
+ * member record only shows what a process supported when it started; a response of that process
+ * proves that it is still running and was not replaced by an older version.
  */
 final class MemberLiveness {
-  /** The process that answered last, and the seconds of the first and last answer it gave. */
-  private record Heard(String incarnation, double since, double last) {}
+  /** The process that responded last, and when the first and last probes it answered were sent. */
+  private record ResponseHistory(
+      String incarnation, double firstProbeSentAt, double lastProbeSentAt) {}
 
-  private final double mostSilentS;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final double maxSilenceS;
+  private final Map<String, ResponseHistory> histories = new HashMap<>();
 
   /**
-   * Knows nobody yet.
+   * Creates an instance without any responses.
    *
-   * @param mostSilentS seconds without an answer after which a controller counts as not heard
+   * @param maxSilenceS seconds without a response after which a controller is considered
+   *     unresponsive
    */
-  MemberLiveness(double mostSilentS) {
-    this.mostSilentS = mostSilentS;
+  MemberLiveness(double maxSilenceS) {
+    this.maxSilenceS = maxSilenceS;
   }
 
-  /** A controller has answered a question that was sent at {@code sentAt}. */
-  void heard(String member, String incarnation, double sentAt) {
-    Heard before = heard.get(member);
-    boolean goesOn =
-        before != null
-            && before.incarnation().equals(incarnation)
-            && sentAt - before.last() <= mostSilentS;
-    double since = goesOn ? before.since() : sentAt;
-    double last = goesOn ? Math.max(before.last(), sentAt) : sentAt;
-    heard.put(member, new Heard(incarnation, since, last));
+  /** Records a controller's response to a probe that was sent at {@code sentAt}. */
+  void onResponse(String member, String incarnation, double sentAt) {
+    ResponseHistory history = histories.get(member);
+    boolean uninterrupted =
+        history != null
+            && history.incarnation().equals(incarnation)
+            && sentAt - history.lastProbeSentAt() <= maxSilenceS;
+    double firstProbeSentAt = uninterrupted ? history.firstProbeSentAt() : sentAt;
+    double lastProbeSentAt = uninterrupted ? Math.max(history.lastProbeSentAt(), sentAt) : sentAt;
+    histories.put(member, new ResponseHistory(incarnation, firstProbeSentAt, lastProbeSentAt));
   }
 
-  /** Seconds for which that process has been heard, or NaN if it is not heard now. */
-  double steadyS(String member, String incarnation, double now) {
-    Heard latest = heard.get(member);
-    boolean here =
-        latest != null
-            && latest.incarnation().equals(incarnation)
-            && now - latest.last() <= mostSilentS;
-    return here ? now - latest.since() : Double.NaN;
+  /**
+   * Seconds for which the process has responded without interruption, or NaN if it does not now.
+   */
+  double uninterruptedUptimeS(String member, String incarnation, double now) {
+    ResponseHistory history = histories.get(member);
+    boolean responding =
+        history != null
+            && history.incarnation().equals(incarnation)
+            && now - history.lastProbeSentAt() <= maxSilenceS;
+    return responding ? now - history.firstProbeSentAt() : Double.NaN;
   }
 
-  /** True if a process of the controller is heard, though perhaps another one. */
-  boolean hears(String member, double now) {
-    Heard latest = heard.get(member);
-    return latest != null && now - latest.last() <= mostSilentS;
+  /** True if any process of the controller responds. */
+  boolean isResponding(String member, double now) {
+    ResponseHistory history = histories.get(member);
+    return history != null && now - history.lastProbeSentAt() <= maxSilenceS;
   }
 
-  /** Forgets every answer. */
+  /** Removes all responses. */
   void clear() {
-    heard.clear();
+    histories.clear();
   }
 }
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -10,31 +10,30 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Raises and lowers the cluster's feature level while this controller leads. It keeps no state that
- * a failover would lose: a downgrade goes on from its record, and which members are up is probed
- * anew.
+ * Raises and lowers the cluster's feature level while this controller is the leader. A failover
+ * loses no state: a downgrade continues from its stored record, and the members are probed again.
  */
 public final class UpgradeCoordinator {
-  /** Seconds without an answer after which a controller's soak time begins anew. */
-  private static final double MEMBER_SILENT_S = 3.2;
+  /** Seconds without a response after which a controller's soak time restarts. */
+  private static final double MAX_MEMBER_SILENCE_S = 3.2;
 
-  /** What an operator is told. */
-  public sealed interface Answer {
-    /** Done, or under way if it takes several steps. */
-    record Accepted(String message) implements Answer {}
+  /** The result of an operator's request. */
+  public sealed interface Result {
+    /** Done, or started if it takes several steps. */
+    record Accepted(String message) implements Result {}
 
-    /** It can't be done as things are; the message names the field or the controller. */
-    record Refused(String message) implements Answer {}
+    /** Not possible in the current state; the message names the field or the controller. */
+    record Refused(String message) implements Result {}
 
-    /** It may be asked again later. */
-    record Unavailable(String message) implements Answer {}
+    /** Temporarily not possible; the request may be retried. */
+    record Unavailable(String message) implements Result {}
 
-    /** The answer to a request that ended in a write to the store. */
-    static Answer of(ClusterStore.Outcome outcome, String onDone, String onConflict) {
+    /** The result of a request whose write to the store had the given outcome. */
+    static Result of(ClusterStore.Outcome outcome, String doneMessage, String conflictMessage) {
       return switch (outcome) {
-        case DONE -> new Accepted(onDone);
-        case CONFLICT -> new Refused(onConflict);
-        case UNANSWERED -> new Unavailable("the state service gave no answer");
+        case DONE -> new Accepted(doneMessage);
+        case CONFLICT -> new Refused(conflictMessage);
+        case UNKNOWN -> new Unavailable("the state service did not answer");
       };
     }
   }
@@ -51,18 +50,18 @@
   private final LevelTransition transition;
   private final Downgrade downgrade;
 
-  /** Features whose records are known to be complete, in this time of leadership. */
-  private final Set<Feature> completed = new HashSet<>();
+  /** Features whose records are known to be complete, within this leader term. */
+  private final Set<Feature> completedFeatures = new HashSet<>();
 
-  private boolean leading;
+  private boolean wasLeader;
 
   /**
-   * Makes the coordinator.
+   * Creates the coordinator.
    *
    * @param self the name of this controller
-   * @param selfIncarnation tells this process from earlier and later ones of this controller
+   * @param selfIncarnation distinguishes this process from others of this controller
    * @param peers the names of the other configured controllers
-   * @param clock seconds on a clock that never goes back
+   * @param clock a monotonic clock in seconds
    */
   public UpgradeCoordinator(
       FeatureGate gate,
@@ -81,28 +80,28 @@
     this.selfIncarnation = selfIncarnation;
     this.peers = List.copyOf(peers);
     this.clock = clock;
-    this.liveness = new MemberLiveness(MEMBER_SILENT_S);
+    this.liveness = new MemberLiveness(MAX_MEMBER_SILENCE_S);
     this.transition = new LevelTransition(gate, store);
     this.downgrade = new Downgrade(gate, store, transition);
   }
 
   // ---------------------------------------------------------------- ticks
 
-  /** Takes the next step of a change of the level, if one is due; to be called once a second. */
+  /** Performs the next step of a change of the level, if one is due; to be called once a second. */
   public void tick() {
-    if (!store.leads() || !gate.isOpen()) {
-      leading = false;
+    if (!store.isLeader() || !gate.isOpen()) {
+      wasLeader = false;
       return;
     }
-    if (!leading) {
-      leading = true;
-      liveness.clear(); // Members may have been restarted unseen since an earlier term.
-      completed.clear();
+    if (!wasLeader) {
+      wasLeader = true;
+      liveness.clear(); // Members may have been restarted unnoticed since an earlier term.
+      completedFeatures.clear();
     }
     if (transition.isInFlight()) {
       return;
     }
-    if (gate.current().lowering()) {
+    if (gate.current().isLowering()) {
       downgrade.advance();
     } else {
       completeFeatures();
@@ -113,12 +112,12 @@
   /** Writes the records of enabled features that did not fit the raising transaction. */
   private void completeFeatures() {
     for (Feature feature : Feature.values()) {
-      if (gate.enabled(feature) && !completed.contains(feature)) {
-        store.complete(
+      if (gate.isEnabled(feature) && !completedFeatures.contains(feature)) {
+        store.completeRecords(
             feature,
             complete -> {
               if (complete) {
-                completed.add(feature);
+                completedFeatures.add(feature);
               }
             });
       }
@@ -126,26 +125,26 @@
   }
 
   private void raiseIfDue() {
-    int common = commonLevel();
-    if (common <= gate.current().level()) {
+    int commonLevel = commonLevel();
+    if (commonLevel <= gate.current().level()) {
       return;
     }
     probeMembers();
-    if (policy.automatic() && !store.held() && blockers(common).isEmpty()) {
-      raise(common, answer -> {});
+    if (policy.automatic() && !store.isLevelHeld() && blockers(commonLevel).isEmpty()) {
+      raise(commonLevel, answer -> {});
     }
   }
 
-  /** Asks every controller which process it is. */
+  /** Queries every controller for the incarnation of its process. */
   private void probeMembers() {
     double sentAt = clock.getAsDouble();
-    liveness.heard(self, selfIncarnation, sentAt);
+    liveness.onResponse(self, selfIncarnation, sentAt);
     for (String peer : peers) {
-      probe.incarnation(
+      probe.fetchIncarnation(
           peer,
           incarnation -> {
             if (incarnation != null) {
-              liveness.heard(peer, incarnation, sentAt);
+              liveness.onResponse(peer, incarnation, sentAt);
             }
           });
     }
@@ -153,65 +152,74 @@
 
   // ---------------------------------------------------------------- conditions
 
-  /** The level that all configured controllers have published support for. */
+  /** The highest level that all configured controllers have published support for. */
   public int commonLevel() {
-    return Finalization.commonLevel(configured(), store.published());
+    return Finalization.commonLevel(configuredMembers(), store.publishedMembers());
   }
 
-  /** The controllers that keep the cluster from a level, as far as this leader has probed them. */
+  /**
+   * The controllers that prevent a level from being finalized, according to this leader's probes.
+   */
   public List<Blocker> blockers(int level) {
     return Finalization.blockers(
-        level, configured(), store.published(), liveness, policy.soakS(), clock.getAsDouble());
+        level,
+        configuredMembers(),
+        store.publishedMembers(),
+        liveness,
+        policy.soakS(),
+        clock.getAsDouble());
   }
 
-  private List<String> configured() {
-    List<String> all = new ArrayList<>(peers);
-    all.add(self);
-    return all;
+  private List<String> configuredMembers() {
+    List<String> names = new ArrayList<>(peers);
+    names.add(self);
+    return names;
   }
 
   // ---------------------------------------------------------------- operators' requests
 
-  /** An operator asks to go to a higher level. */
-  public void finalizeLevel(int level, Consumer<Answer> done) {
+  /** Handles an operator's request to finalize a higher level. */
+  public void finalizeLevel(int level, Consumer<Result> done) {
     int current = gate.current().level();
-    if (gate.current().lowering()) {
-      done.accept(new Answer.Refused("a downgrade is under way"));
+    if (gate.current().isLowering()) {
+      done.accept(new Result.Refused("a downgrade is in progress"));
     } else if (level == current) {
-      done.accept(new Answer.Accepted("the cluster's feature level is " + current));
+      done.accept(new Result.Accepted("the cluster's feature level is " + current));
     } else if (level < current) {
       done.accept(
-          new Answer.Refused("level " + level + " is below " + current + "; that is a downgrade"));
+          new Result.Refused(
+              "level " + level + " is below " + current + "; use a downgrade instead"));
     } else if (!blockers(level).isEmpty()) {
-      done.accept(new Answer.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
+      done.accept(new Result.Refused("level " + level + ": " + Blocker.describe(blockers(level))));
     } else if (transition.isInFlight()) {
-      done.accept(new Answer.Unavailable("another change of the level is under way"));
+      done.accept(new Result.Unavailable("another change of the feature level is in progress"));
     } else {
       raise(level, done);
     }
   }
 
-  private void raise(int level, Consumer<Answer> done) {
-    Map<String, Member> published = store.published();
-    List<Member> on = new ArrayList<>();
-    configured().forEach(name -> on.add(published.get(name)));
+  private void raise(int level, Consumer<Result> done) {
+    Map<String, Member> published = store.publishedMembers();
+    List<Member> expectedMembers = new ArrayList<>();
+    configuredMembers().forEach(name -> expectedMembers.add(published.get(name)));
     transition.changeLevel(
         LevelTransition.Phase.RAISING,
         ClusterLevel.of(level),
-        on,
-        "a controller has published other feature levels meanwhile",
+        expectedMembers,
+        "a controller changed its published feature levels concurrently",
         done);
   }
 
-  /** An operator asks to stay at the present level, or to go on. */
-  public void hold(boolean on, Consumer<Answer> done) {
-    String onDone = on ? "the present level is held" : "the hold is taken back";
-    String onConflict = "somebody else has changed the hold meanwhile";
-    store.hold(on, outcome -> done.accept(Answer.of(outcome, onDone, onConflict)));
+  /** Handles an operator's request to hold the current level or to release the hold. */
+  public void hold(boolean held, Consumer<Result> done) {
+    String doneMessage = held ? "the current feature level is held" : "the hold is released";
+    String conflictMessage = "the hold was changed concurrently";
+    store.setLevelHeld(
+        held, outcome -> done.accept(Result.of(outcome, doneMessage, conflictMessage)));
   }
 
-  /** An operator asks to go down to a level. */
-  public void downgrade(int level, Consumer<Answer> done) {
+  /** Handles an operator's request to downgrade to a level. */
+  public void downgrade(int level, Consumer<Result> done) {
     downgrade.request(level, done);
   }
 }
--- a/src/main/java/graderelay/quota/AccountWriter.java
+++ b/src/main/java/graderelay/quota/AccountWriter.java
@@ -4,23 +4,23 @@
 import java.util.List;
 
 /**
- * Decides on changes of the teams' accounts: it raises an account for claims, fences it before the
- * leader relies on it, and lowers it once it has reserved too much for a while.
+ * Decides on changes of the teams' accounts: raises an account for claims, fences it before the
+ * leader relies on it, and lowers it after it has reserved too much for some time.
  */
 final class AccountWriter {
-  /** An account may reserve so many times what is admitted before it is lowered. */
-  private static final int EXCESSIVE_RATIO = 2;
+  /** An account that reserves more than this multiple of the admitted amount is lowered. */
+  private static final int MAX_RESERVED_TO_ADMITTED_RATIO = 2;
 
   private final String name;
   private final double releaseAfterS;
   private final TeamAccounts accounts;
-  private long nextWrite = 1;
+  private long nextWriteNumber = 1;
 
   /**
-   * Makes the writer of one leader term.
+   * Creates the account writer of one leader term.
    *
-   * @param name tells this writer from all others, also from those of the same term
-   * @param releaseAfterS seconds for which an account may reserve too much
+   * @param name a prefix of write IDs that is unique among all writers, also those of the same term
+   * @param releaseAfterS seconds for which an account may reserve too much before it is lowered
    */
   AccountWriter(String name, double releaseAfterS, TeamAccounts accounts) {
     this.name = name;
@@ -28,22 +28,22 @@
     this.accounts = accounts;
   }
 
-  /** True if the account has to be raised for what has been placed. */
-  boolean mustRaise(String team) {
+  /** True if the account has to be raised to cover the placed claims. */
+  boolean needsRaise(String team) {
     return !accounts.account(team).stored().use().covers(accounts.admitted(team));
   }
 
-  /** The condition or write of the team's account in a transaction with claims of the team. */
-  AccountChange claim(String team) {
+  /** The comparison or write of the team's account in a transaction with claims of the team. */
+  AccountChange changeForClaims(String team) {
     long limitsRevision = accounts.limits(team).revision();
-    if (mustRaise(team)) {
+    if (needsRaise(team)) {
       return write(team, reservation(team), limitsRevision);
     }
     long accountRevision = accounts.account(team).stored().revision();
     return new AccountChange(team, accountRevision, null, "", limitsRevision);
   }
 
-  /** What to reserve for the team: its claims and half as much again, up to its limit. */
+  /** The amount to reserve for the team: 1.5 times its admitted claims, up to its limit. */
   private Amount reservation(String team) {
     Amount admitted = accounts.admitted(team);
     LimitRecord record = accounts.limits(team);
@@ -54,16 +54,16 @@
   }
 
   private static long reservation(long admitted, long limit) {
-    long wanted = admitted + admitted / 2;
-    return limit == 0 ? wanted : Math.max(admitted, Math.min(limit, wanted));
+    long withHeadroom = admitted + admitted / 2;
+    return limit == 0 ? withHeadroom : Math.max(admitted, Math.min(limit, withHeadroom));
   }
 
-  /** Fences of accounts that something waits for, at most so many. */
-  List<AccountChange> fences(int most) {
+  /** Writes that fence the accounts whose settling was requested, at most {@code maxCount}. */
+  List<AccountChange> fenceWrites(int maxCount) {
     List<AccountChange> changes = new ArrayList<>();
     accounts.forEach(
         (team, account) -> {
-          if (changes.size() < most && account.needsFence() && accounts.limits(team) != null) {
+          if (changes.size() < maxCount && account.needsFence() && accounts.limits(team) != null) {
             changes.add(fence(team));
           }
         });
@@ -71,51 +71,53 @@
   }
 
   /**
-   * Does not lower the account, since claims that it covers may still commit before the fence. An
-   * account below the known claims is reported: something went wrong before.
+   * Returns a write that fences the account. It does not lower the account, since claims that the
+   * account covers may still commit before the fence. An account below the known claims is
+   * reported, since it shows an earlier fault.
    */
   private AccountChange fence(String team) {
-    Account found = accounts.account(team).stored();
-    boolean exists = found.revision() > 0 && found.isReadable();
-    if (exists && !found.use().covers(accounts.committed().of(team))) {
-      accounts.report(team, AccountDiscrepancy.Kind.BELOW_CLAIMS, found.use());
+    Account stored = accounts.account(team).stored();
+    boolean exists = stored.revision() > 0 && stored.isReadable();
+    if (exists && !stored.use().covers(accounts.committedUse().of(team))) {
+      accounts.report(team, AccountDiscrepancy.Kind.BELOW_COMMITTED_CLAIMS, stored.use());
     }
-    return write(team, found.use().orMore(reservation(team)), AccountChange.ANY_LIMITS);
+    return write(team, stored.use().max(reservation(team)), AccountChange.ANY_LIMITS_REVISION);
   }
 
   /**
-   * Writes that lower accounts which have reserved too much for a while, at most so many.
+   * Writes that lower accounts which have reserved too much for the release delay, at most {@code
+   * maxCount}.
    *
    * @param now seconds on the loop's clock
    */
-  List<AccountChange> releases(int most, double now) {
+  List<AccountChange> releaseWrites(int maxCount, double now) {
     List<AccountChange> changes = new ArrayList<>();
     accounts.forEach(
         (team, account) -> {
-          boolean due = account.releaseIsDue(isExcessive(team), releaseAfterS, now);
+          boolean due = account.isReleaseDue(isExcessive(team), releaseAfterS, now);
           if (due && !account.isSettled()) {
             account.requestSettling();
-          } else if (due && changes.size() < most) {
-            changes.add(write(team, reservation(team), AccountChange.ANY_LIMITS));
+          } else if (due && changes.size() < maxCount) {
+            changes.add(write(team, reservation(team), AccountChange.ANY_LIMITS_REVISION));
           }
         });
     return changes;
   }
 
-  /** True if far more is reserved than admitted, or more than the limit allows. */
+  /** True if the account reserves far more than is admitted, or needlessly exceeds the limit. */
   private boolean isExcessive(String team) {
     Amount reserved = accounts.account(team).stored().use();
     Amount admitted = accounts.admitted(team);
     boolean aboveLimit = !accounts.limitAllows(team, reserved) && !admitted.covers(reserved);
-    return aboveLimit || !admitted.times(EXCESSIVE_RATIO).covers(reserved);
+    return aboveLimit || !admitted.times(MAX_RESERVED_TO_ADMITTED_RATIO).covers(reserved);
   }
 
-  private AccountChange write(String team, Amount use, long onLimits) {
+  private AccountChange write(String team, Amount use, long expectedLimitsRevision) {
     TeamAccount account = accounts.account(team);
-    String writer = name + "-" + nextWrite++;
+    String writeId = name + "-" + nextWriteNumber++;
     AccountChange change =
-        new AccountChange(team, account.stored().revision(), use, writer, onLimits);
-    account.sent(change);
+        new AccountChange(team, account.stored().revision(), use, writeId, expectedLimitsRevision);
+    account.onSent(change);
     return change;
   }
 }
--- a/src/main/java/graderelay/quota/Amount.java
+++ b/src/main/java/graderelay/quota/Amount.java
@@ -4,90 +4,90 @@
 import java.math.RoundingMode;
 
 /**
- * An amount of resources: CPUs and GPUs in integer thousandths, so that sums are exact whatever
- * their order.
+ * An amount of resources: CPUs and GPUs in integer thousandths, so that sums are exact in any
+ * order.
  *
  * @param cpuMillis thousandths of a CPU
  * @param gpuMillis thousandths of a GPU
  */
 public record Amount(long cpuMillis, long gpuMillis) {
-  /** Thousandths of one unit. */
-  public static final long MILLIS = 1000;
+  /** Thousandths per unit. */
+  public static final long MILLIS_PER_UNIT = 1000;
 
-  /** Nothing; as a limit, none. */
+  /** Zero; as a limit it means unlimited. */
   public static final Amount NONE = new Amount(0, 0);
 
-  /** Decimal amounts come as binary floating point; this part of a thousandth is rounding. */
-  private static final double ROUNDING = 1e-6;
+  /** Tolerance for the rounding errors of amounts that are given as binary floating point. */
+  private static final double ROUNDING_TOLERANCE_MILLIS = 1e-6;
 
-  /** What a task needs, rounded up: it never counts as less than it takes. */
-  public static Amount needed(double cpus, double gpus) {
-    return new Amount(up(cpus), up(gpus));
+  /** Rounds up, for the needs of tasks: a task is never counted with less than it uses. */
+  public static Amount roundedUp(double cpus, double gpus) {
+    return new Amount(toMillisRoundedUp(cpus), toMillisRoundedUp(gpus));
   }
 
-  /** A limit or guarantee, rounded down: it never counts as more than was given. */
-  public static Amount granted(double cpus, double gpus) {
-    return new Amount(down(cpus), down(gpus));
+  /** Rounds down, for limits and guarantees: they are never counted with more than was granted. */
+  public static Amount roundedDown(double cpus, double gpus) {
+    return new Amount(toMillisRoundedDown(cpus), toMillisRoundedDown(gpus));
   }
 
-  private static long up(double units) {
-    return (long) Math.ceil(units * MILLIS - ROUNDING);
+  private static long toMillisRoundedUp(double units) {
+    return (long) Math.ceil(units * MILLIS_PER_UNIT - ROUNDING_TOLERANCE_MILLIS);
   }
 
-  private static long down(double units) {
-    return (long) Math.floor(units * MILLIS + ROUNDING);
+  private static long toMillisRoundedDown(double units) {
+    return (long) Math.floor(units * MILLIS_PER_UNIT + ROUNDING_TOLERANCE_MILLIS);
   }
 
-  /** Thousandths of a decimal number that is known to have no further digits. */
-  public static long millis(BigDecimal units) {
+  /** Thousandths of a decimal number that must have no more than three decimal places. */
+  public static long toMillisExact(BigDecimal units) {
     return units
-        .multiply(BigDecimal.valueOf(MILLIS))
+        .multiply(BigDecimal.valueOf(MILLIS_PER_UNIT))
         .setScale(0, RoundingMode.UNNECESSARY)
         .longValue();
   }
 
-  /** CPUs, as people write them. */
+  /** The number of CPUs. */
   public double cpus() {
-    return cpuMillis / (double) MILLIS;
+    return cpuMillis / (double) MILLIS_PER_UNIT;
   }
 
-  /** GPUs, as people write them. */
+  /** The number of GPUs. */
   public double gpus() {
-    return gpuMillis / (double) MILLIS;
+    return gpuMillis / (double) MILLIS_PER_UNIT;
   }
 
-  /** The sum of each part. */
+  /** The componentwise sum. */
   public Amount plus(Amount other) {
     return new Amount(cpuMillis + other.cpuMillis, gpuMillis + other.gpuMillis);
   }
 
-  /** The difference of each part, which may be negative. */
+  /** The componentwise difference, which may be negative. */
   public Amount minus(Amount other) {
     return new Amount(cpuMillis - other.cpuMillis, gpuMillis - other.gpuMillis);
   }
 
-  /** So many times each part. */
+  /** Each component multiplied by {@code count}. */
   public Amount times(int count) {
     return new Amount(cpuMillis * count, gpuMillis * count);
   }
 
-  /** True if neither part is below the other's. */
+  /** True if neither component is below that of {@code other}. */
   public boolean covers(Amount other) {
     return cpuMillis >= other.cpuMillis && gpuMillis >= other.gpuMillis;
   }
 
-  /** The larger of each part. */
-  public Amount orMore(Amount other) {
+  /** The componentwise maximum. */
+  public Amount max(Amount other) {
     return new Amount(Math.max(cpuMillis, other.cpuMillis), Math.max(gpuMillis, other.gpuMillis));
   }
 
-  /** The part that exceeds another amount, with nothing below zero. */
-  public Amount beyond(Amount other) {
+  /** The componentwise excess over {@code other}, at least zero. */
+  public Amount excessOver(Amount other) {
     return new Amount(
         Math.max(0, cpuMillis - other.cpuMillis), Math.max(0, gpuMillis - other.gpuMillis));
   }
 
-  /** True if a part is below zero. */
+  /** True if a component is below zero. */
   public boolean isNegative() {
     return cpuMillis < 0 || gpuMillis < 0;
   }
--- a/src/main/java/graderelay/quota/TeamAccounts.java
+++ b/src/main/java/graderelay/quota/TeamAccounts.java
@@ -7,25 +7,25 @@
 import java.util.function.BiConsumer;
 
 /**
- * The leader's copy of the stored limits and accounts of all teams, with what their committed
- * claims use and the discrepancies between the two that have been found.
+ * The leader's copy of the stored limits and accounts of all teams, with the use of their committed
+ * claims and the discrepancies found between the two.
  */
 final class TeamAccounts {
-  private final CommittedUse committed = new CommittedUse();
+  private final CommittedUse committedUse = new CommittedUse();
   private final Map<String, TeamAccount> accounts = new TreeMap<>();
   private final List<AccountDiscrepancy> discrepancies = new ArrayList<>();
   private Map<String, LimitRecord> limits = Map.of();
   private boolean seeded;
 
-  /** The store's revision up to which everything has been read. */
+  /** The store revision as of which all records have been read. */
   private long readRevision;
 
-  /** True once the settings' limits have been stored as a whole. */
-  boolean areSeeded() {
+  /** True if all limits of the settings have been stored. */
+  boolean isSeeded() {
     return seeded;
   }
 
-  /** The account of a team, which is made if it is not known yet. */
+  /** The account of a team, created if it is not known yet. */
   TeamAccount account(String team) {
     return accounts.computeIfAbsent(team, x -> new TeamAccount());
   }
@@ -35,26 +35,26 @@
     return limits.get(team);
   }
 
-  /** What the team's claims use, with those that have been placed and not committed. */
+  /** The use of the team's committed claims and of its placed claims. */
   Amount admitted(String team) {
-    return committed.of(team).plus(account(team).placed());
+    return committedUse.of(team).plus(account(team).placed());
   }
 
-  /** True if the team's stored limit allows so much in all. */
+  /** True if the team's stored limit allows the use in total. */
   boolean limitAllows(String team, Amount use) {
     LimitRecord record = limits.get(team);
     return record != null && record.isReadable() && record.quota().allows(use);
   }
 
-  /** Calls back with every known account, by team in alphabetical order. */
+  /** Calls the action for every known account, in alphabetical order of the teams. */
   void forEach(BiConsumer<String, TeamAccount> action) {
     accounts.forEach(action);
   }
 
-  /** Forgets everything but how far the store has been read. */
+  /** Clears everything except {@code readRevision} and {@code seeded}. */
   void clear() {
     accounts.clear();
-    committed.clear();
+    committedUse.clear();
     discrepancies.clear();
     limits = Map.of();
   }
@@ -62,34 +62,34 @@
   // ---------------------------------------------------------------- records
 
   /**
-   * Takes the records as they were read. The caller has passed on the task batches of the same
-   * revision before.
+   * Updates the records after a read. The caller has to add the task batches of the same revision
+   * to {@link #committedUse()} first.
    */
   void update(StoredQuota stored) {
     limits = stored.limits();
     seeded = stored.seeded();
-    readRevision = Math.max(readRevision, stored.asOf());
-    stored.accounts().forEach((team, account) -> takeRecord(team, account, stored.asOf()));
+    readRevision = Math.max(readRevision, stored.readRevision());
+    stored.accounts().forEach((team, account) -> applyRecord(team, account, stored.readRevision()));
     for (Map.Entry<String, TeamAccount> entry : accounts.entrySet()) {
       String team = entry.getKey();
       if (!limits.containsKey(team)) {
-        entry.getValue().forget(); // Removed with its team.
+        entry.getValue().onRemoved(); // Removed with its team.
       } else if (!stored.accounts().containsKey(team)) {
-        takeRecord(team, Account.ABSENT, stored.asOf());
+        applyRecord(team, Account.ABSENT, stored.readRevision());
       }
-      entry.getValue().readUpTo(readRevision);
+      entry.getValue().onReadUpTo(readRevision);
     }
   }
 
-  private void takeRecord(String team, Account found, long asOf) {
+  private void applyRecord(String team, Account found, long storeRevision) {
     TeamAccount account = account(team);
-    long known = account.stored().revision();
-    if ((found.revision() > 0 ? found.revision() : asOf) < known) {
+    long knownRevision = account.stored().revision();
+    if ((found.revision() > 0 ? found.revision() : storeRevision) < knownRevision) {
       return; // Our own write is newer than what was read.
     }
-    boolean isNew = found.revision() != known;
-    if (account.read(found)) {
-      report(team, AccountDiscrepancy.Kind.CHANGED_BY_OTHERS, found.use());
+    boolean isNew = found.revision() != knownRevision;
+    if (account.onRead(found)) {
+      report(team, AccountDiscrepancy.Kind.CHANGED_EXTERNALLY, found.use());
       account.requestSettling();
     }
     if (isNew && !found.isReadable()) {
@@ -97,26 +97,26 @@
     }
   }
 
-  /** A write of ours has committed; what has been read may already include it. */
-  void committed(AccountChange write, long revision) {
+  /** Records that a write of our own has committed; the records read may already include it. */
+  void onCommitted(AccountChange write, long revision) {
     TeamAccount account = account(write.team());
-    account.committed(write, revision);
-    account.readUpTo(readRevision);
+    account.onCommitted(write, revision);
+    account.onReadUpTo(readRevision);
   }
 
-  /** What the committed claims use, by team. */
-  CommittedUse committed() {
-    return committed;
+  /** The use of the committed claims by team. */
+  CommittedUse committedUse() {
+    return committedUse;
   }
 
   // ---------------------------------------------------------------- discrepancies
 
-  /** Keeps a discrepancy until it is taken. */
-  void report(String team, AccountDiscrepancy.Kind kind, Amount found) {
-    discrepancies.add(new AccountDiscrepancy(team, kind, found, committed.of(team)));
+  /** Adds a discrepancy to those returned by {@link #takeDiscrepancies}. */
+  void report(String team, AccountDiscrepancy.Kind kind, Amount reserved) {
+    discrepancies.add(new AccountDiscrepancy(team, kind, reserved, committedUse.of(team)));
   }
 
-  /** The discrepancies that were found since the last call. */
+  /** Returns the discrepancies found since the last call. */
   List<AccountDiscrepancy> takeDiscrepancies() {
     List<AccountDiscrepancy> found = List.copyOf(discrepancies);
     discrepancies.clear();
@@ -124,17 +124,18 @@
   }
 
   /**
-   * Compares the accounts with the committed claims. An account may lag above the claims by what
-   * has ended, never below; claims may be above a limit that was lowered.
+   * Compares the accounts with the committed claims. An account may exceed the claims, since it is
+   * lowered only some time after claims have ended, but must never be below them; claims may exceed
+   * a limit that was lowered.
    */
-  void check() {
+  void checkAll() {
     accounts.forEach(
         (team, account) -> {
           boolean reliedOn = account.isSettled() && !account.isWriteInFlight();
-          if (reliedOn && !account.stored().use().covers(committed.of(team))) {
+          if (reliedOn && !account.stored().use().covers(committedUse.of(team))) {
             account.unsettle(); // The discrepancy is reported when the account is fenced.
           }
-          if (account.hasRisenAboveLimit(isAboveLimit(team))) {
+          if (account.updateAboveLimit(isAboveLimit(team))) {
             report(team, AccountDiscrepancy.Kind.ABOVE_LIMIT, account.stored().use());
           }
         });
@@ -142,6 +143,6 @@
 
   private boolean isAboveLimit(String team) {
     LimitRecord record = limits.get(team);
-    return record != null && record.isReadable() && !record.quota().allows(committed.of(team));
+    return record != null && record.isReadable() && !record.quota().allows(committedUse.of(team));
   }
 }
--- a/src/main/java/graderelay/service/ControllerComponents.java
+++ b/src/main/java/graderelay/service/ControllerComponents.java
@@ -245,7 +245,7 @@
         leadership.incarnation(),
         state,
         cancellations,
-        workerApi::relayed,
+        workerApi::handleRelayedHeartbeat,
         leaderLifecycle::onDelegationRequest,
         router::handleForwarded);
   }
--- a/src/main/java/graderelay/service/FailoverHints.java
+++ b/src/main/java/graderelay/service/FailoverHints.java
@@ -74,7 +74,7 @@
   }
 
   private boolean writesCompactForm() {
-    return cache.features().gate().enabled(Feature.COMPACT_HINTS);
+    return cache.features().gate().isEnabled(Feature.COMPACT_HINTS);
   }
 
   /** The number of image records per 1,000 machines. */
--- a/src/main/java/graderelay/service/FeatureLevelManager.java
+++ b/src/main/java/graderelay/service/FeatureLevelManager.java
@@ -144,8 +144,8 @@
     if (!cache.isElectionLoaded() || shutdownRequested) {
       return;
     }
-    String reason = featureGate.closedBecause();
-    if (reason != null && featureGate.overtaken()) {
+    String reason = featureGate.notOpenReason();
+    if (reason != null && featureGate.isOutdated()) {
       requestShutdown(reason);
     } else if (reason != null && !reason.equals(loggedReason)) {
       // The process keeps running: if it exited, it would be restarted in a loop without effect.
@@ -160,7 +160,7 @@
   private void requestShutdown(String reason) {
     if (!shutdownRequested) {
       shutdownRequested = true;
-      featureGate.leave(reason);
+      featureGate.closePermanently(reason);
       LOG.error("this controller leaves the cluster: {}", reason);
       onShutdownRequested.accept(reason);
     }
--- a/src/main/java/graderelay/service/FeatureLevelStore.java
+++ b/src/main/java/graderelay/service/FeatureLevelStore.java
@@ -64,17 +64,17 @@
   }
 
   @Override
-  public boolean leads() {
+  public boolean isLeader() {
     return leadership.mayActAsLeader() && cache.isLoaded();
   }
 
   @Override
-  public Map<String, Member> published() {
+  public Map<String, Member> publishedMembers() {
     return records().members();
   }
 
   @Override
-  public boolean held() {
+  public boolean isLevelHeld() {
     return records().isOnHold();
   }
 
@@ -103,12 +103,12 @@
     return switch (outcome) {
       case SUCCEEDED -> Outcome.DONE;
       case CONDITION_FAILED -> Outcome.CONFLICT;
-      default -> Outcome.UNANSWERED;
+      default -> Outcome.UNKNOWN;
     };
   }
 
   @Override
-  public void beginLowering(ClusterLevel newLevel, Consumer<Outcome> done) {
+  public void beginDowngrade(ClusterLevel newLevel, Consumer<Outcome> done) {
     commit(
         newLeaderTransaction()
             .put(FeatureCodec.LEVEL, FeatureCodec.encodeLevel(newLevel))
@@ -117,8 +117,8 @@
   }
 
   @Override
-  public void hold(boolean enabled, Consumer<Outcome> done) {
-    if (enabled == held()) {
+  public void setLevelHeld(boolean enabled, Consumer<Outcome> done) {
+    if (enabled == isLevelHeld()) {
       done.accept(Outcome.DONE);
       return;
     }
@@ -137,7 +137,7 @@
   }
 
   @Override
-  public void keysOf(Feature feature, Consumer<List<String>> done) {
+  public void readKeys(Feature feature, Consumer<List<String>> done) {
     state.list(
         keyPrefixOf(feature),
         CallPriority.CLAIM,
@@ -145,14 +145,14 @@
   }
 
   @Override
-  public void remove(List<String> keys, Consumer<Outcome> done) {
+  public void removeKeys(List<String> keys, Consumer<Outcome> done) {
     Transaction txn = newLeaderTransaction();
     keys.subList(0, Math.min(maxTransactionOps, keys.size())).forEach(txn::delete);
     commit(txn, done);
   }
 
   @Override
-  public void complete(Feature feature, Consumer<Boolean> done) {
+  public void completeRecords(Feature feature, Consumer<Boolean> done) {
     Consumer<Consumer<Boolean>> completionStep =
         switch (feature) {
           case SEALED_ELECTION -> this::sealMembers;
@@ -217,7 +217,7 @@
     if (plainHintKeys.isEmpty()) {
       done.accept(true);
     } else {
-      remove(plainHintKeys, outcome -> done.accept(false));
+      removeKeys(plainHintKeys, outcome -> done.accept(false));
     }
   }
 }
--- a/src/main/java/graderelay/service/MembershipPublisher.java
+++ b/src/main/java/graderelay/service/MembershipPublisher.java
@@ -51,7 +51,7 @@
     if (stored != null && stored.incarnation().equals(self.incarnation())) {
       return;
     }
-    if (stored != null && stored.beganMs() > self.beganMs()) {
+    if (stored != null && stored.startedAtMs() > self.startedAtMs()) {
       onSuperseded.accept("a later process is running as controller " + self.name());
     } else {
       // This also replaces the record of an earlier process whose delayed write has been executed
--- a/src/main/java/graderelay/service/QuotaMonitor.java
+++ b/src/main/java/graderelay/service/QuotaMonitor.java
@@ -59,11 +59,11 @@
       addAmountSamples(samples, "limit", team.name(), quota.limit());
       if (core.get() != null && limits.usesStoredLimits()) {
         Scheduler.TeamUsage usage = core.get().teamUsage(team.name());
-        Amount claims = usage.standing().claims();
+        Amount claims = usage.standing().used();
         addAmountSamples(samples, "used", team.name(), claims);
-        addAmountSamples(samples, "reserved", team.name(), usage.standing().account());
+        addAmountSamples(samples, "reserved", team.name(), usage.standing().reserved());
         addAmountSamples(
-            samples, "beyond_guarantee", team.name(), claims.beyond(quota.guarantee()));
+            samples, "beyond_guarantee", team.name(), claims.excessOver(quota.guarantee()));
         addAmountSamples(samples, "waiting", team.name(), usage.waitingAmount());
         int stopped = usage.standing().stoppedBecause() == null ? 0 : 1;
         samples.add(newSample(STOPPED, team.name(), stopped));
--- a/src/main/java/graderelay/service/Readiness.java
+++ b/src/main/java/graderelay/service/Readiness.java
@@ -42,7 +42,7 @@
 
   /** True if this controller can accept requests. */
   boolean isReady() {
-    if (featureGate.isShut()) {
+    if (featureGate.isClosed()) {
       return false;
     }
     boolean isStoreResponsive =
--- a/src/main/java/graderelay/service/RequestRouter.java
+++ b/src/main/java/graderelay/service/RequestRouter.java
@@ -60,7 +60,7 @@
     switch (path) {
       case "/ready" -> requireMethod("GET", exchange, () -> sendReadiness(exchange));
       case "/checkin" ->
-          requireMethod("POST", exchange, () -> handlers.workers().checkin(exchange));
+          requireMethod("POST", exchange, () -> handlers.workers().handleHeartbeat(exchange));
       case "/metrics" -> requireMethod("GET", exchange, () -> sendMetrics(exchange));
       default -> {
         if (!routeToOperatorApis(exchange)) {
@@ -75,8 +75,8 @@
     if (routeToOperatorApis(exchange)) {
       return;
     }
-    if (featureGate.isShut()) {
-      ApiError.unavailable(featureGate.closedBecause()).sendTo(exchange);
+    if (featureGate.isClosed()) {
+      ApiError.unavailable(featureGate.notOpenReason()).sendTo(exchange);
     } else {
       handleLocally(exchange);
     }
@@ -103,8 +103,8 @@
    */
   private void routeUserRequest(Exchange exchange) {
     boolean isSubmission = exchange.method().equals("POST") && exchange.path().equals(JOBS_PATH);
-    if (featureGate.isShut()) {
-      ApiError.unavailable(featureGate.closedBecause()).sendTo(exchange);
+    if (featureGate.isClosed()) {
+      ApiError.unavailable(featureGate.notOpenReason()).sendTo(exchange);
     } else if (isSubmission && wouldDelaySubmission.getAsBoolean()) {
       requestHedger.handleAtPeerFirst(exchange, this::handleLocally);
     } else {
@@ -116,7 +116,7 @@
     if (isReady.getAsBoolean()) {
       exchange.responder().accept(Response.json(200, Json.write(Json.object().put("ready", true))));
     } else {
-      ApiError.unavailable(featureGate.isShut() ? featureGate.closedBecause() : "not ready")
+      ApiError.unavailable(featureGate.isClosed() ? featureGate.notOpenReason() : "not ready")
           .sendTo(exchange);
     }
   }
--- a/src/main/java/graderelay/wire/FeatureCodec.java
+++ b/src/main/java/graderelay/wire/FeatureCodec.java
@@ -66,7 +66,7 @@
   /** Encodes the cluster's level; the target is omitted unless a downgrade is in progress. */
   public static ObjectNode encodeLevel(ClusterLevel level) {
     ObjectNode n = Json.object().put(LEVEL_NUMBER, level.level());
-    return level.lowering() ? n.put(TARGET_LEVEL, level.target()) : n;
+    return level.isLowering() ? n.put(TARGET_LEVEL, level.target()) : n;
   }
 
   /**
@@ -93,7 +93,7 @@
         .put(MIN_LEVEL, member.range().min())
         .put(MAX_LEVEL, member.range().max())
         .put(INCARNATION, member.incarnation())
-        .put(STARTED_MS, member.beganMs());
+        .put(STARTED_MS, member.startedAtMs());
   }
 
   /** Decodes the record that controller {@code name} published, with the record's revision. */
--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -4,102 +4,105 @@
 import graderelay.wire.PeerResponse;
 
 /**
- * What the leader has granted this controller as a lease delegate, and until when it counts. Times
- * are seconds on the loop's steady clock unless stated otherwise. Used on the event loop only.
+ * The delegation grant that allows this controller to renew worker leases on the leader's behalf,
+ * and its expiry. Times are in seconds on the event loop's monotonic clock unless stated otherwise.
+ * Used on the event loop only.
  */
 final class DelegationGrant {
   private final Loop loop;
-  private final double lengthS;
+  private final double durationS;
 
   private long term;
 
-  /** The term whose leader gave the grant, or 0 if this controller gave it to itself. */
-  private long grantedBy;
+  /** The term of the leader that issued the grant, or 0 if this controller issued it as leader. */
+  private long grantingTerm;
 
-  /** The leader's time of its last grant that we have heard of, on the leader's clock. */
-  private double leaderTime;
+  /** When the leader issued the latest grant received here, on the leader's clock. */
+  private double leaderGrantTime;
 
   private double validUntil = Double.NEGATIVE_INFINITY;
   private double lastLeaderContact;
-  private double lastAnsweredAlone;
+  private double lastAutonomousResponse;
 
   /**
-   * Makes a grant that does not count before the leader, or this controller itself, gives one.
+   * Creates a grant that is invalid until the leader, or this controller as leader, issues one.
    *
-   * @param lengthS seconds for which a grant counts from the moment at which it was asked for
+   * @param durationS seconds for which a grant is valid, counted from the time of the request for
+   *     it
    */
-  DelegationGrant(Loop loop, double lengthS) {
+  DelegationGrant(Loop loop, double durationS) {
     this.loop = loop;
-    this.lengthS = lengthS;
-    // An earlier process of this member may have answered until it ended.
-    this.lastAnsweredAlone = loop.now();
+    this.durationS = durationS;
+    // An earlier process of this member may have answered workers until it ended.
+    this.lastAutonomousResponse = loop.now();
     this.lastLeaderContact = loop.now();
   }
 
-  /** The term under which workers may be answered. */
+  /** The term to send in responses to workers. */
   long term() {
     return term;
   }
 
-  /** The term whose leader gave the grant, or 0 for none. */
-  long grantedBy() {
-    return grantedBy;
+  /** The term of the leader that issued the grant, or 0 for none. */
+  long grantingTerm() {
+    return grantingTerm;
   }
 
-  /**
-   * The leader's time of its last grant that we have heard of, in seconds on the leader's clock.
-   */
-  double leaderTime() {
-    return leaderTime;
+  /** When the leader issued the latest grant received here, in seconds on the leader's clock. */
+  double leaderGrantTime() {
+    return leaderGrantTime;
   }
 
-  /** True if the grant counts at time {@code now}. */
+  /** True if the grant is valid at time {@code now}. */
   boolean isValidAt(double now) {
     return now < validUntil;
   }
 
-  /** Seconds at time {@code now} since the leader was last heard. */
+  /** Seconds at time {@code now} since the last grant from the leader arrived. */
   double sinceLeaderContact(double now) {
     return now - lastLeaderContact;
   }
 
-  /** The time at which the leader was last heard, in seconds. */
+  /** When the last grant from the leader arrived, in seconds. */
   double lastLeaderContact() {
     return lastLeaderContact;
   }
 
-  /** Seconds at time {@code now} since this controller last answered a worker as a delegate. */
-  double sinceAnsweredAlone(double now) {
-    return now - lastAnsweredAlone;
+  /**
+   * Seconds at time {@code now} since this controller last answered a worker as a lease delegate.
+   */
+  double sinceAutonomousResponse(double now) {
+    return now - lastAutonomousResponse;
   }
 
-  /** Notes that a worker is answered at time {@code now}, without the leader. */
-  void answeredAlone(double now) {
-    lastAnsweredAlone = now;
+  /** Records that this controller answers a worker without the leader at time {@code now}. */
+  void onAutonomousResponse(double now) {
+    lastAutonomousResponse = now;
   }
 
   /**
-   * The grant that the leader itself has while it leads. Should it lose leadership, the next leader
-   * counts as much from its own failover.
+   * Issues the grant that a leader holds itself. If it loses leadership, the grant stays valid for
+   * as long as the next leader assumes from the time of its failover.
    */
   void grantToSelf(long leaderTerm, double now) {
     term = leaderTerm;
-    grantedBy = 0;
-    validUntil = now + lengthS;
+    grantingTerm = 0;
+    validUntil = now + durationS;
     lastLeaderContact = now;
   }
 
-  /** Takes a leader's grant, which counts from when it was asked for at {@code askedAt}. */
-  void accept(PeerResponse.Grant grant, double askedAt) {
-    boolean same = grantedBy == grant.grantorTerm();
+  /** Accepts a leader's grant, which is valid from the time of its request, {@code requestedAt}. */
+  void accept(PeerResponse.Grant grant, double requestedAt) {
+    boolean sameLeader = grantingTerm == grant.grantorTerm();
     term = grant.term();
-    grantedBy = grant.grantorTerm();
-    leaderTime = same ? Math.max(leaderTime, grant.leaderTime()) : grant.leaderTime();
-    validUntil = same ? Math.max(validUntil, askedAt + lengthS) : askedAt + lengthS;
+    grantingTerm = grant.grantorTerm();
+    leaderGrantTime = sameLeader ? Math.max(leaderGrantTime, grant.leaderTime()) : grant.leaderTime();
+    validUntil =
+        sameLeader ? Math.max(validUntil, requestedAt + durationS) : requestedAt + durationS;
     lastLeaderContact = loop.now();
   }
 
-  /** Makes the grant count no more; who gave it stays known. */
+  /** Invalidates the grant, but keeps the term of the leader that issued it. */
   void revoke() {
     validUntil = Double.NEGATIVE_INFINITY;
   }
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -19,26 +19,26 @@
 import java.util.function.Consumer;
 
 /**
- * Takes workers' heartbeats: the leader answers them while its session lease lasts, the others
- * redirect workers to it, or relay the heartbeats of workers that can't reach it. Runs on the event
- * loop.
+ * Handles worker heartbeats: the leader answers them while its session lease is valid; other
+ * controllers redirect workers to the leader, or relay the heartbeats of workers that can't reach
+ * it. Runs on the event loop.
  */
 public final class WorkerApi {
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
 
-  /** Sends the worker to another controller. */
+  /** Redirects the worker to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** The scheduler's side of heartbeats. */
+  /** Receives heartbeats on behalf of the scheduler. */
   @FunctionalInterface
   public interface HeartbeatListener {
     /**
-     * Takes a heartbeat in.
+     * Processes a heartbeat.
      *
-     * @param relayedBy the member that relayed it, or "" if the worker sent it here
-     * @return the commands for the worker, never null; none while the leader still reads the
-     *     records
+     * @param relayedBy the member that relayed the heartbeat, or "" if the worker sent it directly
+     * @return the commands for the worker, never null; empty while the leader is still loading the
+     *     stored records
      */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String relayedBy);
   }
@@ -51,13 +51,13 @@
   private final Cancellations cancellations;
   private final String member;
   private final HeartbeatListener scheduler;
-  private final RedirectedWorkers redirected = new RedirectedWorkers();
+  private final RedirectedWorkers redirectedWorkers = new RedirectedWorkers();
 
   /**
-   * Makes the handler of workers' heartbeats.
+   * Creates the handler of worker heartbeats.
    *
    * @param member this controller's name
-   * @param scheduler takes heartbeats in while this controller leads
+   * @param scheduler receives the heartbeats while this controller is the leader
    */
   public WorkerApi(
       Loop loop,
@@ -79,53 +79,56 @@
   }
 
   /**
-   * Answers a worker's heartbeat: 200 with commands renews its lease, 421 names the leader if it is
-   * known, 400 says that it was no heartbeat.
+   * Answers a worker's heartbeat: 200 renews its lease and carries commands, 421 redirects it to
+   * the leader, if known, and 400 reports a malformed heartbeat.
    */
-  public void checkin(Exchange exchange) {
+  public void handleHeartbeat(Exchange exchange) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(exchange.body()));
     if (heartbeat == null) {
-      refuseMalformed(exchange.responder());
-    } else if (cache.features().gate().isShut()) {
+      rejectMalformed(exchange.responder());
+    } else if (cache.features().gate().isClosed()) {
       redirect(exchange.responder(), leaderName(cache.leader()));
     } else if (leadership.isLeader()) {
       answerAsLeader(heartbeat, "", exchange.responder());
     } else if (leadership.mayRenewLeasesWithoutLeader()
         && heartbeat.term() > 0
         && cancellations.mayRenewLeases()) {
-      // Under the worker's own term: its lease goes on, and what is cancelled ends.
-      renew(exchange.responder(), heartbeat.term(), cancellations.killCommands(heartbeat));
-    } else if (leaseDelegate.mayAnswer(heartbeat)) {
-      renew(exchange.responder(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
+      // Uses the worker's own term: this renews its lease and kills its cancelled tasks.
+      respondWithLeaseRenewal(
+          exchange.responder(), heartbeat.term(), cancellations.killCommands(heartbeat));
+    } else if (leaseDelegate.tryAuthorizeResponse(heartbeat)) {
+      respondWithLeaseRenewal(
+          exchange.responder(), leaseDelegate.term(), cancellations.killCommands(heartbeat));
     } else {
       leadership.collectLeaderlessPledges();
       relayOrRedirect(exchange, heartbeat);
     }
   }
 
-  /** Answers a heartbeat that the controller {@code relayedBy} passes on to the leader. */
-  public void relayed(String relayedBy, byte[] body, Consumer<Response> to) {
+  /** Answers a heartbeat that the controller {@code relayedBy} has relayed to this leader. */
+  public void handleRelayedHeartbeat(String relayedBy, byte[] body, Consumer<Response> responder) {
     Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(Json.read(body));
     if (heartbeat == null) {
-      refuseMalformed(to);
+      rejectMalformed(responder);
     } else {
-      answerAsLeader(heartbeat, relayedBy, to);
+      answerAsLeader(heartbeat, relayedBy, responder);
     }
   }
 
-  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Response> to) {
+  private void answerAsLeader(Heartbeat heartbeat, String relayedBy, Consumer<Response> responder) {
     if (leadership.mayActAsLeader() && cancellations.mayRenewLeases()) {
       List<WorkerCommand> commands = scheduler.onHeartbeat(heartbeat, relayedBy);
-      renew(to, leadership.term(), cancellations.prependKillCommands(heartbeat, commands));
+      respondWithLeaseRenewal(
+          responder, leadership.term(), cancellations.prependKillCommands(heartbeat, commands));
     } else {
-      redirect(to, null);
+      redirect(responder, null);
     }
   }
 
   private void relayOrRedirect(Exchange exchange, Heartbeat heartbeat) {
     StateCodec.LeaderRecord leader = cache.leader();
     String address = leader == null ? null : peerClient.addressOf(leader.member());
-    if (redirected.shouldRelay(heartbeat, leader, address != null, loop.now())) {
+    if (redirectedWorkers.shouldRelay(heartbeat, leader, address != null, loop.now())) {
       relay(exchange, address, leader.member());
     } else {
       redirect(exchange.responder(), leaderName(leader));
@@ -151,21 +154,22 @@
     return leader == null ? null : leader.member();
   }
 
-  /** The answer that renews a lease: whoever gives it has asked {@link Cancellations} before. */
-  private static void renew(Consumer<Response> to, long term, List<WorkerCommand> commands) {
+  /** Renews the worker's lease; callers must check {@link Cancellations#mayRenewLeases} first. */
+  private static void respondWithLeaseRenewal(
+      Consumer<Response> responder, long term, List<WorkerCommand> commands) {
     byte[] body =
         Json.write(
             WorkerCodec.encodeHeartbeatResponse(
                 term, commands, SchedulerLimits.MAX_COMMANDS_PER_MESSAGE));
-    to.accept(Response.json(OK, body));
+    responder.accept(Response.json(OK, body));
   }
 
-  /** Sends the worker to the leader {@code member}, or to any other controller if that is null. */
-  private static void redirect(Consumer<Response> to, String member) {
-    to.accept(Response.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(member))));
+  /** Redirects the worker to the named leader, or to any other controller if the name is null. */
+  private static void redirect(Consumer<Response> responder, String leaderName) {
+    responder.accept(Response.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(leaderName))));
   }
 
-  private static void refuseMalformed(Consumer<Response> to) {
-    to.accept(Response.json(BAD_REQUEST, Json.errorBody("not a report")));
+  private static void rejectMalformed(Consumer<Response> responder) {
+    responder.accept(Response.json(BAD_REQUEST, Json.errorBody("the body is not a valid heartbeat")));
   }
 }
--- a/src/main/java/graderelay/worker/WorkerClient.java
+++ b/src/main/java/graderelay/worker/WorkerClient.java
@@ -9,38 +9,38 @@
 import graderelay.wire.WorkerCodec;
 
 /**
- * Sends commands straight to workers: for speed, since answers to heartbeats carry them as well.
- * Runs on the event loop.
+ * Sends commands directly to workers. This only reduces latency, since responses to heartbeats
+ * carry the commands as well. Runs on the event loop.
  */
 public final class WorkerClient {
-  /** Seconds to wait for a worker's answer to direct commands. */
-  private static final double WORKER_TIMEOUT_S = 2.0;
+  /** Seconds to wait for a worker's response to direct commands. */
+  private static final double COMMAND_TIMEOUT_S = 2.0;
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
   private static final int CONFLICT = 409;
 
-  /** Hears how commands ended. */
+  /** Receives the outcome of a delivery. */
   @FunctionalInterface
-  public interface Done {
+  public interface DeliveryCallback {
     /**
      * Called once for each call of {@link WorkerClient#send}.
      *
-     * @param how what became of the commands
-     * @param heartbeat the worker's status in its answer, or null if there was none
+     * @param outcome the outcome of the delivery
+     * @param heartbeat the worker's status in its response, or null if there was none
      */
-    void done(CommandDeliveryOutcome how, Heartbeat heartbeat);
+    void onDelivery(CommandDeliveryOutcome outcome, Heartbeat heartbeat);
   }
 
   private final Transport transport;
 
-  /** Makes a client that sends by {@code transport}. */
+  /** Creates a client that sends through {@code transport}. */
   public WorkerClient(Transport transport) {
     this.transport = transport;
   }
 
   /** Sends the commands of one action to its worker, and calls back with the outcome. */
-  public void send(Action.SendCommands command, Done done) {
+  public void send(Action.SendCommands command, DeliveryCallback callback) {
     byte[] body =
         Json.write(
             WorkerCodec.encodeCommands(command.term(), command.session(), command.commands()));
@@ -49,11 +49,11 @@
         "POST",
         "/commands",
         body,
-        WORKER_TIMEOUT_S,
-        reply -> done.done(outcome(reply), heartbeat(reply)));
+        COMMAND_TIMEOUT_S,
+        reply -> callback.onDelivery(deliveryOutcome(reply), decodeHeartbeat(reply)));
   }
 
-  private static CommandDeliveryOutcome outcome(Reply reply) {
+  private static CommandDeliveryOutcome deliveryOutcome(Reply reply) {
     return switch (reply.status()) {
       case OK -> CommandDeliveryOutcome.EXECUTED;
       case CONFLICT, BAD_REQUEST -> CommandDeliveryOutcome.REFUSED;
@@ -63,8 +63,8 @@
     };
   }
 
-  private static Heartbeat heartbeat(Reply reply) {
-    boolean hasStatus = reply.isOk() || reply.status() == CONFLICT;
-    return hasStatus ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
+  private static Heartbeat decodeHeartbeat(Reply reply) {
+    boolean hasHeartbeat = reply.isOk() || reply.status() == CONFLICT;
+    return hasHeartbeat ? WorkerCodec.decodeHeartbeat(Json.read(reply.body())) : null;
   }
 }
--- a/src/test/java/graderelay/features/UpgradeSteps.java
+++ b/src/test/java/graderelay/features/UpgradeSteps.java
@@ -13,100 +13,102 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Steps that tests of rolling upgrades and feature levels share. */
+/** Steps shared by tests of rolling upgrades and feature levels. */
 final class UpgradeSteps {
-  /** Seconds for which all controllers have to be up before the level may rise. */
+  /** Seconds for which all controllers have to be up before the level may be raised. */
   static final double SOAK_S = 10;
 
-  /** The newest feature level. */
+  /** The latest feature level. */
   static final int LATEST = 3;
 
   private UpgradeSteps() {}
 
-  /** Options of a controller that raises the level by itself, up to {@code max}. */
-  static Options pinned(int max) {
-    return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, max));
+  /** Options of a controller that raises the level automatically, up to {@code maxLevel}. */
+  static Options automaticUpgrade(int maxLevel) {
+    return new Options(new UpgradePolicy(true, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
-  /** Options of a controller that raises the level up to {@code max} only for operators. */
-  static Options manual(int max) {
-    return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, max));
+  /** Options of a controller that raises the level, up to {@code maxLevel}, only on request. */
+  static Options manualUpgrade(int maxLevel) {
+    return new Options(new UpgradePolicy(false, SOAK_S), new FeatureRange(0, maxLevel));
   }
 
-  /** Controllers of the version in production, with a service and a stream of short arrays. */
-  static SimWorld production(long seed, int size) {
-    SimWorld w = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+  /** A world of controllers of the version in production, with an elected leader. */
+  static SimWorld productionWorld(long seed, int size) {
+    SimWorld world = SimWorld.inProduction(seed, WorldShape.of(size), SimWorld.SAME);
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
-  /** Controllers that support so much, none of which has raised the level. */
-  static SimWorld levelled(long seed, int size, Options options) {
-    SimWorld w = new SimWorld(seed, WorldShape.of(size));
-    w.checkLevels();
+  /** A world of controllers with these options, which have not raised the level yet. */
+  static SimWorld worldAtBaseLevel(long seed, int size, Options options) {
+    SimWorld world = new SimWorld(seed, WorldShape.of(size));
+    world.checkLevels();
     for (int i = 0; i < size; i++) {
-      w.replace(i, options);
-      w.crash(i);
-      w.start(i);
+      world.replace(i, options);
+      world.crash(i);
+      world.start(i);
     }
-    w.loop.run(4);
-    assertThat(w.leader()).isNotNegative();
-    return w;
+    world.loop.run(4);
+    assertThat(world.leader()).isNotNegative();
+    return world;
   }
 
-  /** A world whose level is the latest. */
-  static SimWorld finalized(long seed, int size) {
-    SimWorld w = levelled(seed, size, pinned(LATEST));
-    w.loop.run(SOAK_S + 5);
-    assertThat(level(w)).isEqualTo(LATEST);
-    return w;
+  /** A world at the latest level. */
+  static SimWorld worldAtLatestLevel(long seed, int size) {
+    SimWorld world = worldAtBaseLevel(seed, size, automaticUpgrade(LATEST));
+    world.loop.run(SOAK_S + 5);
+    assertThat(storedLevel(world)).isEqualTo(LATEST);
+    return world;
   }
 
-  /** The level that is stored. */
-  static int level(SimWorld w) {
-    JsonNode record = w.store.value(FeatureCodec.LEVEL);
+  /** The stored level. */
+  static int storedLevel(SimWorld world) {
+    JsonNode record = world.store.value(FeatureCodec.LEVEL);
     return record == null ? 0 : record.path("level").asInt();
   }
 
-  /** Arrays that come every two seconds, of which every fifth is cancelled soon after. */
-  static List<SimJob> steadyJobs(SimWorld w, double seconds) {
+  /** Submits an array every two seconds and cancels every fifth one soon after. */
+  static List<SimJob> submitSteadyJobs(SimWorld world, double durationS) {
     List<SimJob> jobs = new ArrayList<>();
-    for (int i = 0; i < seconds / 2; i++) {
-      SimJob job = w.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
+    for (int i = 0; i < durationS / 2; i++) {
+      SimJob job = world.users.job(String.format("j-0050%02d", i), 1 + i % 3, 1, 3 + i % 5, true);
       jobs.add(job);
-      int controller = i % w.size;
-      w.loop.after(2 * i, () -> w.users.submit(controller, job));
+      int controller = i % world.size;
+      world.loop.after(2 * i, () -> world.users.submit(controller, job));
       if (i % 5 == 4) {
-        w.loop.after(2 * i + 1.3, () -> w.users.cancel((controller + 1) % w.size, job));
+        world.loop.after(2 * i + 1.3, () -> world.users.cancel((controller + 1) % world.size, job));
       }
     }
     return jobs;
   }
 
-  /** Ends a controller and starts it as the present version with these options. */
-  static void upgrade(SimWorld w, int controller, Options options) {
-    w.replace(controller, options);
-    w.crash(controller);
-    w.loop.run(2);
-    w.start(controller);
-    w.loop.run(4);
+  /** Stops a controller and starts it with the current version and these options. */
+  static void upgrade(SimWorld world, int controller, Options options) {
+    world.replace(controller, options);
+    world.crash(controller);
+    world.loop.run(2);
+    world.start(controller);
+    world.loop.run(4);
   }
 
-  /** Asks a controller as an operator to change the level. */
-  static JsonNode change(SimWorld w, int controller, String what, int level) {
+  /** Requests a change of the level as an operator. */
+  static JsonNode requestLevelChange(SimWorld world, int controller, String operation, int level) {
     byte[] body = Json.write(Json.object().put("level", level));
-    return w.users.answer(controller, "POST", "/admin/features/" + what, body);
+    return world.users.answer(controller, "POST", "/admin/features/" + operation, body);
   }
 
-  /** Asks a controller as an operator for the level. */
-  static JsonNode show(SimWorld w, int controller) {
-    return w.users.answer(controller, "GET", "/admin/features", null);
+  /** Requests the status of the level as an operator. */
+  static JsonNode showLevel(SimWorld world, int controller) {
+    return world.users.answer(controller, "GET", "/admin/features", null);
   }
 
-  /** Runs the world for a minute, by whose end every job is over at every controller. */
-  static void allEnd(SimWorld w, List<SimJob> jobs) {
-    w.loop.run(60);
-    ScenarioSteps.allOver(w, jobs);
+  /**
+   * Runs the world for a minute and asserts that every controller then reports all jobs as ended.
+   */
+  static void assertAllJobsEnd(SimWorld world, List<SimJob> jobs) {
+    world.loop.run(60);
+    ScenarioSteps.allOver(world, jobs);
   }
 }
