--- a/src/main/java/graderelay/core/AdminViews.java
+++ b/src/main/java/graderelay/core/AdminViews.java
@@ -75,8 +75,7 @@
   String waitReason(String jobId) {
     Job job = cluster.jobs.get(jobId);
     if (job != null && job.awaitsDependencies() && !job.cancelRequested) {
-      return "waiting for dependencies: "
-          + String.join(", ", new TreeSet<>(job.pendingDependencies));
+      return "it needs " + String.join(", ", new TreeSet<>(job.pendingDependencies));
     }
     return job == null || !job.isWaiting() ? null : job.waitReason;
   }
--- a/src/main/java/graderelay/core/JobPlacer.java
+++ b/src/main/java/graderelay/core/JobPlacer.java
@@ -45,9 +45,7 @@
   /** The wait reason of a job in backoff after failures. */
   private static String backoffReason(Job job) {
     return job.suspect
-        ? "it fails on every machine ("
-            + job.failedMachines.size()
-            + " so far); backing off before the next try"
+        ? "it fails on every machine (" + job.failedMachines.size() + "); tried again later"
         : "backing off after failures";
   }
 
@@ -55,10 +53,10 @@
   private String skipReason(Job job, int maxTasks, double now) {
     if (maxTasks <= 0) {
       excludeUntilRoomIsFreed(job, now);
-      return "the free room is reserved for work of higher priority";
+      return "room is kept for work above it";
     }
     if (job.claims.size() >= rules.maxConcurrentClaims(job)) {
-      return "only a few of its tasks are tried until one runs, since it may fail on every machine";
+      return "a few of its tasks are tried first, since it may fail on every machine";
     }
     return null;
   }
@@ -125,12 +123,11 @@
         return false;
       }
       if (batch.inFlight) {
-        job.waitReason = "a change of its task batch record is being committed";
+        job.waitReason = "a change of its slice is being committed";
         return true;
       }
       if (batch.recordFullUntil > context.now()) {
-        job.waitReason =
-            "its task batch record has the maximum size that the key-value store allows";
+        job.waitReason = "its record is as large as the state service allows";
         return true;
       }
       return false;
@@ -153,7 +150,7 @@
       }
       if (!machine.hasImage(job.spec.image())
           && candidates.canMakeRoomOnMachineWithImage(context.usable(), context.now())) {
-        job.waitReason = "room is being made on a machine that has its image";
+        job.waitReason = "room is being made where its image is";
         return null;
       }
       return machine;
@@ -165,7 +162,7 @@
         return;
       }
       job.waitReason =
-          context.usable().isEmpty() ? "no machine is available" : "no allowed machine has room";
+          context.usable().isEmpty() ? "no machine reports" : "no room on an allowed machine";
       excludeUntilRoomIsFreed(job, context.now());
     }
 
@@ -185,7 +182,7 @@
         return true;
       }
       if (tasksPlaced >= maxTasks) {
-        job.waitReason = "the maximum number of its tasks placed in one round is reached";
+        job.waitReason = "slice cap of a round";
         return true;
       }
       return false;
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -164,7 +164,7 @@
         int unreservedTasks =
             reservations.maxUnreservedTasks(job, context.usable(), context.claims());
         if (changesLeft <= 0 && !service) {
-          job.waitReason = "the limit of key-value store changes in flight is reached";
+          job.waitReason = "changes of the state service are used up for the moment";
           continue;
         }
         int maxTasks = Math.min(job.spec.batchCapacity(), unreservedTasks);
--- a/src/main/java/graderelay/state/TeamLimits.java
+++ b/src/main/java/graderelay/state/TeamLimits.java
@@ -95,12 +95,12 @@
       TeamQuota settingsQuota = settingsQuotas.get(name);
       LimitRecord storedRecord = records.limits(name);
       if (settingsQuota == null) {
-        differences.add("team " + name + " has stored limits but is missing in the settings");
+        differences.add("team " + name + " is stored and not in the settings");
       } else if (storedRecord == null) {
-        differences.add("team " + name + " is in the settings but has no stored limits");
+        differences.add("team " + name + " is in the settings and not stored");
       } else if (storedRecord.isReadable() && !storedRecord.quota().equals(settingsQuota)) {
         differences.add(
-            "team " + name + " has different limits in the settings: " + describe(settingsQuota));
+            "team " + name + " has other limits in the settings: " + describe(settingsQuota));
       }
     }
     return differences;
