--- a/src/main/java/graderelay/core/Claim.java
+++ b/src/main/java/graderelay/core/Claim.java
@@ -16,7 +16,7 @@
     ENDING
   }
 
-  /** What the current leader knows about the launch command of this attempt. */
+  /** Status of this attempt's launch command, as far as the current leader can tell. */
   enum LaunchState {
     /** No launch command is in flight that a worker could still execute. */
     NONE,
--- a/src/main/java/graderelay/core/DependencyGraph.java
+++ b/src/main/java/graderelay/core/DependencyGraph.java
@@ -12,11 +12,11 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The dependencies between jobs, which form a DAG. A job is claimed only once the committed final
- * record of each of its dependencies says that it is done. Such a record never changes, so no claim
- * is too early, whichever process leads. A job that depends on a cancelled one is cancelled with
- * it. It can't have started, so only records change, which are written at the rate that the store
- * allows.
+ * The dependencies between jobs, which form a DAG. Tasks of a job are claimed only once the
+ * committed final record of each of its dependencies has the state done. Such a record never
+ * changes, so no claim is too early, whichever process leads. A job that depends on a cancelled one
+ * is cancelled with it. It can't have started, so only records change, which are written at the
+ * rate that the store allows.
  */
 final class DependencyGraph {
   /** Time between requests for the final record of a dependency that is not known to have ended. */
@@ -88,10 +88,10 @@
   }
 
   /**
-   * Handles a final record that says that a job is done. Returns the jobs that wait for no other
-   * dependency now.
+   * Handles the final record of a job that is done. Returns the jobs that now have no pending
+   * dependencies.
    *
-   * @param at when it ended, in seconds on the leader's clock
+   * @param endedAt when it ended, in seconds on the leader's clock
    */
   List<Job> onDone(String id, double endedAt) {
     unresolved.remove(id);
@@ -107,9 +107,7 @@
     return ready;
   }
 
-  /**
-   * Handles a final record that says that a job was cancelled. Returns the jobs to cancel with it.
-   */
+  /** Handles the final record of a cancelled job. Returns the jobs to cancel with it. */
   List<Job> onCancelled(String id) {
     unresolved.remove(id);
     List<Job> all = dependentsToCancel(id);
--- a/src/main/java/graderelay/core/FleetPlanner.java
+++ b/src/main/java/graderelay/core/FleetPlanner.java
@@ -82,7 +82,7 @@
    * @param noCapacity whether the cloud reported that the pool has no capacity
    */
   void onScaleOutResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
-    scaleOutPlanner.onResponse(id, machineNames, noCapacity, now);
+    scaleOutPlanner.onScaleOutResponse(id, machineNames, noCapacity, now);
   }
 
   /** Jobs that yield to other jobs of their team, as of the last plan. */
--- a/src/main/java/graderelay/core/HeartbeatHandler.java
+++ b/src/main/java/graderelay/core/HeartbeatHandler.java
@@ -9,7 +9,7 @@
   private final ClusterState cluster;
   private final DeletedMachines deletedMachines;
   private final ResponseLossDetector responseLossDetector;
-  private final ClaimReconciler reconciler;
+  private final ClaimReconciler claimReconciler;
   private final TaskStopper taskStopper;
   private final FleetPlanner planner;
   private long staleCount;
@@ -17,13 +17,13 @@
   HeartbeatHandler(
       ClusterState cluster,
       DeletedMachines deletedMachines,
-      ClaimReconciler reconciler,
+      ClaimReconciler claimReconciler,
       TaskStopper taskStopper,
       FleetPlanner planner) {
     this.cluster = cluster;
     this.deletedMachines = deletedMachines;
     this.responseLossDetector = new ResponseLossDetector(cluster);
-    this.reconciler = reconciler;
+    this.claimReconciler = claimReconciler;
     this.taskStopper = taskStopper;
     this.planner = planner;
   }
@@ -69,7 +69,7 @@
     }
     handleInterruptionNotice(machine, heartbeat, now);
     updateImages(machine, heartbeat, now);
-    reconciler.reconcile(machine, heartbeat, origin.workerInitiated(), now);
+    claimReconciler.reconcile(machine, heartbeat, origin.workerInitiated(), now);
     if (!wasAvailable && MachineAvailability.isAvailable(cluster, machine, now)) {
       cluster.roomVersion++;
       cluster.roundNeeded = true;
@@ -103,7 +103,7 @@
     machine.consecutiveProbeFailures = 0;
     if (origin.workerInitiated()) {
       machine.heartbeatController = origin.controller();
-      machine.lastHeartbeatAnswered = false;
+      machine.respondedToLastHeartbeat = false;
     }
     machine.lastHeartbeat = heartbeat;
     machine.imagesBeingFetched.clear();
@@ -140,13 +140,13 @@
   }
 
   /** Records a response to the machine's last heartbeat; the lease starts no later than this. */
-  void onHeartbeatAnswered(String machineName, double now) {
+  void onHeartbeatResponse(String machineName, double now) {
     Machine machine = cluster.machines.get(machineName);
     if (machine != null) {
       machine.lastResponseAt = now;
       machine.firstResponseAt =
           Double.isNaN(machine.firstResponseAt) ? now : machine.firstResponseAt;
-      machine.lastHeartbeatAnswered = true;
+      machine.respondedToLastHeartbeat = true;
     }
   }
 }
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -125,7 +125,7 @@
   String waitReason = "new";
 
   /** {@link ClusterState#roomVersion} when a placement round last found no room for it. */
-  long noRoomVersion = -1;
+  long noRoomAtVersion = -1;
 
   /**
    * When that was. The job is retried after a while even if no room was freed, since some
@@ -161,7 +161,8 @@
   // ---------------------------------------------------------------- DAG dependencies
 
   /**
-   * DependencyGraph that are not known to be done: no final record that says so has been seen yet.
+   * Ids of the dependencies that are not known to be done: no final record with that state has been
+   * seen yet.
    */
   final Set<String> pendingDependencies = new HashSet<>();
 
--- a/src/main/java/graderelay/core/JobPlacer.java
+++ b/src/main/java/graderelay/core/JobPlacer.java
@@ -63,7 +63,7 @@
 
   /** Excludes the job from rounds until room is freed or a short pause has passed. */
   private void excludeUntilRoomIsFreed(Job job, double now) {
-    job.noRoomVersion = cluster.roomVersion;
+    job.noRoomAtVersion = cluster.roomVersion;
     job.noRoomSince = now;
   }
 
--- a/src/main/java/graderelay/core/JobRecordHandler.java
+++ b/src/main/java/graderelay/core/JobRecordHandler.java
@@ -50,29 +50,34 @@
       job.cancelRequested |= cancelRequested;
     }
     if (job.cancelRequested) {
-      onCancellation(job, now);
+      applyCancellation(job, now);
     }
     cluster.roundNeeded = true;
   }
 
   /**
-   * Handles a cancellation that a peer reported before this leader read it from the store. The
-   * stored record has changed, so transactions conditioned on the known revision fail: no claim and
-   * no end of the job can commit, and none of its tasks can start. Its tasks are stopped at once.
+   * Handles a cancellation that was committed by a peer or by this controller before the changed
+   * record has been read from the store. The stored record has changed, so transactions conditioned
+   * on the known revision fail: no claim and no end of the job can commit, and none of its tasks
+   * can start. Its tasks are stopped at once.
    */
-  void onPeerCancellation(String id, double now) {
+  void onCancelled(String id, double now) {
     Job job = cluster.jobs.get(id);
     if (job != null && !job.cancelRequested) {
       cluster.log(
-          "cancellation of " + id + " reported by a peer, " + job.claims.size() + " claims");
+          "cancellation of "
+              + id
+              + " received before its record was read, "
+              + job.claims.size()
+              + " claims");
       job.cancelRequested = true;
-      onCancellation(job, now);
+      applyCancellation(job, now);
       cluster.roundNeeded = true;
     }
   }
 
   /** Stops the cancelled job's tasks and cancels the jobs that depend on it. */
-  private void onCancellation(Job job, double now) {
+  private void applyCancellation(Job job, double now) {
     cluster.cancelledJobs.add(job);
     cluster.possiblyEndedJobs.add(job);
     taskStopper.stopCancelledJob(job, now);
@@ -99,7 +104,7 @@
    * Handles the committed final record of a job that others may depend on; {@code endedAt} is the
    * time at which the job ended.
    */
-  void onFinalRecord(String id, boolean cancelled, double endedAt, double now) {
+  void onJobEnd(String id, boolean cancelled, double endedAt, double now) {
     if (!cluster.dependencies.hasDependents(id)) {
       return;
     }
@@ -118,7 +123,7 @@
   }
 
   /** Handles the removal of the job's record from the store. */
-  void onJobRemoved(String id, double now) {
+  void onJobDeleted(String id, double now) {
     Job job = cluster.jobs.get(id);
     if (job != null && !job.endInFlight) {
       records.removeJob(job, now);
--- a/src/main/java/graderelay/core/LaunchFencing.java
+++ b/src/main/java/graderelay/core/LaunchFencing.java
@@ -46,7 +46,7 @@
   }
 
   /** Handles the outcome: {@code newTerm} is higher than the current term only on success. */
-  void onRaiseOutcome(long newTerm, double now) {
+  void onTerm(long newTerm, double now) {
     raiseInFlight = false;
     if (newTerm > cluster.term) {
       cluster.term = newTerm;
--- a/src/main/java/graderelay/core/Machine.java
+++ b/src/main/java/graderelay/core/Machine.java
@@ -94,12 +94,12 @@
    * True if that heartbeat was current and was responded to. A worker that receives the response
    * keeps using the same controller.
    */
-  boolean lastHeartbeatAnswered;
+  boolean respondedToLastHeartbeat;
 
   /** The lease has certainly expired, with clock drift allowed for, so the session is over. */
   boolean leaseExpired;
 
-  /** Since when its heartbeats arrive here but our responses do not reach it; null if they do. */
+  /** Since when its heartbeats arrive but the responses to them are lost; null if they are not. */
   Double responsesLostSince;
 
   /** When it was last probed. */
@@ -194,7 +194,7 @@
 
   /**
    * True if the request fits in the free resources and the task limit. The check of resources
-   * matches {@link Resources#holds} on {@link #free()}, but allocates no object per call.
+   * matches {@link Resources#hasRoomFor} on {@link #free()}, but allocates no object per call.
    */
   boolean hasRoomFor(Resources request) {
     return claims.size() < SchedulerLimits.MAX_TASKS_PER_MACHINE
--- a/src/main/java/graderelay/core/MachineEvents.java
+++ b/src/main/java/graderelay/core/MachineEvents.java
@@ -15,8 +15,8 @@
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final DeletedMachines deletedMachines;
-  private final LostMachineHandler proofs;
-  private final TaskStopper stops;
+  private final LostMachineHandler lostMachineHandler;
+  private final TaskStopper taskStopper;
 
   /** Deleted machines to remove from the state once the ends of their claims have committed. */
   private final Set<String> pendingRemoval = new LinkedHashSet<>();
@@ -25,13 +25,13 @@
       ClusterState cluster,
       FleetPlanner planner,
       DeletedMachines deletedMachines,
-      LostMachineHandler proofs,
-      TaskStopper stops) {
+      LostMachineHandler lostMachineHandler,
+      TaskStopper taskStopper) {
     this.cluster = cluster;
     this.planner = planner;
     this.deletedMachines = deletedMachines;
-    this.proofs = proofs;
-    this.stops = stops;
+    this.lostMachineHandler = lostMachineHandler;
+    this.taskStopper = taskStopper;
   }
 
   /** Replaces the machine types that the cloud offers. */
@@ -73,7 +73,7 @@
     }
     if (listed.state().equals("failed") && !machine.failed) {
       machine.failed = true;
-      proofs.onMachineGone(machine, "the cloud lists it as failed", now);
+      lostMachineHandler.onMachineGone(machine, "the cloud lists it as failed", now);
     }
   }
 
@@ -92,7 +92,7 @@
       if (machine == null || !machine.scalingIn) {
         continue;
       }
-      proofs.onMachineGone(machine, "it was scaled in", now);
+      lostMachineHandler.onMachineGone(machine, "it was scaled in", now);
       deletedMachines.add(name);
       pendingRemoval.add(name);
     }
@@ -120,7 +120,7 @@
       machine.cordoned = drainRequested || cordoned.contains(machine.name);
       if (drainStarts) {
         cluster.log("machine " + machine.name + " is being drained by an operator");
-        stops.drainMachine(machine, now);
+        taskStopper.drainMachine(machine, now);
       }
     }
     cluster.roundNeeded = true;
--- a/src/main/java/graderelay/core/PlacementRound.java
+++ b/src/main/java/graderelay/core/PlacementRound.java
@@ -21,7 +21,8 @@
   private static final double OVERDUE_START_S = 150;
 
   /**
-   * Passes over a group with one job; each value says whether only machines with the image count.
+   * Passes over a group with one job; each value is true if the pass is limited to machines that
+   * have the job's image.
    */
   private static final boolean[] SINGLE_JOB_PASSES = {false};
 
@@ -106,7 +107,7 @@
   }
 
   private boolean foundNoRoomRecently(Job job, double now) {
-    return job.noRoomVersion == cluster.roomVersion && now - job.noRoomSince < NO_ROOM_PAUSE_S;
+    return job.noRoomAtVersion == cluster.roomVersion && now - job.noRoomSince < NO_ROOM_PAUSE_S;
   }
 
   private List<Machine> usableMachines(double now) {
--- a/src/main/java/graderelay/core/PlacementRules.java
+++ b/src/main/java/graderelay/core/PlacementRules.java
@@ -111,6 +111,6 @@
         free = free.plus(claim.resources());
       }
     }
-    return free.holds(job.taskResources);
+    return free.hasRoomFor(job.taskResources);
   }
 }
--- a/src/main/java/graderelay/core/PreemptionCandidates.java
+++ b/src/main/java/graderelay/core/PreemptionCandidates.java
@@ -133,7 +133,7 @@
         preemptibleClaims.add(claim);
       }
     }
-    if (free.holds(job.taskResources)) {
+    if (free.hasRoomFor(job.taskResources)) {
       return null; // There will be room without preemption.
     }
     preemptibleClaims.sort(
@@ -151,7 +151,7 @@
     for (Claim claim : preemptibleClaims) {
       victims.add(claim);
       free = free.plus(claim.resources());
-      if (free.holds(taskResources)) {
+      if (free.hasRoomFor(taskResources)) {
         return victims;
       }
     }
--- a/src/main/java/graderelay/core/Resources.java
+++ b/src/main/java/graderelay/core/Resources.java
@@ -48,7 +48,7 @@
   }
 
   /** True if the other resources fit into these. */
-  boolean holds(Resources other) {
+  boolean hasRoomFor(Resources other) {
     return other.cpus <= cpus + ROUNDING_TOLERANCE
         && other.gpus <= gpus + ROUNDING_TOLERANCE
         && other.memGb <= memGb + ROUNDING_TOLERANCE;
--- a/src/main/java/graderelay/core/ResponseLossDetector.java
+++ b/src/main/java/graderelay/core/ResponseLossDetector.java
@@ -23,7 +23,7 @@
    */
   void check(Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin, double now) {
     String evidence =
-        origin.workerInitiated() && machine.lastHeartbeatAnswered
+        origin.workerInitiated() && machine.respondedToLastHeartbeat
             ? findLossEvidence(machine, heartbeat, origin, now)
             : null;
     if (evidence == null && receivedResponse(machine, heartbeat, origin)) {
@@ -75,7 +75,7 @@
       Machine machine, Heartbeat heartbeat, HeartbeatOrigin origin) {
     return !origin.workerInitiated()
         || heartbeat.term() > machine.highestReportedTerm
-        || (isNextInSequence(machine, heartbeat) && machine.lastHeartbeatAnswered);
+        || (isNextInSequence(machine, heartbeat) && machine.respondedToLastHeartbeat);
   }
 
   /**
--- a/src/main/java/graderelay/core/ScaleOutPlanner.java
+++ b/src/main/java/graderelay/core/ScaleOutPlanner.java
@@ -42,7 +42,7 @@
    * @param machineNames machines created, or null if there are none
    * @param noCapacity whether the cloud reported that the pool has no capacity
    */
-  void onResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
+  void onScaleOutResponse(long id, List<String> machineNames, boolean noCapacity, double now) {
     PendingRequest request = pendingRequests.remove(id);
     if (request == null) {
       return;
--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -23,12 +23,12 @@
   private final ClusterState cluster;
   private final FleetPlanner planner;
   private final StoredRecords records;
-  private final TransactionOutcomeHandler transactionAnswers;
-  private final WorkerControl workerTasks;
-  private final HeartbeatHandler heartbeatIntake;
-  private final HeartbeatCommandSelector heartbeatResponses;
-  private final CommandDeliveryHandler commandDeliveries;
-  private final JobRecordHandler jobEvents;
+  private final TransactionOutcomeHandler transactionOutcomeHandler;
+  private final WorkerControl workerControl;
+  private final HeartbeatHandler heartbeatHandler;
+  private final HeartbeatCommandSelector heartbeatCommandSelector;
+  private final CommandDeliveryHandler commandDeliveryHandler;
+  private final JobRecordHandler jobRecordHandler;
   private final QuotaUpdates quotaUpdates;
   private final MachineEvents machineEvents;
   private final AdminViews adminViews;
@@ -49,39 +49,41 @@
         new LeaseDelegates(policy.delegates(), term, policy.delegateGrantS(), policy.leaseS(), now);
     cluster.dependencies = new DependencyGraph(cluster, planner::estimateRunTimeS);
     this.records = new StoredRecords(cluster);
-    this.workerTasks = WorkerControl.create(cluster, records);
+    this.workerControl = WorkerControl.create(cluster, records);
     DeletedMachines deletedMachines = new DeletedMachines();
-    ClaimReconciler reconciliation = new ClaimReconciler(cluster, records, planner);
-    this.heartbeatIntake =
+    ClaimReconciler claimReconciler = new ClaimReconciler(cluster, records, planner);
+    this.heartbeatHandler =
         new HeartbeatHandler(
-            cluster, deletedMachines, reconciliation, workerTasks.stopper(), planner);
-    this.heartbeatResponses = new HeartbeatCommandSelector(cluster);
-    this.commandDeliveries = new CommandDeliveryHandler(cluster, records, heartbeatIntake);
-    this.jobEvents = new JobRecordHandler(cluster, planner, records, workerTasks.stopper());
+            cluster, deletedMachines, claimReconciler, workerControl.stopper(), planner);
+    this.heartbeatCommandSelector = new HeartbeatCommandSelector(cluster);
+    this.commandDeliveryHandler = new CommandDeliveryHandler(cluster, records, heartbeatHandler);
+    this.jobRecordHandler =
+        new JobRecordHandler(cluster, planner, records, workerControl.stopper());
     TransactionsInFlight inFlight = new TransactionsInFlight(cluster);
-    this.transactionAnswers =
+    this.transactionOutcomeHandler =
         new TransactionOutcomeHandler(
             cluster,
             records,
             inFlight,
-            (end, at) -> jobEvents.onFinalRecord(end.job(), end.cancelled(), at, at));
+            (end, at) -> jobRecordHandler.onJobEnd(end.job(), end.cancelled(), at, at));
     this.quotaUpdates = new QuotaUpdates(cluster, records, policy.teams());
-    LostMachineHandler proofs = new LostMachineHandler(cluster, records);
+    LostMachineHandler lostMachineHandler = new LostMachineHandler(cluster, records);
     this.machineEvents =
-        new MachineEvents(cluster, planner, deletedMachines, proofs, workerTasks.stopper());
+        new MachineEvents(
+            cluster, planner, deletedMachines, lostMachineHandler, workerControl.stopper());
     this.adminViews = new AdminViews(cluster);
     PlacementRound placement = new PlacementRound(cluster, random);
     CompareAndSwapWriter writer = new CompareAndSwapWriter(cluster, records, inFlight);
-    JobEndWriter jobEnds = new JobEndWriter(cluster, records, inFlight);
+    JobEndWriter jobEndWriter = new JobEndWriter(cluster, records, inFlight);
     this.rounds =
         new SchedulingRounds(
             cluster,
             placement,
             planner,
             writer,
-            jobEnds,
-            workerTasks,
-            proofs,
+            jobEndWriter,
+            workerControl,
+            lostMachineHandler,
             machineEvents,
             quotaUpdates);
   }
@@ -110,7 +112,7 @@
    */
   public void onJob(
       JobSpec spec, boolean cancelRequested, long revision, double submittedAt, double now) {
-    jobEvents.onJob(spec, cancelRequested, revision, submittedAt, now);
+    jobRecordHandler.onJob(spec, cancelRequested, revision, submittedAt, now);
   }
 
   /**
@@ -118,12 +120,12 @@
    * on the record revision known here can no longer commit, and its tasks are stopped at once.
    */
   public void onCancelled(String job, double now) {
-    jobEvents.onPeerCancellation(job, now);
+    jobRecordHandler.onCancelled(job, now);
   }
 
   /** Handles the committed final record of a job, which other jobs may depend on. */
   public void onJobEnd(String job, boolean cancelled, double committedAt, double now) {
-    jobEvents.onFinalRecord(job, cancelled, committedAt, now);
+    jobRecordHandler.onJobEnd(job, cancelled, committedAt, now);
   }
 
   /** Lowers the limits on the size of a value and on changes per second in the key-value store. */
@@ -167,7 +169,7 @@
 
   /** Handles the deletion of a job's record from the store. */
   public void onJobDeleted(String id, double now) {
-    jobEvents.onJobRemoved(id, now);
+    jobRecordHandler.onJobDeleted(id, now);
   }
 
   // ---------------------------------------------------------------- workers
@@ -188,17 +190,18 @@
    * it is "".
    */
   public boolean onHeartbeat(Heartbeat heartbeat, String controller, double now) {
-    return heartbeatIntake.onHeartbeat(heartbeat, HeartbeatOrigin.workerInitiated(controller), now);
+    return heartbeatHandler.onHeartbeat(
+        heartbeat, HeartbeatOrigin.workerInitiated(controller), now);
   }
 
   /** Records that a heartbeat was responded to; the worker's lease cannot start later than that. */
-  public void onHeartbeatAnswered(String machine, double now) {
-    heartbeatIntake.onHeartbeatAnswered(machine, now);
+  public void onHeartbeatResponse(String machine, double now) {
+    heartbeatHandler.onHeartbeatResponse(machine, now);
   }
 
   /** Returns the worker commands for the response to the heartbeat that was just handled. */
   public List<WorkerCommand> commandsFor(Heartbeat heartbeat, double now) {
-    return heartbeatResponses.commandsFor(heartbeat, now);
+    return heartbeatCommandSelector.commandsFor(heartbeat, now);
   }
 
   /**
@@ -208,7 +211,7 @@
    */
   public void onCommandDelivery(
       Action.SendCommands sent, CommandDeliveryOutcome delivery, Heartbeat status, double now) {
-    commandDeliveries.onCommandDelivery(sent, delivery, status, now);
+    commandDeliveryHandler.onCommandDelivery(sent, delivery, status, now);
   }
 
   // ---------------------------------------------------------------- lease delegates
@@ -295,7 +298,7 @@
 
   /** Handles the deletion of a task batch record from the store. */
   public void onTaskBatchDeleted(TaskBatchKey key) {
-    records.onTaskBatchRemoved(key);
+    records.onTaskBatchDeleted(key);
   }
 
   /**
@@ -303,7 +306,7 @@
    * revision if it committed.
    */
   public void onTransactionOutcome(long id, TransactionOutcome outcome, long revision, double now) {
-    transactionAnswers.onOutcome(id, outcome, revision, now);
+    transactionOutcomeHandler.onTransactionOutcome(id, outcome, revision, now);
   }
 
   // ---------------------------------------------------------------- time
@@ -313,7 +316,7 @@
    * term if it succeeded.
    */
   public void onTerm(long newTerm, double now) {
-    workerTasks.fencing().onRaiseOutcome(newTerm, now);
+    workerControl.fencing().onTerm(newTerm, now);
   }
 
   /** Performs all time-based work, such as lease expiry, probes and the fleet plan. */
@@ -403,6 +406,6 @@
 
   /** Number of heartbeats dropped because a newer one had already been received. */
   public long staleHeartbeatCount() {
-    return heartbeatIntake.staleCount();
+    return heartbeatHandler.staleCount();
   }
 }
--- a/src/main/java/graderelay/core/SchedulingRounds.java
+++ b/src/main/java/graderelay/core/SchedulingRounds.java
@@ -20,11 +20,11 @@
   private final PlacementRound placement;
   private final FleetPlanner planner;
   private final CompareAndSwapWriter writer;
-  private final JobEndWriter jobEnds;
-  private final WorkerControl workers;
-  private final LostMachineHandler proofs;
+  private final JobEndWriter jobEndWriter;
+  private final WorkerControl workerControl;
+  private final LostMachineHandler lostMachineHandler;
   private final MachineEvents machineEvents;
-  private final QuotaUpdates quota;
+  private final QuotaUpdates quotaUpdates;
 
   private double lastAccountCheckAt = Double.NEGATIVE_INFINITY;
   private double lastRoundAt = Double.NEGATIVE_INFINITY;
@@ -35,28 +35,28 @@
       PlacementRound placement,
       FleetPlanner planner,
       CompareAndSwapWriter writer,
-      JobEndWriter jobEnds,
-      WorkerControl workers,
-      LostMachineHandler proofs,
+      JobEndWriter jobEndWriter,
+      WorkerControl workerControl,
+      LostMachineHandler lostMachineHandler,
       MachineEvents machineEvents,
-      QuotaUpdates quota) {
+      QuotaUpdates quotaUpdates) {
     this.cluster = cluster;
     this.placement = placement;
     this.planner = planner;
     this.writer = writer;
-    this.jobEnds = jobEnds;
-    this.workers = workers;
-    this.proofs = proofs;
+    this.jobEndWriter = jobEndWriter;
+    this.workerControl = workerControl;
+    this.lostMachineHandler = lostMachineHandler;
     this.machineEvents = machineEvents;
-    this.quota = quota;
+    this.quotaUpdates = quotaUpdates;
   }
 
   /** Runs everything that depends on time, then a scheduling round if one is due. */
   void tick(double now) {
-    proofs.expireLeases(now);
-    workers.prober().probeDueMachines(now);
-    workers.fencing().raiseTermIfBlocked(now);
-    workers.stopper().repeatCancellationKills(now);
+    lostMachineHandler.expireLeases(now);
+    workerControl.prober().probeDueMachines(now);
+    workerControl.fencing().raiseTermIfBlocked(now);
+    workerControl.stopper().repeatCancellationKills(now);
     requestFinalRecords(now);
     planIfDue(now);
     if (now - lastAccountCheckAt >= ACCOUNT_CHECK_INTERVAL_S) {
@@ -67,7 +67,7 @@
       cluster.roundNeeded = true;
     }
     step(now);
-    quota.addDiscrepancies();
+    quotaUpdates.addDiscrepancies();
   }
 
   /** Requests the final records of dependencies that are not known to have ended. */
@@ -96,7 +96,7 @@
    * called again.
    */
   double step(double now) {
-    workers.launcher().launchCommitted(now);
+    workerControl.launcher().launchCommitted(now);
     if (!cluster.roundNeeded || cluster.loading) {
       return MAX_ROUND_INTERVAL_S;
     }
@@ -108,13 +108,13 @@
     lastRoundAt = now;
     machineEvents.removeDeletedMachines();
     boolean claimsPaused =
-        cluster.policy.tuning().claimsPaused() || workers.fencing().isRaiseInFlight();
+        cluster.policy.tuning().claimsPaused() || workerControl.fencing().isRaiseInFlight();
     List<Claim> claims =
         claimsPaused ? List.of() : placement.placeTasks(writer.remainingChanges(), now);
-    workers.stopper().stopRequestedClaims(now);
+    workerControl.stopper().stopRequestedClaims(now);
     writer.write(claims, now);
-    jobEnds.endJobs();
-    workers.launcher().launchCommitted(now);
+    jobEndWriter.endJobs();
+    workerControl.launcher().launchCommitted(now);
     return MAX_ROUND_INTERVAL_S;
   }
 }
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -54,7 +54,7 @@
 
   private static Machine firstWithRoom(Claim claim, Map<Machine, Resources> free) {
     for (var entry : free.entrySet()) {
-      if (entry.getValue().holds(claim.resources()) && canRunOn(claim, entry.getKey())) {
+      if (entry.getValue().hasRoomFor(claim.resources()) && canRunOn(claim, entry.getKey())) {
         return entry.getKey();
       }
     }
@@ -131,7 +131,7 @@
           && target.hasRoomFor(claim.resources())
           && canRunOn(claim, target)
           && MachineAvailability.isAvailable(cluster, target, now)
-          && freeAfterMoves(planned, target).holds(claim.resources())) {
+          && freeAfterMoves(planned, target).hasRoomFor(claim.resources())) {
         return target;
       }
     }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The stored records as this leader knows them. It applies task batch records read from the
+ * This leader's view of the stored records. It applies task batch records read from the
  * consensus-backed store and collects the ends of claims. The store is the source of truth: a claim
  * counts from the moment its compare-and-swap is sent until one that ends it has committed. {@link
  * CompareAndSwapWriter} writes the changes.
@@ -54,7 +54,7 @@
   }
 
   /** Handles the removal of a task batch record from the store. */
-  void onTaskBatchRemoved(TaskBatchKey key) {
+  void onTaskBatchDeleted(TaskBatchKey key) {
     orphanRevisions.remove(key);
   }
 
--- a/src/main/java/graderelay/core/TransactionOutcomeHandler.java
+++ b/src/main/java/graderelay/core/TransactionOutcomeHandler.java
@@ -35,7 +35,7 @@
   }
 
   /** Handles the outcome of transaction {@code id}; it left the store at {@code revision}. */
-  void onOutcome(long id, TransactionOutcome outcome, long revision, double now) {
+  void onTransactionOutcome(long id, TransactionOutcome outcome, long revision, double now) {
     TransactionsInFlight.Transaction transaction = inFlight.removeCompleted(id);
     if (transaction == null) {
       return;
--- a/src/main/java/graderelay/service/LeaderTerm.java
+++ b/src/main/java/graderelay/service/LeaderTerm.java
@@ -194,7 +194,7 @@
     }
     List<WorkerCommand> commands = core.commandsFor(heartbeat, now);
     if (accepted) {
-      core.onHeartbeatAnswered(heartbeat.machine(), now);
+      core.onHeartbeatResponse(heartbeat.machine(), now);
     }
     scheduleStep();
     return commands;
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -31,12 +31,13 @@
    * Creates an empty cache. From now on every transaction of {@code state} is conditioned on the
    * feature level in this cache.
    */
-  public Cache(Loop loop, StateClient state, FeatureGate gate, RecordListener listener) {
+  public Cache(Loop loop, StateClient stateClient, FeatureGate gate, RecordListener listener) {
     this.tables = new RecordTables(gate, listener);
-    this.catchUpReader = new CatchUpReader(loop, state, tables::revision, this::onChangesRead);
-    this.watchLoop = new WatchLoop(loop, state, tables::revision, this::onChangesRead);
-    this.fullLoad = new FullLoad(loop, state, tables, catchUpReader::catchUp, this::onLoaded);
-    state.setFence(FeatureCodec.LEVEL, tables.features::levelRevision, () -> !gate.isShut());
+    this.catchUpReader =
+        new CatchUpReader(loop, stateClient, tables::revision, this::onChangesRead);
+    this.watchLoop = new WatchLoop(loop, stateClient, tables::revision, this::onChangesRead);
+    this.fullLoad = new FullLoad(loop, stateClient, tables, catchUpReader::catchUp, this::onLoaded);
+    stateClient.setFence(FeatureCodec.LEVEL, tables.features::levelRevision, () -> !gate.isShut());
   }
 
   // ---------------------------------------------------------------- reads of the store
@@ -76,7 +77,7 @@
       return applyChanges(result, afterRevision, sentAt);
     }
     if (result.outcome() == StoreOutcome.NOT_FOUND) {
-      // The store has compacted the changes since our revision.
+      // The store has compacted the changes since the cached revision.
       tables.markStale();
       fullLoad.start();
     }
@@ -153,8 +154,8 @@
   }
 
   /** Caches a final state that was read from the store. */
-  public void cacheFinalState(String id, FinalState state) {
-    tables.finalStates.put(id, state);
+  public void cacheFinalState(String id, FinalState stateClient) {
+    tables.finalStates.put(id, stateClient);
   }
 
   // ---------------------------------------------------------------- other records
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -22,8 +22,9 @@
 /**
  * The job cancellations that this controller has learned of. Any controller may confirm a
  * cancellation to a user, and a renewed worker lease keeps tasks running for the duration of the
- * lease. So a controller may renew worker leases only if it knows every confirmed cancellation that
- * has to take effect before the renewed lease ends; the renewal carries the kill commands for them.
+ * lease. So a controller may renew worker leases only if it has learned of every confirmed
+ * cancellation that has to take effect before the renewed lease ends; the renewal carries the kill
+ * commands for them.
  *
  * <p>{@link #completeAsOf} is the time up to which no confirmed cancellation is missing. It
  * advances with each read of the store, with each round of answers from all other controllers that
@@ -49,17 +50,17 @@
   private final double startupRenewalS;
   private final double startedAt;
 
-  /** Cancelled jobs that the cache may not show yet, with the time at which we learned of each. */
+  /** Cancelled jobs that the cache may not show yet, with the time at which each was learned. */
   private final Map<String, Double> learnedAt = new LinkedHashMap<>();
 
-  /** When we sent the last request to which each peer returned all cancellations it confirmed. */
+  /** Send time of the last request to which each peer returned all cancellations it confirmed. */
   private final Map<String, Double> completeAnswerRequestedAt = new HashMap<>();
 
   private double completeAsOfFromPeers = Double.NEGATIVE_INFINITY;
   private Predicate<String> isPeerExcluded = peer -> false;
   private Consumer<String> listener = job -> {};
 
-  /** Creates an instance that knows no cancellations; to be called when the process starts. */
+  /** Creates an instance without cancellations; to be called when the process starts. */
   public Cancellations(Loop loop, Cache cache, Settings settings) {
     this.loop = loop;
     this.cache = cache;
@@ -71,7 +72,7 @@
 
   /**
    * Sets the predicate for peers whose answers are not needed, because they can't confirm any
-   * cancellation that the records have not shown us.
+   * cancellation that is missing in the cached records.
    */
   public void excludePeers(Predicate<String> isExcluded) {
     this.isPeerExcluded = isExcluded;
@@ -100,17 +101,20 @@
         || (finalState != null && finalState.cancelled());
   }
 
-  /** True if the job is known to be cancelled, from its record, a peer or a commit of our own. */
+  /**
+   * True if the job is known to be cancelled, from its record, a peer or this controller's own
+   * commit.
+   */
   public boolean isCancelled(String job) {
     return isRecorded(job) || learnedAt.containsKey(job);
   }
 
-  /** The time up to which we know every cancellation that was confirmed to a user. */
+  /** The time up to which every cancellation that was confirmed to a user is known. */
   public double completeAsOf() {
     return Math.max(cache.completeAsOf(), completeAsOfFromPeers);
   }
 
-  /** True if we know every cancellation that earlier processes of this controller confirmed. */
+  /** True if all cancellations that earlier processes of this controller confirmed are known. */
   private boolean coversEarlierProcesses() {
     return completeAsOf() >= startedAt;
   }
@@ -118,14 +122,14 @@
   /**
    * True if worker leases may be renewed now. A process that has just started may renew them for a
    * short time without knowing any cancellations, because the controllers that renewed them before
-   * knew enough; see {@link Settings#beginnersS}.
+   * had current cancellations; see {@link Settings#beginnersS}.
    */
   public boolean mayRenewLeases() {
     double now = loop.now();
     return now <= completeAsOf() + maxStalenessS || now <= startedAt + startupRenewalS;
   }
 
-  /** True if our knowledge is old enough that the peers should be queried. */
+  /** True if the known cancellations are old enough that the peers should be queried. */
   public boolean isStale() {
     return loop.now() > completeAsOf() + STALE_AFTER_S;
   }
@@ -190,16 +194,17 @@
         List.copyOf(jobs));
   }
 
-  /** Removes the cancellations that the cache has shown since. */
+  /** Removes the cancellations that the cache includes by now. */
   private void removeRecorded() {
     learnedAt.values().removeIf(at -> at < cache.completeAsOf());
   }
 
-  /** Handles a peer's knowledge, received in answer to a request sent at {@code sentAt}. */
+  /** Handles the cancellations from a peer's answer to a request sent at {@code sentAt}. */
   public void onPeerKnowledge(String peer, double sentAt, KnownCancellations knowledge) {
     merge(sentAt, knowledge);
-    // An earlier process of the peer may have confirmed cancellations that the peer has lost. We
-    // have them if our knowledge extends to the start of the peer's present process.
+    // An earlier process of the peer may have confirmed cancellations that the peer has lost.
+    // None is missing here if the known cancellations are complete up to the start of the peer's
+    // current process.
     double peerStartedAt =
         loop.now() - knowledge.processUptimeS() * (1 - LeaseTiming.MAX_CLOCK_DRIFT_RATIO);
     if (knowledge.complete()
@@ -209,7 +214,7 @@
     completeAsOfFromPeers = Math.max(completeAsOfFromPeers, oldestCompleteAnswerRequestedAt());
   }
 
-  /** When we sent the oldest of the last requests that were answered completely, over all peers. */
+  /** Send time of the oldest of the last requests that were answered completely, over all peers. */
   private double oldestCompleteAnswerRequestedAt() {
     double oldest = coversEarlierProcesses() ? loop.now() : Double.NEGATIVE_INFINITY;
     for (Settings.Peer peer : peers) {
@@ -222,7 +227,7 @@
     return oldest;
   }
 
-  /** Adds another controller's knowledge, received in answer to a request, to our own. */
+  /** Adds the cancellations from another controller's answer to a request. */
   public void merge(double sentAt, KnownCancellations knowledge) {
     knowledge.jobs().forEach(this::add);
     if (knowledge.knownUntilAgeS() >= 0) {
--- a/src/main/java/graderelay/state/CatchUpReader.java
+++ b/src/main/java/graderelay/state/CatchUpReader.java
@@ -17,7 +17,7 @@
   private static final double MIN_INTERVAL_S = 0.04;
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final LongSupplier revision;
   private final ChangeHandler changeHandler;
   private List<Consumer<Boolean>> waitingCallbacks = new ArrayList<>();
@@ -29,9 +29,10 @@
    *
    * @param revision supplies the revision up to which every change has been seen
    */
-  CatchUpReader(Loop loop, StateClient state, LongSupplier revision, ChangeHandler changeHandler) {
+  CatchUpReader(
+      Loop loop, StateClient stateClient, LongSupplier revision, ChangeHandler changeHandler) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.revision = revision;
     this.changeHandler = changeHandler;
   }
@@ -50,7 +51,7 @@
       return;
     }
     readInFlight = true;
-    double intervalS = Math.max(MIN_INTERVAL_S, state.budget().readIntervalS());
+    double intervalS = Math.max(MIN_INTERVAL_S, stateClient.budget().readIntervalS());
     double delayS = lastSentAt + intervalS - loop.now();
     if (delayS > 0) {
       loop.after(delayS, this::read);
@@ -65,7 +66,7 @@
     lastSentAt = loop.now();
     double sentAt = lastSentAt;
     long afterRevision = revision.getAsLong();
-    state.watch(
+    stateClient.watch(
         StateCodec.ROOT,
         afterRevision,
         0,
--- a/src/main/java/graderelay/state/ElectionRecords.java
+++ b/src/main/java/graderelay/state/ElectionRecords.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * This controller's copy of the election records: the leader, the term, and the suspensions from
+ * This controller's cache of the election records: the leader, the term, and the suspensions from
  * election. The leader and the suspensions are stored under other keys once elections are sealed,
  * see {@link graderelay.features.Feature#SEALED_ELECTION}.
  */
--- a/src/main/java/graderelay/state/FeatureRecords.java
+++ b/src/main/java/graderelay/state/FeatureRecords.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This controller's copy of the feature level records; passes the level on to the gate. */
+/** This controller's cache of the feature level records; passes the level on to the gate. */
 public final class FeatureRecords {
   private static final Logger LOG = LoggerFactory.getLogger("features");
 
@@ -26,7 +26,7 @@
     this.gate = gate;
   }
 
-  /** The gate that receives the cluster's feature level from this copy. */
+  /** The gate that receives the cluster's feature level from this cache. */
   public FeatureGate gate() {
     return gate;
   }
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -30,7 +30,7 @@
   }
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final Cache cache;
   private final int maxIdsPerTransaction;
 
@@ -45,9 +45,9 @@
    *
    * @param txnOps maximum number of changes in a transaction; conditions may be four times as many
    */
-  public FinalStateLookup(Loop loop, StateClient state, Cache cache, int txnOps) {
+  public FinalStateLookup(Loop loop, StateClient stateClient, Cache cache, int txnOps) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.cache = cache;
     this.maxIdsPerTransaction = StateClient.maxConditions(txnOps);
   }
@@ -63,7 +63,7 @@
       return;
     }
     lookupInFlight = true;
-    double dueAt = lastLookupAt + state.budget().readIntervalS();
+    double dueAt = lastLookupAt + stateClient.budget().readIntervalS();
     loop.after(Math.max(0, dueAt - loop.now()), this::sendLookup);
   }
 
@@ -79,7 +79,7 @@
       transaction.when(StateCodec.finalStateKey(entry.getKey()), 0);
       iterator.remove();
     }
-    state.commit(
+    stateClient.commit(
         transaction,
         Use.READ,
         result -> {
@@ -128,7 +128,7 @@
   }
 
   private void read(String id, List<Consumer<Result>> callbacks) {
-    state.get(
+    stateClient.get(
         StateCodec.finalStateKey(id),
         Use.READ,
         result -> {
--- a/src/main/java/graderelay/state/FullLoad.java
+++ b/src/main/java/graderelay/state/FullLoad.java
@@ -32,7 +32,7 @@
   private static final String LAST_ELECTION_PREFIX = StateCodec.TERM;
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final RecordTables tables;
   private final Consumer<Consumer<Boolean>> catchUp;
   private final Runnable onLoaded;
@@ -49,12 +49,12 @@
    */
   FullLoad(
       Loop loop,
-      StateClient state,
+      StateClient stateClient,
       RecordTables tables,
       Consumer<Consumer<Boolean>> catchUp,
       Runnable onLoaded) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.tables = tables;
     this.catchUp = catchUp;
     this.onLoaded = onLoaded;
@@ -88,7 +88,7 @@
       return;
     }
     String prefix = PREFIXES.get(listings.size());
-    state.list(
+    stateClient.list(
         prefix,
         Use.CLAIM,
         listing -> {
@@ -112,7 +112,7 @@
       applyAll(listings);
       return;
     }
-    state.list(
+    stateClient.list(
         FeatureCodec.HINTS,
         Use.CLAIM,
         listing -> {
--- a/src/main/java/graderelay/state/GivenPledges.java
+++ b/src/main/java/graderelay/state/GivenPledges.java
@@ -40,7 +40,7 @@
   /**
    * Pledges not to stand for election to the leader of a term, which can't renew its session lease.
    *
-   * @return false if the pledge is refused because this controller leads or knows of a later term
+   * @return false if the pledge is refused because this controller leads or has seen a later term
    */
   boolean pledgeToLeader(long term, double durationS) {
     if (!status.isActiveFollower() || cache.term() > term) {
--- a/src/main/java/graderelay/state/LeaderHintRecords.java
+++ b/src/main/java/graderelay/state/LeaderHintRecords.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * This controller's copy of the hints that a leader stores for its successor. They are kept encoded
- * as stored, since only a new leader decodes them.
+ * This controller's cache of the hints that a leader stores for its successor. They are kept
+ * encoded as stored, since only a new leader decodes them.
  */
 public final class LeaderHintRecords {
   private JsonNode demand;
--- a/src/main/java/graderelay/state/LeaderPledges.java
+++ b/src/main/java/graderelay/state/LeaderPledges.java
@@ -8,8 +8,8 @@
  * Collects pledges while this controller leads and can't renew its session lease: as long as every
  * peer has pledged not to stand for election, no other controller can become the leader, so this
  * one may continue to lead after its lease has expired. Pledges are also requested while the known
- * cancellations are getting out of date, since the answers include the cancellations that a peer
- * knows.
+ * cancellations are getting out of date, since the answers include the cancellations known to the
+ * peer.
  */
 final class LeaderPledges {
   /** Seconds between requests for pledges. */
--- a/src/main/java/graderelay/state/PledgeRequests.java
+++ b/src/main/java/graderelay/state/PledgeRequests.java
@@ -10,7 +10,7 @@
 
 /**
  * Sends pledge requests to all peers. Each answer also contains whether the peer reaches the
- * key-value store and which cancellations it knows, whether or not the pledge is granted.
+ * key-value store and the cancellations known to it, whether or not the pledge is granted.
  */
 final class PledgeRequests {
   /** Handles the answers to one round of requests. */
--- a/src/main/java/graderelay/state/StoreAvailability.java
+++ b/src/main/java/graderelay/state/StoreAvailability.java
@@ -8,7 +8,7 @@
  */
 final class StoreAvailability {
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
 
   /** When a peer last reported that it reaches the store. */
   private double peerReachedStoreAt = Double.NEGATIVE_INFINITY;
@@ -16,9 +16,9 @@
   /** When a peer last reported that it does not reach the store. */
   private double peerFailedToReachStoreAt = Double.NEGATIVE_INFINITY;
 
-  StoreAvailability(Loop loop, StateClient state) {
+  StoreAvailability(Loop loop, StateClient stateClient) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
   }
 
   /** Called when a peer has reported whether it reaches the store itself. */
@@ -32,7 +32,7 @@
 
   /** True if this controller's calls to the store have been failing for a while. */
   boolean isUnavailable() {
-    return state.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
+    return stateClient.health().failingForS() > ElectionTiming.STORE_UNAVAILABLE_AFTER_S;
   }
 
   /**
--- a/src/main/java/graderelay/state/WatchLoop.java
+++ b/src/main/java/graderelay/state/WatchLoop.java
@@ -14,7 +14,7 @@
   private static final double MIN_INTERVAL_S = 0.02;
 
   private final Loop loop;
-  private final StateClient state;
+  private final StateClient stateClient;
   private final LongSupplier revision;
   private final ChangeHandler changeHandler;
   private double lastSentAt = Double.NEGATIVE_INFINITY;
@@ -29,9 +29,10 @@
    *
    * @param revision supplies the revision up to which every change has been seen
    */
-  WatchLoop(Loop loop, StateClient state, LongSupplier revision, ChangeHandler changeHandler) {
+  WatchLoop(
+      Loop loop, StateClient stateClient, LongSupplier revision, ChangeHandler changeHandler) {
     this.loop = loop;
-    this.state = state;
+    this.stateClient = stateClient;
     this.revision = revision;
     this.changeHandler = changeHandler;
   }
@@ -49,7 +50,7 @@
     if (closed || watchGeneration != generation) {
       return;
     }
-    double intervalS = Math.max(MIN_INTERVAL_S, state.budget().readIntervalS());
+    double intervalS = Math.max(MIN_INTERVAL_S, stateClient.budget().readIntervalS());
     double delayS = lastSentAt + intervalS - loop.now();
     if (delayS > 0) {
       loop.after(delayS, () -> watch(watchGeneration));
@@ -58,7 +59,7 @@
     lastSentAt = loop.now();
     double sentAt = lastSentAt;
     long afterRevision = revision.getAsLong();
-    state.watch(
+    stateClient.watch(
         StateCodec.ROOT,
         afterRevision,
         BLOCK_MS,
--- a/src/test/java/graderelay/core/FailingJobsTest.java
+++ b/src/test/java/graderelay/core/FailingJobsTest.java
@@ -63,7 +63,7 @@
               scheduler.term(),
               statuses.toArray(new Heartbeat.TaskStatus[0]));
       scheduler.onHeartbeat(heartbeat, now);
-      scheduler.onHeartbeatAnswered(machineLaunches.getKey(), now);
+      scheduler.onHeartbeatResponse(machineLaunches.getKey(), now);
     }
     return exitedCount;
   }
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -105,17 +105,17 @@
   }
 
   @Test
-  void leaseExpiryDuringAnswerIsNotReportedAsLostAnswers() {
+  void leaseExpiryDuringResponseIsNotReportedAsLostResponses() {
     Scheduler scheduler = SchedulerFixture.scheduler(7);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 90, 6), 1);
-    scheduler.onHeartbeatAnswered("n-1", 1);
+    scheduler.onHeartbeatResponse("n-1", 1);
     // The worker dropped the answer, since its lease expired while the answer was in flight.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 91, 6), 2);
     assertThat(SchedulerFixture.logLines(scheduler))
         .noneMatch(line -> line.contains("does not hear us"));
-    scheduler.onHeartbeatAnswered("n-1", 2);
+    scheduler.onHeartbeatResponse("n-1", 2);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 92, 7), 4);
-    scheduler.onHeartbeatAnswered("n-1", 4);
+    scheduler.onHeartbeatResponse("n-1", 4);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 3, 93, 7), 6);
     assertThat(SchedulerFixture.logLines(scheduler))
         .anyMatch(line -> line.contains("does not hear us"));
--- a/src/test/java/graderelay/core/SchedulerFixture.java
+++ b/src/test/java/graderelay/core/SchedulerFixture.java
@@ -190,7 +190,7 @@
   public static void exchangeHeartbeat(
       Scheduler scheduler, String name, long session, long seq, double now) {
     scheduler.onHeartbeat(heartbeat(name, session, seq, scheduler.term()), now);
-    scheduler.onHeartbeatAnswered(name, now);
+    scheduler.onHeartbeatResponse(name, now);
   }
 
   /** Returns the name of machine {@code i}. */
@@ -312,12 +312,12 @@
     }
     Heartbeat first = heartbeat(machine, 1, seq, scheduler.term(), taskStatuses(running, 0));
     scheduler.onHeartbeat(first, now);
-    scheduler.onHeartbeatAnswered(machine, now);
+    scheduler.onHeartbeatResponse(machine, now);
     addLaunched(scheduler.commandsFor(first, now), running);
     Heartbeat second =
         heartbeat(machine, 1, seq + 1, scheduler.term(), taskStatuses(running, doneCount));
     scheduler.onHeartbeat(second, now + 0.5);
-    scheduler.onHeartbeatAnswered(machine, now + 0.5);
+    scheduler.onHeartbeatResponse(machine, now + 0.5);
     var iterator = running.keySet().iterator();
     for (int i = 0; i < doneCount && iterator.hasNext(); i++) {
       iterator.next();
--- a/src/test/java/graderelay/worker/DeafMachinesTest.java
+++ b/src/test/java/graderelay/worker/DeafMachinesTest.java
@@ -36,13 +36,13 @@
     registerMachine(s, "n-1", 0);
     // A worker that took our answer would have stayed with us.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), "m-1", 5.1);
-    s.onHeartbeatAnswered("n-1", 5.1);
+    s.onHeartbeatResponse("n-1", 5.1);
     s.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(s, 10, 5.3);
     assertThat(SchedulerFixture.claimCount(s, "n-1")).isZero();
     // It stays there: the answer that went back that way has arrived.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-1", 7.1);
-    s.onHeartbeatAnswered("n-1", 7.1);
+    s.onHeartbeatResponse("n-1", 7.1);
     SchedulerFixture.commitAll(s, 11, 7.2);
     assertThat(SchedulerFixture.claimCount(s, "n-1")).isEqualTo(1);
   }
@@ -129,7 +129,7 @@
     Scheduler s = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
       s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, seq, 6), seq * 4);
-      s.onHeartbeatAnswered("n-1", seq * 4);
+      s.onHeartbeatResponse("n-1", seq * 4);
     }
     assertThat(SchedulerFixture.logLines(s)).anyMatch(n -> n.contains("does not hear us"));
   }
@@ -140,7 +140,7 @@
     SchedulerFixture.exchangeHeartbeat(s, "n-1", 1, 1, 0);
     // Its second heartbeat found nobody, so it went on to another controller with the third.
     s.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-2", 9);
-    s.onHeartbeatAnswered("n-1", 9);
+    s.onHeartbeatResponse("n-1", 9);
     assertThat(SchedulerFixture.logLines(s)).noneMatch(n -> n.contains("does not hear us"));
   }
 }
