--- a/src/main/java/graderelay/core/ClaimReconciler.java
+++ b/src/main/java/graderelay/core/ClaimReconciler.java
@@ -144,8 +144,7 @@
       }
       case "error" -> failureAttribution.onFailure(machine, claim, now);
       case "no_room" -> {
-        // The machine runs tasks that have not been reported to this leader yet; the next
-        // heartbeats
+        // The machine runs tasks that it has not reported to this leader yet; the next heartbeats
         // will list them.
         double pauseUntil = now + cluster.policy.heartbeatIntervalS();
         machine.quarantineUntil = Math.max(machine.quarantineUntil, pauseUntil);
--- a/src/main/java/graderelay/core/DirectCommandRateLimiter.java
+++ b/src/main/java/graderelay/core/DirectCommandRateLimiter.java
@@ -14,7 +14,7 @@
   /** Share of the bucket that probes of machines without services leave unused. */
   static final double COMMAND_RESERVE_SHARE = 0.5;
 
-  /** For the most urgent commands, which may use the whole bucket. */
+  /** Reserve share for the most urgent commands, which may use the whole bucket. */
   static final double NO_RESERVE_SHARE = 0;
 
   private final ClusterState cluster;
--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -37,10 +37,10 @@
     TaskBatchRecord record;
     long revision;
 
-    /** True while a transaction on it is unanswered, so that its revision is about to change. */
+    /** True while a transaction on it is in flight, so that its revision is about to change. */
     boolean inFlight;
 
-    /** The newer record that the watch delivered while the transaction was unanswered, or null. */
+    /** The newer record that the watch delivered while the transaction was in flight, or null. */
     TaskBatchRecord newerRecord;
 
     long newerRevision;
@@ -128,7 +128,7 @@
   long noRoomAtVersion = -1;
 
   /**
-   * When that was. The job is retried after a while even if no room was freed, since some
+   * Time of that round. The job is retried after a while even if no room was freed, since some
    * conditions change with time alone.
    */
   double noRoomSince;
--- a/src/main/java/graderelay/core/JobRecordHandler.java
+++ b/src/main/java/graderelay/core/JobRecordHandler.java
@@ -122,7 +122,7 @@
     cluster.roundNeeded = true;
   }
 
-  /** Handles the removal of the job's record from the store. */
+  /** Handles the deletion of the job's record from the store. */
   void onJobDeleted(String id, double now) {
     Job job = cluster.jobs.get(id);
     if (job != null && !job.endInFlight) {
--- a/src/main/java/graderelay/core/ScaleInPlanner.java
+++ b/src/main/java/graderelay/core/ScaleInPlanner.java
@@ -16,7 +16,7 @@
    */
   private static final double UNREACHABLE_AFTER_HEARTBEAT_INTERVALS = 3.2;
 
-  /** Consecutive unanswered probes that are also required. */
+  /** Consecutive probes without a response that are also required. */
   private static final int UNREACHABLE_AFTER_PROBE_FAILURES = 2;
 
   /**
--- a/src/main/java/graderelay/core/ServiceMoves.java
+++ b/src/main/java/graderelay/core/ServiceMoves.java
@@ -97,7 +97,7 @@
         cluster.requestStop(claim, now);
         lastMoveAt = now;
         planned.merge(target, claim.resources(), Resources::plus);
-        cluster.log("move " + claim.taskId() + " off " + machine.name);
+        cluster.log("moving " + claim.taskId() + " off machine " + machine.name);
         if (--movesLeft <= 0) {
           return;
         }
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -53,7 +53,7 @@
     adoptRecord(job, batch, record, revision, now);
   }
 
-  /** Handles the removal of a task batch record from the store. */
+  /** Handles the deletion of a task batch record from the store. */
   void onTaskBatchDeleted(TaskBatchKey key) {
     orphanRevisions.remove(key);
   }
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Ends a claim whose attempt is proven to have ended or was never launched; {@code taskDone}
-   * tells if its task is done.
+   * Ends a claim whose attempt is proven to have ended or was never launched; {@code taskDone} is
+   * true if its task is done.
    */
   void endClaim(Claim claim, boolean taskDone, double now) {
     if (claim.phase == Claim.Phase.ENDING) {
--- a/src/main/java/graderelay/core/TransactionOutcomeHandler.java
+++ b/src/main/java/graderelay/core/TransactionOutcomeHandler.java
@@ -34,7 +34,10 @@
     this.onJobEnded = onJobEnded;
   }
 
-  /** Handles the outcome of transaction {@code id}; it left the store at {@code revision}. */
+  /**
+   * Handles the outcome of transaction {@code id}; {@code revision} is its revision if it
+   * committed.
+   */
   void onTransactionOutcome(long id, TransactionOutcome outcome, long revision, double now) {
     TransactionsInFlight.Transaction transaction = inFlight.removeCompleted(id);
     if (transaction == null) {
--- a/src/main/java/graderelay/state/Cache.java
+++ b/src/main/java/graderelay/state/Cache.java
@@ -28,8 +28,8 @@
   private final WatchLoop watchLoop;
 
   /**
-   * Creates an empty cache. From now on every transaction of {@code state} is conditioned on the
-   * feature level in this cache.
+   * Creates an empty cache. From now on every transaction of {@code stateClient} is conditioned on
+   * the feature level in this cache.
    */
   public Cache(Loop loop, StateClient stateClient, FeatureGate gate, RecordListener listener) {
     this.tables = new RecordTables(gate, listener);
--- a/src/main/java/graderelay/state/Cancellations.java
+++ b/src/main/java/graderelay/state/Cancellations.java
@@ -177,7 +177,7 @@
 
   // ---------------------------------------------------------------- exchange with peers
 
-  /** Our knowledge of cancellations, to be sent to peers. */
+  /** The cancellations known to this controller, to be sent to peers. */
   public KnownCancellations ownKnowledge() {
     removeRecorded();
     Collection<String> jobs = new TreeSet<>(cache.cancelledJobs());
--- a/src/main/java/graderelay/state/FinalStateLookup.java
+++ b/src/main/java/graderelay/state/FinalStateLookup.java
@@ -14,8 +14,8 @@
 
 /**
  * Looks up final states that are not cached. Users poll old jobs, and jobs that were never
- * submitted, over and over. A single read-only transaction shows for dozens of ids that they have
- * no final record, so a storm of such polls costs only a few requests per second to the store.
+ * submitted, repeatedly. A single read-only transaction shows for dozens of ids that they have no
+ * final record, so many such polls at once cost only a few requests per second to the store.
  */
 public final class FinalStateLookup {
   /** Result of a lookup. */
--- a/src/main/java/graderelay/state/OwnSuspension.java
+++ b/src/main/java/graderelay/state/OwnSuspension.java
@@ -9,8 +9,8 @@
  * This controller's own suspension from election, which the last leader recorded because this
  * controller did not answer it. That leader may rely on the suspension for {@link
  * ElectionTiming#SUSPENSION_S} after it last read the records, so this controller first records
- * that it is leaving the suspension and then waits that long. A new process of this controller
- * starts over.
+ * that it is leaving the suspension and then waits that long. A new process of this controller has
+ * to do both again.
  */
 final class OwnSuspension {
   private final Loop loop;
--- a/src/test/java/graderelay/core/PreemptionTest.java
+++ b/src/test/java/graderelay/core/PreemptionTest.java
@@ -109,7 +109,7 @@
     Scheduler scheduler = SchedulerFixture.scheduler(7);
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 90, 6), 1);
     scheduler.onHeartbeatResponse("n-1", 1);
-    // The worker dropped the answer, since its lease expired while the answer was in flight.
+    // The worker dropped the response: its lease expired while the response was in flight.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 2, 91, 6), 2);
     assertThat(SchedulerFixture.logLines(scheduler))
         .noneMatch(line -> line.contains("does not hear us"));
@@ -155,13 +155,13 @@
     SchedulerFixture.commitAll(scheduler, 10, 0.2);
     scheduler.onJob(
         SchedulerFixture.arrayWithPriority("j-1", Priority.URGENT, 4, null), false, 6, 0.3, 0.3);
-    scheduler.step(0.4); // Its first claim is sent and not answered yet.
+    scheduler.step(0.4); // Its first claim is sent and has no outcome yet.
     scheduler.onJob(
         SchedulerFixture.arrayWithPriority("j-2", Priority.LOW, 100, null), false, 7, 0.5, 0.5);
     scheduler.step(0.6);
     int before = SchedulerFixture.changesInFlight(scheduler);
     // Of the four slots of a new machine, three are reserved for the tasks that wait for the
-    // answer.
+    // outcome.
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-5", 1, 1, 0.7);
     scheduler.step(0.8);
     assertThat(SchedulerFixture.changesInFlight(scheduler) - before).isEqualTo(1);
--- a/src/test/java/graderelay/state/FailoverTest.java
+++ b/src/test/java/graderelay/state/FailoverTest.java
@@ -66,9 +66,9 @@
   }
 
   @Test
-  void workerSessionKnownOnlyFromDirectCommandAnswersKeepsItsFullLease() {
+  void workerSessionSeenOnlyInDirectCommandResponsesKeepsItsFullLease() {
     // The worker can't reach any controller, but the leader reaches it. The leader learns of a new
-    // worker session only from answers to direct commands and launches a task in it, so it has to
+    // worker session only from responses to direct commands and launches a task in it, so it has to
     // wait for a full lease of that session before it considers the lease over.
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0.0);
@@ -80,7 +80,7 @@
     SchedulerFixture.commitAll(
         scheduler, 12, 11.2); // The second attempt is claimed in the new session.
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
-    scheduler.tick(14); // A lease counted from the last answered heartbeat would be over.
+    scheduler.tick(14); // A lease counted from the last heartbeat with a response would be over.
     assertThat(SchedulerFixture.logLines(scheduler))
         .noneMatch(line -> line.contains("lease of n-1 is over"));
     scheduler.tick(11 + SimWorld.LEASE_S + 1);
--- a/src/test/java/graderelay/state/StateOutageTest.java
+++ b/src/test/java/graderelay/state/StateOutageTest.java
@@ -43,8 +43,8 @@
   }
 
   /**
-   * The only controller that knows of a cancellation crashes at the start of the outage, and the
-   * others restart during it, so that no process remembers the cancellation.
+   * The only controller to which a cancellation is known crashes at the start of the outage, and
+   * the others restart during it, so that the cancellation is known to no process.
    */
   @ParameterizedTest
   @CsvSource({"a, 3, 6", "a, 0.1, 6", "a, 0.1, 11", "a, 9, 6", "ab, 0.1, 6", "ab, 3, 0.2"})
@@ -61,7 +61,7 @@
     world.loop.run(0.05);
     assertThat(job.cancelAnswered).isNotNaN();
     world.store.outage(true);
-    world.crash(other); // No other controller knows of the cancellation.
+    world.crash(other); // The cancellation is known to no other controller.
     world.loop.run(othersCrashAfterS);
     world.crash((other + 1) % 3);
     world.crash((other + 2) % 3);
--- a/src/test/java/graderelay/state/SuspendedControllersTest.java
+++ b/src/test/java/graderelay/state/SuspendedControllersTest.java
@@ -64,7 +64,7 @@
     world.start(restarted);
     world.loop.run(ElectionTiming.SUSPENSION_S - 2);
     assertThat(world.leader()).isNegative();
-    // A new process of it does not know since when it has waited, and starts over.
+    // A new process of it has not stored how long it has waited, so its waiting time starts again.
     world.crash(restarted);
     world.start(restarted);
     world.loop.run(ElectionTiming.SUSPENSION_S - 2);
--- a/src/test/java/graderelay/state/UngrantedPledgesTest.java
+++ b/src/test/java/graderelay/state/UngrantedPledgesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Controllers of different versions: a peer that does not know a message, or whose answer is
+ * Controllers of different versions: a peer that does not support a message, or whose answer is
  * invalid or incomplete, grants no pledge. In an outage of the key-value store the leader then
  * stops renewing worker leases, as if the peer had not answered.
  */
