--- a/src/main/java/graderelay/core/Job.java
+++ b/src/main/java/graderelay/core/Job.java
@@ -37,10 +37,10 @@
     TaskBatchRecord record;
     long revision;
 
-    /** True while a transaction on it is unanswered, so that its revision is about to change. */
+    /** True while a transaction on it is in flight, so that its revision is about to change. */
     boolean inFlight;
 
-    /** The newer record that the watch delivered while the transaction was unanswered, or null. */
+    /** The newer record that the watch delivered while the transaction was in flight, or null. */
     TaskBatchRecord newerRecord;
 
     long newerRevision;
@@ -125,10 +125,10 @@
   String waitReason = "new";
 
   /** {@link ClusterState#roomVersion} when a placement round last found no room for it. */
-  long noRoomVersion = -1;
+  long noRoomAtVersion = -1;
 
   /**
-   * When that was. The job is retried after a while even if no room was freed, since some
+   * Time of that round. The job is retried after a while even if no room was freed, since some
    * conditions change with time alone.
    */
   double noRoomSince;
@@ -161,7 +161,8 @@
   // ---------------------------------------------------------------- DAG dependencies
 
   /**
-   * DependencyGraph that are not known to be done: no final record that says so has been seen yet.
+   * Ids of the dependencies that are not known to be done: no final record with that state has been
+   * seen yet.
    */
   final Set<String> pendingDependencies = new HashSet<>();
 
--- a/src/main/java/graderelay/core/StoredRecords.java
+++ b/src/main/java/graderelay/core/StoredRecords.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The stored records as this leader knows them. It applies task batch records read from the
+ * This leader's view of the stored records. It applies task batch records read from the
  * consensus-backed store and collects the ends of claims. The store is the source of truth: a claim
  * counts from the moment its compare-and-swap is sent until one that ends it has committed. {@link
  * CompareAndSwapWriter} writes the changes.
@@ -53,8 +53,8 @@
     adoptRecord(job, batch, record, revision, now);
   }
 
-  /** Handles the removal of a task batch record from the store. */
-  void onTaskBatchRemoved(TaskBatchKey key) {
+  /** Handles the deletion of a task batch record from the store. */
+  void onTaskBatchDeleted(TaskBatchKey key) {
     orphanRevisions.remove(key);
   }
 
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Ends a claim whose attempt is proven to have ended or was never launched; {@code taskDone}
-   * tells if its task is done.
+   * Ends a claim whose attempt is proven to have ended or was never launched; {@code taskDone} is
+   * true if its task is done.
    */
   void endClaim(Claim claim, boolean taskDone, double now) {
     if (claim.phase == Claim.Phase.ENDING) {
--- a/src/main/java/graderelay/service/RecordFeed.java
+++ b/src/main/java/graderelay/service/RecordFeed.java
@@ -119,7 +119,7 @@
    * of the same revision before.
    */
   void onQuotaChanged() {
-    boolean usesStoredLimits = cache.features().gate().enabled(Feature.STORED_LIMITS);
+    boolean usesStoredLimits = cache.features().gate().isEnabled(Feature.STORED_LIMITS);
     core.onQuota(usesStoredLimits ? cache.quota().snapshotAt(cache.observedRevision()) : null);
     scheduleStep.run();
   }
--- a/src/main/java/graderelay/worker/DelegationGrant.java
+++ b/src/main/java/graderelay/worker/DelegationGrant.java
@@ -96,7 +96,8 @@
     boolean sameLeader = grantingTerm == grant.grantorTerm();
     term = grant.term();
     grantingTerm = grant.grantorTerm();
-    leaderGrantTime = sameLeader ? Math.max(leaderGrantTime, grant.leaderTime()) : grant.leaderTime();
+    leaderGrantTime =
+        sameLeader ? Math.max(leaderGrantTime, grant.leaderTime()) : grant.leaderTime();
     validUntil =
         sameLeader ? Math.max(validUntil, requestedAt + durationS) : requestedAt + durationS;
     lastLeaderContact = loop.now();
--- a/src/main/java/graderelay/worker/WorkerApi.java
+++ b/src/main/java/graderelay/worker/WorkerApi.java
@@ -166,10 +166,12 @@
 
   /** Redirects the worker to the named leader, or to any other controller if the name is null. */
   private static void redirect(Consumer<Response> responder, String leaderName) {
-    responder.accept(Response.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(leaderName))));
+    responder.accept(
+        Response.json(MISDIRECTED_REQUEST, Json.write(WorkerCodec.encodeRedirect(leaderName))));
   }
 
   private static void rejectMalformed(Consumer<Response> responder) {
-    responder.accept(Response.json(BAD_REQUEST, Json.errorBody("the body is not a valid heartbeat")));
+    responder.accept(
+        Response.json(BAD_REQUEST, Json.errorBody("the body is not a valid heartbeat")));
   }
 }
--- a/src/test/java/graderelay/worker/ResponseLossTest.java
+++ b/src/test/java/graderelay/worker/ResponseLossTest.java
@@ -36,13 +36,13 @@
     registerMachine(scheduler, "n-1", 0);
     // A worker that received the response would not have switched to another controller.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 2, 1), "m-1", 5.1);
-    scheduler.onHeartbeatAnswered("n-1", 5.1);
+    scheduler.onHeartbeatResponse("n-1", 5.1);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 5.2, 5.2);
     SchedulerFixture.commitAll(scheduler, 10, 5.3);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isZero();
     // It stays with that controller, so it has received the response relayed through it.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-1", 7.1);
-    scheduler.onHeartbeatAnswered("n-1", 7.1);
+    scheduler.onHeartbeatResponse("n-1", 7.1);
     SchedulerFixture.commitAll(scheduler, 11, 7.2);
     assertThat(SchedulerFixture.claimCount(scheduler, "n-1")).isEqualTo(1);
   }
@@ -133,7 +133,7 @@
     Scheduler scheduler = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
       scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, seq, 6), seq * 4);
-      scheduler.onHeartbeatAnswered("n-1", seq * 4);
+      scheduler.onHeartbeatResponse("n-1", seq * 4);
     }
     assertThat(SchedulerFixture.logLines(scheduler))
         .anyMatch(line -> line.contains("does not receive heartbeat responses"));
@@ -145,7 +145,7 @@
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     // Its second heartbeat was lost, so it sent the third one to another controller.
     scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, 3, 1), "m-2", 9);
-    scheduler.onHeartbeatAnswered("n-1", 9);
+    scheduler.onHeartbeatResponse("n-1", 9);
     assertThat(SchedulerFixture.logLines(scheduler))
         .noneMatch(line -> line.contains("does not receive heartbeat responses"));
   }
