--- a/src/main/java/graderelay/service/MachineTypePoller.java
+++ b/src/main/java/graderelay/service/MachineTypePoller.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /**
- * Polls the cloud's machine types: every {@link CloudClient#TYPES_RETRY_S} until the first list
+ * Polls the cloud's machine types: every {@link CloudClient#RETRY_DELAY_S} until the first list
  * arrives, then every {@link #LEADER_POLL_INTERVAL_S} on the leader and at five times this interval
  * on a follower.
  */
