--- a/src/main/java/graderelay/service/LeaderLifecycle.java
+++ b/src/main/java/graderelay/service/LeaderLifecycle.java
@@ -18,116 +18,126 @@
 import java.util.function.Supplier;
 
 /**
- * Starts a {@link LeaderTerm} once this controller has won leadership and its records are caught up
- * with as they stood then, and closes the term on failover. There is no term on a follower.
+ * Starts a {@link LeaderTerm} once this controller has been elected and its cache contains all
+ * records committed before the election, and closes the leader term when leadership is lost. A
+ * follower has no leader term.
  */
 final class LeaderLifecycle implements Leadership.Listener {
-  /** Seconds between checks whether the records are read, for a controller that has won a term. */
+  /** Seconds between checks of an elected controller whether its cache has loaded the records. */
   private static final double RECORDS_CHECK_INTERVAL_S = 0.02;
 
   private final Loop loop;
   private final Cache cache;
-  private final BooleanSupplier leading;
-  private final BooleanSupplier entitled;
+  private final BooleanSupplier isLeader;
+  private final BooleanSupplier mayActAsLeader;
   private final Cancellations cancellations;
-  private final LongSupplier fencingToken;
+  private final LongSupplier termNumber;
   private final Metrics metrics;
   private final String member;
-  private final Supplier<List<MachineType>> types;
-  private final Supplier<LeaderTerm> newTerm;
-  private LeaderTerm current;
+  private final Supplier<List<MachineType>> machineTypes;
+  private final Supplier<LeaderTerm> termFactory;
+  private LeaderTerm currentTerm;
   private boolean closed;
 
   /**
-   * Makes the lifecycle of a controller that is a follower so far.
+   * Creates the lifecycle of a controller that starts as a follower.
    *
-   * @param leading whether this controller holds leadership now
-   * @param fencingToken the fencing token of this controller's leadership now
-   * @param entitled whether this controller may answer workers for all controllers now
-   * @param types the machine types the cloud has listed, null until it has
-   * @param newTerm makes a term with the records and settings as they are now
+   * @param isLeader whether this controller is the leader
+   * @param termNumber the term of this controller's current leadership, which is its fencing token
+   * @param mayActAsLeader whether this controller may act as the leader
+   * @param machineTypes the machine types of the cloud, null until it has listed them
+   * @param termFactory creates a leader term from the current records and settings
    */
   LeaderLifecycle(
       Loop loop,
       Cache cache,
-      BooleanSupplier leading,
-      LongSupplier fencingToken,
-      BooleanSupplier entitled,
+      BooleanSupplier isLeader,
+      LongSupplier termNumber,
+      BooleanSupplier mayActAsLeader,
       Cancellations cancellations,
       Metrics metrics,
       String member,
-      Supplier<List<MachineType>> types,
-      Supplier<LeaderTerm> newTerm) {
+      Supplier<List<MachineType>> machineTypes,
+      Supplier<LeaderTerm> termFactory) {
     this.loop = loop;
     this.cache = cache;
-    this.leading = leading;
-    this.fencingToken = fencingToken;
-    this.entitled = entitled;
+    this.isLeader = isLeader;
+    this.termNumber = termNumber;
+    this.mayActAsLeader = mayActAsLeader;
     this.cancellations = cancellations;
     this.metrics = metrics;
     this.member = member;
-    this.types = types;
-    this.newTerm = newTerm;
+    this.machineTypes = machineTypes;
+    this.termFactory = termFactory;
   }
 
-  /** The current term, or null while this controller does not lead. */
-  LeaderTerm current() {
-    return current;
+  /** The current leader term, or null while there is none. */
+  LeaderTerm currentTerm() {
+    return currentTerm;
   }
 
-  /** The core of the current term, or null. */
+  /** The scheduler core of the current leader term, or null while there is none. */
   Scheduler core() {
-    return current == null ? null : current.core();
+    return currentTerm == null ? null : currentTerm.core();
   }
 
-  /** Passes an event to the current term, if there is one. */
-  void ifLeading(Consumer<LeaderTerm> event) {
-    if (current != null) {
-      event.accept(current);
+  /** Runs the action on the current leader term, if there is one. */
+  void ifLeading(Consumer<LeaderTerm> action) {
+    if (currentTerm != null) {
+      action.accept(currentTerm);
     }
   }
 
   /**
-   * Takes a heartbeat and returns the worker commands for its response; none while no term runs.
+   * Handles a heartbeat and returns the worker commands for the response; none while there is no
+   * leader term.
    */
-  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String via) {
-    // A leader that is still reading the records keeps worker leases alive and commands nothing: it
-    // counts the leases from when its term begins, which is later.
-    return current == null ? List.of() : current.onHeartbeat(heartbeat, via);
+  List<WorkerCommand> onHeartbeat(Heartbeat heartbeat, String receivingController) {
+    // A leader that is still loading the records renews worker leases without sending commands.
+    // This is safe because it measures the leases from the start of its leader term, which is
+    // later.
+    return currentTerm == null
+        ? List.of()
+        : currentTerm.onHeartbeat(heartbeat, receivingController);
   }
 
   /**
-   * A peer asks to be our lease delegate in its zone: granted only while our session lease lasts
-   * and if the core knows the peer. The answer carries the cancellations that we have heard of.
+   * Handles a peer's request to become the lease delegate of its zone. It is granted only while
+   * this controller may act as the leader, and only if the core knows the peer's process. The
+   * response contains the cancellations that this controller has learned of.
    */
   PeerAnswer.Delegated onDelegationRequest(PeerRequest.Delegation request) {
-    return current != null && entitled.getAsBoolean()
+    return currentTerm != null && mayActAsLeader.getAsBoolean()
         ? new PeerAnswer.Delegated(
-            current.grantLeaseDelegation(request), cancellations.ownKnowledge())
+            currentTerm.grantLeaseDelegation(request), cancellations.ownKnowledge())
         : new PeerAnswer.Delegated(null, null);
   }
 
   /**
-   * Writes a team's account anew for operators; false if this controller does not lead any more.
+   * Rewrites a team's account at an operator's request; returns false if this controller has no
+   * leader term.
    */
   boolean replaceAccount(String team) {
-    if (current == null) {
+    if (currentTerm == null) {
       return false;
     }
-    current.replaceAccount(team);
+    currentTerm.replaceAccount(team);
     return true;
   }
 
-  /** A peer says that a job was cancelled: its tasks are stopped now, its record read later. */
+  /**
+   * Handles a peer's notification that a job was cancelled: its tasks are stopped immediately,
+   * before the job's record has been read.
+   */
   void onCancelled(String job) {
-    ifLeading(term -> term.records().onCancelled(job));
+    ifLeading(term -> term.recordFeed().onCancelled(job));
   }
 
-  /** Ends the current term for good, as the process ends. */
+  /** Closes the current leader term permanently when the process stops. */
   void close() {
     closed = true;
-    if (current != null) {
-      current.close();
+    if (currentTerm != null) {
+      currentTerm.close();
     }
   }
 
@@ -137,31 +147,33 @@
     startTerm(term, loop.now());
   }
 
-  /** Starts the term as soon as the records are known as they stood when it was won. */
-  private void startTerm(long term, double wonAt) {
+  /**
+   * Starts the leader term as soon as the cache contains all records committed before the election.
+   */
+  private void startTerm(long term, double electedAt) {
     if (!cache.isLoaded()) {
-      if (stillLeads(term)) {
-        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, wonAt));
+      if (isStillLeader(term)) {
+        loop.after(RECORDS_CHECK_INTERVAL_S, () -> startTerm(term, electedAt));
       }
       return;
     }
     cache.catchUp(
         caughtUp -> {
-          if (!stillLeads(term)) {
+          if (!isStillLeader(term)) {
             return;
           }
-          if (!caughtUp || types.get() == null) {
-            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, wonAt));
+          if (!caughtUp || machineTypes.get() == null) {
+            loop.after(StateClient.RETRY_DELAY_S, () -> startTerm(term, electedAt));
             return;
           }
-          current = newTerm.get();
-          current.start();
-          metrics.span("graderelay.takeover", loop.now() - wonAt);
+          currentTerm = termFactory.get();
+          currentTerm.start();
+          metrics.recordDuration("graderelay.takeover", loop.now() - electedAt);
         });
   }
 
-  private boolean stillLeads(long term) {
-    return !closed && leading.getAsBoolean() && fencingToken.getAsLong() == term;
+  private boolean isStillLeader(long term) {
+    return !closed && isLeader.getAsBoolean() && termNumber.getAsLong() == term;
   }
 
   @Override
@@ -170,10 +182,10 @@
   }
 
   @Override
-  public void onStoppedLeading(String why) {
-    if (current != null) {
-      current.close();
-      current = null;
+  public void onStoppedLeading(String reason) {
+    if (currentTerm != null) {
+      currentTerm.close();
+      currentTerm = null;
     }
   }
 }
