--- a/src/test/java/graderelay/worker/ClaimTest.java
+++ b/src/test/java/graderelay/worker/ClaimTest.java
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void claimCommittedLateIsNotLaunchedBesideACompetingClaim() {
+  void claimCommittedLateIsNotLaunchedBesideCompetingClaim() {
     SimWorld world = world(5);
     SimJob job = world.users.job("j-000005", 3, 1, 5, true);
     int[] remainingFaults = {1};
--- a/src/test/java/graderelay/worker/ResponseLossTest.java
+++ b/src/test/java/graderelay/worker/ResponseLossTest.java
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void machineThatDoesNotListAnAttemptLaunchedByAResponseLosesResponses() {
+  void machineThatDoesNotListAnAttemptLaunchedByResponseLosesResponses() {
     Scheduler scheduler = SchedulerFixture.scheduler(1);
     SchedulerFixture.exchangeHeartbeat(scheduler, "n-1", 1, 1, 0);
     scheduler.onJob(SchedulerFixture.array("j-1", 1), false, 5, 0.1, 0.1);
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void machineThatKeepsTheOldTermAfterAResponseLosesResponses() {
+  void machineThatKeepsTheOldTermAfterResponseLosesResponses() {
     Scheduler scheduler = SchedulerFixture.scheduler(7);
     for (int seq = 1; seq <= 2; seq++) {
       scheduler.onHeartbeat(SchedulerFixture.heartbeat("n-1", 1, seq, 6), seq * 4);
