--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -12,7 +12,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
@@ -40,6 +42,9 @@
   private final String cloud;
   private final int limit;
 
+  /** The jars of other builds by the controllers that start from them. */
+  private final Map<Integer, Path> otherBuilds = new HashMap<>();
+
   /** What a tool printed and how it ended. */
   record Outcome(int code, String out, String err) {}
 
@@ -61,6 +66,19 @@
    * @param limit CPUs that the settings allow the team, or 0 for any number
    */
   LocalDeployment(Path folder, int size, int machines, String options, int limit) throws Exception {
+    this(folder, size, machines, options, limit, null);
+  }
+
+  /**
+   * Controllers that start with the same options from the jar of another build.
+   *
+   * @param machines that the cloud has to give
+   * @param options what to switch on, or null
+   * @param limit CPUs that the settings allow the team, or 0 for any number
+   * @param otherBuild the jar, or null for the build under test
+   */
+  LocalDeployment(Path folder, int size, int machines, String options, int limit, Path otherBuild)
+      throws Exception {
     this.folder = folder;
     this.limit = limit;
     this.controllers = new Process[size];
@@ -75,6 +93,7 @@
       peerAddresses.add(freeAddress());
     }
     for (int i = 0; i < size; i++) {
+      useBuild(i, otherBuild);
       start(i, options);
     }
   }
@@ -90,6 +109,22 @@
     throw new AssertionError("not after all tries: " + what);
   }
 
+  /**
+   * From its next start on the controller runs from this jar, or, if null, the build under test.
+   */
+  void useBuild(int controller, Path otherBuild) {
+    if (otherBuild == null) {
+      otherBuilds.remove(controller);
+    } else {
+      otherBuilds.put(controller, otherBuild);
+    }
+  }
+
+  /** True if the controller runs from the jar of another build. */
+  boolean usesOtherBuild(int controller) {
+    return otherBuilds.containsKey(controller);
+  }
+
   /** Starts a controller's process with these options, or with nothing switched on. */
   void start(int controller, String options) throws IOException {
     Path settings = folder.resolve("m-" + controller + ".toml");
@@ -102,7 +137,10 @@
     }
     arguments.addAll(List.of("--config", settings.toString()));
     controllers[controller] =
-        launch("m-" + controller + "-" + processes.size(), arguments.toArray(new String[0]));
+        launch(
+            "m-" + controller + "-" + processes.size(),
+            otherBuilds.get(controller),
+            arguments.toArray(new String[0]));
     processes.add(controllers[controller]);
   }
 
@@ -148,7 +186,12 @@
 
   /** Runs a tool of the command line to its end. */
   Outcome run(String... arguments) throws IOException, InterruptedException {
-    Process tool = launch("tool", arguments);
+    return runFrom(null, arguments);
+  }
+
+  /** Runs a tool of the command line to its end, from a jar or, if null, the build under test. */
+  Outcome runFrom(Path otherBuild, String... arguments) throws IOException, InterruptedException {
+    Process tool = launch("tool", otherBuild, arguments);
     if (!tool.waitFor(END_S, TimeUnit.SECONDS)) {
       tool.destroyForcibly();
     }
@@ -158,11 +201,14 @@
         Files.readString(folder.resolve("tool.err")));
   }
 
-  private Process launch(String name, String... arguments) throws IOException {
+  private Process launch(String name, Path otherBuild, String... arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx64m"));
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName()));
+    command.addAll(
+        otherBuild == null
+            ? List.of("-cp", System.getProperty("java.class.path"), Main.class.getName())
+            : List.of("-jar", otherBuild.toString()));
     command.addAll(List.of(arguments));
     return new ProcessBuilder(command)
         .redirectOutput(folder.resolve(name + ".out").toFile())
