--- a/src/test/java/graderelay/cli/LocalDeployment.java
+++ b/src/test/java/graderelay/cli/LocalDeployment.java
@@ -12,7 +12,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
@@ -40,6 +42,9 @@
   private final String cloudAddress;
   private final int cpuLimit;
 
+  /** Jars of other builds, by the controllers that are started from them. */
+  private final Map<Integer, Path> otherBuilds = new HashMap<>();
+
   /** The output and the exit code of a command. */
   record CommandResult(int exitCode, String standardOutput, String standardError) {}
 
@@ -58,10 +63,24 @@
    *
    * @param machines number of machines that the cloud can provide
    * @param options the content of the options file, or null for none
-   * @param limit CPU limit of the team in the settings, or 0 for no limit
+   * @param cpuLimit CPU limit of the team in the settings, or 0 for no limit
    */
   LocalDeployment(Path folder, int size, int machines, String options, int cpuLimit)
       throws Exception {
+    this(folder, size, machines, options, cpuLimit, null);
+  }
+
+  /**
+   * Starts controllers with the same options from the jar of another build.
+   *
+   * @param machines number of machines that the cloud can provide
+   * @param options the content of the options file, or null for none
+   * @param cpuLimit CPU limit of the team in the settings, or 0 for no limit
+   * @param otherBuild the jar, or null for the build under test
+   */
+  LocalDeployment(
+      Path folder, int size, int machines, String options, int cpuLimit, Path otherBuild)
+      throws Exception {
     this.folder = folder;
     this.cpuLimit = cpuLimit;
     this.controllers = new Process[size];
@@ -76,6 +95,7 @@
       peerAddresses.add(freeAddress());
     }
     for (int i = 0; i < size; i++) {
+      useBuild(i, otherBuild);
       start(i, options);
     }
   }
@@ -91,6 +111,20 @@
     throw new AssertionError("condition did not become true: " + description);
   }
 
+  /** Sets the jar that a controller is started from; null is the build under test. */
+  void useBuild(int controller, Path otherBuild) {
+    if (otherBuild == null) {
+      otherBuilds.remove(controller);
+    } else {
+      otherBuilds.put(controller, otherBuild);
+    }
+  }
+
+  /** Returns true if a controller is started from the jar of another build. */
+  boolean usesOtherBuild(int controller) {
+    return otherBuilds.containsKey(controller);
+  }
+
   /**
    * Starts the process of a controller with these options, or without an options file if they are
    * null.
@@ -106,7 +140,10 @@
     }
     arguments.addAll(List.of("--config", settings.toString()));
     controllers[controller] =
-        launch("m-" + controller + "-" + processes.size(), arguments.toArray(new String[0]));
+        launch(
+            "m-" + controller + "-" + processes.size(),
+            otherBuilds.get(controller),
+            arguments.toArray(new String[0]));
     processes.add(controllers[controller]);
   }
 
@@ -158,7 +195,13 @@
 
   /** Runs a command until it exits. */
   CommandResult run(String... arguments) throws IOException, InterruptedException {
-    Process process = launch("tool", arguments);
+    return runFrom(null, arguments);
+  }
+
+  /** Runs a command until it exits, from a jar or, if that is null, the build under test. */
+  CommandResult runFrom(Path otherBuild, String... arguments)
+      throws IOException, InterruptedException {
+    Process process = launch("tool", otherBuild, arguments);
     if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
       process.destroyForcibly();
     }
@@ -168,11 +211,14 @@
         Files.readString(folder.resolve("tool.err")));
   }
 
-  private Process launch(String name, String... arguments) throws IOException {
+  private Process launch(String name, Path otherBuild, String... arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx64m"));
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), Main.class.getName()));
+    command.addAll(
+        otherBuild == null
+            ? List.of("-cp", System.getProperty("java.class.path"), Main.class.getName())
+            : List.of("-jar", otherBuild.toString()));
     command.addAll(List.of(arguments));
     return new ProcessBuilder(command)
         .redirectOutput(folder.resolve(name + ".out").toFile())
