--- a/src/main/java/graderelay/api/QuotaApi.java
+++ b/src/main/java/graderelay/api/QuotaApi.java
@@ -125,8 +125,7 @@
       // The leader changed while the cache was catching up.
       ApiError.unavailable("the leader has changed during the request").sendTo(exchange);
     } else {
-      Replies.message(
-          exchange, "the account of team " + team + " is being rewritten from its claims");
+      Replies.message(exchange, "the account of team " + team + " is written anew from its claims");
     }
   }
 }
--- a/src/main/java/graderelay/features/Downgrade.java
+++ b/src/main/java/graderelay/features/Downgrade.java
@@ -43,7 +43,7 @@
     } else if (transition.isInFlight()) {
       done.accept(new Result.Unavailable("another change of the feature level is in progress"));
     } else if (current.isLowering()) {
-      done.accept(new Result.Accepted("the downgrade to " + target + " is in progress"));
+      done.accept(new Result.Accepted("the downgrade to " + target + " is under way"));
     } else {
       start(new ClusterLevel(current.level(), target), done);
     }
@@ -69,7 +69,7 @@
             LOG.info(
                 "started the downgrade of the cluster's feature level to {}", newLevel.target());
           }
-          String doneMessage = "the downgrade to " + newLevel.target() + " is in progress";
+          String doneMessage = "the downgrade to " + newLevel.target() + " is under way";
           done.accept(Result.of(outcome, doneMessage, CHANGED_CONCURRENTLY));
         });
   }
--- a/src/main/java/graderelay/features/Finalization.java
+++ b/src/main/java/graderelay/features/Finalization.java
@@ -43,7 +43,7 @@
       Member member = published.get(name);
       String reason =
           member == null
-              ? "has published no feature levels: its version does not support them"
+              ? "has published no feature levels: it is of a version before them"
               : blockingReason(level, member, liveness, soakS, now);
       if (reason != null) {
         blockers.add(new Blocker(name, reason));
@@ -62,7 +62,7 @@
     if (Double.isNaN(uptimeS)) {
       return liveness.isResponding(member.name(), now)
           ? "was restarted and has not published its feature levels since"
-          : "does not respond";
+          : "gives no answer";
     }
     return uptimeS >= soakS
         ? null
--- a/src/main/java/graderelay/features/UpgradeCoordinator.java
+++ b/src/main/java/graderelay/features/UpgradeCoordinator.java
@@ -212,7 +212,7 @@
 
   /** Handles an operator's request to hold the current level or to release the hold. */
   public void hold(boolean held, Consumer<Result> done) {
-    String doneMessage = held ? "the current feature level is held" : "the hold is released";
+    String doneMessage = held ? "the present level is held" : "the hold is taken back";
     String conflictMessage = "the hold was changed concurrently";
     store.setLevelHeld(
         held, outcome -> done.accept(Result.of(outcome, doneMessage, conflictMessage)));
--- a/src/test/java/graderelay/cli/TwoBuildsOnLoopbackTest.java
+++ b/src/test/java/graderelay/cli/TwoBuildsOnLoopbackTest.java
@@ -136,7 +136,7 @@
       eventually(
           "limits are stored", () -> maxLevel < 3 || deployment.stored(QuotaCodec.SEEDED) != null);
       changeIdleSeconds(deployment, other, 0, 45);
-      UserSimulator user = new UserSimulator(CONTROLLERS, d::address);
+      UserSimulator user = new UserSimulator(CONTROLLERS, deployment::address);
       Thread userThread = new Thread(user);
       userThread.start();
       TimeUnit.SECONDS.sleep(LOAD_S);
--- a/src/test/java/graderelay/features/FinalizationTest.java
+++ b/src/test/java/graderelay/features/FinalizationTest.java
@@ -136,7 +136,7 @@
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 2).toString())
         .contains("m-0 was restarted");
     assertThat(Finalization.blockers(1, List.of("m-0"), published, liveness, SOAK_S, 9).toString())
-        .contains("m-0 does not respond");
+        .contains("m-0 gives no answer");
     assertThat(Finalization.blockers(1, List.of("m-1"), published, liveness, SOAK_S, 9).toString())
         .contains("m-1 has published no feature levels");
   }
