--- a/src/main/java/graderelay/core/Scheduler.java
+++ b/src/main/java/graderelay/core/Scheduler.java
@@ -34,11 +34,7 @@
   private final AdminViews adminViews;
   private final SchedulingRounds rounds;
 
-  /**
-   * Creates the scheduling core of a new leader.
-   *
-   * @param process unique id of this leader's process
-   */
+  /** Creates the core of a new leader; {@code process} is the unique ID of its process. */
   public Scheduler(Policy policy, long term, String process, RandomGenerator random, double now) {
     this.cluster = new ClusterState(policy, process + "-" + term);
     this.planner = new FleetPlanner(cluster, now);
@@ -151,10 +147,7 @@
     classes.forEach(classDemand -> planner.mergeStoredDemand(classDemand, now));
   }
 
-  /**
-   * Handles the images by machine that an earlier leader stored. Must be called before the task
-   * batches.
-   */
+  /** Handles an earlier leader's images by machine; to be called before the task batches. */
   public void onStoredImages(Map<String, List<String>> machines) {
     cluster.storedImages.putAll(machines);
   }
@@ -185,10 +178,7 @@
     return onHeartbeat(heartbeat, "", now);
   }
 
-  /**
-   * Handles a heartbeat that was received by the controller {@code controller}, or by this one if
-   * it is "".
-   */
+  /** Handles a heartbeat received by {@code controller}, or by this one if that is "". */
   public boolean onHeartbeat(Heartbeat heartbeat, String controller, double now) {
     return heartbeatHandler.onHeartbeat(
         heartbeat, HeartbeatOrigin.workerInitiated(controller), now);
@@ -282,9 +272,7 @@
     machineEvents.onScaleOutResponse(id, machineNames, noCapacity, now);
   }
 
-  /**
-   * Handles the cloud's confirmation of a deletion: the machines and all tasks on them are gone.
-   */
+  /** Handles the cloud's confirmation that machines are deleted, with all tasks on them. */
   public void onMachinesDeleted(List<String> machineNames, double now) {
     machineEvents.onMachinesDeleted(machineNames, now);
   }
